--- a/crates/lab/src/scale/lists.rs
+++ b/crates/lab/src/scale/lists.rs
@@ -5,12 +5,12 @@
 use crate::world::{self, ZONE};
 use rowanglade::core::{Beside, Clock, Core, Listed, Message, Wire, mailbox};
 use rowanglade::interface::{
-    Action, Attempt, ClassId, Entry, Event, KeyId, ListKind, Load, Micros, NodeId, NodeState, Outcome,
-    PlanId, Request, RequestId, ShardId, VolumeId, ZoneId,
+    Action, Attempt, ClassId, Entry, Event, KeyId, ListKind, Load, Micros, Outcome, PlanId, Request,
+    RequestId, ShardId, TargetId, TargetState, VolumeId, ZoneId,
 };
 use rowanglade::names::Names;
 use rowanglade::net::http::Page;
-use rowanglade::rules::Gateway;
+use rowanglade::scheduler::Scheduler;
 use rowanglade::settings::Settings;
 use rowanglade_subset::{Rule, Subset};
 use std::collections::BTreeMap;
@@ -37,7 +37,7 @@
         zone: format!("{ZONE}-{}", place % ZONES),
         kind: "std-box".into(),
         shard: place as u32,
-        state: NodeState::In,
+        state: TargetState::In,
         started: None,
     }
 }
@@ -63,32 +63,36 @@
 }
 
 /// The decision module that has heard the whole list.
-fn listed_module(size: Size) -> Result<(Gateway, Vec<Action>), Failure> {
+fn listed_module(size: Size) -> Result<(Scheduler, Vec<Action>), Failure> {
     let settings =
         rowanglade_standin::settings(&world::header(), size.instances as usize, ZONE, size.targets);
     let settings: Settings = serde_json::from_value(settings)?;
     let settings = settings.translate(&mut Names::default()).map_err(|e| format!("{e:?}"))?;
-    let mut gateway = Gateway::new(settings, SEED).map_err(|e| format!("{e:?}"))?;
+    let mut scheduler = Scheduler::new(settings, SEED).map_err(|e| format!("{e:?}"))?;
     let mut actions = Vec::new();
-    let entries = (0..size.targets).map(|place| entry(place, NodeState::In)).collect();
-    gateway.handle(0, Event::List { kind: ListKind::Full, entries }, &mut actions);
+    let entries = (0..size.targets).map(|place| entry(place, TargetState::In)).collect();
+    scheduler.handle(0, Event::List { kind: ListKind::Full, entries }, &mut actions);
     actions.clear();
-    Ok((gateway, actions))
+    Ok((scheduler, actions))
 }
 
-fn entry(place: usize, state: NodeState) -> Entry {
-    let (node, shard) = (NodeId(place as u32), ShardId(place as u32));
-    Entry { node, shard, zone: ZoneId((place % ZONES) as u32), state, started: None }
+fn entry(place: usize, state: TargetState) -> Entry {
+    let (node, shard) = (TargetId(place as u32), ShardId(place as u32));
+    Entry { target: node, shard, zone: ZoneId((place % ZONES) as u32), state, started: None }
 }
 
 /// The decision module by itself: the whole list once, then changes of one target each.
 pub fn module_change(size: Size) -> Result<Cost, Failure> {
-    let (mut gateway, mut actions) = listed_module(size)?;
+    let (mut scheduler, mut actions) = listed_module(size)?;
     let begun = thread_time();
     for change in 0..CHANGES {
-        let state = if change % 2 == 0 { NodeState::Draining } else { NodeState::In };
+        let state = if change % 2 == 0 { TargetState::Draining } else { TargetState::In };
         let entries = vec![entry(change * 7 % size.targets, state)];
-        gateway.handle(1_000 * change as u64, Event::List { kind: ListKind::Changes, entries }, &mut actions);
+        scheduler.handle(
+            1_000 * change as u64,
+            Event::List { kind: ListKind::Changes, entries },
+            &mut actions,
+        );
         actions.clear();
     }
     Ok(Cost { processor: (thread_time() - begun) / CHANGES as f64, ..Cost::default() })
@@ -111,7 +115,7 @@
 }
 
 fn module_requests(size: Size, shard: impl Fn(u64) -> Option<ShardId>) -> Result<Cost, Failure> {
-    let (mut gateway, mut actions) = listed_module(size)?;
+    let (mut scheduler, mut actions) = listed_module(size)?;
     let mut due: BTreeMap<(Micros, u64), Event> = BTreeMap::new();
     let mut order = 0;
     for number in 0..REQUESTS {
@@ -124,7 +128,7 @@
             key: Some(KeyId(number)),
             units: 1.0,
             shard: shard(number),
-            gateways: 1,
+            initiators: 1,
             deadline: at + 1_500_000,
             reach: None,
         };
@@ -135,12 +139,12 @@
     while served < REQUESTS {
         let ((now, _), event) = due.pop_first().ok_or("a request has no end")?;
         served += u64::from(matches!(event, Event::Outcome { .. }));
-        gateway.handle(now, event, &mut actions);
+        scheduler.handle(now, event, &mut actions);
         for action in std::mem::take(&mut actions) {
             let (after, event) = match action {
                 Action::Wake { token, after } => (after, Event::Wake { token }),
-                Action::Send { id, node, .. } => {
-                    gateway.settle(now, id, true);
+                Action::Send { id, target: node, .. } => {
+                    scheduler.settle(now, id, true);
                     (SERVED_IN, answered(id, node))
                 }
                 Action::Refuse { .. } | Action::Fail { .. } => return Err("a request is not served".into()),
@@ -153,11 +157,11 @@
     Ok(Cost { processor: (thread_time() - begun) / REQUESTS as f64, ..Cost::default() })
 }
 
-fn answered(id: RequestId, node: NodeId) -> Event {
+fn answered(id: RequestId, node: TargetId) -> Event {
     Event::Outcome {
         id,
         attempt: Attempt(0),
-        node,
+        target: node,
         outcome: Outcome::Served,
         took: SERVED_IN,
         over: true,
@@ -169,11 +173,11 @@
 
 /// Lists that change nothing, in the module: a watch that ends without news.
 pub fn module_empty_change(size: Size) -> Result<Cost, Failure> {
-    let (mut gateway, mut actions) = listed_module(size)?;
+    let (mut scheduler, mut actions) = listed_module(size)?;
     let begun = thread_time();
     for change in 0..EMPTY_CHANGES {
         let event = Event::List { kind: ListKind::Changes, entries: Vec::new() };
-        gateway.handle(1_000 * change as u64, event, &mut actions);
+        scheduler.handle(1_000 * change as u64, event, &mut actions);
         actions.clear();
     }
     Ok(Cost { processor: (thread_time() - begun) / EMPTY_CHANGES as f64, ..Cost::default() })
@@ -186,8 +190,8 @@
         rowanglade_standin::settings(&world::header(), size.instances as usize, ZONE, size.targets);
     let settings: Settings = serde_json::from_value(settings)?;
     let mut names = Names::default();
-    let gateway = Gateway::new(settings.translate(&mut names).map_err(|e| format!("{e:?}"))?, SEED);
-    let gateway = gateway.map_err(|e| format!("{e:?}"))?;
+    let scheduler = Scheduler::new(settings.translate(&mut names).map_err(|e| format!("{e:?}"))?, SEED);
+    let scheduler = scheduler.map_err(|e| format!("{e:?}"))?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build()?;
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let (inbox, handle) = mailbox(&settings, None);
@@ -199,7 +203,7 @@
         let subset = subset.map(|rule| Subset::new(rule, 0, size.instances));
         let beside = Beside { table, fleet: None, operations, upgrades, calls, seen, sites: None, subset };
         let connect = Box::new(|_: &Listed| mpsc::channel(1).0);
-        let core = Core::new(gateway, names, Clock::start(), inbox, connect, beside);
+        let core = Core::new(scheduler, names, Clock::start(), inbox, connect, beside);
         tokio::task::spawn_local(core.run());
         let mut listed = handle.listed();
         let entries = lines(size.targets);
@@ -216,7 +220,7 @@
             entry.kind = format!("box-{change}");
             entry.started = Some(1_000_000 * change as u64);
             // One that had left comes back: the subset hears of it too.
-            entry.state = if change % 2 == 0 { NodeState::Draining } else { NodeState::In };
+            entry.state = if change % 2 == 0 { TargetState::Draining } else { TargetState::In };
             let news = Message::list(Wire::Http, ListKind::Changes, vec![entry]);
             handle.tell(news).await;
             listed.changed().await?;
--- a/crates/warmup/src/lib.rs
+++ b/crates/warmup/src/lib.rs
@@ -1,28 +1,28 @@
-//! What each of many gateways may send to a node that has just started, so that all of them together never push
+//! What each of many initiators may send to a target that has just started, so that all of them together never push
 //! it over, though none hears what the others send.
 //!
-//! A node falls over when, for a window, it is sent more than a multiple of what it can do at the time. Its
+//! A target falls over when, for a window, it is sent more than a multiple of what it can do at the time. Its
 //! capacity is told to nobody. Two budgets stand side by side, and a request that either has room for may go:
 //!
-//! - **The even part.** A number of units that a node always bears in its first window is told. It grows as the
-//!   node warms at its slowest, and each gateway has its even part ([`Node`]). Over a hundred gateways that part is
-//!   less than one request, so it alone leaves a node that has just started almost without work for as long as it
-//!   is cold, and most of the gateways that hold a part never ask the node for anything.
-//! - **The reserves.** What is reserved for the volumes whose data a node holds is at most what the node can do
+//! - **The even part.** A number of units that a target always bears in its first window is told. It grows as the
+//!   target warms at its slowest, and each initiator has its even part ([`Target`]). Over a hundred initiators that part is
+//!   less than one request, so it alone leaves a target that has just started almost without work for as long as it
+//!   is cold, and most of the initiators that hold a part never ask the target for anything.
+//! - **The reserves.** What is reserved for the volumes whose data a target holds is at most what the target can do
 //!   when warm, or the reserves could not be kept at all. So if every volume's reserve is let through at `part` of
-//!   its rate, the node gets at most `part` of its full capacity; and it bears `multiple` times the share of its
+//!   its rate, the target gets at most `part` of its full capacity; and it bears `multiple` times the share of its
 //!   capacity that it has reached. With `part` below that by [`KEPT_BACK`], the rule holds whoever else sends, for
-//!   every gateway paces its own share of the reserve ([`Pace`]): no gateway needs to hear of another. A volume's
-//!   reserve is for all its nodes together: each cold one has a pace of its own, at that node's part of it.
+//!   every initiator paces its own share of the reserve ([`Pace`]): no initiator needs to hear of another. A volume's
+//!   reserve is for all its targets together: each cold one has a pace of its own, at that target's part of it.
 //!
-//! Nodes fall by what reaches them, and a request reaches its node when its connection is up, which may be long after
-//! the decision. What was taken from a budget and has not reached its node yet counts as reaching it now, at every
+//! Targets fall by what reaches them, and a request reaches its target when its connection is up, which may be long after
+//! the decision. What was taken from a budget and has not reached its target yet counts as reaching it now, at every
 //! look; it counts from its arrival once that is told, and comes back where it never left ([`Taken`]). So nothing that
 //! waits for connections adds up beside what was granted since.
 //!
 //! Many paces that begin at once must not send their first requests at once: a request larger than what has
 //! been made up yet waits for a phase of its own, drawn evenly, so that in the sum they begin at their rate. It
-//! also keeps a mass restart of gateways harmless: what is not known of the time before is made up by the phases.
+//! also keeps a mass restart of initiators harmless: what is not known of the time before is made up by the phases.
 
 #![forbid(unsafe_code)]
 
@@ -32,25 +32,25 @@
 /// A time or a span, in microseconds.
 pub type Micros = u64;
 
-/// This much of the told budget is spared where single requests of many gateways make it up by chance.
+/// This much of the told budget is spared where single requests of many initiators make it up by chance.
 const SPARED: f64 = 0.5;
-/// This much of what a cold node bears is kept back from the reserves' traffic: for chance, for the even parts
-/// beside it, and for nodes weaker than the reserves count on.
+/// This much of what a cold target bears is kept back from the reserves' traffic: for chance, for the even parts
+/// beside it, and for targets weaker than the reserves count on.
 const KEPT_BACK: f64 = 0.2;
 
-/// The rule on cold nodes, and how many gateways keep it together.
+/// The rule on cold targets, and how many initiators keep it together.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Rule {
-    /// A node starts at this part of its capacity or more ...
+    /// A target starts at this part of its capacity or more ...
     pub from: f64,
     /// ... and is warm after this long at most.
     pub warm_within: Micros,
-    /// Units within `window`, from all gateways together, that a cold node always bears.
+    /// Units within `window`, from all initiators together, that a cold target always bears.
     pub units: f64,
     pub window: Micros,
-    /// More than this multiple of its capacity for `window` pushes a cold node over.
+    /// More than this multiple of its capacity for `window` pushes a cold target over.
     pub multiple: f64,
-    pub gateways: u32,
+    pub initiators: u32,
 }
 
 impl Rule {
@@ -58,7 +58,7 @@
         self.from.clamp(0.01, 1.0)
     }
 
-    /// The least part of its capacity that a node has at a time, as it warms evenly at the slowest.
+    /// The least part of its capacity that a target has at a time, as it warms evenly at the slowest.
     fn capacity(&self, started: Micros, at: Micros) -> f64 {
         let warmed = at.saturating_sub(started) as f64 / self.warm_within.max(1) as f64;
         self.from() + (1.0 - self.from()) * warmed.min(1.0)
@@ -68,7 +68,7 @@
         now < started.saturating_add(self.warm_within)
     }
 
-    /// The part of their rate at which reserves may be sent to a node. It passes one where the node bears more than
+    /// The part of their rate at which reserves may be sent to a target. It passes one where the target bears more than
     /// it can do.
     pub fn reserve_part(&self, started: Micros, now: Micros) -> f64 {
         let begin = now.saturating_sub(self.window);
@@ -76,7 +76,7 @@
     }
 }
 
-/// What a request takes from a budget until it has reached its node.
+/// What a request takes from a budget until it has reached its target.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Taken {
     /// The request's number: only one of its attempts is on its way at a time.
@@ -87,17 +87,17 @@
 }
 
 impl Taken {
-    /// When it reaches its node, as far as can be said now.
+    /// When it reaches its target, as far as can be said now.
     fn arrives(&self, now: Micros) -> Micros {
         self.latest.min(now)
     }
 }
 
-/// A cold node, as one gateway sees it.
+/// A cold target, as one initiator sees it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Node {
+pub struct Target {
     started: Micros,
-    /// When this gateway heard of its start.
+    /// When this initiator heard of its start.
     told: Micros,
     /// Of the first send.
     phase: f64,
@@ -108,19 +108,19 @@
     on_way: Vec<Taken>,
 }
 
-impl Node {
+impl Target {
     /// `phase` is drawn evenly from 0 to 1.
-    pub fn new(started: Micros, told: Micros, phase: f64) -> Node {
-        Node { started, told, phase, ..Node::default() }
+    pub fn new(started: Micros, told: Micros, phase: f64) -> Target {
+        Target { started, told, phase, ..Target::default() }
     }
 
-    /// Until when these units are to wait for this gateway's even part. `born`: when the gateway started; what it
+    /// Until when these units are to wait for this initiator's even part. `born`: when the initiator started; what it
     /// sent before that is not known to it.
     pub fn even_until(&self, rule: &Rule, now: Micros, born: Micros, units: f64) -> Micros {
         let (started, begin) = (self.started, now.saturating_sub(rule.window));
         let from = rule.from();
         let grown = rule.capacity(started, begin) / from;
-        let part = rule.units * grown / f64::from(rule.gateways.max(1));
+        let part = rule.units * grown / f64::from(rule.initiators.max(1));
         let since = born.max(started);
         let lately: f64 = self.charged(now).filter(|(t, _)| *t >= begin).map(|(_, u)| u).sum();
         if lately + units <= part {
@@ -163,7 +163,7 @@
     }
 }
 
-/// A gateway's share of a volume's reserve at a cold node.
+/// An initiator's share of a volume's reserve at a cold target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Pace {
     /// From when the next units may go.
@@ -171,7 +171,7 @@
     /// What has not arrived yet, and in how long it is made up then.
     #[serde(default)]
     on_way: Option<(Taken, Micros)>,
-    /// Sets its first send apart from those of other volumes through the same gateway.
+    /// Sets its first send apart from those of other volumes through the same initiator.
     #[serde(default)]
     shift: f64,
 }
@@ -184,18 +184,18 @@
         Pace { shift: (volume as f64 * GOLDEN).fract(), ..Pace::default() }
     }
 
-    /// Until when these units are to wait. `rate`: the gateway's share of the reserve, in units a second.
-    pub fn until(&self, rule: &Rule, node: &Node, now: Micros, rate: f64, units: f64) -> Micros {
+    /// Until when these units are to wait. `rate`: the initiator's share of the reserve, in units a second.
+    pub fn until(&self, rule: &Rule, target: &Target, now: Micros, rate: f64, units: f64) -> Micros {
         // A whole phase is no draw: nothing is known of what went before, and all of it is waited for.
-        let phase = if node.phase < 1.0 { (node.phase + self.shift).fract() } else { 1.0 };
-        let first = (Pace::span(rule, node, now, rate, units) as f64 * phase) as Micros;
+        let phase = if target.phase < 1.0 { (target.phase + self.shift).fract() } else { 1.0 };
+        let first = (Pace::span(rule, target, now, rate, units) as f64 * phase) as Micros;
         let on_way = self.on_way.map(|(taken, span)| taken.arrives(now) + span);
-        on_way.or(self.next).unwrap_or(0).max(node.told.saturating_add(first))
+        on_way.or(self.next).unwrap_or(0).max(target.told.saturating_add(first))
     }
 
     /// Units are on their way on account of the reserve.
-    pub fn take(&mut self, rule: &Rule, node: &Node, now: Micros, rate: f64, taken: Taken) {
-        self.on_way = Some((taken, Pace::span(rule, node, now, rate, taken.units)));
+    pub fn take(&mut self, rule: &Rule, target: &Target, now: Micros, rate: f64, taken: Taken) {
+        self.on_way = Some((taken, Pace::span(rule, target, now, rate, taken.units)));
     }
 
     /// A request's units have arrived now, or never left.
@@ -207,13 +207,13 @@
         }
     }
 
-    pub fn sent(&mut self, rule: &Rule, node: &Node, now: Micros, rate: f64, units: f64) {
-        self.next = Some(now + Pace::span(rule, node, now, rate, units));
+    pub fn sent(&mut self, rule: &Rule, target: &Target, now: Micros, rate: f64, units: f64) {
+        self.next = Some(now + Pace::span(rule, target, now, rate, units));
     }
 
     /// In how long these units are made up.
-    fn span(rule: &Rule, node: &Node, now: Micros, rate: f64, units: f64) -> Micros {
-        let rate = rate * rule.reserve_part(node.started, now);
+    fn span(rule: &Rule, target: &Target, now: Micros, rate: f64, units: f64) -> Micros {
+        let rate = rate * rule.reserve_part(target.started, now);
         // A volume without a reserve has no pace that could let anything through.
         (units / rate.max(1e-9) * 1e6).min(1e15) as Micros
     }
--- a/crates/warmup/tests/fleet.rs
+++ b/crates/warmup/tests/fleet.rs
@@ -1,14 +1,14 @@
-//! A fleet of gateways, each acting alone, in front of one node that has just started.
+//! A fleet of initiators, each acting alone, in front of one target that has just started.
 
-use rowanglade_warmup::{Micros, Node, Pace, Rule};
+use rowanglade_warmup::{Micros, Pace, Rule, Target};
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
-/// Units a second that the node can do when warm; all of it is reserved, which is the most that can be.
+/// Units a second that the target can do when warm; all of it is reserved, which is the most that can be.
 const CAPACITY: f64 = 60.0;
 const GATEWAYS: u32 = 100;
 const VOLUMES: usize = 24;
-/// Through how many gateways a volume works.
+/// Through how many initiators a volume works.
 const HOSTS: usize = 2;
 const UNITS: f64 = 2.0;
 
@@ -19,7 +19,7 @@
         units: 12.0,
         window: 3 * SECOND,
         multiple: 2.5,
-        gateways: GATEWAYS,
+        initiators: GATEWAYS,
     }
 }
 
@@ -33,21 +33,21 @@
     }
 }
 
-/// What arrives at a node that started at `STARTED`, when every volume's gateways would send all the time. They
-/// hear of the start after `told`; all gateways are restarted after `restart`.
+/// What arrives at a target that started at `STARTED`, when every volume's initiators would send all the time. They
+/// hear of the start after `told`; all initiators are restarted after `restart`.
 fn sent(seed: u64, told: impl Fn(usize) -> Micros, restart: Option<Micros>) -> Vec<(Micros, f64)> {
     let (rule, mut phases) = (rule(), Phases(seed));
     let senders: Vec<usize> = (0..VOLUMES * HOSTS).collect();
     let rate = CAPACITY / (VOLUMES * HOSTS) as f64;
-    let node = |told, phase| Node::new(STARTED, told, phase);
-    let mut state: Vec<(Node, Pace, Micros)> =
-        senders.iter().map(|s| (node(STARTED + told(*s), phases.next()), Pace::default(), 0)).collect();
+    let target = |told, phase| Target::new(STARTED, told, phase);
+    let mut state: Vec<(Target, Pace, Micros)> =
+        senders.iter().map(|s| (target(STARTED + told(*s), phases.next()), Pace::default(), 0)).collect();
     let mut all = Vec::new();
     for step in 0..1_500 {
         let now = STARTED + step * 10 * MS;
         if restart.is_some_and(|at| now == STARTED + at) {
             for (n, pace, born) in &mut state {
-                (*n, *pace, *born) = (node(now, phases.next()), Pace::default(), now);
+                (*n, *pace, *born) = (target(now, phases.next()), Pace::default(), now);
             }
         }
         for (s, (n, pace, born)) in state.iter_mut().enumerate() {
@@ -68,7 +68,7 @@
 
 const STARTED: Micros = 1_000 * SECOND;
 
-/// The most that any window held, as a part of what the node bears in it at the slowest warming.
+/// The most that any window held, as a part of what the target bears in it at the slowest warming.
 fn fullest(all: &[(Micros, f64)]) -> f64 {
     let r = rule();
     let borne = |end: Micros| {
@@ -87,9 +87,9 @@
             // The list tells some at once and others late.
             let all = sent(seed, |s| lag * (s as u64 % 10) / 10, None);
             let fullest = fullest(&all);
-            assert!(fullest <= 1.0, "seed {seed}, lag {lag}: {fullest} of what the node bears");
+            assert!(fullest <= 1.0, "seed {seed}, lag {lag}: {fullest} of what the target bears");
             let early: f64 = all.iter().filter(|(at, _)| *at < STARTED + 8 * SECOND).map(|(_, u)| u).sum();
-            // An even part alone lets 12 units in 3 s through; the node can do 28 % of 60 a second and more.
+            // An even part alone lets 12 units in 3 s through; the target can do 28 % of 60 a second and more.
             assert!(early > 0.3 * 8.0 * CAPACITY, "seed {seed}, lag {lag}: {early} units in 8 s");
         }
     }
@@ -100,27 +100,27 @@
     for seed in 1..30 {
         for restart in [SECOND, 3 * SECOND, 6 * SECOND] {
             let fullest = fullest(&sent(seed, |_| 0, Some(restart)));
-            assert!(fullest <= 1.0, "seed {seed}, after {restart}: {fullest} of what the node bears");
+            assert!(fullest <= 1.0, "seed {seed}, after {restart}: {fullest} of what the target bears");
         }
     }
 }
 
 #[test]
 fn a_volume_without_a_reserve_has_the_even_part_only() {
-    let (rule, node) = (rule(), Node::new(STARTED, STARTED, 0.5));
+    let (rule, target) = (rule(), Target::new(STARTED, STARTED, 0.5));
     let now = STARTED + 14 * SECOND;
-    assert!(Pace::default().until(&rule, &node, now, 0.0, UNITS) > now + 15 * SECOND);
+    assert!(Pace::default().until(&rule, &target, now, 0.0, UNITS) > now + 15 * SECOND);
 }
 
 #[test]
 fn one_pace_is_for_all_cold_nodes_of_a_volume_at_a_shard_and_each_new_node_begins_with_its_phase() {
     let rule = rule();
-    let (a, b) = (Node::new(STARTED, STARTED, 0.0), Node::new(STARTED, STARTED, 0.0));
+    let (a, b) = (Target::new(STARTED, STARTED, 0.0), Target::new(STARTED, STARTED, 0.0));
     let mut pace = Pace::default();
     pace.sent(&rule, &a, STARTED, 1.0, UNITS);
     assert!(pace.until(&rule, &b, STARTED, 1.0, UNITS) > STARTED + 2 * SECOND);
     let later = STARTED + 100 * SECOND;
-    let c = Node::new(later, later, 0.5);
+    let c = Target::new(later, later, 0.5);
     assert!(pace.until(&rule, &c, later, 1.0, UNITS) > later + SECOND, "a pace of long ago is no credit");
 }
 
@@ -128,7 +128,7 @@
 fn paces_of_one_gateway_begin_apart_and_a_whole_phase_is_waited_for_by_all() {
     let rule = rule();
     let until = |volume, phase| {
-        Pace::new(volume).until(&rule, &Node::new(STARTED, STARTED, phase), STARTED, 1.0, UNITS) - STARTED
+        Pace::new(volume).until(&rule, &Target::new(STARTED, STARTED, phase), STARTED, 1.0, UNITS) - STARTED
     };
     let mut drawn: Vec<Micros> = (0..8).map(|volume| until(volume, 0.5)).collect();
     drawn.sort_unstable();
--- a/crates/warmup/tests/ramp.rs
+++ b/crates/warmup/tests/ramp.rs
@@ -1,11 +1,11 @@
-//! The sum of what 20, 30 and 350 processes send to one node that has just started, counted where it arrives.
+//! The sum of what 20, 30 and 350 processes send to one target that has just started, counted where it arrives.
 //!
-//! A node that has just started falls when, within the rule's window, it gets more than N + 2 x root of N + 2 requests
+//! A target that has just started falls when, within the rule's window, it gets more than N + 2 x root of N + 2 requests
 //! of mean size, N being what the rule allows: multiple x present capacity x window.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use rowanglade_warmup::{Micros, Node, Pace, Rule, Taken};
+use rowanglade_warmup::{Micros, Pace, Rule, Taken, Target};
 use std::collections::VecDeque;
 
 const MS: Micros = 1_000;
@@ -13,17 +13,17 @@
 const STEP: Micros = 10 * MS;
 const STARTED: Micros = 1_000 * SECOND;
 const COLD_FOR: Micros = 15 * SECOND;
-/// Units a second that the node can do when it is warm.
+/// Units a second that the target can do when it is warm.
 const CAPACITY: f64 = 60.0;
 /// Units of a request in the mean, and at most.
 const USUAL: f64 = 2.0;
 const LARGEST: u32 = 6;
 const SEEDS: u64 = 4;
 
-/// What happens to a fleet besides the start of the node.
+/// What happens to a fleet besides the start of the target.
 #[derive(Clone, Copy, Debug, Default)]
 struct Troubles {
-    /// Of the capacity, what a cold node always bears: the figure that the settings tell.
+    /// Of the capacity, what a cold target always bears: the figure that the settings tell.
     told_units: f64,
     /// The part of the processes that are killed and started again within the first 8 s.
     restarted: f64,
@@ -32,13 +32,13 @@
     /// The part of connections that come up late, and by how much at most.
     late: f64,
     late_by: Micros,
-    /// The part of requests that the node turns away and that are sent again.
+    /// The part of requests that the target turns away and that are sent again.
     again: f64,
     /// Nothing is asked for before this long after the start, and all at once then.
     quiet_for: Micros,
 }
 
-/// A volume's share at one process: who it is, and its part of the reserve at this node.
+/// A volume's share at one process: who it is, and its part of the reserve at this target.
 struct Sender {
     process: usize,
     rate: f64,
@@ -48,7 +48,7 @@
 }
 
 struct Process {
-    node: Node,
+    target: Target,
     born: Micros,
     hears: Micros,
     restarts: Option<Micros>,
@@ -61,7 +61,7 @@
         units: 0.0,
         window: 3 * SECOND,
         multiple: 2.5,
-        gateways: processes,
+        initiators: processes,
     };
     rule.units = troubles.told_units * allowed(&rule, STARTED) * USUAL;
     rule
@@ -87,7 +87,7 @@
     f64::from(units)
 }
 
-/// When units reach the node that a fleet sends it whose clients ask for more than it may have all the time.
+/// When units reach the target that a fleet sends it whose clients ask for more than it may have all the time.
 fn arrivals(seed: u64, processes: u32, troubles: Troubles) -> Vec<(Micros, f64)> {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let rule = rule(processes, &troubles);
@@ -96,7 +96,7 @@
             let hears = STARTED + random.random_range(0..=troubles.heard_within);
             let restarts =
                 random.random_bool(troubles.restarted).then(|| STARTED + random.random_range(0..8 * SECOND));
-            Process { node: Node::new(STARTED, hears, random.random()), born: 0, hears, restarts }
+            Process { target: Target::new(STARTED, hears, random.random()), born: 0, hears, restarts }
         })
         .collect();
     let mut senders = volumes(&mut random, processes);
@@ -109,7 +109,7 @@
         for process in &mut fleet {
             if process.restarts.take_if(|at| *at <= now).is_some() {
                 process.hears = process.hears.max(now + random.random_range(0..=300 * MS));
-                process.node = Node::new(STARTED, process.hears, random.random());
+                process.target = Target::new(STARTED, process.hears, random.random());
                 process.born = now;
             }
         }
@@ -125,7 +125,7 @@
             reached.push((now, *units));
             let sender = &mut senders[*sender];
             sender.pace.settle(now, *request, true);
-            fleet[sender.process].node.settle(now, *request, true);
+            fleet[sender.process].target.settle(now, *request, true);
             false
         });
         if now < STARTED + troubles.quiet_for {
@@ -139,10 +139,10 @@
             let units = sender.units;
             request += 1;
             let taken = Taken { request, units, latest: now + 5 * SECOND };
-            if sender.pace.until(&rule, &process.node, now, sender.rate, units) <= now {
-                sender.pace.take(&rule, &process.node, now, sender.rate, taken);
-            } else if process.node.even_until(&rule, now, process.born, units) <= now {
-                process.node.take(taken);
+            if sender.pace.until(&rule, &process.target, now, sender.rate, units) <= now {
+                sender.pace.take(&rule, &process.target, now, sender.rate, taken);
+            } else if process.target.even_until(&rule, now, process.born, units) <= now {
+                process.target.take(taken);
             } else {
                 continue;
             }
@@ -158,13 +158,13 @@
     reached
 }
 
-/// Volumes whose reserves at the node make up nine tenths of it, each through one to three processes.
+/// Volumes whose reserves at the target make up nine tenths of it, each through one to three processes.
 fn volumes(random: &mut Pcg64Mcg, processes: u32) -> Vec<Sender> {
     let mut senders = Vec::new();
     let (mut left, reserve) = (0.9 * CAPACITY, 3.0);
     while left > 0.0 {
-        let (nodes, hosts) = (random.random_range(1..=6), random.random_range(1..=3));
-        let at_node = (reserve / f64::from(nodes)).min(left);
+        let (targets, hosts) = (random.random_range(1..=6), random.random_range(1..=3));
+        let at_node = (reserve / f64::from(targets)).min(left);
         left -= at_node;
         for _ in 0..hosts {
             let process = random.random_range(0..processes) as usize;
@@ -180,7 +180,7 @@
     senders
 }
 
-/// The most that any window held, as a part of what makes the node fall, and when that window began.
+/// The most that any window held, as a part of what makes the target fall, and when that window began.
 fn worst(rule: &Rule, reached: &[(Micros, f64)]) -> (f64, f64) {
     let mut worst = (0.0, 0.0);
     for (begin, _) in reached {
@@ -213,7 +213,7 @@
 }
 
 const FLEETS: [u32; 3] = [20, 30, 350];
-/// What the settings tell that a cold node always bears, as a part of what it does bear: the reserves leave a fifth.
+/// What the settings tell that a cold target always bears, as a part of what it does bear: the reserves leave a fifth.
 const TOLD: [f64; 2] = [0.1, 0.2];
 
 #[test]
--- a/src/bin/rowanglade-benchlink/main.rs
+++ b/src/bin/rowanglade-benchlink/main.rs
@@ -1,4 +1,4 @@
-//! Hosts gateways of rowanglade on the simulator's wire. Translation only: no decision is taken here.
+//! Hosts initiators of rowanglade on the simulator's wire. Translation only: no decision is taken here.
 #![forbid(unsafe_code)]
 
 mod discovery;
@@ -7,12 +7,12 @@
 use discovery::{DiscoveryClient, TIMER_TOKEN};
 use rowanglade::interface::{Action, Event, ListKind};
 use rowanglade::names::Names;
-use rowanglade::rules::Gateway;
+use rowanglade::scheduler::Scheduler;
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
 
 struct Instance {
-    gateway: Gateway,
+    scheduler: Scheduler,
     names: Names,
     /// None where the list comes without being asked for.
     discovery: Option<DiscoveryClient>,
@@ -32,9 +32,9 @@
                 wire::Opened::Born { seed, settings } => {
                     let mut names = Names::default();
                     let discovery = DiscoveryClient::new(inst, &settings, seed, batch.now);
-                    match settings.translate(&mut names).and_then(|s| Gateway::new(s, seed)) {
-                        Ok(gateway) => {
-                            instances.insert(inst, Instance { gateway, names, discovery });
+                    match settings.translate(&mut names).and_then(|s| Scheduler::new(s, seed)) {
+                        Ok(scheduler) => {
+                            instances.insert(inst, Instance { scheduler, names, discovery });
                         }
                         Err(e) => reply.actions.push(wire::Sent::panic(inst, e.to_string())),
                     }
@@ -68,11 +68,11 @@
                         _ => None,
                     };
                     actions.clear();
-                    i.gateway.handle(batch.now, event, &mut actions);
+                    i.scheduler.handle(batch.now, event, &mut actions);
                     for action in &actions {
                         // On this wire an attempt has reached its target at once.
                         if let Action::Send { id, .. } = action {
-                            i.gateway.settle(batch.now, *id, true);
+                            i.scheduler.settle(batch.now, *id, true);
                         }
                         reply.actions.extend(wire::Sent::from(inst, action, &mut i.names));
                     }
--- a/src/bin/rowanglade-benchlink/wire.rs
+++ b/src/bin/rowanglade-benchlink/wire.rs
@@ -187,13 +187,13 @@
                     .unwrap_or_default()
                     .into_iter()
                     .map(|r| api::Entry {
-                        node: names.listed(&r.store),
+                        target: names.listed(&r.store),
                         shard: ShardId(r.bay.max(0) as u32),
                         zone: names.zone(r.hall.as_deref().unwrap_or_default()),
                         state: match r.state.as_str() {
-                            "IN" => api::NodeState::In,
-                            "LAME" => api::NodeState::Draining,
-                            _ => api::NodeState::Gone,
+                            "IN" => api::TargetState::In,
+                            "LAME" => api::TargetState::Draining,
+                            _ => api::TargetState::Gone,
                         },
                         started: r.since,
                     })
@@ -207,14 +207,14 @@
                 key: r.chunk.filter(|k| !k.is_empty()).map(|k| names.key(&k)),
                 units: r.size_units.unwrap_or(0.0),
                 shard: r.lies_in.filter(|s| *s >= 0.0).map(|s| ShardId(s as u32)),
-                gateways: r.set_size.map_or(0, |n| n as u32),
+                initiators: r.set_size.map_or(0, |n| n as u32),
                 deadline: r.client_deadline,
                 reach: None,
             }),
             Event::Resolved(r) => api::Event::Outcome {
                 id: names.request(&r.xid)?,
                 attempt: Attempt(r.go),
-                node: names.node(&r.store)?,
+                target: names.node(&r.store)?,
                 outcome: outcome(&r.state_code),
                 took: r.delay_seen,
                 over: r.last,
@@ -228,7 +228,7 @@
             Event::TickDue(t) => api::Event::Wake { token: t.token },
             Event::Withdrawn(w) => api::Event::Withdrawn { id: names.request(&w.xid)? },
             Event::StatusBack(s) => api::Event::Probed {
-                node: names.node(&s.store)?,
+                target: names.node(&s.store)?,
                 outcome: outcome(&s.state_code),
                 took: s.delay_seen,
                 load: load(s.metrics, names),
@@ -326,12 +326,12 @@
     /// None: the action names what the wire no longer knows.
     pub fn from(inst: u64, action: &Action, names: &mut Names) -> Option<Sent> {
         let what = match *action {
-            Action::Send { id, node, timeout } => {
+            Action::Send { id, target, timeout } => {
                 names.sent(id);
                 What::Issue {
                     xid: names.request_name(id)?.to_string(),
                     timeout,
-                    store: names.node_name(node)?.to_string(),
+                    store: names.node_name(target)?.to_string(),
                 }
             }
             Action::Refuse { id, wait } => {
@@ -350,7 +350,7 @@
             Action::Wake { token, after } => What::WakeAt { token, offset: after },
             // The simulator's instances talk of no units.
             Action::Lacks { .. } | Action::Spared { .. } => return None,
-            Action::Probe { node } => What::Check { store: names.node_name(node)?.to_string() },
+            Action::Probe { target } => What::Check { store: names.node_name(target)?.to_string() },
         };
         Some(Sent { inst, what })
     }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -21,7 +21,7 @@
 use crate::net::fleet::Peers;
 use crate::net::http::Page;
 use crate::net::peers::PeerAddresses;
-use crate::rules::Gateway;
+use crate::scheduler::Scheduler;
 use crate::settings::Settings;
 use operator::OperatorFiles;
 use platform::{PlatformFile, Setting};
@@ -120,12 +120,12 @@
     ///
     /// # Errors
     /// The settings are not valid; the error names the key.
-    pub fn decide(&self) -> Result<(Gateway, Names), ConfigError> {
+    pub fn decide(&self) -> Result<(Scheduler, Names), ConfigError> {
         let mut names = Names::default();
         let settings = self.settings.translate(&mut names);
-        let gateway = settings
-            .and_then(|s| Gateway::new(s, self.seed))
+        let scheduler = settings
+            .and_then(|s| Scheduler::new(s, self.seed))
             .map_err(|e| ConfigError::new(format!("settings.{}", e.field), e.problem))?;
-        Ok((gateway, names))
+        Ok((scheduler, names))
     }
 }
--- a/src/core/actor.rs
+++ b/src/core/actor.rs
@@ -1,4 +1,4 @@
-//! The module's actor: it alone owns the [`Gateway`], its timers and the requests that are open.
+//! The module's actor: it alone owns the [`Scheduler`], its timers and the requests that are open.
 
 use crate::core::attempt::{Connect, TargetMessage};
 use crate::core::clock::{Clock, micros};
@@ -10,9 +10,9 @@
 use crate::core::routes::{Loaded, Routes};
 use crate::core::sites::{Watch, Watched};
 use crate::core::starts::StartTimes;
-use crate::interface::{Action, Event, Load, Micros, NodeId, NodeState, Outcome, RequestId};
+use crate::interface::{Action, Event, Load, Micros, Outcome, RequestId, TargetId, TargetState};
 use crate::names::Names;
-use crate::rules::Gateway;
+use crate::scheduler::Scheduler;
 use rowanglade_maintenance::Maintenance;
 use rowanglade_placement::{Object, Places, Seen};
 use rowanglade_subset::Subset;
@@ -66,18 +66,18 @@
 
 /// The actor; [`Core::run`] is its life.
 pub struct Core {
-    pub(super) gateway: Gateway,
+    pub(super) scheduler: Scheduler,
     pub(super) names: Names,
     pub(super) clock: Clock,
     pub(super) rx: mpsc::Receiver<Message>,
     /// Weak, so that the core ends when all others have let go of its mailbox.
     pub(super) tx: mpsc::WeakSender<Message>,
     pub(super) connect: Connect,
-    pub(super) targets: BTreeMap<NodeId, Target>,
+    pub(super) targets: BTreeMap<TargetId, Target>,
     /// Targets that other instances say are leaving, while discovery itself has not been heard.
-    pub(super) departed: BTreeSet<NodeId>,
+    pub(super) departed: BTreeSet<TargetId>,
     /// What the parts so far of a whole list have named; none: no part of one has come.
-    pub(super) named: Option<(Wire, HashSet<NodeId>)>,
+    pub(super) named: Option<(Wire, HashSet<TargetId>)>,
     pub(super) requests: HashMap<RequestId, Open>,
     pub(super) backstops: BTreeSet<(Micros, RequestId)>,
     pub(super) timers: BinaryHeap<Reverse<(Micros, u64)>>,
@@ -115,7 +115,7 @@
 
 impl Core {
     pub fn new(
-        gateway: Gateway,
+        scheduler: Scheduler,
         names: Names,
         clock: Clock,
         inbox: Inbox,
@@ -126,7 +126,7 @@
         let Inbox { rx, tx, ready, open, ids, revision } = inbox;
         let routes = Routes::new(Arc::clone(&table.borrow_and_update()));
         Core {
-            gateway,
+            scheduler,
             names,
             clock,
             rx,
@@ -220,7 +220,7 @@
     }
 
     pub(super) fn make_ready(&mut self) {
-        if self.targets.values().any(|t| t.line.state == NodeState::In) {
+        if self.targets.values().any(|t| t.line.state == TargetState::In) {
             self.ready.send_replace(true);
         }
     }
@@ -274,7 +274,7 @@
                 if let (Some(sites), Some(target)) = (&mut self.sites, self.targets.get(&node)) {
                     sites.ended(now, &target.told.name, outcome, false, None);
                 }
-                self.feed(Event::Probed { node, outcome, took, load });
+                self.feed(Event::Probed { target: node, outcome, took, load });
             }
             Message::Departed(names) => self.departed(&names),
             Message::Boxes(answer) => {
@@ -315,7 +315,7 @@
         let mut actions = Vec::new();
         while let Some(event) = self.next.pop_front() {
             let now = self.clock.now();
-            self.gateway.handle(now, event, &mut actions);
+            self.scheduler.handle(now, event, &mut actions);
             for action in actions.drain(..) {
                 self.act(now, action);
             }
@@ -324,7 +324,7 @@
 
     fn act(&mut self, now: Micros, action: Action) {
         match action {
-            Action::Send { id, node, timeout } => self.send(now, id, node, timeout),
+            Action::Send { id, target, timeout } => self.send(now, id, target, timeout),
             Action::Refuse { id, wait } => {
                 self.conclude(id, Some(Answer::Refused { wait: Duration::from_micros(wait) }));
             }
@@ -338,16 +338,16 @@
                 }
             }
             Action::Wake { token, after } => self.timers.push(Reverse((now + after, token))),
-            Action::Lacks { volume, units, gateways } => {
+            Action::Lacks { volume, units, initiators } => {
                 if let Some(fleet) = self.fleet.as_mut().filter(|_| !self.handed) {
-                    fleet.lacks(now, volume, units, gateways);
+                    fleet.lacks(now, volume, units, initiators);
                 }
             }
             Action::Spared { units, .. } => self.spared = units,
-            Action::Probe { node } => {
-                if !self.probe(now, node) {
+            Action::Probe { target } => {
+                if !self.probe(now, target) {
                     let (outcome, load) = (Outcome::NotSent, Load::default());
-                    self.next.push_back(Event::Probed { node, outcome, took: 0, load });
+                    self.next.push_back(Event::Probed { target, outcome, took: 0, load });
                 }
             }
         }
--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -2,7 +2,7 @@
 
 use crate::core::clock::Clock;
 use crate::core::message::{Listed, Message, Order, Reply};
-use crate::interface::{Attempt as Number, Load, Micros, NodeId, Outcome, RequestId};
+use crate::interface::{Attempt as Number, Load, Micros, Outcome, RequestId, TargetId};
 use std::cell::RefCell;
 use std::rc::Rc;
 use tokio::sync::mpsc::{self, OwnedPermit};
@@ -117,14 +117,19 @@
 /// The duty to tell how a probe ended. Dropped untold, it was not sent.
 #[derive(Debug)]
 pub struct ProbeReport {
-    node: NodeId,
+    node: TargetId,
     sent: Micros,
     clock: Clock,
     place: Option<OwnedPermit<Message>>,
 }
 
 impl ProbeReport {
-    pub(super) fn new(node: NodeId, sent: Micros, clock: Clock, place: OwnedPermit<Message>) -> ProbeReport {
+    pub(super) fn new(
+        node: TargetId,
+        sent: Micros,
+        clock: Clock,
+        place: OwnedPermit<Message>,
+    ) -> ProbeReport {
         ProbeReport { node, sent, clock, place: Some(place) }
     }
 
--- a/src/core/diagnostics.rs
+++ b/src/core/diagnostics.rs
@@ -5,7 +5,7 @@
 //! targets that leave, so the log says what the step did. [`Counters`] go to the log with SIGUSR1, and at the end.
 
 use crate::core::requests::Open;
-use crate::interface::{Micros, NodeId, Outcome};
+use crate::interface::{Micros, Outcome, TargetId};
 use crate::names::Names;
 use std::fmt::Write;
 use std::time::Duration;
@@ -75,7 +75,7 @@
 /// How an attempt went so far.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AttemptTrace {
-    pub node: NodeId,
+    pub node: TargetId,
     pub sent: Micros,
     pub started: Option<Micros>,
     pub heard: Option<Micros>,
--- a/src/core/fleet.rs
+++ b/src/core/fleet.rs
@@ -39,9 +39,9 @@
         self.names.insert(id, volume);
     }
 
-    pub(super) fn lacks(&mut self, now: u64, id: VolumeId, units: f64, gateways: u32) {
+    pub(super) fn lacks(&mut self, now: u64, id: VolumeId, units: f64, initiators: u32) {
         if let Some(volume) = self.names.get(&id) {
-            self.exchange.lacks(now, *volume, milli(units), gateways);
+            self.exchange.lacks(now, *volume, milli(units), initiators);
         }
     }
 
--- a/src/core/listing.rs
+++ b/src/core/listing.rs
@@ -3,7 +3,7 @@
 use crate::core::actor::{Core, Target};
 use crate::core::attempt::TargetMessage;
 use crate::core::message::{Call, Listed, Operation, Wire};
-use crate::interface::{Entry, Event, ListKind, Micros, NodeId, NodeState, ShardId};
+use crate::interface::{Entry, Event, ListKind, Micros, ShardId, TargetId, TargetState};
 use rowanglade_maintenance::State;
 use std::collections::HashSet;
 use tokio::sync::mpsc;
@@ -23,7 +23,7 @@
                 self.departed.clear();
             }
         }
-        let changed: Vec<NodeId> = entries.into_iter().filter_map(|told| self.take_line(told)).collect();
+        let changed: Vec<TargetId> = entries.into_iter().filter_map(|told| self.take_line(told)).collect();
         self.put_in_force(&changed);
         if !more && (self.trusting || matches!(kind, ListKind::Full | ListKind::Changes)) {
             self.make_ready();
@@ -41,11 +41,11 @@
         }
         let own = self.targets.iter().filter(|(_, target)| target.told.wire == wire);
         let left_out = own.filter(|(node, _)| !named.contains(node));
-        left_out.map(|(_, target)| Listed { state: NodeState::Gone, ..target.told.clone() }).collect()
+        left_out.map(|(_, target)| Listed { state: TargetState::Gone, ..target.told.clone() }).collect()
     }
 
     /// Takes a line that a source told. None: it changes nothing.
-    fn take_line(&mut self, told: Listed) -> Option<NodeId> {
+    fn take_line(&mut self, told: Listed) -> Option<TargetId> {
         let node = self.names.listed(&told.name);
         if told.wire == Wire::Http {
             // Discovery's own word holds again.
@@ -72,7 +72,7 @@
                 (target.told, target.line) = (told, line);
                 changed.then_some(node)
             }
-            None if told.state == NodeState::Gone => None,
+            None if told.state == TargetState::Gone => None,
             _ => {
                 // Sessions are kept up whether or not they are used.
                 let mailbox = (told.wire == Wire::Iscsi).then(|| self.connected(&line));
@@ -93,7 +93,7 @@
     }
 
     /// The mailbox of a target's actor, which begins with its first message.
-    pub(super) fn mailbox(&mut self, node: NodeId) -> Option<mpsc::Sender<TargetMessage>> {
+    pub(super) fn mailbox(&mut self, node: TargetId) -> Option<mpsc::Sender<TargetMessage>> {
         let target = self.targets.get(&node)?;
         if let Some(mailbox) = &target.mailbox {
             return Some(mailbox.clone());
@@ -104,7 +104,7 @@
     }
 
     /// Has what was told of these targets take effect: routes first, then the module, then the attempts.
-    fn put_in_force(&mut self, changed: &[NodeId]) {
+    fn put_in_force(&mut self, changed: &[TargetId]) {
         if changed.is_empty() {
             return;
         }
@@ -118,7 +118,7 @@
         self.feed(Event::List { kind: ListKind::Beside, entries });
         self.call_off_unstarted();
         for node in changed {
-            if self.targets.get(node).is_some_and(|target| target.line.state == NodeState::Gone) {
+            if self.targets.get(node).is_some_and(|target| target.line.state == TargetState::Gone) {
                 self.targets.remove(node);
             }
         }
@@ -130,17 +130,17 @@
         let told: HashSet<&str> = changes.iter().map(|change| change.name.as_str()).collect();
         let departed = self.departed.iter().filter_map(|node| self.targets.get(node));
         let kept = departed.filter(|target| !told.contains(target.told.name.as_str()));
-        kept.map(|target| Listed { state: NodeState::In, ..target.told.clone() }).collect()
+        kept.map(|target| Listed { state: TargetState::In, ..target.told.clone() }).collect()
     }
 
     /// Other instances say that these targets leave: nothing new goes to them until discovery is heard.
     pub(super) fn departed(&mut self, names: &[String]) {
         let mut changed = Vec::with_capacity(names.len());
         for node in names.iter().filter_map(|name| self.names.node(name)) {
-            let Some(target) = self.targets.get_mut(&node).filter(|t| t.told.state == NodeState::In) else {
+            let Some(target) = self.targets.get_mut(&node).filter(|t| t.told.state == TargetState::In) else {
                 continue;
             };
-            target.told.state = NodeState::Draining;
+            target.told.state = TargetState::Draining;
             self.departed.insert(node);
             let line = self.view(&self.targets[&node].told);
             self.targets.entry(node).and_modify(|target| target.line = line);
@@ -155,9 +155,9 @@
         let started = told.started.map(|started| self.starts.on_clock(self.clock.now(), started));
         let (held, started) = self.maintenance.view(&told.name, state(told.state), started);
         let held = match held {
-            State::Up => NodeState::In,
-            State::Draining => NodeState::Draining,
-            State::Gone => NodeState::Gone,
+            State::Up => TargetState::In,
+            State::Draining => TargetState::Draining,
+            State::Gone => TargetState::Gone,
         };
         let line = Listed { state: held, started, ..told.clone() };
         match &self.sites {
@@ -166,9 +166,9 @@
         }
     }
 
-    pub(super) fn entry(&self, node: NodeId, line: &Listed) -> Entry {
+    pub(super) fn entry(&self, node: TargetId, line: &Listed) -> Entry {
         Entry {
-            node,
+            target: node,
             shard: ShardId(line.shard),
             zone: self.names.zone(&line.zone),
             state: line.state,
@@ -210,12 +210,12 @@
     }
 
     /// Puts in force what operators' calls have changed of a listed target.
-    pub(super) fn hold(&mut self, node: NodeId, out: bool) {
+    pub(super) fn hold(&mut self, node: TargetId, out: bool) {
         self.hold_all(&[node], out);
     }
 
     /// Puts in force what others than discovery have changed of listed targets.
-    pub(super) fn hold_all(&mut self, nodes: &[NodeId], out: bool) {
+    pub(super) fn hold_all(&mut self, nodes: &[TargetId], out: bool) {
         let mut changed = Vec::with_capacity(nodes.len());
         for node in nodes {
             let Some(target) = self.targets.get(node) else { continue };
@@ -243,19 +243,19 @@
         let Some((probes, changed)) = self.sites.as_mut().map(|s| s.poll(now)) else { return };
         let nodes = |names: Vec<String>| {
             let listed = names.iter().filter_map(|name| self.names.node(name));
-            listed.filter(|node| self.targets.contains_key(node)).collect::<Vec<NodeId>>()
+            listed.filter(|node| self.targets.contains_key(node)).collect::<Vec<TargetId>>()
         };
         let (probes, changed) = (nodes(probes), nodes(changed));
         if !changed.is_empty() {
             // One that discovery has drain is not held here: nobody would tell its connections that it is back.
-            let rests = |node: &NodeId| {
+            let rests = |node: &TargetId| {
                 self.targets.get(node).is_some_and(|t| {
                     let held =
-                        t.told.state == NodeState::In && self.view(&t.told).state == NodeState::Draining;
+                        t.told.state == TargetState::In && self.view(&t.told).state == TargetState::Draining;
                     held || self.maintenance.is_out(&t.told.name)
                 })
             };
-            let (out, back): (Vec<NodeId>, Vec<NodeId>) = changed.into_iter().partition(rests);
+            let (out, back): (Vec<TargetId>, Vec<TargetId>) = changed.into_iter().partition(rests);
             for (nodes, out) in [(out, true), (back, false)] {
                 if !nodes.is_empty() {
                     self.hold_all(&nodes, out);
@@ -278,7 +278,7 @@
     /// Tells the module which targets this instance's new objects go to, where the list has changed that.
     pub(super) fn tell_near(&mut self) {
         let Some(subset) = &mut self.subset else { return };
-        let usable = self.targets.values().filter(|t| t.line.state == NodeState::In);
+        let usable = self.targets.values().filter(|t| t.line.state == TargetState::In);
         let Some(moved) = subset.listed(usable.map(|t| t.line.name.clone()).collect()) else { return };
         let mine = subset.mine();
         if moved.all && !mine.is_empty() {
@@ -292,10 +292,10 @@
     }
 }
 
-fn state(told: NodeState) -> State {
+fn state(told: TargetState) -> State {
     match told {
-        NodeState::In => State::Up,
-        NodeState::Draining => State::Draining,
-        NodeState::Gone => State::Gone,
+        TargetState::In => State::Up,
+        TargetState::Draining => State::Draining,
+        TargetState::Gone => State::Gone,
     }
 }
--- a/src/core/message.rs
+++ b/src/core/message.rs
@@ -2,7 +2,9 @@
 
 use crate::core::body::{Content, Upload};
 use crate::core::diagnostics::Step;
-use crate::interface::{Attempt as Number, ListKind, Load, Micros, NodeId, NodeState, Outcome, RequestId};
+use crate::interface::{
+    Attempt as Number, ListKind, Load, Micros, Outcome, RequestId, TargetId, TargetState,
+};
 use crate::upgrade::Given;
 use bytes::Bytes;
 use rowanglade_fleet_state::Peer;
@@ -145,7 +147,7 @@
     /// The kind of machine; empty: not told.
     pub kind: String,
     pub shard: u32,
-    pub state: NodeState,
+    pub state: TargetState,
     /// Unix time; absent: long ago.
     pub started: Option<Micros>,
 }
@@ -228,7 +230,7 @@
         reply: Reply,
     },
     Probed {
-        node: NodeId,
+        node: TargetId,
         outcome: Outcome,
         took: Micros,
         load: Load,
--- a/src/core/replacing.rs
+++ b/src/core/replacing.rs
@@ -2,7 +2,7 @@
 
 use crate::core::actor::Core;
 use crate::core::message::{Upgrade, Wire};
-use crate::interface::{Event, NodeId};
+use crate::interface::{Event, TargetId};
 use crate::upgrade::Given;
 use std::collections::HashMap;
 
@@ -15,7 +15,7 @@
                 let _ = answer.send((self.clock.now(), list.collect()));
             }
             Upgrade::Freeze(answer) => {
-                let module = self.gateway.handed(self.clock.now()).named(
+                let module = self.scheduler.handed(self.clock.now()).named(
                     |node| self.names.node_name(node).map(str::to_string),
                     |volume| self.names.volume_name(volume).map(str::to_string),
                 );
@@ -29,7 +29,7 @@
                 let _ = answer.send(());
             }
             Upgrade::Restart(answer) => {
-                self.gateway.forget_owned(self.clock.now());
+                self.scheduler.forget_owned(self.clock.now());
                 self.hand(false);
                 let _ = answer.send(());
             }
@@ -39,16 +39,16 @@
                 self.places.learn(places);
                 // What they change of the list is told before what was learned, which is void for another start.
                 let all = self.targets.keys().copied();
-                let (out, back): (Vec<NodeId>, Vec<NodeId>) =
+                let (out, back): (Vec<TargetId>, Vec<TargetId>) =
                     all.partition(|node| self.maintenance.is_out(&self.targets[node].told.name));
                 self.hold_all(&out, true);
                 self.hold_all(&back, false);
                 let names = &mut self.names;
-                let nodes: HashMap<String, NodeId> =
+                let nodes: HashMap<String, TargetId> =
                     self.targets.iter().map(|(id, t)| (t.told.name.clone(), *id)).collect();
                 let module =
                     module.named(|node| nodes.get(&node).copied(), |volume| Some(names.volume(&volume)));
-                self.gateway.take(module);
+                self.scheduler.take(module);
                 let _ = answer.send(());
             }
             Upgrade::Call(call) => {
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -5,7 +5,7 @@
 use crate::core::diagnostics::{AttemptTrace, tell_late};
 use crate::core::message::{Answer, Order, Reply};
 use crate::interface::{
-    Attempt as Number, Event, KeyId, Micros, NodeId, Outcome, ReachId, Request, RequestId, ShardId,
+    Attempt as Number, Event, KeyId, Micros, Outcome, ReachId, Request, RequestId, ShardId, TargetId,
 };
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -18,7 +18,7 @@
 
 /// An attempt without an outcome.
 pub(super) struct Out {
-    pub(super) node: NodeId,
+    pub(super) node: TargetId,
     /// Where the target was listed when it was sent.
     pub(super) addr: SocketAddr,
     pub(super) sent: Micros,
@@ -77,7 +77,7 @@
             key: Some(KeyId(order.piece)),
             units: order.units,
             shard: self.places.find((order.volume, order.piece), order.shard).map(ShardId),
-            gateways: order.hosts,
+            initiators: order.hosts,
             deadline,
             reach,
         };
@@ -158,7 +158,7 @@
         self.feed(Event::Outcome {
             id,
             attempt: number,
-            node: out.node,
+            target: out.node,
             outcome: reply.outcome,
             took,
             over,
--- a/src/core/routes.rs
+++ b/src/core/routes.rs
@@ -2,7 +2,7 @@
 //! requests and news of the list, and gives the module's [`Event::Reach`]s.
 
 use crate::core::message::{Listed, Order, Wire};
-use crate::interface::{Event, NodeId, NodeState, ReachId};
+use crate::interface::{Event, ReachId, TargetId, TargetState};
 use rowanglade_routing::{BoxInfo, BoxState, Front, Request, Table};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -31,7 +31,7 @@
     /// The table is let go of with its last set.
     table: Arc<Loaded>,
     uses: usize,
-    nodes: Vec<NodeId>,
+    nodes: Vec<TargetId>,
 }
 
 /// The routes, as the core holds them.
@@ -108,7 +108,7 @@
         let id = ReachId(self.next);
         self.next += 1;
         let nodes = self.boxes.reach(&self.current.table, key);
-        self.news.push(Event::Reach { reach: id, nodes: Some(nodes.clone()) });
+        self.news.push(Event::Reach { reach: id, targets: Some(nodes.clone()) });
         self.sets.insert(id, Set { key, table: Arc::clone(&self.current), uses: 1, nodes });
         self.by_key.insert(key, id);
         Some(id)
@@ -135,16 +135,16 @@
                     tracing::info!(version, "routes have ended with their last request");
                 }
             }
-            self.news.push(Event::Reach { reach: id, nodes: None });
+            self.news.push(Event::Reach { reach: id, targets: None });
         }
     }
 
     /// Lines of the list that have changed. Sets change where a pool has got somebody, or has nobody any more.
-    pub fn changed<'a>(&mut self, lines: impl Iterator<Item = (NodeId, &'a Listed)>) {
+    pub fn changed<'a>(&mut self, lines: impl Iterator<Item = (TargetId, &'a Listed)>) {
         let mut shards = BTreeSet::new();
         for (node, line) in lines {
             shards.extend(self.boxes.take_out(node));
-            if line.state != NodeState::Gone {
+            if line.state != TargetState::Gone {
                 shards.insert(line.shard);
                 self.boxes.put(node, line);
             }
@@ -156,7 +156,7 @@
             let nodes = self.boxes.reach(&set.table.table, set.key);
             if nodes != set.nodes {
                 set.nodes = nodes.clone();
-                self.news.push(Event::Reach { reach: *id, nodes: Some(nodes) });
+                self.news.push(Event::Reach { reach: *id, targets: Some(nodes) });
             }
         }
     }
@@ -170,13 +170,13 @@
 /// The boxes that are listed, also by their shards.
 #[derive(Debug, Default)]
 struct Boxes {
-    all: BTreeMap<NodeId, (BoxInfo, BoxState)>,
-    by_shard: BTreeMap<u32, BTreeSet<NodeId>>,
+    all: BTreeMap<TargetId, (BoxInfo, BoxState)>,
+    by_shard: BTreeMap<u32, BTreeSet<TargetId>>,
 }
 
 impl Boxes {
     /// Takes a box out, and returns the shard that it had.
-    fn take_out(&mut self, node: NodeId) -> Option<u32> {
+    fn take_out(&mut self, node: TargetId) -> Option<u32> {
         let (info, _) = self.all.remove(&node)?;
         if let Some(nodes) = self.by_shard.get_mut(&info.shard) {
             nodes.remove(&node);
@@ -187,7 +187,7 @@
         Some(info.shard)
     }
 
-    fn put(&mut self, node: NodeId, line: &Listed) {
+    fn put(&mut self, node: TargetId, line: &Listed) {
         let info = BoxInfo {
             name: line.name.clone(),
             zone: line.zone.clone(),
@@ -196,17 +196,17 @@
             addr: line.addr.ip(),
         };
         let state = match line.state {
-            NodeState::In => BoxState::Active,
-            NodeState::Draining => BoxState::Draining,
-            NodeState::Gone => BoxState::Gone,
+            TargetState::In => BoxState::Active,
+            TargetState::Draining => BoxState::Draining,
+            TargetState::Gone => BoxState::Gone,
         };
         self.by_shard.entry(line.shard).or_default().insert(node);
         self.all.insert(node, (info, state));
     }
 
     /// The nodes that a set holds: of a shard's boxes where it is for one shard, else of all.
-    fn reach(&self, table: &Table, key: Key) -> Vec<NodeId> {
-        let known = |node: &NodeId| {
+    fn reach(&self, table: &Table, key: Key) -> Vec<TargetId> {
+        let known = |node: &TargetId| {
             let (info, state) = &self.all[node];
             (info, *state, *node)
         };
--- a/src/core/routes/tests.rs
+++ b/src/core/routes/tests.rs
@@ -47,7 +47,7 @@
     }
 }
 
-fn line(i: u32, state: NodeState) -> (NodeId, Listed) {
+fn line(i: u32, state: TargetState) -> (TargetId, Listed) {
     let listed = Listed {
         name: format!("s-{i}"),
         wire: Wire::Http,
@@ -58,17 +58,17 @@
         state,
         started: None,
     };
-    (NodeId(i), listed)
+    (TargetId(i), listed)
 }
 
-fn list(routes: &mut Routes, first: NodeState) {
-    let lines = [line(0, first), line(1, NodeState::In)];
+fn list(routes: &mut Routes, first: TargetState) {
+    let lines = [line(0, first), line(1, TargetState::In)];
     routes.changed(lines.iter().map(|(n, l)| (*n, l)));
 }
 
 fn told(routes: &mut Routes) -> Vec<(u32, Option<Vec<u32>>)> {
     let one = |e: Event| match e {
-        Event::Reach { reach, nodes } => (reach.0, nodes.map(|n| n.iter().map(|n| n.0).collect())),
+        Event::Reach { reach, targets } => (reach.0, targets.map(|n| n.iter().map(|n| n.0).collect())),
         other => panic!("{other:?}"),
     };
     routes.news().into_iter().map(one).collect()
@@ -77,14 +77,14 @@
 #[test]
 fn a_set_follows_the_list_and_falls_back_where_its_pool_has_nobody() {
     let mut routes = Routes::new(loaded(1, TABLE));
-    list(&mut routes, NodeState::In);
+    list(&mut routes, TargetState::In);
     assert_eq!(routes.take(&order(8, Some(0))), None, "no route");
     let reach = routes.take(&order(7, Some(0)));
     assert_eq!(routes.take(&order(7, Some(0))), reach, "one set for the same");
     assert_eq!(told(&mut routes), [(0, Some(vec![0]))]);
-    list(&mut routes, NodeState::Draining);
+    list(&mut routes, TargetState::Draining);
     assert_eq!(told(&mut routes), [(0, Some(vec![1]))]);
-    list(&mut routes, NodeState::Draining);
+    list(&mut routes, TargetState::Draining);
     assert_eq!(told(&mut routes), [], "nothing has changed");
     assert!(routes.take(&order(7, Some(5))).is_some());
     assert_eq!(told(&mut routes), [(1, Some(vec![]))], "no box holds that shard");
@@ -94,13 +94,13 @@
 #[test]
 fn an_old_table_lasts_as_long_as_its_requests() {
     let mut routes = Routes::new(loaded(1, TABLE));
-    list(&mut routes, NodeState::In);
+    list(&mut routes, TargetState::In);
     let old = routes.take(&order(7, Some(0))).expect("a set");
     routes.swap(loaded(2, &TABLE.replace("pool = \"first\"", "pool = \"second\"")));
     let new = routes.take(&order(7, Some(0))).expect("a set");
     assert!(new != old && routes.versions() == [1, 2]);
     assert_eq!(told(&mut routes), [(0, Some(vec![0])), (1, Some(vec![1]))]);
-    list(&mut routes, NodeState::Gone);
+    list(&mut routes, TargetState::Gone);
     assert_eq!(told(&mut routes), [(0, Some(vec![1]))], "the old one follows the list too");
     routes.release(old);
     assert_eq!(told(&mut routes), [(0, None)]);
--- a/src/core/sending.rs
+++ b/src/core/sending.rs
@@ -5,13 +5,13 @@
 use crate::core::attempt::{Attempt, Probe, ProbeReport, Report, TargetMessage};
 use crate::core::diagnostics::AttemptTrace;
 use crate::core::requests::Out;
-use crate::interface::{Attempt as Number, Event, Load, Micros, NodeId, NodeState, Outcome, RequestId};
+use crate::interface::{Attempt as Number, Event, Load, Micros, Outcome, RequestId, TargetId, TargetState};
 use std::rc::Rc;
 use tokio::sync::{mpsc, oneshot};
 
 impl Core {
     /// Asks a target whether it answers. False: it was not asked.
-    pub(super) fn probe(&mut self, now: Micros, node: NodeId) -> bool {
+    pub(super) fn probe(&mut self, now: Micros, node: TargetId) -> bool {
         let until = self.clock.instant(now + 1_000_000);
         let place = self.tx.upgrade().and_then(|tx| tx.try_reserve_owned().ok());
         let (Some(mailbox), Some(place)) = (self.mailbox(node), place) else { return false };
@@ -22,7 +22,7 @@
     }
 
     /// Hands an attempt to its target's actor, which asks once more before its first byte.
-    pub(super) fn send(&mut self, now: Micros, id: RequestId, node: NodeId, timeout: Option<Micros>) {
+    pub(super) fn send(&mut self, now: Micros, id: RequestId, node: TargetId, timeout: Option<Micros>) {
         let mailbox = self.mailbox(node);
         let Some(open) = self.requests.get_mut(&id) else { return };
         let number = Number(open.attempts.len() as u32);
@@ -64,7 +64,7 @@
             self.next.push_back(Event::Outcome {
                 id,
                 attempt: number,
-                node,
+                target: node,
                 outcome: Outcome::NotSent,
                 took: 0,
                 over: open.answer.is_none(),
@@ -79,7 +79,7 @@
     /// when it was sent must still be: its target is wanted and where it was, its client waits, there is time, and it
     /// may run beside what ran before. The units that it took are held for as long as it is out.
     pub(super) fn may_start(&mut self, id: RequestId, number: Number) -> bool {
-        let wanted = self.gateway.may_start(self.clock.now(), id, number);
+        let wanted = self.scheduler.may_start(self.clock.now(), id, number);
         let Some(open) = self.requests.get_mut(&id).filter(|open| open.answer.is_some()) else {
             return false;
         };
@@ -90,7 +90,7 @@
         // A long body's last byte comes much later: the end of its attempt tells.
         let now = self.clock.now();
         if started && open.order.more.is_none() {
-            self.gateway.settle(now, id, true);
+            self.scheduler.settle(now, id, true);
         }
         open.trace(number, |trace| trace.started = started.then_some(now));
         let (id, target) = (&open.order.id, self.names.node_name(node));
@@ -104,7 +104,7 @@
         let targets = &self.targets;
         let wanted = |out: &Out| {
             let target = targets.get(&out.node);
-            target.is_some_and(|t| t.line.state == NodeState::In && t.told.addr == out.addr)
+            target.is_some_and(|t| t.line.state == TargetState::In && t.told.addr == out.addr)
         };
         let out = self.requests.values_mut().flat_map(|open| open.attempts.iter_mut().flatten());
         out.filter(|out| !out.started && !wanted(out)).for_each(|out| out.cancel = None);
--- a/src/core/sites.rs
+++ b/src/core/sites.rs
@@ -1,7 +1,7 @@
 //! Sites as the core sees them: what attempts, probes and the list tell of them, in the core's words.
 
 use crate::core::message::Listed;
-use crate::interface::{Micros, NodeState, Outcome};
+use crate::interface::{Micros, Outcome, TargetState};
 use rowanglade_sites::{Change, Order, Rules, Sites, State};
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -54,8 +54,8 @@
     pub fn view(&self, mut line: Listed) -> Listed {
         let (held, started) = self.sites.view(&line.name, state(line.state), line.started);
         line.started = started;
-        if held == State::Draining && line.state == NodeState::In {
-            line.state = NodeState::Draining;
+        if held == State::Draining && line.state == TargetState::In {
+            line.state = TargetState::Draining;
         }
         line
     }
@@ -99,10 +99,10 @@
     }
 }
 
-fn state(told: NodeState) -> State {
+fn state(told: TargetState) -> State {
     match told {
-        NodeState::In => State::In,
-        NodeState::Draining => State::Draining,
-        NodeState::Gone => State::Gone,
+        TargetState::In => State::In,
+        TargetState::Draining => State::Draining,
+        TargetState::Gone => State::Gone,
     }
 }
--- a/src/initiator.rs
+++ b/src/initiator.rs
@@ -109,7 +109,7 @@
     /// The configuration cannot be used, a socket cannot be opened, or another process of this initiator serves and
     /// cannot hand over to this one.
     pub async fn start(config: Config) -> Result<Initiator, Error> {
-        let (gateway, names) = config.decide().map_err(Error::Config)?;
+        let (scheduler, names) = config.decide().map_err(Error::Config)?;
         let Handover { keeper, mut listeners, welcome } = Handover::receive(&config).await?;
         // Times that go from one process to the next are on one clock.
         let clock = welcome.as_ref().map_or_else(Clock::start, |w| Clock::at_present(w.now));
@@ -180,7 +180,7 @@
             sites: config.sites,
             subset: config.subset,
         };
-        actix_rt::spawn(Core::new(gateway, names, clock, inbox, connect, beside).run());
+        actix_rt::spawn(Core::new(scheduler, names, clock, inbox, connect, beside).run());
         let platform_list = config.known.clone();
         // What the predecessor holds is newer than what the platform remembers. The watch goes on from the latter's
         // version: what it tells again changes nothing.
--- a/src/initiator/targets.rs
+++ b/src/initiator/targets.rs
@@ -2,7 +2,7 @@
 
 use crate::config::{Iscsi, Portal};
 use crate::core::{Clock, Connect, Handle, Listed, Message, Wire};
-use crate::interface::{ListKind, NodeState};
+use crate::interface::{ListKind, TargetState};
 use crate::net::{http, iscsi};
 use crate::settings::Settings;
 use std::time::Duration;
@@ -42,7 +42,7 @@
         zone: portal.zone.clone(),
         kind: String::new(),
         shard: portal.shard,
-        state: NodeState::In,
+        state: TargetState::In,
         started: None,
     };
     let entries = iscsi.targets.iter().map(line).collect();
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,4 +1,4 @@
-//! The public contract: what a gateway tells the module, and what the module answers.
+//! The public contract: what an initiator tells the module, and what the module answers.
 //!
 //! Times are whole microseconds of the caller's clock, which only goes forward. Ids are small
 //! numbers that the caller hands out; the module compares them and reads nothing into them.
@@ -16,8 +16,8 @@
     )*};
 }
 ids! {
-    /// A storage node. The same node keeps its id through a restart.
-    NodeId(u32);
+    /// A storage target. The same target keeps its id through a restart.
+    TargetId(u32);
     /// A volume.
     VolumeId(u32);
     /// A client's request. An id never comes twice.
@@ -28,13 +28,13 @@
     ClassId(u32);
     /// A plan of volumes: its place in [`Settings::plans`].
     PlanId(u32);
-    /// The part of the data that a node holds. A node and its successor hold the same.
+    /// The part of the data that a target holds. A target and its successor hold the same.
     ShardId(u32);
     /// A zone: its place in the caller's list of zones.
     ZoneId(u32);
     /// An attempt of a request: 0, 1, 2 ... in the order of the sends.
     Attempt(u32);
-    /// A set of nodes that some requests may reach: see [`Event::Reach`].
+    /// A set of targets that some requests may reach: see [`Event::Reach`].
     ReachId(u32);
 }
 
@@ -43,13 +43,13 @@
 pub enum Repeat {
     /// It may run again anywhere.
     Repeatable,
-    /// It carries a key: the nodes of the group drop a repeat for `span` after the first send.
+    /// It carries a key: the targets of the group drop a repeat for `span` after the first send.
     Keyed { group: Group, span: Micros },
     /// It must never run twice.
     Once,
 }
 
-/// The nodes that know each other's keys.
+/// The targets that know each other's keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
     All,
@@ -73,7 +73,7 @@
     pub late_worth: f64,
 }
 
-/// A plan. Its figures hold for each volume, over all gateways and nodes together.
+/// A plan. Its figures hold for each volume, over all initiators and targets together.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// Units a second that a volume is sized for.
@@ -109,16 +109,16 @@
 /// The figures of the rules.
 #[derive(Clone, Debug, Default)]
 pub struct Rules {
-    /// After being told that a node drains or is gone, sends must stop within this time.
+    /// After being told that a target drains or is gone, sends must stop within this time.
     pub drain_grace: Micros,
-    /// A node starts at this part of its capacity or more ...
+    /// A target starts at this part of its capacity or more ...
     pub cold_from: f64,
     /// ... and is warm after this long at most.
     pub warm_within: Micros,
-    /// Units within `fall_window`, from all gateways together, that a cold node always bears.
+    /// Units within `fall_window`, from all initiators together, that a cold target always bears.
     pub cold_units: f64,
     pub fall_window: Micros,
-    /// More than this multiple of its capacity for `fall_window` pushes a cold node over.
+    /// More than this multiple of its capacity for `fall_window` pushes a cold target over.
     pub fall_multiple: f64,
     pub attempt_budget: Option<AttemptBudget>,
     /// How long a key rests after an attempt that may still run.
@@ -127,10 +127,10 @@
     pub attempts: u32,
 }
 
-/// All that a gateway is told at its start.
+/// All that an initiator is told at its start.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
-    pub gateways: u32,
+    pub initiators: u32,
     pub classes: Vec<Class>,
     pub plans: Vec<Plan>,
     pub rules: Rules,
@@ -142,7 +142,7 @@
     pub spare_worth: f64,
     /// Over which period [`Event::Outcome`]'s `used` adds up. 0: it is not told.
     pub meter_period: Micros,
-    /// Outcomes tell the units served through other gateways.
+    /// Outcomes tell the units served through other initiators.
     pub tells_elsewhere: bool,
     pub may_probe: bool,
     pub may_cancel: bool,
@@ -152,7 +152,7 @@
 }
 
 impl Settings {
-    /// The rule on nodes that have just started.
+    /// The rule on targets that have just started.
     pub fn cold(&self) -> rowanglade_warmup::Rule {
         let r = &self.rules;
         rowanglade_warmup::Rule {
@@ -161,7 +161,7 @@
             units: r.cold_units,
             window: r.fall_window,
             multiple: r.fall_multiple,
-            gateways: self.gateways,
+            initiators: self.initiators,
         }
     }
 
@@ -227,7 +227,7 @@
 
 impl std::error::Error for SettingsError {}
 
-/// A node's report of its load. What it does not tell is absent.
+/// A target's report of its load. What it does not tell is absent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
     /// Requests in hand, waiting ones too.
@@ -244,11 +244,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     Served,
-    /// The node answered with an error; it may have run.
+    /// The target answered with an error; it may have run.
     Error,
     /// Turned away unseen: it never ran.
     Full,
-    /// Turned away unseen, as over by the node's clock: it never ran, there or elsewhere.
+    /// Turned away unseen, as over by the target's clock: it never ran, there or elsewhere.
     Over,
     /// No answer in time: it may have run or still run.
     TimedOut,
@@ -268,15 +268,15 @@
         matches!(self, Outcome::Full | Outcome::Over | Outcome::Unreachable | Outcome::NotSent)
     }
 
-    /// Whether the request's time is up, by this gateway's clock or the node's.
+    /// Whether the request's time is up, by this initiator's clock or the target's.
     pub fn is_late(self) -> bool {
         matches!(self, Outcome::TimedOut | Outcome::Over)
     }
 }
 
-/// What the list says of a node.
+/// What the list says of a target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum NodeState {
+pub enum TargetState {
     In,
     /// It finishes its work; nothing new may go to it.
     Draining,
@@ -288,10 +288,10 @@
 /// A line of the list.
 #[derive(Clone, Copy, Debug)]
 pub struct Entry {
-    pub node: NodeId,
+    pub target: TargetId,
     pub shard: ShardId,
     pub zone: ZoneId,
-    pub state: NodeState,
+    pub state: TargetState,
     /// When it last started; absent: long ago.
     pub started: Option<Micros>,
 }
@@ -301,9 +301,9 @@
 pub enum ListKind {
     /// Only what changed.
     Changes,
-    /// All of it: a node that is missing is gone.
+    /// All of it: a target that is missing is gone.
     Full,
-    /// All of it as this gateway last had it; it may be stale.
+    /// All of it as this initiator last had it; it may be stale.
     Remembered,
     /// Only what changed, as others than discovery tell it.
     Beside,
@@ -319,13 +319,13 @@
     pub volume: VolumeId,
     pub key: Option<KeyId>,
     pub units: f64,
-    /// The shard that holds the data. Absent: a new object, which any node can take.
+    /// The shard that holds the data. Absent: a new object, which any target can take.
     pub shard: Option<ShardId>,
-    /// Through how many gateways the volume works. 0: not told.
-    pub gateways: u32,
+    /// Through how many initiators the volume works. 0: not told.
+    pub initiators: u32,
     /// When the client gives this try up.
     pub deadline: Micros,
-    /// The nodes that it may reach. Absent: every node.
+    /// The targets that it may reach. Absent: every target.
     pub reach: Option<ReachId>,
 }
 
@@ -336,7 +336,7 @@
     Outcome {
         id: RequestId,
         attempt: Attempt,
-        node: NodeId,
+        target: TargetId,
         outcome: Outcome,
         /// From the send until now.
         took: Micros,
@@ -344,11 +344,11 @@
         over: bool,
         /// Units served for the volume everywhere in a finished period, as a part of the plan's rate.
         used: Option<f64>,
-        /// Units that this shard served for the volume through other gateways since its last answer here.
+        /// Units that this shard served for the volume through other initiators since its last answer here.
         elsewhere: f64,
         load: Load,
     },
-    /// An answer has begun, or the rest of a long request is being passed on: the attempt takes up no room at its node
+    /// An answer has begun, or the rest of a long request is being passed on: the attempt takes up no room at its target
     /// any more. Unless it is still timed, the request's deadline no longer runs either, and the attempt lasts as long
     /// as its client takes.
     Started {
@@ -364,31 +364,31 @@
         kind: ListKind,
         entries: Vec<Entry>,
     },
-    /// A set of nodes, all of it. Absent: no request has it any more. One that was never told holds nobody.
+    /// A set of targets, all of it. Absent: no request has it any more. One that was never told holds nobody.
     Reach {
         reach: ReachId,
-        nodes: Option<Vec<NodeId>>,
+        targets: Option<Vec<TargetId>>,
     },
-    /// The nodes that this gateway's new objects go to where they are early enough, so that the choices of all
-    /// gateways add up evenly. None: it has no preference.
-    Near(Vec<NodeId>),
-    /// Another gateway lacks units of a limited volume: [`Action::Spared`] says what this one can do without.
+    /// The targets that this initiator's new objects go to where they are early enough, so that the choices of all
+    /// initiators add up evenly. None: it has no preference.
+    Near(Vec<TargetId>),
+    /// Another initiator lacks units of a limited volume: [`Action::Spared`] says what this one can do without.
     Spare {
         volume: VolumeId,
         most: f64,
     },
-    /// Another gateway gave up units of a limited volume for this one.
+    /// Another initiator gave up units of a limited volume for this one.
     Units {
         volume: VolumeId,
         units: f64,
     },
     Probed {
-        node: NodeId,
+        target: TargetId,
         outcome: Outcome,
         took: Micros,
         load: Load,
     },
-    /// Another process has what is owned here: units of limits, and the budgets of cold nodes. False: it is owned
+    /// Another process has what is owned here: units of limits, and the budgets of cold targets. False: it is owned
     /// here again.
     Handed(bool),
     /// A timer of [`Action::Wake`] is due.
@@ -403,7 +403,7 @@
     /// Start an attempt. Without a time-out it runs until the client gives up.
     Send {
         id: RequestId,
-        node: NodeId,
+        target: TargetId,
         timeout: Option<Micros>,
     },
     /// Final answer: no, and a new try does no harm; the client should stay away for `wait`.
@@ -424,15 +424,15 @@
         after: Micros,
     },
     Probe {
-        node: NodeId,
+        target: TargetId,
     },
     /// A request draws on a store of units that runs low here; others may have some to spare.
     Lacks {
         volume: VolumeId,
         units: f64,
-        gateways: u32,
+        initiators: u32,
     },
-    /// Units that are no longer in this gateway's store: the answer to [`Event::Spare`].
+    /// Units that are no longer in this initiator's store: the answer to [`Event::Spare`].
     Spared {
         volume: VolumeId,
         units: f64,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,15 +1,15 @@
 //! An I/O initiator: a module that decides, an actor that owns it, and the fronts that speak to the network.
 //!
-//! A gateway loads the module, hands it its settings and a seed, and then every event with the
+//! A scheduler loads the module, hands it its settings and a seed, and then every event with the
 //! time it happened. The module answers with actions and does no I/O of its own. Instances share
 //! nothing; the same events give the same actions.
 //!
 //! ```
 //! use rowanglade::interface::*;
-//! use rowanglade::rules::Gateway;
+//! use rowanglade::scheduler::Scheduler;
 //!
 //! let settings = Settings {
-//!     gateways: 1,
+//!     initiators: 1,
 //!     classes: vec![Class {
 //!         aim: 100_000,
 //!         deadline: 1_000_000,
@@ -41,17 +41,17 @@
 //!     may_copy: false,
 //!     longest_advice: 0,
 //! };
-//! let mut gateway = Gateway::new(settings, 7)?;
+//! let mut scheduler = Scheduler::new(settings, 7)?;
 //! let mut actions = Vec::new();
 //!
 //! let entry = Entry {
-//!     node: NodeId(0),
+//!     node: TargetId(0),
 //!     shard: ShardId(0),
 //!     zone: ZoneId(0),
-//!     state: NodeState::In,
+//!     state: TargetState::In,
 //!     started: None,
 //! };
-//! gateway.handle(0, Event::List { kind: ListKind::Full, entries: vec![entry] }, &mut actions);
+//! scheduler.handle(0, Event::List { kind: ListKind::Full, entries: vec![entry] }, &mut actions);
 //! let request = Request {
 //!     id: RequestId(1),
 //!     class: Some(ClassId(0)),
@@ -60,12 +60,12 @@
 //!     key: None,
 //!     units: 2.0,
 //!     shard: Some(ShardId(0)),
-//!     gateways: 1,
+//!     initiators: 1,
 //!     deadline: 1_000_000,
 //!     reach: None,
 //! };
-//! gateway.handle(10, Event::Request(request), &mut actions);
-//! assert!(actions.iter().any(|a| matches!(a, Action::Send { node: NodeId(0), .. })));
+//! scheduler.handle(10, Event::Request(request), &mut actions);
+//! assert!(actions.iter().any(|a| matches!(a, Action::Send { node: TargetId(0), .. })));
 //! # Ok::<(), SettingsError>(())
 //! ```
 #![forbid(unsafe_code)]
@@ -77,6 +77,6 @@
 pub mod interface;
 pub mod names;
 pub mod net;
-pub mod rules;
+pub mod scheduler;
 pub mod settings;
 pub mod upgrade;
--- a/src/names.rs
+++ b/src/names.rs
@@ -54,7 +54,7 @@
     pub fields: Vec<String>,
     volumes: Interner,
     keys: Interner,
-    nodes: HashMap<String, NodeId>,
+    nodes: HashMap<String, TargetId>,
     node_names: Vec<String>,
     requests: HashMap<String, RequestId>,
     open: HashMap<RequestId, Open>,
@@ -91,21 +91,21 @@
         KeyId(self.keys.number(name))
     }
 
-    pub fn listed(&mut self, name: &str) -> NodeId {
+    pub fn listed(&mut self, name: &str) -> TargetId {
         if let Some(id) = self.nodes.get(name) {
             return *id;
         }
-        let id = NodeId(self.node_names.len() as u32);
+        let id = TargetId(self.node_names.len() as u32);
         self.node_names.push(name.to_string());
         self.nodes.insert(name.to_string(), id);
         id
     }
 
-    pub fn node(&self, name: &str) -> Option<NodeId> {
+    pub fn node(&self, name: &str) -> Option<TargetId> {
         self.nodes.get(name).copied()
     }
 
-    pub fn node_name(&self, id: NodeId) -> Option<&str> {
+    pub fn node_name(&self, id: TargetId) -> Option<&str> {
         self.node_names.get(id.0 as usize).map(String::as_str)
     }
 
--- a/src/net/http/discovery.rs
+++ b/src/net/http/discovery.rs
@@ -2,7 +2,7 @@
 //! When to call is decided by [`Schedule`] alone.
 
 use crate::core::{Clock, Handle, LINES_AT_ONCE, Listed, Message, Wire};
-use crate::interface::{ListKind, Micros, NodeState};
+use crate::interface::{ListKind, Micros, TargetState};
 use crate::net::http::dial;
 use crate::net::peers::PeerLink;
 use awc::Client;
@@ -68,9 +68,9 @@
             kind: line.kind,
             shard: line.cell,
             state: match line.state {
-                State::Active => NodeState::In,
-                State::Leaving => NodeState::Draining,
-                State::Left => NodeState::Gone,
+                State::Active => TargetState::In,
+                State::Leaving => TargetState::Draining,
+                State::Left => TargetState::Gone,
             },
             started: (line.started_ms > 0).then(|| line.started_ms.saturating_mul(1_000)),
         }
@@ -86,9 +86,9 @@
             kind: listed.kind,
             cell: listed.shard,
             state: match listed.state {
-                NodeState::In => State::Active,
-                NodeState::Draining => State::Leaving,
-                NodeState::Gone => State::Left,
+                TargetState::In => State::Active,
+                TargetState::Draining => State::Leaving,
+                TargetState::Gone => State::Left,
             },
             started_ms: listed.started.unwrap_or(0) / 1_000,
         }
--- a/src/net/iscsi/session.rs
+++ b/src/net/iscsi/session.rs
@@ -1,7 +1,7 @@
 //! Sessions that go out: the actor of an iSCSI-style target. This side is the initiator.
 
 use crate::core::{Attempt, Clock, Handle, Listed, Message, Probe, Reply, Report, TargetMessage, Wire};
-use crate::interface::{ListKind, Load, NodeState, Outcome};
+use crate::interface::{ListKind, Load, Outcome, TargetState};
 use crate::net::close::{LINGER, close};
 use bytes::{Bytes, BytesMut};
 use futures_util::StreamExt;
@@ -65,7 +65,7 @@
     async fn run(mut self) {
         let mut waiting = VecDeque::new();
         loop {
-            let drained = self.line.state != NodeState::In;
+            let drained = self.line.state != TargetState::In;
             let again = Instant::now() + TRY_AGAIN;
             while waiting.is_empty() {
                 tokio::select! {
@@ -83,7 +83,7 @@
             match self.opened(&mut waiting).await {
                 Ok(session) => {
                     if drained {
-                        self.tell(NodeState::In).await;
+                        self.tell(TargetState::In).await;
                     }
                     match session.run(&mut self, waiting).await {
                         End::Mailbox => return,
@@ -131,9 +131,9 @@
     }
 
     /// The core's list learns what the session told. A target that is back counts as just started.
-    async fn tell(&mut self, state: NodeState) {
+    async fn tell(&mut self, state: TargetState) {
         self.line.state = state;
-        if state == NodeState::In {
+        if state == TargetState::In {
             // The core's own clock: a step of the wall clock must not make it far past or future.
             self.line.started = Some(self.figures.clock.now());
         }
@@ -285,7 +285,7 @@
                             // The list is told at once, so that nothing new comes; what is out may still be
                             // answered.
                             self.leaving = true;
-                            target.tell(NodeState::Draining).await;
+                            target.tell(TargetState::Draining).await;
                         }
                         self.hear(pdu).await?;
                     }
--- a/src/rules.rs
+++ b/src/scheduler.rs
@@ -1,40 +1,40 @@
 //! Every decision of rowanglade. Its types, events and actions stand in `src/interface.rs`.
 //!
-//! Per node: held requests in earliest-deadline order with capped push-backs, refusal on arrival by
+//! Per target: held requests in earliest-deadline order with capped push-backs, refusal on arrival by
 //! predicted completion, background work always accepted, a bound on units out that follows the speed.
 use crate::interface::*;
 use rowanglade_warmup as warmup;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 mod admission;
-mod cold;
+mod decaying_sum;
+mod dispatch;
+mod endpoint_updates;
 mod estimates;
-pub mod handed;
-mod listing;
-mod nodes;
 mod outcomes;
 mod placement;
 mod queues;
-mod rate;
-mod sending;
-mod store;
+mod slow_start;
+pub mod snapshot;
+mod targets;
 mod timers;
+mod token_bucket;
 
 use self::{
-    nodes::{Node, Nodes},
+    decaying_sum::{LongRate, Rate},
     outcomes::AttemptEnd,
     queues::Queues,
-    rate::{LongRate, Rate},
-    store::Store,
+    targets::{Target, Targets},
+    token_bucket::Store,
 };
 
 /// What was learned this long ago counts e times less.
 const KNOWN_FOR: f64 = 1.2e6;
 /// How often a held request may be overtaken.
 const PUSH_BACKS: u32 = 12;
-/// Part of the tightest aim that the units out at a node may take to serve.
+/// Part of the tightest aim that the units out at a target may take to serve.
 const AIM_PART: f64 = 0.5;
-/// Usual requests that may be out at a node at least, and at most.
+/// Usual requests that may be out at a target at least, and at most.
 const FEWEST_OUT: f64 = 2.0;
 const MOST_OUT: f64 = 16.0;
 /// A class that does not write and whose aim is this many times the tightest aim is background work.
@@ -55,9 +55,9 @@
 const LEVEL_FLOOR: f64 = 0.1;
 /// Clients are told to stay away for this long at least.
 const SHORTEST_ADVICE: Micros = 20_000;
-/// Below this part of its store a gateway asks others for units, and gives none.
+/// Below this part of its store an initiator asks others for units, and gives none.
 const LOW_PART: f64 = 0.25;
-/// A gateway keeps what its own requests ask in so many seconds.
+/// An initiator keeps what its own requests ask in so many seconds.
 const KEPT_SECONDS: f64 = 0.5;
 /// How often held requests are looked at again.
 const TICK: Micros = 10_000;
@@ -73,7 +73,7 @@
 }
 
 struct AttemptState {
-    node: NodeId,
+    target: TargetId,
     sent: Micros,
     ran: Ran,
     lost: bool,     // called off, since its answer does not come
@@ -95,7 +95,7 @@
     due: Micros,      // the place in the order: the aim, or for background work what it was moved to
     deadline: Micros,
     reach: Option<ReachId>,
-    gateways: f64,
+    initiators: f64,
     pushed: u32,
     waiting: bool, // in its shard's queue
     started: bool,
@@ -104,13 +104,13 @@
     tries: Vec<AttemptState>,
 }
 
-/// A volume at one shard, as this gateway sees it.
+/// A volume at one shard, as this initiator sees it.
 #[derive(Default)]
 struct Part {
     asked: Rate,
     elsewhere: Rate,
     lately: LongRate,
-    pace: Option<warmup::Pace>, // of the reserve, while its node is cold
+    pace: Option<warmup::Pace>, // of the reserve, while its target is cold
     credit: f64,
     filled: Micros,
 }
@@ -134,9 +134,9 @@
     rests_until: Micros,
 }
 
-/// The decisions of one gateway: what happens is told to [`Gateway::handle`], which says what to do.
+/// The decisions of one initiator: what happens is told to [`Scheduler::handle`], which says what to do.
 #[derive(Default)]
-pub struct Gateway {
+pub struct Scheduler {
     settings: Settings,
     cold: warmup::Rule,
     random: u64,
@@ -147,20 +147,20 @@
     /// For each class, whether it is background work.
     background: Vec<bool>,
     tightest: Micros,
-    /// What the answers of all nodes tell.
-    overall: Node,
+    /// What the answers of all targets tell.
+    overall: Target,
     /// For each class, what the closed form is multiplied by.
     margins: Vec<f64>,
     requests: BTreeMap<RequestId, RequestState>,
     deadlines: BTreeSet<(Micros, RequestId)>,
     queues: Queues,
-    /// New objects that no node takes yet.
+    /// New objects that no target takes yet.
     unplaced: Vec<RequestId>,
-    nodes: Nodes,
+    targets: Targets,
     /// Preferred for new objects; empty: none is.
-    near: BTreeSet<NodeId>,
+    near: BTreeSet<TargetId>,
     /// What requests with a route may reach, in the order of numbers.
-    reaches: BTreeMap<ReachId, Vec<NodeId>>,
+    reaches: BTreeMap<ReachId, Vec<TargetId>>,
     key_queues: BTreeMap<KeyId, KeyQueue>,
     limits: BTreeMap<VolumeId, Store>,
     volumes: BTreeMap<VolumeId, Volume>,
@@ -170,15 +170,15 @@
     swept: Micros,
 }
 
-impl Gateway {
-    pub fn new(settings: Settings, seed: u64) -> Result<Gateway, SettingsError> {
+impl Scheduler {
+    pub fn new(settings: Settings, seed: u64) -> Result<Scheduler, SettingsError> {
         settings.check()?;
         let tightest = settings.classes.iter().map(|c| c.aim).min().unwrap_or(0);
         let patient = |c: &Class| c.aim as f64 >= BACKGROUND_AIM * tightest as f64 && c.aim > tightest;
         let background = settings.classes.iter().map(|c| !c.write && patient(c)).collect();
         let margins = vec![1.0; settings.classes.len()];
         let cold = settings.cold();
-        Ok(Gateway { settings, cold, random: seed, background, tightest, margins, ..Gateway::default() })
+        Ok(Scheduler { settings, cold, random: seed, background, tightest, margins, ..Scheduler::default() })
     }
 
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
@@ -197,12 +197,12 @@
                     h.started |= !timed;
                     let sent = h.tries.get(attempt.0 as usize);
                     sent.into_iter().for_each(|t| {
-                        self.nodes.free_room(t.node, (t.sent, id, attempt.0), h.units);
+                        self.targets.free_room(t.target, (t.sent, id, attempt.0), h.units);
                     });
                 }
             }
             Event::Withdrawn { id } => {
-                // Nobody waits for it: where the node can drop waiting work, it should.
+                // Nobody waits for it: where the target can drop waiting work, it should.
                 let held = self.requests.get(&id).filter(|_| self.settings.may_cancel);
                 let tries = held.iter().flat_map(|h| h.tries.iter().enumerate());
                 for (i, _) in tries.filter(|(_, t)| t.ran == Ran::Out) {
@@ -211,13 +211,13 @@
                 self.end(now, id);
             }
             Event::List { kind, entries } => self.list(now, kind, &entries, actions),
-            Event::Near(nodes) => self.near = nodes.into_iter().collect(),
-            Event::Reach { reach, nodes: Some(mut nodes) } => {
-                nodes.sort_unstable();
-                nodes.dedup();
-                self.reaches.insert(reach, nodes);
+            Event::Near(targets) => self.near = targets.into_iter().collect(),
+            Event::Reach { reach, targets: Some(mut targets) } => {
+                targets.sort_unstable();
+                targets.dedup();
+                self.reaches.insert(reach, targets);
             }
-            Event::Reach { reach, nodes: None } => drop(self.reaches.remove(&reach)),
+            Event::Reach { reach, targets: None } => drop(self.reaches.remove(&reach)),
             Event::Spare { volume, most } => {
                 let units = self.spare(now, volume, most);
                 actions.push(Action::Spared { volume, units });
@@ -245,7 +245,7 @@
         ((z ^ (z >> 31)) >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// The one way to a final answer of this gateway's: a refusal where the class allows it, else a failure.
+    /// The one way to a final answer of this initiator's: a refusal where the class allows it, else a failure.
     fn answer(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let Some(h) = self.requests.get(&id).filter(|h| !h.over) else { return };
         let harmless = h.tries.iter().all(|t| t.ran == Ran::Never)
--- a/src/rules/admission.rs
+++ b/src/scheduler/admission.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Gateway {
+impl Scheduler {
     pub(super) fn request(&mut self, now: Micros, r: Request, actions: &mut Vec<Action>) {
         if self.requests.contains_key(&r.id) {
             return;
@@ -32,17 +32,17 @@
             patience: if c.in_order { r.deadline } else { (now + patience).min(r.deadline) },
             deadline: r.deadline,
             reach: r.reach,
-            gateways: if r.gateways == 0 { self.settings.gateways.max(1) } else { r.gateways } as f64,
+            initiators: if r.initiators == 0 { self.settings.initiators.max(1) } else { r.initiators } as f64,
             ..RequestState::default()
         };
         // Others may have units to spare: they are asked before the store is empty.
         let limit = held.plan.and_then(|p| self.settings.plans[p.0 as usize].limit);
         if let Some(l) = limit {
-            let new = Store::used_up(l.slack / held.gateways, self.born.unwrap_or(now));
+            let new = Store::used_up(l.slack / held.initiators, self.born.unwrap_or(now));
             let store = self.limits.entry(r.volume).or_insert(new);
-            (store.rate, store.cap) = (l.rate / held.gateways, l.burst / held.gateways);
+            (store.rate, store.cap) = (l.rate / held.initiators, l.burst / held.initiators);
             if store.left(now) - units < LOW_PART * store.cap {
-                actions.push(Action::Lacks { volume: r.volume, units, gateways: held.gateways as u32 });
+                actions.push(Action::Lacks { volume: r.volume, units, initiators: held.initiators as u32 });
             }
         }
         if let (true, Some(key)) = (c.in_order, r.key) {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Puts a request into the queue of its node, or says that it is to be refused.
+    /// Puts a request into the queue of its target, or says that it is to be refused.
     pub(super) fn hold(&mut self, now: Micros, id: RequestId, arriving: bool) -> bool {
         if !self.requests[&id].placed && self.requests[&id].tries.iter().all(|t| t.ran == Ran::Never) {
             let shard = self.place(now, id);
@@ -75,7 +75,7 @@
             && !self
                 .reaches
                 .get(&reach)
-                .is_some_and(|nodes| nodes.iter().any(|n| self.nodes.usable().contains(n)))
+                .is_some_and(|targets| targets.iter().any(|n| self.targets.usable().contains(n)))
         {
             return false;
         }
@@ -83,20 +83,20 @@
             self.unplaced.push(id);
             return true;
         };
-        if arriving && reach.is_some() && self.node_of(shard, reach).is_none() {
+        if arriving && reach.is_some() && self.target_of(shard, reach).is_none() {
             return false;
         }
         let within = !arriving || self.within_due(now, id, shard);
         let queue = self.queues.requests(shard).to_vec();
         let at = self.position(&queue, due);
-        if let (true, Some(node)) = (arriving, self.node_of(shard, reach)) {
+        if let (true, Some(target)) = (arriving, self.target_of(shard, reach)) {
             // Completion: units out and held ahead and its own, over the learned speed, plus the latency.
             let timely = queue[..at].iter().map(|q| &self.requests[q]).filter(|q| q.aim >= now);
             let ahead: f64 = timely.map(|q| q.units).sum();
-            let mut sum = self.nodes[&node].out_units + ahead + units;
-            let free = self.cold_until(now, node, &self.requests[&id], ahead);
-            let done = free + self.service(now, node, class, sum);
-            // What the volume asks beyond its due goes first where the node is predicted full.
+            let mut sum = self.targets[&target].out_units + ahead + units;
+            let free = self.cold_until(now, target, &self.requests[&id], ahead);
+            let done = free + self.service(now, target, class, sum);
+            // What the volume asks beyond its due goes first where the target is predicted full.
             let last =
                 if within { due } else { now + (due.saturating_sub(now) as f64 * BEYOND_PART) as Micros };
             if background && done > last {
@@ -121,8 +121,8 @@
                 }
                 for q in &queue[at..] {
                     let other = &self.requests[q];
-                    let before = now + self.service(now, node, other.class, sum + other.units - units);
-                    let after = now + self.service(now, node, other.class, sum + other.units);
+                    let before = now + self.service(now, target, other.class, sum + other.units - units);
+                    let after = now + self.service(now, target, other.class, sum + other.units);
                     if !self.background[other.class] && before <= other.due && after > other.due {
                         return false;
                     }
@@ -148,10 +148,10 @@
     }
 
     /// Counts a request as asked, and tells whether it is inside its volume's due at the shard: the reserve
-    /// and the weighted share at the queue's level, of which the part asked through this gateway counts here.
+    /// and the weighted share at the queue's level, of which the part asked through this initiator counts here.
     pub(super) fn within_due(&mut self, now: Micros, id: RequestId, shard: ShardId) -> bool {
         let h = &self.requests[&id];
-        let (units, gateways) = (h.units, h.gateways);
+        let (units, initiators) = (h.units, h.initiators);
         let Some(plan) = h.plan.map(|p| self.settings.plans[p.0 as usize].clone()) else { return true };
         let told = self.settings.tells_elsewhere;
         let meter_span = 4 * self.settings.meter_period;
@@ -168,7 +168,7 @@
         let others = match v.meter.filter(|(at, _)| now < at + meter_span) {
             _ if told => p.elsewhere.per_second(now),
             Some((_, all)) => (all - v.served.per_second(now)).max(0.0) * mine / whole,
-            None => plan.nominal * (gateways - 1.0) / gateways * mine / whole,
+            None => plan.nominal * (initiators - 1.0) / initiators * mine / whole,
         };
         let reserve = plan.reserve * mine / whole;
         let over = (mine + others - reserve) / plan.weight.max(1e-9);
@@ -192,16 +192,16 @@
         within
     }
 
-    /// When to come back: the limit has room, and the node takes requests and is predicted to meet the aim.
+    /// When to come back: the limit has room, and the target takes requests and is predicted to meet the aim.
     pub(super) fn advice(&self, now: Micros, h: &RequestState) -> Micros {
         let fill = self.limit(now, h).map_or(0, |(.., fill)| fill);
-        let node = h.shard.and_then(|s| Some((self.node_of(s, h.reach)?, self.queues.requests(s))));
-        let busy = node.map_or(Micros::MAX, |(node, queue)| {
-            let n = &self.nodes[&node];
+        let target = h.shard.and_then(|s| Some((self.target_of(s, h.reach)?, self.queues.requests(s))));
+        let busy = target.map_or(Micros::MAX, |(target, queue)| {
+            let n = &self.targets[&target];
             let held: f64 = queue.iter().map(|q| self.requests[q].units).sum();
-            let done = self.service(now, node, h.class, n.out_units + held + h.units);
+            let done = self.service(now, target, h.class, n.out_units + held + h.units);
             let late = done.saturating_sub(self.settings.classes[h.class].aim);
-            late.max(n.rest_until.max(self.cold_until(now, node, h, 0.0)).saturating_sub(now))
+            late.max(n.rest_until.max(self.cold_until(now, target, h, 0.0)).saturating_sub(now))
         });
         fill.max(busy).max(SHORTEST_ADVICE).min(self.settings.longest_advice)
     }
--- a/src/rules/outcomes.rs
+++ b/src/scheduler/outcomes.rs
@@ -4,14 +4,14 @@
 
 /// Weight of a new answer in the learned latency and speed.
 const SMOOTHING: f64 = 0.1;
-/// The weight of an answer of a node that was never heard.
+/// The weight of an answer of a target that was never heard.
 const FRESH: f64 = 0.5;
 /// The part of answers that should come within their prediction, and how fast the margin learns it.
 const KEPT: f64 = 0.6;
 const MARGIN_STEP: f64 = 0.05;
 /// A latency beyond this multiple of the learned one counts as this multiple.
 const CREDIBLE: f64 = 3.0;
-/// A node that turned a request away or could not be reached rests this long, doubled at each further one.
+/// A target that turned a request away or could not be reached rests this long, doubled at each further one.
 const REST: Micros = 20_000;
 const LONGEST_REST: Micros = 640_000;
 /// An attempt is lost once this many later ones have answers and it waited for this multiple of its due.
@@ -40,7 +40,7 @@
     lost: bool,
 }
 
-impl Gateway {
+impl Scheduler {
     /// What an answer tells of the volume's use.
     pub(super) fn use_told(
         &mut self,
@@ -63,14 +63,14 @@
         }
     }
 
-    /// An attempt has ended: its node has room again, its time is learned from, and its request goes on or
+    /// An attempt has ended: its target has room again, its time is learned from, and its request goes on or
     /// ends.
     pub(super) fn outcome(&mut self, now: Micros, end: AttemptEnd, actions: &mut Vec<Action>) {
         let AttemptEnd { id, attempt, outcome, over, .. } = end;
         let Some(h) = self.requests.get_mut(&id) else { return };
         let Some(t) = h.tries.get_mut(attempt.0 as usize).filter(|t| t.ran == Ran::Out) else { return };
         t.ran = if outcome.never_ran() { Ran::Never } else { Ran::Maybe };
-        let (node, sent, units) = (t.node, t.sent, h.units);
+        let (target, sent, units) = (t.target, t.sent, h.units);
         let sample = Sample {
             class: h.class,
             units,
@@ -86,17 +86,17 @@
         }
         let shard = h.shard;
         let left = !matches!(outcome, Outcome::NotSent | Outcome::Unreachable);
-        self.settle_cold(now, node, id, left);
-        if self.nodes.contains(&node) {
-            self.nodes.free_room(node, (sent, id, attempt.0), units);
-            self.note_answer(now, node, sent, outcome);
-            self.learn(now, node, outcome, sample);
-            self.rest_after(now, node, outcome);
+        self.settle_cold(now, target, id, left);
+        if self.targets.contains(&target) {
+            self.targets.free_room(target, (sent, id, attempt.0), units);
+            self.note_answer(now, target, sent, outcome);
+            self.learn(now, target, outcome, sample);
+            self.rest_after(now, target, outcome);
         }
         if over || outcome == Outcome::Served {
             self.end(now, id);
         } else {
-            self.go_on(now, id, node, outcome, actions);
+            self.go_on(now, id, target, outcome, actions);
         }
         self.drop_if_done(now, id);
         if let Some(shard) = shard {
@@ -109,7 +109,7 @@
         &mut self,
         now: Micros,
         id: RequestId,
-        node: NodeId,
+        target: TargetId,
         outcome: Outcome,
         actions: &mut Vec<Action>,
     ) {
@@ -119,16 +119,16 @@
         }
         let spent = h.tries.len() as u32 >= self.settings.rules.attempts || outcome.is_late();
         let out_of_time = now + ANSWER_EARLY >= h.deadline;
-        if spent || out_of_time || !self.may_repeat(now, h, node) {
+        if spent || out_of_time || !self.may_repeat(now, h, target) {
             self.answer(now, id, actions);
         } else {
             self.hold(now, id, false);
         }
     }
 
-    /// When a node answered, and which of its attempts.
-    fn note_answer(&mut self, now: Micros, node: NodeId, sent: Micros, outcome: Outcome) {
-        let Some(n) = self.nodes.get_mut(&node) else { return };
+    /// When a target answered, and which of its attempts.
+    fn note_answer(&mut self, now: Micros, target: TargetId, sent: Micros, outcome: Outcome) {
+        let Some(n) = self.targets.get_mut(&target) else { return };
         if !matches!(outcome, Outcome::TimedOut | Outcome::Cancelled | Outcome::NotSent) {
             n.answered = now;
         }
@@ -138,11 +138,11 @@
         }
     }
 
-    /// Learns the margin of a class, and the latency and speed of a node and of all.
-    fn learn(&mut self, now: Micros, node: NodeId, outcome: Outcome, sample: Sample) {
+    /// Learns the margin of a class, and the latency and speed of a target and of all.
+    fn learn(&mut self, now: Micros, target: TargetId, outcome: Outcome, sample: Sample) {
         let Sample { class, units, took, predicted, patience, lost } = sample;
-        let own = self.known(now, self.nodes[&node].heard);
-        let (known_speed, known_latency) = self.learned(now, node);
+        let own = self.known(now, self.targets[&target].heard);
+        let (known_speed, known_latency) = self.learned(now, target);
         let fade = self.known(now, self.overall.heard);
         // The closed form errs with others' load and parallel work: each class's margin follows.
         if matches!(outcome, Outcome::Served | Outcome::TimedOut) && predicted > 0.0 {
@@ -150,9 +150,9 @@
             let step = if short { 1.0 + MARGIN_STEP * KEPT } else { 1.0 - MARGIN_STEP * (1.0 - KEPT) };
             self.margins[class] = (self.margins[class] * step).clamp(0.25, 4.0);
         }
-        // No answer took at least that long, a full node all of the time: a jam is not forgotten.
+        // No answer took at least that long, a full target all of the time: a jam is not forgotten.
         let latency = match outcome {
-            // A connection that fell silent says nothing of the node.
+            // A connection that fell silent says nothing of the target.
             _ if lost => return,
             Outcome::Served => took.max(1) as f64,
             Outcome::TimedOut | Outcome::Cancelled => (took as f64).max(known_latency),
@@ -161,22 +161,22 @@
         };
         let speed = units / latency * 1e6;
         let first = self.overall.heard.is_none();
-        // One late answer of a node that has recovered must not shut it out.
+        // One late answer of a target that has recovered must not shut it out.
         let latency = if first { latency } else { latency.min(CREDIBLE * known_latency) };
         let weight = |known: f64| if first { 1.0 } else { FRESH + (SMOOTHING - FRESH) * known };
-        if let Some(n) = self.nodes.get_mut(&node) {
+        if let Some(n) = self.targets.get_mut(&target) {
             n.latency = known_latency + weight(own) * (latency - known_latency);
             n.speed = known_speed + weight(own) * (speed - known_speed);
         }
-        self.nodes.heard(node, Some(now));
+        self.targets.heard(target, Some(now));
         self.overall.latency += weight(fade) * (latency - self.overall.latency);
         self.overall.speed += weight(fade) * (speed - self.overall.speed);
         self.overall.heard = Some(now);
     }
 
-    /// A node that turned a request away or could not be reached rests for a while.
-    fn rest_after(&mut self, now: Micros, node: NodeId, outcome: Outcome) {
-        let Some(n) = self.nodes.get_mut(&node) else { return };
+    /// A target that turned a request away or could not be reached rests for a while.
+    fn rest_after(&mut self, now: Micros, target: TargetId, outcome: Outcome) {
+        let Some(n) = self.targets.get_mut(&target) else { return };
         if outcome == Outcome::Served {
             n.failing = 0;
         } else if matches!(outcome, Outcome::Full | Outcome::Unreachable) && now >= n.rest_until {
@@ -186,12 +186,12 @@
         }
     }
 
-    /// Calls off attempts that the node's answers to later ones have overtaken: silent connections would hold
+    /// Calls off attempts that the target's answers to later ones have overtaken: silent connections would hold
     /// their units until the deadline. One alone waits longer. It hurts where work varies by `LOST_AFTER`.
     pub(super) fn call_off_lost(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let mut lost = Vec::new();
-        for (node, n) in self.nodes.busy().filter(|_| self.settings.may_cancel) {
-            let (latency, known) = (self.learned(now, node).1, self.known(now, n.heard));
+        for (target, n) in self.targets.busy().filter(|_| self.settings.may_cancel) {
+            let (latency, known) = (self.learned(now, target).1, self.known(now, n.heard));
             for (sent, id, i) in n.out.keys() {
                 let Some(t) = self.requests.get(id).and_then(|h| h.tries.get(*i as usize)) else { continue };
                 let (waited, patience) = ((now - sent) as f64, LOST_AFTER * latency.max(t.predicted));
--- a/src/rules/queues.rs
+++ b/src/scheduler/queues.rs
@@ -1,6 +1,6 @@
 //! What waits for each shard, in order, and the level of dues there.
 
-use super::rate::Rate;
+use super::decaying_sum::Rate;
 use crate::interface::{Micros, RequestId, ShardId};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/rules/timers.rs
+++ b/src/scheduler/timers.rs
@@ -5,7 +5,7 @@
 /// New objects without a shard that are looked at again in one turn and find none, at most.
 const MOST_PLACED_AGAIN: usize = 32;
 
-impl Gateway {
+impl Scheduler {
     pub(super) fn tick(&mut self, now: Micros, actions: &mut Vec<Action>) {
         self.call_off_lost(now, actions);
         while let Some(&(deadline, id)) = self.deadlines.first()
@@ -43,13 +43,13 @@
         self.unplaced = waiting.chain(tried).collect();
     }
 
-    /// Nothing is kept for ever: idle queues, limits and keys, and nodes that are gone.
+    /// Nothing is kept for ever: idle queues, limits and keys, and targets that are gone.
     pub(super) fn sweep(&mut self, now: Micros) {
         self.swept = now;
-        let Gateway { requests, nodes, queues, key_queues, limits, volumes, .. } = self;
+        let Scheduler { requests, targets, queues, key_queues, limits, volumes, .. } = self;
         volumes.retain(|_, v| v.seen + FORGET > now);
-        nodes.forget_gone();
-        queues.forget(|shard| nodes.has_shard(shard));
+        targets.forget_gone();
+        queues.forget(|shard| targets.has_shard(shard));
         key_queues.retain(|_, queue| !queue.requests.is_empty() || queue.rests_until > now);
         limits.retain(|v, l| !l.is_idle(now, FORGET) || requests.values().any(|h| h.volume == *v));
     }
--- a/src/rules/store.rs
+++ b/src/scheduler/token_bucket.rs
@@ -1,4 +1,4 @@
-//! This gateway's part of the units that a volume's limit has left.
+//! This initiator's part of the units that a volume's limit has left.
 
 use crate::interface::Micros;
 
@@ -11,7 +11,7 @@
     left: f64,
     at: Micros,
     owed: f64,
-    /// Units a second, and the most that it holds: this gateway's part, as the last request told of it.
+    /// Units a second, and the most that it holds: this initiator's part, as the last request told of it.
     pub rate: f64,
     pub cap: f64,
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -282,7 +282,7 @@
             }),
         };
         Ok(api::Settings {
-            gateways: self.siblings,
+            initiators: self.siblings,
             classes,
             plans: self.policies.iter().map(plan).collect(),
             rules: api::Rules {
--- a/src/upgrade/wire.rs
+++ b/src/upgrade/wire.rs
@@ -3,7 +3,7 @@
 use crate::core::Call;
 use crate::interface::Micros;
 use crate::net::http::Page;
-use crate::rules::handed::Handed;
+use crate::scheduler::snapshot::SchedulerSnapshot;
 use bytes::{Buf, BufMut, BytesMut};
 use rowanglade_handover::Word;
 use rowanglade_maintenance::Maintenance;
@@ -47,7 +47,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Given {
     pub maintenance: Maintenance,
-    pub module: Handed<String, String>,
+    pub module: SchedulerSnapshot<String, String>,
     /// Where objects were seen, the oldest first. A build that does not know of it learns that again.
     #[serde(default)]
     pub places: Vec<(Object, Seen)>,
--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -22,9 +22,9 @@
     Entry { started: Some(START), ..entry(0, 0) }
 }
 
-/// One gateway, and a cold node that bears four units in each window of a second.
+/// One initiator, and a cold node that bears four units in each window of a second.
 fn lone() -> Bench {
-    let mut s = Settings { gateways: 1, ..settings() };
+    let mut s = Settings { initiators: 1, ..settings() };
     s.rules.cold_units = 4.0;
     s.rules.warm_within = 1_000 * SECOND;
     let mut b = Bench::new(s, &[cold()]);
@@ -43,7 +43,7 @@
     b.pass(2 * SECOND);
     assert_eq!(sends(&b.take(large(1))), [1]);
     b.pass(900 * MS);
-    b.gateway.settle(b.now, RequestId(1), true);
+    b.scheduler.settle(b.now, RequestId(1), true);
     b.served(1, 10 * MS);
     b.pass(200 * MS);
     assert_eq!(sends(&b.take(large(2))), NOTHING, "a second ago it was decided, and it arrived just now");
@@ -77,14 +77,14 @@
     b.pass(2 * SECOND);
     assert_eq!(sends(&b.take(large(1))), [1]);
     b.pass(300 * MS);
-    b.gateway.settle(b.now, RequestId(1), true);
+    b.scheduler.settle(b.now, RequestId(1), true);
     let mut again = sends(&b.outcome(1, 0, 0, Outcome::Error, 300 * MS));
     again.extend(sends(&b.pass(900 * MS)));
     assert_eq!(again, NOTHING, "it counts for a second from its arrival on");
     assert_eq!(sends(&b.pass(200 * MS)), [1]);
 }
 
-/// What a successor goes on with after one gateway's request has been sent and has not arrived.
+/// What a successor goes on with after one initiator's request has been sent and has not arrived.
 fn successor(settings: &Settings) -> Bench {
     let mut first = Bench::new(settings.clone(), &[cold()]);
     first.late = true;
@@ -92,16 +92,16 @@
     assert_eq!(sends(&first.take(large(1))), [1]);
     let mut next = Bench::new(settings.clone(), &[cold()]);
     next.now = first.now;
-    next.gateway.take(first.gateway.handed(first.now));
+    next.scheduler.take(first.scheduler.handed(first.now));
     next
 }
 
 #[test]
 fn what_is_on_its_way_at_a_handover_counts_at_the_successor() {
-    let mut even = Settings { gateways: 1, ..settings() };
+    let mut even = Settings { initiators: 1, ..settings() };
     even.rules.cold_units = 4.0;
     even.rules.warm_within = 1_000 * SECOND;
-    let mut reserve = Settings { gateways: 1, ..even.clone() };
+    let mut reserve = Settings { initiators: 1, ..even.clone() };
     reserve.plans[0].reserve = 2.0;
     reserve.rules.cold_units = 0.0;
     for settings in [even, reserve] {
@@ -114,9 +114,9 @@
     }
 }
 
-/// A volume's requests through one gateway.
+/// A volume's requests through one initiator.
 struct Sender {
-    gateway: usize,
+    initiator: usize,
     volume: u32,
     hosts: u32,
     nodes: u32,
@@ -125,7 +125,7 @@
 /// An attempt whose connection comes up at a time, or whose answer comes then.
 struct Out {
     at: Micros,
-    gateway: usize,
+    initiator: usize,
     id: u64,
     attempt: u32,
     node: u32,
@@ -135,7 +135,7 @@
 struct Fleet {
     settings: Settings,
     random: Pcg64Mcg,
-    gateways: Vec<Bench>,
+    initiators: Vec<Bench>,
     hears: Vec<Micros>,
     senders: Vec<Sender>,
     out: Vec<Out>,
@@ -149,7 +149,7 @@
 impl Fleet {
     fn new(seed: u64, count: u32, capacity: f64, heard_within: Micros) -> Fleet {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
-        let mut s = Settings { gateways: count, ..settings() };
+        let mut s = Settings { initiators: count, ..settings() };
         s.plans[0].reserve = RESERVE;
         s.plans[0].nominal = RESERVE;
         s.rules.warm_within = 15 * SECOND;
@@ -164,7 +164,7 @@
             left -= RESERVE / f64::from(nodes);
             for _ in 0..hosts {
                 senders.push(Sender {
-                    gateway: random.random_range(0..count) as usize,
+                    initiator: random.random_range(0..count) as usize,
                     volume,
                     hosts,
                     nodes,
@@ -177,13 +177,13 @@
             b.late = true;
             b
         };
-        let gateways = (0..u64::from(count)).map(bench).collect();
+        let initiators = (0..u64::from(count)).map(bench).collect();
         let hears = (0..count).map(|_| START + random.random_range(0..=heard_within)).collect();
         let (out, reached) = (Vec::new(), Vec::new());
         Fleet {
             settings: s,
             random,
-            gateways,
+            initiators,
             hears,
             senders,
             out,
@@ -193,14 +193,14 @@
         }
     }
 
-    fn sent(&mut self, gateway: usize, actions: &[Action]) {
+    fn sent(&mut self, initiator: usize, actions: &[Action]) {
         for action in actions {
-            let Action::Send { id, node, .. } = action else { continue };
+            let Action::Send { id, target: node, .. } = action else { continue };
             let attempt = self.attempts.entry(id.0).or_default();
             let late =
                 if self.random.random_bool(0.33) { self.random.random_range(0..1_500 * MS) } else { 0 };
-            let at = self.gateways[gateway].now + late;
-            self.out.push(Out { at, gateway, id: id.0, attempt: *attempt, node: node.0, arrived: false });
+            let at = self.initiators[initiator].now + late;
+            self.out.push(Out { at, initiator, id: id.0, attempt: *attempt, node: node.0, arrived: false });
             *attempt += 1;
         }
     }
@@ -210,9 +210,9 @@
         let (due, out) = std::mem::take(&mut self.out).into_iter().partition(|o| o.at <= now);
         self.out = out;
         for o in due {
-            let b = &mut self.gateways[o.gateway];
-            if !o.arrived && b.gateway.may_start(now, RequestId(o.id), Attempt(o.attempt)) {
-                b.gateway.settle(now, RequestId(o.id), true);
+            let b = &mut self.initiators[o.initiator];
+            if !o.arrived && b.scheduler.may_start(now, RequestId(o.id), Attempt(o.attempt)) {
+                b.scheduler.settle(now, RequestId(o.id), true);
                 if o.node == 0 {
                     self.reached.push(now);
                 }
@@ -225,51 +225,51 @@
                 true => Outcome::Served,
             };
             let actions = b.outcome(o.id, o.attempt, o.node, outcome, 10 * MS);
-            self.sent(o.gateway, &actions);
+            self.sent(o.initiator, &actions);
         }
     }
 
     /// A process that is killed takes what it had under way along, and knows of nothing when it is back.
-    fn restart(&mut self, gateway: usize) {
-        let now = self.gateways[gateway].now;
+    fn restart(&mut self, initiator: usize) {
+        let now = self.initiators[initiator].now;
         let mut entries: Vec<Entry> = (1..NODES).map(|n| entry(n, n)).collect();
-        entries.extend((self.hears[gateway] <= now).then(cold));
+        entries.extend((self.hears[initiator] <= now).then(cold));
         let mut b = Bench::unlisted(self.settings.clone(), self.random.random());
         (b.now, b.late) = (now, true);
         b.list(ListKind::Remembered, &entries);
-        self.gateways[gateway] = b;
-        self.out.retain(|o| o.gateway != gateway);
+        self.initiators[initiator] = b;
+        self.out.retain(|o| o.initiator != initiator);
     }
 
     fn step(&mut self, rate: f64) {
-        for gateway in 0..self.gateways.len() {
-            let actions = self.gateways[gateway].pass(STEP);
-            self.sent(gateway, &actions);
-            let now = self.gateways[gateway].now;
-            if (now - STEP..now).contains(&self.hears[gateway]) {
-                let actions = self.gateways[gateway].list(ListKind::Changes, &[cold()]);
-                self.sent(gateway, &actions);
+        for initiator in 0..self.initiators.len() {
+            let actions = self.initiators[initiator].pass(STEP);
+            self.sent(initiator, &actions);
+            let now = self.initiators[initiator].now;
+            if (now - STEP..now).contains(&self.hears[initiator]) {
+                let actions = self.initiators[initiator].list(ListKind::Changes, &[cold()]);
+                self.sent(initiator, &actions);
             }
         }
-        let now = self.gateways[0].now;
+        let now = self.initiators[0].now;
         for place in 0..self.senders.len() {
             if !self.random.random_bool(rate) {
                 continue;
             }
-            let Sender { gateway, volume, hosts, nodes } = self.senders[place];
+            let Sender { initiator, volume, hosts, nodes } = self.senders[place];
             let node = self.random.random_range(0..nodes);
-            if node == 0 && self.hears[gateway] > now {
+            if node == 0 && self.hears[initiator] > now {
                 continue; // it knows of nobody there
             }
             self.next += 1;
             let asked = Request {
                 volume: VolumeId(volume),
-                gateways: hosts,
+                initiators: hosts,
                 shard: Some(ShardId(node)),
                 ..request(self.next, KEYED)
             };
-            let actions = self.gateways[gateway].take(asked);
-            self.sent(gateway, &actions);
+            let actions = self.initiators[initiator].take(asked);
+            self.sent(initiator, &actions);
         }
         self.come_up(now);
     }
@@ -312,11 +312,11 @@
             }
             let part = worst(&fleet, capacity);
             let requests = fleet.reached.len();
-            println!("{count} gateways, seed {seed}: {part:.3} of the fall, {requests} requests");
-            assert!(part <= 1.0, "{count} gateways, seed {seed}: {part} of the fall");
+            println!("{count} initiators, seed {seed}: {part:.3} of the fall, {requests} requests");
+            assert!(part <= 1.0, "{count} initiators, seed {seed}: {part} of the fall");
             assert!(
                 requests >= 100,
-                "{count} gateways, seed {seed}: {requests} requests, the node is starved"
+                "{count} initiators, seed {seed}: {requests} requests, the node is starved"
             );
         }
     }
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -5,9 +5,9 @@
     Answer, Beside, Clock, Connect, Core, Handle, Listed, Message, Order, Origin, TargetMessage, Wire,
     mailbox,
 };
-use rowanglade::interface::{ListKind, NodeState};
+use rowanglade::interface::{ListKind, TargetState};
 use rowanglade::names::Names;
-use rowanglade::rules::Gateway;
+use rowanglade::scheduler::Scheduler;
 use rowanglade::settings::Settings;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -27,7 +27,7 @@
         let example: serde_json::Value = serde_json::from_str(EXAMPLE).expect("JSON");
         let settings: Settings = serde_json::from_value(example["settings"].clone()).expect("settings");
         let mut names = Names::default();
-        let gateway = Gateway::new(settings.translate(&mut names).expect("usable"), 1).expect("usable");
+        let scheduler = Scheduler::new(settings.translate(&mut names).expect("usable"), 1).expect("usable");
         let mut runtime = tokio::runtime::Builder::new_current_thread();
         let runtime = runtime.enable_time().start_paused(true).build().expect("a runtime");
         tokio::task::LocalSet::new().block_on(&runtime, async {
@@ -38,7 +38,7 @@
             let (calls, _calls) = mpsc::channel(1);
             let (seen, _seen) = mpsc::channel(1);
             let core = Core::new(
-                gateway,
+                scheduler,
                 names,
                 Clock::start(),
                 inbox,
@@ -84,7 +84,7 @@
         addr: SocketAddr::from((Ipv4Addr::LOCALHOST, 1)),
         zone: "kingston".into(),
         shard: 0,
-        state: NodeState::In,
+        state: TargetState::In,
         started: None,
     }];
     core.tell(Message::list(Wire::Http, ListKind::Remembered, entries)).await;
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -19,7 +19,7 @@
 
 fn limited(born: Option<Micros>) -> Bench {
     let entries: Vec<Entry> = (0..TARGETS).map(|n| entry(n, n)).collect();
-    let mut s = Settings { gateways: 1, ..settings() };
+    let mut s = Settings { initiators: 1, ..settings() };
     (s.classes[CLASS as usize].aim, s.classes[CLASS as usize].deadline) = (5 * SECOND, 5 * SECOND);
     let mut bench = Bench::unlisted(s, 1);
     bench.now = born.unwrap_or(bench.now);
@@ -39,7 +39,7 @@
 
 fn limited_request(id: u64) -> Request {
     let shard = Some(ShardId((id % u64::from(TARGETS)) as u32));
-    Request { plan: Some(PlanId(1)), gateways: 1, units: 2.0, shard, ..request(id, CLASS) }
+    Request { plan: Some(PlanId(1)), initiators: 1, units: 2.0, shard, ..request(id, CLASS) }
 }
 
 /// The volume's store as all of the platform's initiators and targets count it.
@@ -73,7 +73,7 @@
     sent.extend(sends(&bench.pass(2 * SECOND)));
     for id in &sent {
         store.draw(bench.now, 2.0);
-        bench.gateway.settle(bench.now, RequestId(*id), true);
+        bench.scheduler.settle(bench.now, RequestId(*id), true);
     }
     assert_eq!(sent.len(), 11, "the burst and the slack");
     // What is drawn leaves room again.
@@ -113,7 +113,7 @@
                     };
                     out.remove(&id);
                     store.draw(bench.now, 2.0);
-                    bench.gateway.settle(bench.now, RequestId(id), true);
+                    bench.scheduler.settle(bench.now, RequestId(id), true);
                     bench.outcome(id, 0, id as u32 % TARGETS, Outcome::Served, MS)
                 }
                 _ if random.random_bool(0.7) => continue,
@@ -144,7 +144,7 @@
             sent.extend(sends(&bench.pass(10 * MS)));
             for id in sent {
                 store.draw(bench.now, 2.0);
-                bench.gateway.settle(bench.now, RequestId(id), true);
+                bench.scheduler.settle(bench.now, RequestId(id), true);
                 drawn += 1;
             }
         }
--- a/tests/many_gateways.rs
+++ b/tests/many_initiators.rs
@@ -1,4 +1,4 @@
-//! What holds when each of many gateways sees a small part of a node's traffic.
+//! What holds when each of many initiators sees a small part of a node's traffic.
 
 mod support;
 
@@ -8,7 +8,7 @@
 
 #[test]
 fn a_hundred_gateways_together_keep_a_cold_nodes_budget_and_do_not_starve_it() {
-    let s = Settings { gateways: 100, ..settings() };
+    let s = Settings { initiators: 100, ..settings() };
     let started = 100 * SECOND;
     let cold = Entry { started: Some(started), ..entry(0, 0) };
     let mut all: Vec<Bench> = (0..100).map(|seed| Bench::seeded(s.clone(), &[cold], seed)).collect();
@@ -39,7 +39,7 @@
     assert!(early >= 0.3 * 4.0 * r.cold_units, "only {early} units in the first four seconds");
 }
 
-// The even part of a hundred gateways is less than a request: most of six in ten nodes that had just been replaced
+// The even part of a hundred initiators is less than a request: most of six in ten nodes that had just been replaced
 // stood idle until they were warm.
 #[test]
 fn a_hundred_gateways_together_let_the_reserves_through_to_a_cold_node() {
@@ -52,7 +52,7 @@
     let_the_reserves_through(EXPORT);
 }
 
-/// Draws of the phases of a hundred gateways.
+/// Draws of the phases of a hundred initiators.
 const DRAWS: u64 = 12;
 /// Units of a request, and what the node can do a second when it is warm.
 const UNITS: f64 = 2.0;
@@ -60,17 +60,17 @@
 const STARTED: Micros = 100 * SECOND;
 
 fn reserved_settings() -> Settings {
-    let mut s = Settings { gateways: 100, ..settings() };
+    let mut s = Settings { initiators: 100, ..settings() };
     s.plans[0].reserve = 2.0; // of 24 volumes that is 48 units a second
     s.rules.cold_units = 8.0; // a node that can do 60 a second bears 45 in its first window
     s
 }
 
-/// When units are sent to a node that has just started, by gateways that ask for all that is reserved.
+/// When units are sent to a node that has just started, by initiators that ask for all that is reserved.
 fn sent_to_a_cold_node(class: u32, draw: u64) -> Vec<(Micros, f64)> {
     let cold = Entry { started: Some(STARTED), ..entry(0, 0) };
     let s = reserved_settings();
-    let seeds = (0..48).map(|gateway| draw * 1_000 + gateway);
+    let seeds = (0..48).map(|initiator| draw * 1_000 + initiator);
     let mut all: Vec<Bench> = seeds.map(|seed| Bench::seeded(s.clone(), &[cold], seed)).collect();
     let mut sent: Vec<(Micros, f64)> = Vec::new();
     for step in 0..80u64 {
@@ -78,7 +78,7 @@
             let mut actions = b.pass(100 * MS);
             if (step + g as u64).is_multiple_of(5) {
                 let volume = VolumeId(g as u32 / 2);
-                actions.extend(b.take(Request { volume, gateways: 2, ..request(step, class) }));
+                actions.extend(b.take(Request { volume, initiators: 2, ..request(step, class) }));
             }
             for id in sends(&actions) {
                 sent.push((b.now, UNITS));
@@ -127,7 +127,7 @@
 #[test]
 fn gateways_that_have_nothing_out_refuse_what_an_overloaded_node_cannot_serve_in_time() {
     const SERVICE: Micros = 20 * MS;
-    let s = Settings { gateways: 20, ..settings() };
+    let s = Settings { initiators: 20, ..settings() };
     let mut all: Vec<Bench> = (0..20).map(|seed| Bench::seeded(s.clone(), &[entry(0, 0)], seed)).collect();
     let mut queue: VecDeque<(usize, u64, Micros)> = VecDeque::new();
     let (mut next_done, mut served, mut timely, mut asked) = (0, 0, 0, 0);
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -105,7 +105,7 @@
         b.outcome(id, 0, shard, Outcome::Served, took);
     }
     let sent = b.take(Request { shard: None, ..request(3, ONCE) });
-    assert_eq!(sent, [Action::Send { id: RequestId(3), node: NodeId(1), timeout: None }]);
+    assert_eq!(sent, [Action::Send { id: RequestId(3), target: TargetId(1), timeout: None }]);
 }
 
 #[test]
@@ -198,10 +198,10 @@
 fn unusable_settings_name_the_field() {
     let mut s = settings();
     s.plans[1].weight = f64::NAN;
-    let error = rowanglade::rules::Gateway::new(s, 1).err().expect("refused");
+    let error = rowanglade::scheduler::Scheduler::new(s, 1).err().expect("refused");
     assert_eq!(error.field, "plans[1].weight");
     let none = Settings { classes: vec![], ..settings() };
-    assert_eq!(rowanglade::rules::Gateway::new(none, 1).err().expect("refused").field, "classes");
+    assert_eq!(rowanglade::scheduler::Scheduler::new(none, 1).err().expect("refused").field, "classes");
 }
 
 #[test]
@@ -340,7 +340,7 @@
     let mut bench = Bench::new(settings(), &[entry(0, 0), fresh, entry(2, 1)]);
     let node = |actions: &[Action]| {
         let to = |a: &Action| match a {
-            Action::Send { node, .. } => Some(node.0),
+            Action::Send { target: node, .. } => Some(node.0),
             _ => None,
         };
         actions.iter().find_map(to)
@@ -348,7 +348,7 @@
     assert_eq!(node(&bench.take(request(1, READ))), Some(1), "the one that started last");
     let reach = |id, nodes: &[u32]| Event::Reach {
         reach: ReachId(id),
-        nodes: Some(nodes.iter().map(|n| NodeId(*n)).collect()),
+        targets: Some(nodes.iter().map(|n| TargetId(*n)).collect()),
     };
     bench.event(reach(7, &[0, 2]));
     let kept = |id, reach| Request { reach: Some(ReachId(reach)), ..request(id, READ) };
@@ -368,7 +368,7 @@
 #[test]
 fn units_move_between_stores_and_are_not_made() {
     let volume = VolumeId(1);
-    let limited = |id| Request { plan: Some(PlanId(1)), gateways: 2, ..request(id, READ) };
+    let limited = |id| Request { plan: Some(PlanId(1)), initiators: 2, ..request(id, READ) };
     let spared = |actions: &[Action]| {
         actions.iter().find_map(|a| if let Action::Spared { units, .. } = a { Some(*units) } else { None })
     };
@@ -378,7 +378,7 @@
         Some(0.0),
         "none of its requests came"
     );
-    let lacks = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::Lacks { gateways: 2, .. }));
+    let lacks = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::Lacks { initiators: 2, .. }));
     assert!(lacks(&bench.take(limited(1))), "it starts with an empty store");
     bench.served(1, MS);
     // Its half of the store, 10 units, is full by now; a quarter of it, and what is asked here, is kept.
@@ -408,7 +408,7 @@
     assert!(!cancelled(4 * SECOND), "it may just be slow");
 }
 
-// A hundred gateways that each placed new objects at any of sixty nodes held a connection to almost every one.
+// A hundred initiators that each placed new objects at any of sixty nodes held a connection to almost every one.
 #[test]
 fn a_new_object_goes_to_a_node_heard_before_unless_that_is_late() {
     let placed = |took: Micros, seed: u64| {
@@ -416,13 +416,13 @@
         b.take(Request { shard: Some(ShardId(1)), ..request(1, READ) });
         b.outcome(1, 0, 1, Outcome::Served, took);
         let sent = b.take(Request { shard: None, ..request(2, ONCE) });
-        sent.iter().any(|a| matches!(a, Action::Send { node: NodeId(1), .. }))
+        sent.iter().any(|a| matches!(a, Action::Send { target: TargetId(1), .. }))
     };
     assert!((0..20).all(|seed| placed(20 * MS, seed)), "40 ms of an aim of 200");
     assert!((0..20).any(|seed| !placed(90 * MS, seed)), "180 ms: a new connection is worth it");
 }
 
-// Before the first answer all nodes cost nothing, and the first in the list's order was taken. So 48 gateways that
+// Before the first answer all nodes cost nothing, and the first in the list's order was taken. So 48 initiators that
 // started together all began with one node, and stayed there: what was heard before is preferred.
 #[test]
 fn the_first_new_objects_of_many_gateways_go_to_all_nodes() {
@@ -431,7 +431,7 @@
     for seed in 0..120 {
         let mut b = Bench::seeded(settings(), &nodes, seed);
         for action in b.take(Request { shard: None, ..request(1, ONCE) }) {
-            if let Action::Send { node, .. } = action {
+            if let Action::Send { target: node, .. } = action {
                 counts[node.0 as usize] += 1;
             }
         }
@@ -439,19 +439,19 @@
     assert!(counts.iter().all(|c| (8..=35).contains(c)), "{counts:?}");
 }
 
-// What all gateways hear of first was where all of them placed new objects.
+// What all initiators hear of first was where all of them placed new objects.
 #[test]
 fn a_new_object_goes_to_a_preferred_node_unless_that_is_late_or_rests() {
     let placed = |took: Micros, outcome: Outcome| {
         let mut b = Bench::new(settings(), &[entry(0, 0), entry(1, 1), entry(2, 2)]);
-        b.event(Event::Near(vec![NodeId(2)]));
+        b.event(Event::Near(vec![TargetId(2)]));
         for (id, node, took) in [(1, 0, 32 * MS), (2, 2, took)] {
             b.take(Request { shard: Some(ShardId(node)), ..request(id, READ) });
             b.outcome(id, 0, node, if node == 2 { outcome } else { Outcome::Served }, took);
         }
         let sent = b.take(Request { shard: None, ..request(3, ONCE) });
         sent.iter().find_map(|a| match a {
-            Action::Send { node, .. } => Some(node.0),
+            Action::Send { target: node, .. } => Some(node.0),
             _ => None,
         })
     };
--- a/tests/policy_size.rs
+++ b/tests/policy_size.rs
@@ -9,11 +9,11 @@
     Path::new(env!("CARGO_MANIFEST_DIR"))
 }
 
-/// `src/rules.rs` and all modules below it.
+/// `src/scheduler.rs` and all modules below it.
 fn decisions() -> Vec<PathBuf> {
-    let mut files = vec![PathBuf::from("src/rules.rs")];
-    let folder = std::fs::read_dir(root().join("src/rules")).expect("the modules are there");
-    files.extend(folder.map(|entry| Path::new("src/rules").join(entry.expect("readable").file_name())));
+    let mut files = vec![PathBuf::from("src/scheduler.rs")];
+    let folder = std::fs::read_dir(root().join("src/scheduler")).expect("the modules are there");
+    files.extend(folder.map(|entry| Path::new("src/scheduler").join(entry.expect("readable").file_name())));
     files.sort();
     files
 }
@@ -29,7 +29,7 @@
         }
         assert!(text.starts_with("//! "), "{} says what it is for", path.display());
     }
-    let text = std::fs::read_to_string(root().join("src/rules.rs")).expect("it is there");
+    let text = std::fs::read_to_string(root().join("src/scheduler.rs")).expect("it is there");
     let first: String = text.lines().take(3).collect();
     assert!(first.contains("src/interface.rs"), "a reader finds the interface at the top");
 }
--- a/tests/rules.rs
+++ b/tests/safety_rules.rs
@@ -72,10 +72,10 @@
     let mut new_object = request(2, KEYED);
     new_object.shard = None;
     let first = b.take(new_object);
-    let Some(Action::Send { node, .. }) = first.first() else { panic!("not sent") };
+    let Some(Action::Send { target: node, .. }) = first.first() else { panic!("not sent") };
     let (node, other) = (node.0, 1 - node.0);
     let mut gone = entry(node, node);
-    gone.state = NodeState::Gone;
+    gone.state = TargetState::Gone;
     b.list(ListKind::Changes, &[gone]);
     let mut actions = b.outcome(2, 0, node, Outcome::Broken, MS);
     actions.extend(b.pass(SECOND));
@@ -87,7 +87,7 @@
 fn nothing_goes_to_a_node_told_to_drain_or_missing_from_a_full_list() {
     let mut b = Bench::new(settings(), &[entry(0, 0), entry(1, 1)]);
     let mut lame = entry(0, 0);
-    lame.state = NodeState::Draining;
+    lame.state = TargetState::Draining;
     b.list(ListKind::Changes, &[lame]);
     b.list(ListKind::Full, &[lame]);
     let mut actions = b.take(request(1, READ));
@@ -115,7 +115,7 @@
     let mut b = Bench::new(settings(), &[]);
     b.pass(5 * SECOND);
     b.list(ListKind::Changes, &[cold(0, b.now)]);
-    // 16 units a second are borne from two gateways: 8 from this one, or four requests of 2 units.
+    // 16 units a second are borne from two initiators: 8 from this one, or four requests of 2 units.
     let mut sent = Vec::new();
     for id in 0..12 {
         sent.extend(sends(&b.take(request(id, EXPORT))));
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,8 +1,8 @@
-//! A small helper: a gateway with settings made for tests, fed one event at a time.
+//! A small helper: a scheduler with settings made for tests, fed one event at a time.
 #![allow(dead_code)]
 
 use rowanglade::interface::*;
-use rowanglade::rules::Gateway;
+use rowanglade::scheduler::Scheduler;
 
 pub const MS: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
@@ -21,7 +21,7 @@
     let mut ordered = class(100 * MS, SECOND, Repeat::Repeatable, false);
     ordered.in_order = true;
     Settings {
-        gateways: 2,
+        initiators: 2,
         classes: vec![
             class(100 * MS, SECOND, Repeat::Repeatable, false),
             class(200 * MS, SECOND, keyed, true),
@@ -59,7 +59,13 @@
 }
 
 pub fn entry(node: u32, shard: u32) -> Entry {
-    Entry { node: NodeId(node), shard: ShardId(shard), zone: ZoneId(0), state: NodeState::In, started: None }
+    Entry {
+        target: TargetId(node),
+        shard: ShardId(shard),
+        zone: ZoneId(0),
+        state: TargetState::In,
+        started: None,
+    }
 }
 
 pub fn request(id: u64, class: u32) -> Request {
@@ -71,14 +77,14 @@
         key: Some(KeyId(id)),
         units: 2.0,
         shard: Some(ShardId(0)),
-        gateways: 1,
+        initiators: 1,
         deadline: 0,
         reach: None,
     }
 }
 
 pub struct Bench {
-    pub gateway: Gateway,
+    pub scheduler: Scheduler,
     pub now: Micros,
     /// Timers not yet due, as (time, token).
     timers: Vec<(Micros, u64)>,
@@ -101,17 +107,17 @@
 
     /// One that has not even a remembered list yet.
     pub fn unlisted(settings: Settings, seed: u64) -> Bench {
-        let gateway = Gateway::new(settings.clone(), seed).expect("usable settings");
-        Bench { gateway, now: 100 * SECOND, timers: Vec::new(), settings, late: false }
+        let scheduler = Scheduler::new(settings.clone(), seed).expect("usable settings");
+        Bench { scheduler, now: 100 * SECOND, timers: Vec::new(), settings, late: false }
     }
 
     pub fn event(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.gateway.handle(self.now, event, &mut actions);
+        self.scheduler.handle(self.now, event, &mut actions);
         for action in &actions {
             match action {
                 Action::Wake { token, after } => self.timers.push((self.now + after, *token)),
-                Action::Send { id, .. } if !self.late => self.gateway.settle(self.now, *id, true),
+                Action::Send { id, .. } if !self.late => self.scheduler.settle(self.now, *id, true),
                 _ => {}
             }
         }
@@ -143,7 +149,7 @@
         self.event(Event::Outcome {
             id: RequestId(id),
             attempt: Attempt(attempt),
-            node: NodeId(node),
+            target: TargetId(node),
             outcome,
             took,
             over: outcome == Outcome::Served,
