--- a/crates/lab/src/scale/lists.rs
+++ b/crates/lab/src/scale/lists.rs
@@ -5,8 +5,8 @@
 use crate::world::{self, ZONE};
 use rowanglade::core::{Beside, Clock, Core, Listed, Message, Wire, mailbox};
 use rowanglade::interface::{
-    Action, Attempt, ClassId, Entry, Event, KeyId, ListKind, Load, Micros, Outcome, PlanId, Request,
-    RequestId, ShardId, TargetId, TargetState, VolumeId, ZoneId,
+    Action, AttemptNumber, ClassId, EndpointEntry, EndpointUpdateKind, Event, KeyId, LoadReport, Micros,
+    Outcome, PlanId, RequestId, RequestProfile, ShardId, TargetId, TargetState, VolumeId, ZoneId,
 };
 use rowanglade::names::Names;
 use rowanglade::net::http::Page;
@@ -37,7 +37,7 @@
         zone: format!("{ZONE}-{}", place % ZONES),
         kind: "std-box".into(),
         shard: place as u32,
-        state: TargetState::In,
+        state: TargetState::Active,
         started: None,
     }
 }
@@ -70,15 +70,19 @@
     let settings = settings.translate(&mut Names::default()).map_err(|e| format!("{e:?}"))?;
     let mut scheduler = Scheduler::new(settings, SEED).map_err(|e| format!("{e:?}"))?;
     let mut actions = Vec::new();
-    let entries = (0..size.targets).map(|place| entry(place, TargetState::In)).collect();
-    scheduler.handle(0, Event::List { kind: ListKind::Full, entries }, &mut actions);
+    let entries = (0..size.targets).map(|place| entry(place, TargetState::Active)).collect();
+    scheduler.handle(
+        0,
+        Event::EndpointsChanged { kind: EndpointUpdateKind::Snapshot, entries },
+        &mut actions,
+    );
     actions.clear();
     Ok((scheduler, actions))
 }
 
-fn entry(place: usize, state: TargetState) -> Entry {
+fn entry(place: usize, state: TargetState) -> EndpointEntry {
     let (node, shard) = (TargetId(place as u32), ShardId(place as u32));
-    Entry { target: node, shard, zone: ZoneId((place % ZONES) as u32), state, started: None }
+    EndpointEntry { target: node, shard, zone: ZoneId((place % ZONES) as u32), state, started: None }
 }
 
 /// The decision module by itself: the whole list once, then changes of one target each.
@@ -86,11 +90,11 @@
     let (mut scheduler, mut actions) = listed_module(size)?;
     let begun = thread_time();
     for change in 0..CHANGES {
-        let state = if change % 2 == 0 { TargetState::Draining } else { TargetState::In };
+        let state = if change % 2 == 0 { TargetState::Draining } else { TargetState::Active };
         let entries = vec![entry(change * 7 % size.targets, state)];
         scheduler.handle(
             1_000 * change as u64,
-            Event::List { kind: ListKind::Changes, entries },
+            Event::EndpointsChanged { kind: EndpointUpdateKind::Delta, entries },
             &mut actions,
         );
         actions.clear();
@@ -120,7 +124,7 @@
     let mut order = 0;
     for number in 0..REQUESTS {
         let at = number * BETWEEN;
-        let request = Request {
+        let request = RequestProfile {
             id: RequestId(number),
             class: Some(ClassId(0)),
             plan: Some(PlanId(1)),
@@ -130,24 +134,24 @@
             shard: shard(number),
             initiators: 1,
             deadline: at + 1_500_000,
-            reach: None,
+            target_set: None,
         };
-        due.insert((at, order), Event::Request(request));
+        due.insert((at, order), Event::RequestArrived(request));
         order += 1;
     }
     let (begun, mut served) = (thread_time(), 0);
     while served < REQUESTS {
         let ((now, _), event) = due.pop_first().ok_or("a request has no end")?;
-        served += u64::from(matches!(event, Event::Outcome { .. }));
+        served += u64::from(matches!(event, Event::AttemptEnded { .. }));
         scheduler.handle(now, event, &mut actions);
         for action in std::mem::take(&mut actions) {
             let (after, event) = match action {
-                Action::Wake { token, after } => (after, Event::Wake { token }),
-                Action::Send { id, target: node, .. } => {
+                Action::SetTimer { token, after } => (after, Event::TimerFired { token }),
+                Action::StartAttempt { id, target: node, .. } => {
                     scheduler.settle(now, id, true);
                     (SERVED_IN, answered(id, node))
                 }
-                Action::Refuse { .. } | Action::Fail { .. } => return Err("a request is not served".into()),
+                Action::Reject { .. } | Action::Fail { .. } => return Err("a request is not served".into()),
                 _ => continue,
             };
             due.insert((now + after, order), event);
@@ -158,16 +162,16 @@
 }
 
 fn answered(id: RequestId, node: TargetId) -> Event {
-    Event::Outcome {
+    Event::AttemptEnded {
         id,
-        attempt: Attempt(0),
+        attempt: AttemptNumber(0),
         target: node,
         outcome: Outcome::Served,
-        took: SERVED_IN,
-        over: true,
+        elapsed: SERVED_IN,
+        request_over: true,
         used: None,
         elsewhere: 0.0,
-        load: Load::default(),
+        load: LoadReport::default(),
     }
 }
 
@@ -176,7 +180,7 @@
     let (mut scheduler, mut actions) = listed_module(size)?;
     let begun = thread_time();
     for change in 0..EMPTY_CHANGES {
-        let event = Event::List { kind: ListKind::Changes, entries: Vec::new() };
+        let event = Event::EndpointsChanged { kind: EndpointUpdateKind::Delta, entries: Vec::new() };
         scheduler.handle(1_000 * change as u64, event, &mut actions);
         actions.clear();
     }
@@ -207,7 +211,7 @@
         tokio::task::spawn_local(core.run());
         let mut listed = handle.listed();
         let entries = lines(size.targets);
-        let whole = Message::list(Wire::Http, ListKind::Full, entries);
+        let whole = Message::list(Wire::Http, EndpointUpdateKind::Snapshot, entries);
         let memory = super::cost::allocated();
         handle.tell(whole).await;
         listed.changed().await?;
@@ -220,8 +224,8 @@
             entry.kind = format!("box-{change}");
             entry.started = Some(1_000_000 * change as u64);
             // One that had left comes back: the subset hears of it too.
-            entry.state = if change % 2 == 0 { TargetState::Draining } else { TargetState::In };
-            let news = Message::list(Wire::Http, ListKind::Changes, vec![entry]);
+            entry.state = if change % 2 == 0 { TargetState::Draining } else { TargetState::Active };
+            let news = Message::list(Wire::Http, EndpointUpdateKind::Delta, vec![entry]);
             handle.tell(news).await;
             listed.changed().await?;
         }
--- a/src/bin/rowanglade-benchlink/main.rs
+++ b/src/bin/rowanglade-benchlink/main.rs
@@ -5,7 +5,7 @@
 mod wire;
 
 use discovery::{DiscoveryClient, TIMER_TOKEN};
-use rowanglade::interface::{Action, Event, ListKind};
+use rowanglade::interface::{Action, EndpointUpdateKind, Event};
 use rowanglade::names::Names;
 use rowanglade::scheduler::Scheduler;
 use std::collections::BTreeMap;
@@ -50,18 +50,24 @@
                     let Some(i) = instances.get_mut(&inst) else { continue };
                     let Some(event) = event.translate(&mut i.names) else { continue };
                     match (&event, &mut i.discovery) {
-                        (Event::List { kind: ListKind::Changes | ListKind::Full, .. }, Some(client)) => {
+                        (
+                            Event::EndpointsChanged {
+                                kind: EndpointUpdateKind::Delta | EndpointUpdateKind::Snapshot,
+                                ..
+                            },
+                            Some(client),
+                        ) => {
                             client.heard(batch.now);
                         }
-                        (Event::Wake { token: TIMER_TOKEN }, Some(client)) => {
+                        (Event::TimerFired { token: TIMER_TOKEN }, Some(client)) => {
                             client.timer(batch.now);
                             continue;
                         }
                         _ => {}
                     }
                     let resolved = match &event {
-                        Event::Outcome { id, over, .. } => Some((*id, *over)),
-                        Event::Withdrawn { id } => {
+                        Event::AttemptEnded { id, request_over: over, .. } => Some((*id, *over)),
+                        Event::ClientGone { id } => {
                             i.names.ended(*id);
                             None
                         }
@@ -71,7 +77,7 @@
                     i.scheduler.handle(batch.now, event, &mut actions);
                     for action in &actions {
                         // On this wire an attempt has reached its target at once.
-                        if let Action::Send { id, .. } = action {
+                        if let Action::StartAttempt { id, .. } = action {
                             i.scheduler.settle(batch.now, *id, true);
                         }
                         reply.actions.extend(wire::Sent::from(inst, action, &mut i.names));
--- a/src/bin/rowanglade-benchlink/wire.rs
+++ b/src/bin/rowanglade-benchlink/wire.rs
@@ -1,7 +1,7 @@
 //! The simulator's wire: its messages, and their translation to the module's events and actions.
 
 use rowanglade::interface as api;
-use rowanglade::interface::{Action, Attempt, Micros, ShardId};
+use rowanglade::interface::{Action, AttemptNumber, Micros, ShardId};
 use rowanglade::names::Names;
 use rowanglade::settings::Settings;
 use serde::{Deserialize, Serialize};
@@ -176,30 +176,30 @@
     pub fn translate(self, names: &mut Names) -> Option<api::Event> {
         Some(match self {
             Event::Born(_) | Event::Destroy(_) | Event::Mail(_) => return None,
-            Event::Membership(m) => api::Event::List {
+            Event::Membership(m) => api::Event::EndpointsChanged {
                 kind: match m.mode.as_str() {
-                    "D" => api::ListKind::Changes,
-                    "F" => api::ListKind::Full,
-                    _ => api::ListKind::Remembered,
+                    "D" => api::EndpointUpdateKind::Delta,
+                    "F" => api::EndpointUpdateKind::Snapshot,
+                    _ => api::EndpointUpdateKind::Cached,
                 },
                 entries: m
                     .rows_in
                     .unwrap_or_default()
                     .into_iter()
-                    .map(|r| api::Entry {
+                    .map(|r| api::EndpointEntry {
                         target: names.listed(&r.store),
                         shard: ShardId(r.bay.max(0) as u32),
                         zone: names.zone(r.hall.as_deref().unwrap_or_default()),
                         state: match r.state.as_str() {
-                            "IN" => api::TargetState::In,
+                            "IN" => api::TargetState::Active,
                             "LAME" => api::TargetState::Draining,
-                            _ => api::TargetState::Gone,
+                            _ => api::TargetState::Removed,
                         },
                         started: r.since,
                     })
                     .collect(),
             },
-            Event::Inbound(r) => api::Event::Request(api::Request {
+            Event::Inbound(r) => api::Event::RequestArrived(api::RequestProfile {
                 id: names.taken(&r.xid),
                 class: names.class(&r.cls),
                 plan: r.policy_no.and_then(|p| names.plan(&p)),
@@ -209,28 +209,30 @@
                 shard: r.lies_in.filter(|s| *s >= 0.0).map(|s| ShardId(s as u32)),
                 initiators: r.set_size.map_or(0, |n| n as u32),
                 deadline: r.client_deadline,
-                reach: None,
+                target_set: None,
             }),
-            Event::Resolved(r) => api::Event::Outcome {
+            Event::Resolved(r) => api::Event::AttemptEnded {
                 id: names.request(&r.xid)?,
-                attempt: Attempt(r.go),
-                target: names.node(&r.store)?,
+                attempt: AttemptNumber(r.go),
+                target: names.target(&r.store)?,
                 outcome: outcome(&r.state_code),
-                took: r.delay_seen,
-                over: r.last,
+                elapsed: r.delay_seen,
+                request_over: r.last,
                 used: r.metered.filter(|m| *m > 0.0).map(|m| (m - 1.0) / 100.0),
                 elsewhere: r.others_got.unwrap_or(0.0),
                 load: load(r.metrics, names),
             },
-            Event::FirstByte(f) => {
-                api::Event::Started { id: names.request(&f.xid)?, attempt: Attempt(f.go), timed: false }
-            }
-            Event::TickDue(t) => api::Event::Wake { token: t.token },
-            Event::Withdrawn(w) => api::Event::Withdrawn { id: names.request(&w.xid)? },
-            Event::StatusBack(s) => api::Event::Probed {
-                target: names.node(&s.store)?,
+            Event::FirstByte(f) => api::Event::TransferStarted {
+                id: names.request(&f.xid)?,
+                attempt: AttemptNumber(f.go),
+                deadline_applies: false,
+            },
+            Event::TickDue(t) => api::Event::TimerFired { token: t.token },
+            Event::Withdrawn(w) => api::Event::ClientGone { id: names.request(&w.xid)? },
+            Event::StatusBack(s) => api::Event::ProbeEnded {
+                target: names.target(&s.store)?,
                 outcome: outcome(&s.state_code),
-                took: s.delay_seen,
+                elapsed: s.delay_seen,
                 load: load(s.metrics, names),
             },
         })
@@ -240,7 +242,7 @@
 fn outcome(word: &str) -> api::Outcome {
     match word {
         "pass" => api::Outcome::Served,
-        "no_room" => api::Outcome::Full,
+        "no_room" => api::Outcome::QueueFull,
         "too_slow" => api::Outcome::TimedOut,
         "no_route" => api::Outcome::Unreachable,
         "cut" => api::Outcome::Broken,
@@ -250,15 +252,15 @@
     }
 }
 
-fn load(row: Option<Vec<Option<f64>>>, names: &Names) -> api::Load {
-    let mut load = api::Load::default();
+fn load(row: Option<Vec<Option<f64>>>, names: &Names) -> api::LoadReport {
+    let mut load = api::LoadReport::default();
     for (field, value) in names.fields.iter().zip(row.unwrap_or_default()) {
         let value = value.filter(|v| v.is_finite() && *v >= 0.0);
         match field.as_str() {
-            "concurrent" => load.in_hand = value,
-            "depth" => load.waiting = value,
-            "mean_ms" => load.service = value.map(|ms| (ms * 1e3) as Micros),
-            "load_share" => load.busy = value,
+            "concurrent" => load.in_flight = value,
+            "depth" => load.queued = value,
+            "mean_ms" => load.service_time = value.map(|ms| (ms * 1e3) as Micros),
+            "load_share" => load.utilization = value,
             _ => {}
         }
     }
@@ -326,31 +328,31 @@
     /// None: the action names what the wire no longer knows.
     pub fn from(inst: u64, action: &Action, names: &mut Names) -> Option<Sent> {
         let what = match *action {
-            Action::Send { id, target, timeout } => {
+            Action::StartAttempt { id, target, timeout } => {
                 names.sent(id);
                 What::Issue {
                     xid: names.request_name(id)?.to_string(),
                     timeout,
-                    store: names.node_name(target)?.to_string(),
+                    store: names.target_name(target)?.to_string(),
                 }
             }
-            Action::Refuse { id, wait } => {
+            Action::Reject { id, retry_after } => {
                 let xid = names.request_name(id)?.to_string();
                 names.ended(id);
-                What::Deny { xid, wait }
+                What::Deny { xid, wait: retry_after }
             }
             Action::Fail { id } => {
                 let xid = names.request_name(id)?.to_string();
                 names.ended(id);
                 What::RespondError { xid }
             }
-            Action::Cancel { id, attempt } => {
+            Action::CancelAttempt { id, attempt } => {
                 What::DropAttempt { xid: names.request_name(id)?.to_string(), go: attempt.0 }
             }
-            Action::Wake { token, after } => What::WakeAt { token, offset: after },
+            Action::SetTimer { token, after } => What::WakeAt { token, offset: after },
             // The simulator's instances talk of no units.
-            Action::Lacks { .. } | Action::Spared { .. } => return None,
-            Action::Probe { target } => What::Check { store: names.node_name(target)?.to_string() },
+            Action::QuotaNeeded { .. } | Action::QuotaOffered { .. } => return None,
+            Action::Probe { target } => What::Check { store: names.target_name(target)?.to_string() },
         };
         Some(Sent { inst, what })
     }
--- a/src/core/actor.rs
+++ b/src/core/actor.rs
@@ -10,7 +10,7 @@
 use crate::core::routes::{Loaded, Routes};
 use crate::core::sites::{Watch, Watched};
 use crate::core::starts::StartTimes;
-use crate::interface::{Action, Event, Load, Micros, Outcome, RequestId, TargetId, TargetState};
+use crate::interface::{Action, Event, LoadReport, Micros, Outcome, RequestId, TargetId, TargetState};
 use crate::names::Names;
 use crate::scheduler::Scheduler;
 use rowanglade_maintenance::Maintenance;
@@ -220,7 +220,7 @@
     }
 
     pub(super) fn make_ready(&mut self) {
-        if self.targets.values().any(|t| t.line.state == TargetState::In) {
+        if self.targets.values().any(|t| t.line.state == TargetState::Active) {
             self.ready.send_replace(true);
         }
     }
@@ -230,14 +230,14 @@
             Message::Submit { id, order, arrived, answer } => self.submit(id, order, arrived, answer),
             Message::Gone(id) => {
                 if self.conclude(id, None) {
-                    self.feed(Event::Withdrawn { id });
+                    self.feed(Event::ClientGone { id });
                 }
             }
             Message::End => {
                 let open: Vec<RequestId> = self.requests.keys().copied().collect();
                 for id in open {
                     if self.conclude(id, Some(Answer::Failed)) {
-                        self.feed(Event::Withdrawn { id });
+                        self.feed(Event::ClientGone { id });
                     }
                 }
             }
@@ -251,7 +251,7 @@
                 if let Some(open) = self.requests.get(&id) {
                     // Its deadline runs from the last byte on, which the attempt itself keeps.
                     self.backstops.remove(&(open.deadline + BACKSTOP, id));
-                    self.feed(Event::Started { id, attempt: number, timed: false });
+                    self.feed(Event::TransferStarted { id, attempt: number, deadline_applies: false });
                 }
             }
             Message::MayStart { id, number, answer } => {
@@ -265,7 +265,7 @@
                 open.trace(number, |trace| trace.heard = Some(now));
                 if let Some(Some(out)) = open.attempts.get_mut(number.0 as usize) {
                     out.heard = Some(now);
-                    self.feed(Event::Started { id, attempt: number, timed: true });
+                    self.feed(Event::TransferStarted { id, attempt: number, deadline_applies: true });
                 }
             }
             Message::Ended { id, number, reply } => self.ended(id, number, reply),
@@ -274,7 +274,7 @@
                 if let (Some(sites), Some(target)) = (&mut self.sites, self.targets.get(&node)) {
                     sites.ended(now, &target.told.name, outcome, false, None);
                 }
-                self.feed(Event::Probed { target: node, outcome, took, load });
+                self.feed(Event::ProbeEnded { target: node, outcome, elapsed: took, load });
             }
             Message::Departed(names) => self.departed(&names),
             Message::Boxes(answer) => {
@@ -304,7 +304,7 @@
             && at <= now
         {
             self.timers.pop();
-            self.feed(Event::Wake { token });
+            self.feed(Event::TimerFired { token });
         }
         self.fail_overdue(now);
     }
@@ -324,30 +324,30 @@
 
     fn act(&mut self, now: Micros, action: Action) {
         match action {
-            Action::Send { id, target, timeout } => self.send(now, id, target, timeout),
-            Action::Refuse { id, wait } => {
-                self.conclude(id, Some(Answer::Refused { wait: Duration::from_micros(wait) }));
+            Action::StartAttempt { id, target, timeout } => self.send(now, id, target, timeout),
+            Action::Reject { id, retry_after } => {
+                self.conclude(id, Some(Answer::Refused { wait: Duration::from_micros(retry_after) }));
             }
             Action::Fail { id } => {
                 self.conclude(id, Some(Answer::Failed));
             }
-            Action::Cancel { id, attempt } => {
+            Action::CancelAttempt { id, attempt } => {
                 let out = self.requests.get_mut(&id).and_then(|o| o.attempts.get_mut(attempt.0 as usize));
                 if let Some(out) = out.and_then(Option::as_mut) {
                     out.cancel = None;
                 }
             }
-            Action::Wake { token, after } => self.timers.push(Reverse((now + after, token))),
-            Action::Lacks { volume, units, initiators } => {
+            Action::SetTimer { token, after } => self.timers.push(Reverse((now + after, token))),
+            Action::QuotaNeeded { volume, units, initiators } => {
                 if let Some(fleet) = self.fleet.as_mut().filter(|_| !self.handed) {
                     fleet.lacks(now, volume, units, initiators);
                 }
             }
-            Action::Spared { units, .. } => self.spared = units,
+            Action::QuotaOffered { units, .. } => self.spared = units,
             Action::Probe { target } => {
                 if !self.probe(now, target) {
-                    let (outcome, load) = (Outcome::NotSent, Load::default());
-                    self.next.push_back(Event::Probed { target, outcome, took: 0, load });
+                    let (outcome, load) = (Outcome::NotSent, LoadReport::default());
+                    self.next.push_back(Event::ProbeEnded { target, outcome, elapsed: 0, load });
                 }
             }
         }
--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -2,7 +2,7 @@
 
 use crate::core::clock::Clock;
 use crate::core::message::{Listed, Message, Order, Reply};
-use crate::interface::{Attempt as Number, Load, Micros, Outcome, RequestId, TargetId};
+use crate::interface::{AttemptNumber, LoadReport, Micros, Outcome, RequestId, TargetId};
 use std::cell::RefCell;
 use std::rc::Rc;
 use tokio::sync::mpsc::{self, OwnedPermit};
@@ -43,7 +43,7 @@
 /// it had started: it may have run.
 #[derive(Debug)]
 pub struct Report {
-    to: Option<(RequestId, Number, OwnedPermit<Message>)>,
+    to: Option<(RequestId, AttemptNumber, OwnedPermit<Message>)>,
     /// The place for the question whether it may start.
     start: RefCell<Option<OwnedPermit<Message>>>,
     /// Of a long body: the place for the news that its rest is being taken.
@@ -55,7 +55,7 @@
 impl Report {
     pub(super) fn new(
         id: RequestId,
-        number: Number,
+        number: AttemptNumber,
         start: OwnedPermit<Message>,
         place: OwnedPermit<Message>,
         begun: Option<OwnedPermit<Message>>,
@@ -133,11 +133,11 @@
         ProbeReport { node, sent, clock, place: Some(place) }
     }
 
-    pub fn tell(mut self, outcome: Outcome, load: Load) {
+    pub fn tell(mut self, outcome: Outcome, load: LoadReport) {
         self.send(outcome, load);
     }
 
-    fn send(&mut self, outcome: Outcome, load: Load) {
+    fn send(&mut self, outcome: Outcome, load: LoadReport) {
         if let Some(place) = self.place.take() {
             let took = self.clock.now().saturating_sub(self.sent);
             place.send(Message::Probed { node: self.node, outcome, took, load });
@@ -147,6 +147,6 @@
 
 impl Drop for ProbeReport {
     fn drop(&mut self) {
-        self.send(Outcome::NotSent, Load::default());
+        self.send(Outcome::NotSent, LoadReport::default());
     }
 }
--- a/src/core/diagnostics.rs
+++ b/src/core/diagnostics.rs
@@ -128,7 +128,7 @@
     let since = |at: Micros| at.saturating_sub(open.arrived);
     let mut attempts = String::new();
     for trace in &open.traces {
-        let target = names.node_name(trace.node).unwrap_or("?");
+        let target = names.target_name(trace.node).unwrap_or("?");
         // Writing to a string does not fail.
         let _ = write!(attempts, "[{target} sent {}", since(trace.sent));
         for (word, at) in [("started", trace.started), ("heard", trace.heard)] {
--- a/src/core/fleet.rs
+++ b/src/core/fleet.rs
@@ -70,13 +70,13 @@
     fn give_up(&mut self, volume: u64, most: Milli) -> Milli {
         let Some(volume) = (self.id)(volume) else { return 0 };
         self.core.spared = 0.0;
-        self.core.feed(Event::Spare { volume, most: f64::from(most) / 1e3 });
+        self.core.feed(Event::OfferQuota { volume, max_units: f64::from(most) / 1e3 });
         milli(self.core.spared)
     }
 
     fn add(&mut self, volume: u64, units: Milli) {
         if let Some(volume) = (self.id)(volume) {
-            self.core.feed(Event::Units { volume, units: f64::from(units) / 1e3 });
+            self.core.feed(Event::QuotaReceived { volume, units: f64::from(units) / 1e3 });
         }
     }
 }
--- a/src/core/listing.rs
+++ b/src/core/listing.rs
@@ -3,7 +3,7 @@
 use crate::core::actor::{Core, Target};
 use crate::core::attempt::TargetMessage;
 use crate::core::message::{Call, Listed, Operation, Wire};
-use crate::interface::{Entry, Event, ListKind, Micros, ShardId, TargetId, TargetState};
+use crate::interface::{EndpointEntry, EndpointUpdateKind, Event, Micros, ShardId, TargetId, TargetState};
 use rowanglade_maintenance::State;
 use std::collections::HashSet;
 use tokio::sync::mpsc;
@@ -11,12 +11,18 @@
 impl Core {
     /// The news of one source, or a part of it. Another source's targets are not in its list, and stay. What it costs
     /// goes with what has changed, beyond a look at each line that came.
-    pub(super) fn list(&mut self, wire: Wire, kind: ListKind, mut entries: Vec<Listed>, more: bool) {
-        if matches!(kind, ListKind::Full | ListKind::Remembered) {
+    pub(super) fn list(
+        &mut self,
+        wire: Wire,
+        kind: EndpointUpdateKind,
+        mut entries: Vec<Listed>,
+        more: bool,
+    ) {
+        if matches!(kind, EndpointUpdateKind::Snapshot | EndpointUpdateKind::Cached) {
             entries.extend(self.part_of_whole_list(wire, &entries, more));
         }
         if wire == Wire::Http {
-            if kind == ListKind::Changes && !more {
+            if kind == EndpointUpdateKind::Delta && !more {
                 entries.extend(self.not_departed(&entries));
             }
             if !more {
@@ -25,7 +31,9 @@
         }
         let changed: Vec<TargetId> = entries.into_iter().filter_map(|told| self.take_line(told)).collect();
         self.put_in_force(&changed);
-        if !more && (self.trusting || matches!(kind, ListKind::Full | ListKind::Changes)) {
+        if !more
+            && (self.trusting || matches!(kind, EndpointUpdateKind::Snapshot | EndpointUpdateKind::Delta))
+        {
             self.make_ready();
         }
     }
@@ -41,7 +49,7 @@
         }
         let own = self.targets.iter().filter(|(_, target)| target.told.wire == wire);
         let left_out = own.filter(|(node, _)| !named.contains(node));
-        left_out.map(|(_, target)| Listed { state: TargetState::Gone, ..target.told.clone() }).collect()
+        left_out.map(|(_, target)| Listed { state: TargetState::Removed, ..target.told.clone() }).collect()
     }
 
     /// Takes a line that a source told. None: it changes nothing.
@@ -72,7 +80,7 @@
                 (target.told, target.line) = (told, line);
                 changed.then_some(node)
             }
-            None if told.state == TargetState::Gone => None,
+            None if told.state == TargetState::Removed => None,
             _ => {
                 // Sessions are kept up whether or not they are used.
                 let mailbox = (told.wire == Wire::Iscsi).then(|| self.connected(&line));
@@ -115,10 +123,10 @@
         self.tell_reach();
         self.revision.send_modify(|revision| *revision += 1);
         self.tell_near();
-        self.feed(Event::List { kind: ListKind::Beside, entries });
+        self.feed(Event::EndpointsChanged { kind: EndpointUpdateKind::Gossip, entries });
         self.call_off_unstarted();
         for node in changed {
-            if self.targets.get(node).is_some_and(|target| target.line.state == TargetState::Gone) {
+            if self.targets.get(node).is_some_and(|target| target.line.state == TargetState::Removed) {
                 self.targets.remove(node);
             }
         }
@@ -130,14 +138,15 @@
         let told: HashSet<&str> = changes.iter().map(|change| change.name.as_str()).collect();
         let departed = self.departed.iter().filter_map(|node| self.targets.get(node));
         let kept = departed.filter(|target| !told.contains(target.told.name.as_str()));
-        kept.map(|target| Listed { state: TargetState::In, ..target.told.clone() }).collect()
+        kept.map(|target| Listed { state: TargetState::Active, ..target.told.clone() }).collect()
     }
 
     /// Other instances say that these targets leave: nothing new goes to them until discovery is heard.
     pub(super) fn departed(&mut self, names: &[String]) {
         let mut changed = Vec::with_capacity(names.len());
-        for node in names.iter().filter_map(|name| self.names.node(name)) {
-            let Some(target) = self.targets.get_mut(&node).filter(|t| t.told.state == TargetState::In) else {
+        for node in names.iter().filter_map(|name| self.names.target(name)) {
+            let Some(target) = self.targets.get_mut(&node).filter(|t| t.told.state == TargetState::Active)
+            else {
                 continue;
             };
             target.told.state = TargetState::Draining;
@@ -155,9 +164,9 @@
         let started = told.started.map(|started| self.starts.on_clock(self.clock.now(), started));
         let (held, started) = self.maintenance.view(&told.name, state(told.state), started);
         let held = match held {
-            State::Up => TargetState::In,
+            State::Up => TargetState::Active,
             State::Draining => TargetState::Draining,
-            State::Gone => TargetState::Gone,
+            State::Gone => TargetState::Removed,
         };
         let line = Listed { state: held, started, ..told.clone() };
         match &self.sites {
@@ -166,8 +175,8 @@
         }
     }
 
-    pub(super) fn entry(&self, node: TargetId, line: &Listed) -> Entry {
-        Entry {
+    pub(super) fn entry(&self, node: TargetId, line: &Listed) -> EndpointEntry {
+        EndpointEntry {
             target: node,
             shard: ShardId(line.shard),
             zone: self.names.zone(&line.zone),
@@ -189,7 +198,7 @@
     /// Does what an operator's call asks. False: nobody has such a target.
     pub(super) fn call(&mut self, call: &Call) -> bool {
         let (Call::Maint(name) | Call::Ready(name)) = call;
-        let node = self.names.node(name);
+        let node = self.names.target(name);
         let listed = node.filter(|node| self.targets.contains_key(node));
         let used = node.is_some_and(|node| {
             self.requests.values().flat_map(|o| o.attempts.iter().flatten()).any(|out| out.node == node)
@@ -242,7 +251,7 @@
     pub(super) fn judge_sites(&mut self, now: Micros) {
         let Some((probes, changed)) = self.sites.as_mut().map(|s| s.poll(now)) else { return };
         let nodes = |names: Vec<String>| {
-            let listed = names.iter().filter_map(|name| self.names.node(name));
+            let listed = names.iter().filter_map(|name| self.names.target(name));
             listed.filter(|node| self.targets.contains_key(node)).collect::<Vec<TargetId>>()
         };
         let (probes, changed) = (nodes(probes), nodes(changed));
@@ -250,8 +259,8 @@
             // One that discovery has drain is not held here: nobody would tell its connections that it is back.
             let rests = |node: &TargetId| {
                 self.targets.get(node).is_some_and(|t| {
-                    let held =
-                        t.told.state == TargetState::In && self.view(&t.told).state == TargetState::Draining;
+                    let held = t.told.state == TargetState::Active
+                        && self.view(&t.told).state == TargetState::Draining;
                     held || self.maintenance.is_out(&t.told.name)
                 })
             };
@@ -278,7 +287,7 @@
     /// Tells the module which targets this instance's new objects go to, where the list has changed that.
     pub(super) fn tell_near(&mut self) {
         let Some(subset) = &mut self.subset else { return };
-        let usable = self.targets.values().filter(|t| t.line.state == TargetState::In);
+        let usable = self.targets.values().filter(|t| t.line.state == TargetState::Active);
         let Some(moved) = subset.listed(usable.map(|t| t.line.name.clone()).collect()) else { return };
         let mine = subset.mine();
         if moved.all && !mine.is_empty() {
@@ -286,16 +295,16 @@
         } else {
             tracing::info!(preferred = ?mine, came = moved.came.len(), left = moved.left.len(), "new objects");
         }
-        let preferred = mine.iter().filter(|_| !moved.all).filter_map(|name| self.names.node(name));
-        let event = Event::Near(preferred.collect());
+        let preferred = mine.iter().filter(|_| !moved.all).filter_map(|name| self.names.target(name));
+        let event = Event::PreferredTargets(preferred.collect());
         self.feed(event);
     }
 }
 
 fn state(told: TargetState) -> State {
     match told {
-        TargetState::In => State::Up,
+        TargetState::Active => State::Up,
         TargetState::Draining => State::Draining,
-        TargetState::Gone => State::Gone,
+        TargetState::Removed => State::Gone,
     }
 }
--- a/src/core/mailbox.rs
+++ b/src/core/mailbox.rs
@@ -2,7 +2,7 @@
 
 use crate::core::access_log::{AccessLog, Ticket};
 use crate::core::message::{Answer, Listed, Message, Order, Wire};
-use crate::interface::{ListKind, RequestId};
+use crate::interface::{EndpointUpdateKind, RequestId};
 use crate::settings::Settings;
 use rowanglade_routing::BoxInfo;
 use std::cell::{Cell, RefCell};
@@ -153,7 +153,13 @@
     }
 
     /// Tells the core of a list that came at `received`, in parts: between two of them requests have their turn.
-    pub async fn tell_list(&self, wire: Wire, kind: ListKind, mut lines: Vec<Listed>, received: Instant) {
+    pub async fn tell_list(
+        &self,
+        wire: Wire,
+        kind: EndpointUpdateKind,
+        mut lines: Vec<Listed>,
+        received: Instant,
+    ) {
         loop {
             let rest = lines.split_off(lines.len().min(LINES_AT_ONCE));
             let more = !rest.is_empty();
--- a/src/core/message.rs
+++ b/src/core/message.rs
@@ -3,7 +3,7 @@
 use crate::core::body::{Content, Upload};
 use crate::core::diagnostics::Step;
 use crate::interface::{
-    Attempt as Number, ListKind, Load, Micros, Outcome, RequestId, TargetId, TargetState,
+    AttemptNumber, EndpointUpdateKind, LoadReport, Micros, Outcome, RequestId, TargetId, TargetState,
 };
 use crate::upgrade::Given;
 use bytes::Bytes;
@@ -77,7 +77,7 @@
 
 impl Message {
     /// A short list that has come just now.
-    pub fn list(wire: Wire, kind: ListKind, entries: Vec<Listed>) -> Message {
+    pub fn list(wire: Wire, kind: EndpointUpdateKind, entries: Vec<Listed>) -> Message {
         Message::List { wire, kind, entries, more: false, received: Instant::now() }
     }
 
@@ -120,13 +120,13 @@
     pub used: Option<f64>,
     /// Units that the shard served for the volume through other initiators.
     pub elsewhere: f64,
-    pub load: Load,
+    pub load: LoadReport,
 }
 
 impl Reply {
     /// An end without an answer of the target's.
     pub fn bare(outcome: Outcome) -> Reply {
-        Reply { outcome, body: Bytes::new().into(), used: None, elsewhere: 0.0, load: Load::default() }
+        Reply { outcome, body: Bytes::new().into(), used: None, elsewhere: 0.0, load: LoadReport::default() }
     }
 }
 
@@ -211,35 +211,35 @@
     /// An attempt takes the rest of a long body: it cannot be made again, and lasts as long as its client takes.
     Begun {
         id: RequestId,
-        number: Number,
+        number: AttemptNumber,
     },
     /// An attempt's connection is up: whether its first byte may go out.
     MayStart {
         id: RequestId,
-        number: Number,
+        number: AttemptNumber,
         answer: oneshot::Sender<bool>,
     },
     /// The head of an attempt's answer has come.
     Heard {
         id: RequestId,
-        number: Number,
+        number: AttemptNumber,
     },
     Ended {
         id: RequestId,
-        number: Number,
+        number: AttemptNumber,
         reply: Reply,
     },
     Probed {
         node: TargetId,
         outcome: Outcome,
         took: Micros,
-        load: Load,
+        load: LoadReport,
     },
     /// Other instances say that these targets leave. Discovery's next word on them holds again.
     Departed(Vec<String>),
     List {
         wire: Wire,
-        kind: ListKind,
+        kind: EndpointUpdateKind,
         entries: Vec<Listed>,
         /// More of the same list follows.
         more: bool,
--- a/src/core/replacing.rs
+++ b/src/core/replacing.rs
@@ -16,7 +16,7 @@
             }
             Upgrade::Freeze(answer) => {
                 let module = self.scheduler.handed(self.clock.now()).named(
-                    |node| self.names.node_name(node).map(str::to_string),
+                    |node| self.names.target_name(node).map(str::to_string),
                     |volume| self.names.volume_name(volume).map(str::to_string),
                 );
                 let places = self.places.all().collect();
@@ -61,6 +61,6 @@
     /// What is owned is another process's from now on, or this one's again.
     fn hand(&mut self, handed: bool) {
         self.handed = handed;
-        self.feed(Event::Handed(handed));
+        self.feed(Event::OwnershipTransferred(handed));
     }
 }
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -5,7 +5,7 @@
 use crate::core::diagnostics::{AttemptTrace, tell_late};
 use crate::core::message::{Answer, Order, Reply};
 use crate::interface::{
-    Attempt as Number, Event, KeyId, Micros, Outcome, ReachId, Request, RequestId, ShardId, TargetId,
+    AttemptNumber, Event, KeyId, Micros, Outcome, RequestId, RequestProfile, ShardId, TargetId, TargetSetId,
 };
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -43,12 +43,12 @@
     pub(super) attempts: Vec<Option<Out>>,
     /// Of all attempts, for the log.
     pub(super) traces: Vec<AttemptTrace>,
-    pub(super) reach: Option<ReachId>,
+    pub(super) reach: Option<TargetSetId>,
 }
 
 impl Open {
     /// Notes something of an attempt, for the log.
-    pub(super) fn trace(&mut self, number: Number, note: impl FnOnce(&mut AttemptTrace)) {
+    pub(super) fn trace(&mut self, number: AttemptNumber, note: impl FnOnce(&mut AttemptTrace)) {
         if let Some(trace) = self.traces.get_mut(number.0 as usize) {
             note(trace);
         }
@@ -69,7 +69,7 @@
         let deadline = arrived + micros(order.time_left.min(LONGEST_WAIT));
         let reach = self.routes.take(&order);
         self.tell_reach();
-        let request = Request {
+        let request = RequestProfile {
             id,
             class: self.names.class(&order.class),
             plan: order.plan.as_deref().and_then(|p| self.names.plan(p)),
@@ -79,7 +79,7 @@
             shard: self.places.find((order.volume, order.piece), order.shard).map(ShardId),
             initiators: order.hosts,
             deadline,
-            reach,
+            target_set: reach,
         };
         let away = self.sites.as_ref().and_then(|s| s.refused(taken, request.shard.map(|s| s.0)));
         if let Some(fleet) = &mut self.fleet {
@@ -103,15 +103,15 @@
             self.conclude(id, Some(Answer::Away { site, wait }));
             return;
         }
-        self.feed(Event::Request(request));
+        self.feed(Event::RequestArrived(request));
     }
 
     /// An attempt's end. The first served one is the client's answer.
-    pub(super) fn ended(&mut self, id: RequestId, number: Number, reply: Reply) {
+    pub(super) fn ended(&mut self, id: RequestId, number: AttemptNumber, reply: Reply) {
         let Some(open) = self.requests.get_mut(&id) else { return };
         let Some(out) = open.attempts.get_mut(number.0 as usize).and_then(Option::take) else { return };
         // Whatever its target's actor took it for: before its start nothing of it was sent.
-        let reply = match out.started || reply.outcome.never_ran() {
+        let reply = match out.started || reply.outcome.proves_not_executed() {
             true => reply,
             false => Reply::bare(Outcome::NotSent),
         };
@@ -120,7 +120,7 @@
         let (object, told) = ((open.order.volume, open.order.piece), open.order.shard);
         let seen = match (self.targets.get(&out.node).map(|t| t.told.shard), reply.outcome) {
             (Some(shard), Outcome::Served) => self.places.served(object, told, shard),
-            (Some(shard), Outcome::Over) => self.places.turned_away(object, shard),
+            (Some(shard), Outcome::DeadlineExceeded) => self.places.turned_away(object, shard),
             _ => None,
         };
         if let Some(news) = seen {
@@ -136,7 +136,7 @@
                 self.conclude(id, Some(Answer::Served(reply.body)));
             }
             // What was taken of a long body is not there for another attempt.
-            outcome if begun && outcome.never_ran() => {
+            outcome if begun && outcome.proves_not_executed() => {
                 self.conclude(id, Some(Answer::Refused { wait: Duration::ZERO }));
             }
             _ if begun => {
@@ -155,13 +155,13 @@
         {
             sites.ended(now, &target.told.name, reply.outcome, out.heard.is_some(), Some(took));
         }
-        self.feed(Event::Outcome {
+        self.feed(Event::AttemptEnded {
             id,
             attempt: number,
             target: out.node,
             outcome: reply.outcome,
-            took,
-            over,
+            elapsed: took,
+            request_over: over,
             used: reply.used,
             elsewhere: reply.elsewhere,
             load: reply.load,
@@ -221,7 +221,7 @@
             // The module's own answers come before this; whatever keeps one back, the client gets its own.
             self.diagnostics.counters.backstops += 1;
             self.conclude(id, Some(Answer::Failed));
-            self.feed(Event::Withdrawn { id });
+            self.feed(Event::ClientGone { id });
         }
     }
 }
--- a/src/core/routes.rs
+++ b/src/core/routes.rs
@@ -2,7 +2,7 @@
 //! requests and news of the list, and gives the module's [`Event::Reach`]s.
 
 use crate::core::message::{Listed, Order, Wire};
-use crate::interface::{Event, ReachId, TargetId, TargetState};
+use crate::interface::{Event, TargetId, TargetSetId, TargetState};
 use rowanglade_routing::{BoxInfo, BoxState, Front, Request, Table};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -39,8 +39,8 @@
 pub struct Routes {
     current: Arc<Loaded>,
     boxes: Boxes,
-    sets: BTreeMap<ReachId, Set>,
-    by_key: HashMap<Key, ReachId>,
+    sets: BTreeMap<TargetSetId, Set>,
+    by_key: HashMap<Key, TargetSetId>,
     next: u32,
     news: Vec<Event>,
 }
@@ -78,7 +78,7 @@
     }
 
     /// What a request that begins now may reach; none: every node. It is to be released once.
-    pub fn take(&mut self, order: &Order) -> Option<ReachId> {
+    pub fn take(&mut self, order: &Order) -> Option<TargetSetId> {
         if self.current.table.is_empty() {
             return None;
         }
@@ -105,17 +105,17 @@
         if self.sets.len() >= KEPT {
             self.drop_idle(|_, _| true);
         }
-        let id = ReachId(self.next);
+        let id = TargetSetId(self.next);
         self.next += 1;
         let nodes = self.boxes.reach(&self.current.table, key);
-        self.news.push(Event::Reach { reach: id, targets: Some(nodes.clone()) });
+        self.news.push(Event::TargetSetChanged { set: id, targets: Some(nodes.clone()) });
         self.sets.insert(id, Set { key, table: Arc::clone(&self.current), uses: 1, nodes });
         self.by_key.insert(key, id);
         Some(id)
     }
 
     /// A request that had this set is over.
-    pub fn release(&mut self, id: ReachId) {
+    pub fn release(&mut self, id: TargetSetId) {
         let Some(set) = self.sets.get_mut(&id) else { return };
         set.uses -= 1;
         if set.uses == 0 && set.key.version != self.current.version {
@@ -126,7 +126,7 @@
     fn drop_idle(&mut self, which: impl Fn(&Set, u64) -> bool) {
         let current = self.current.version;
         let idle = |set: &Set| set.uses == 0 && which(set, current);
-        let gone: Vec<ReachId> = self.sets.iter().filter(|(_, s)| idle(s)).map(|(id, _)| *id).collect();
+        let gone: Vec<TargetSetId> = self.sets.iter().filter(|(_, s)| idle(s)).map(|(id, _)| *id).collect();
         for id in gone {
             if let Some(set) = self.sets.remove(&id) {
                 self.by_key.remove(&set.key);
@@ -135,7 +135,7 @@
                     tracing::info!(version, "routes have ended with their last request");
                 }
             }
-            self.news.push(Event::Reach { reach: id, targets: None });
+            self.news.push(Event::TargetSetChanged { set: id, targets: None });
         }
     }
 
@@ -144,7 +144,7 @@
         let mut shards = BTreeSet::new();
         for (node, line) in lines {
             shards.extend(self.boxes.take_out(node));
-            if line.state != TargetState::Gone {
+            if line.state != TargetState::Removed {
                 shards.insert(line.shard);
                 self.boxes.put(node, line);
             }
@@ -156,7 +156,7 @@
             let nodes = self.boxes.reach(&set.table.table, set.key);
             if nodes != set.nodes {
                 set.nodes = nodes.clone();
-                self.news.push(Event::Reach { reach: *id, targets: Some(nodes) });
+                self.news.push(Event::TargetSetChanged { set: *id, targets: Some(nodes) });
             }
         }
     }
@@ -196,9 +196,9 @@
             addr: line.addr.ip(),
         };
         let state = match line.state {
-            TargetState::In => BoxState::Active,
+            TargetState::Active => BoxState::Active,
             TargetState::Draining => BoxState::Draining,
-            TargetState::Gone => BoxState::Gone,
+            TargetState::Removed => BoxState::Gone,
         };
         self.by_shard.entry(line.shard).or_default().insert(node);
         self.all.insert(node, (info, state));
--- a/src/core/routes/tests.rs
+++ b/src/core/routes/tests.rs
@@ -62,13 +62,15 @@
 }
 
 fn list(routes: &mut Routes, first: TargetState) {
-    let lines = [line(0, first), line(1, TargetState::In)];
+    let lines = [line(0, first), line(1, TargetState::Active)];
     routes.changed(lines.iter().map(|(n, l)| (*n, l)));
 }
 
 fn told(routes: &mut Routes) -> Vec<(u32, Option<Vec<u32>>)> {
     let one = |e: Event| match e {
-        Event::Reach { reach, targets } => (reach.0, targets.map(|n| n.iter().map(|n| n.0).collect())),
+        Event::TargetSetChanged { set: target_set, targets } => {
+            (target_set.0, targets.map(|n| n.iter().map(|n| n.0).collect()))
+        }
         other => panic!("{other:?}"),
     };
     routes.news().into_iter().map(one).collect()
@@ -77,7 +79,7 @@
 #[test]
 fn a_set_follows_the_list_and_falls_back_where_its_pool_has_nobody() {
     let mut routes = Routes::new(loaded(1, TABLE));
-    list(&mut routes, TargetState::In);
+    list(&mut routes, TargetState::Active);
     assert_eq!(routes.take(&order(8, Some(0))), None, "no route");
     let reach = routes.take(&order(7, Some(0)));
     assert_eq!(routes.take(&order(7, Some(0))), reach, "one set for the same");
@@ -94,13 +96,13 @@
 #[test]
 fn an_old_table_lasts_as_long_as_its_requests() {
     let mut routes = Routes::new(loaded(1, TABLE));
-    list(&mut routes, TargetState::In);
+    list(&mut routes, TargetState::Active);
     let old = routes.take(&order(7, Some(0))).expect("a set");
     routes.swap(loaded(2, &TABLE.replace("pool = \"first\"", "pool = \"second\"")));
     let new = routes.take(&order(7, Some(0))).expect("a set");
     assert!(new != old && routes.versions() == [1, 2]);
     assert_eq!(told(&mut routes), [(0, Some(vec![0])), (1, Some(vec![1]))]);
-    list(&mut routes, TargetState::Gone);
+    list(&mut routes, TargetState::Removed);
     assert_eq!(told(&mut routes), [(0, Some(vec![1]))], "the old one follows the list too");
     routes.release(old);
     assert_eq!(told(&mut routes), [(0, None)]);
--- a/src/core/sending.rs
+++ b/src/core/sending.rs
@@ -5,7 +5,7 @@
 use crate::core::attempt::{Attempt, Probe, ProbeReport, Report, TargetMessage};
 use crate::core::diagnostics::AttemptTrace;
 use crate::core::requests::Out;
-use crate::interface::{Attempt as Number, Event, Load, Micros, Outcome, RequestId, TargetId, TargetState};
+use crate::interface::{AttemptNumber, Event, LoadReport, Micros, Outcome, RequestId, TargetId, TargetState};
 use std::rc::Rc;
 use tokio::sync::{mpsc, oneshot};
 
@@ -25,7 +25,7 @@
     pub(super) fn send(&mut self, now: Micros, id: RequestId, node: TargetId, timeout: Option<Micros>) {
         let mailbox = self.mailbox(node);
         let Some(open) = self.requests.get_mut(&id) else { return };
-        let number = Number(open.attempts.len() as u32);
+        let number = AttemptNumber(open.attempts.len() as u32);
         let until = open.deadline.min(timeout.map_or(Micros::MAX, |t| now.saturating_add(t)));
         let (cancel, canceled) = oneshot::channel();
         let started = false;
@@ -61,16 +61,16 @@
             if let Some(out) = open.attempts.last_mut() {
                 *out = None;
             }
-            self.next.push_back(Event::Outcome {
+            self.next.push_back(Event::AttemptEnded {
                 id,
                 attempt: number,
                 target: node,
                 outcome: Outcome::NotSent,
-                took: 0,
-                over: open.answer.is_none(),
+                elapsed: 0,
+                request_over: open.answer.is_none(),
                 used: None,
                 elsewhere: 0.0,
-                load: Load::default(),
+                load: LoadReport::default(),
             });
         }
     }
@@ -78,7 +78,7 @@
     /// The last check before an attempt's first byte: its connection is up, which may have taken long. What was true
     /// when it was sent must still be: its target is wanted and where it was, its client waits, there is time, and it
     /// may run beside what ran before. The units that it took are held for as long as it is out.
-    pub(super) fn may_start(&mut self, id: RequestId, number: Number) -> bool {
+    pub(super) fn may_start(&mut self, id: RequestId, number: AttemptNumber) -> bool {
         let wanted = self.scheduler.may_start(self.clock.now(), id, number);
         let Some(open) = self.requests.get_mut(&id).filter(|open| open.answer.is_some()) else {
             return false;
@@ -93,7 +93,7 @@
             self.scheduler.settle(now, id, true);
         }
         open.trace(number, |trace| trace.started = started.then_some(now));
-        let (id, target) = (&open.order.id, self.names.node_name(node));
+        let (id, target) = (&open.order.id, self.names.target_name(node));
         tracing::debug!(id, attempt = number.0, target, started, "a connection is up");
         started
     }
@@ -104,7 +104,7 @@
         let targets = &self.targets;
         let wanted = |out: &Out| {
             let target = targets.get(&out.node);
-            target.is_some_and(|t| t.line.state == TargetState::In && t.told.addr == out.addr)
+            target.is_some_and(|t| t.line.state == TargetState::Active && t.told.addr == out.addr)
         };
         let out = self.requests.values_mut().flat_map(|open| open.attempts.iter_mut().flatten());
         out.filter(|out| !out.started && !wanted(out)).for_each(|out| out.cancel = None);
--- a/src/core/sites.rs
+++ b/src/core/sites.rs
@@ -40,7 +40,7 @@
     pub fn ended(&mut self, now: Micros, name: &str, outcome: Outcome, heard: bool, took: Option<Micros>) {
         match outcome {
             Outcome::NotSent => {}
-            Outcome::Served | Outcome::Error | Outcome::Full | Outcome::Over => {
+            Outcome::Served | Outcome::Error | Outcome::QueueFull | Outcome::DeadlineExceeded => {
                 self.sites.answered(now, name, took.filter(|_| outcome == Outcome::Served));
             }
             _ if heard => self.sites.answered(now, name, None),
@@ -54,7 +54,7 @@
     pub fn view(&self, mut line: Listed) -> Listed {
         let (held, started) = self.sites.view(&line.name, state(line.state), line.started);
         line.started = started;
-        if held == State::Draining && line.state == TargetState::In {
+        if held == State::Draining && line.state == TargetState::Active {
             line.state = TargetState::Draining;
         }
         line
@@ -101,8 +101,8 @@
 
 fn state(told: TargetState) -> State {
     match told {
-        TargetState::In => State::In,
+        TargetState::Active => State::In,
         TargetState::Draining => State::Draining,
-        TargetState::Gone => State::Gone,
+        TargetState::Removed => State::Gone,
     }
 }
--- a/src/initiator/targets.rs
+++ b/src/initiator/targets.rs
@@ -2,7 +2,7 @@
 
 use crate::config::{Iscsi, Portal};
 use crate::core::{Clock, Connect, Handle, Listed, Message, Wire};
-use crate::interface::{ListKind, TargetState};
+use crate::interface::{EndpointUpdateKind, TargetState};
 use crate::net::{http, iscsi};
 use crate::settings::Settings;
 use std::time::Duration;
@@ -42,9 +42,9 @@
         zone: portal.zone.clone(),
         kind: String::new(),
         shard: portal.shard,
-        state: TargetState::In,
+        state: TargetState::Active,
         started: None,
     };
     let entries = iscsi.targets.iter().map(line).collect();
-    Message::list(Wire::Iscsi, ListKind::Full, entries)
+    Message::list(Wire::Iscsi, EndpointUpdateKind::Snapshot, entries)
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -33,25 +33,25 @@
     /// A zone: its place in the caller's list of zones.
     ZoneId(u32);
     /// An attempt of a request: 0, 1, 2 ... in the order of the sends.
-    Attempt(u32);
-    /// A set of targets that some requests may reach: see [`Event::Reach`].
-    ReachId(u32);
+    AttemptNumber(u32);
+    /// A set of targets that some requests may reach: see [`Event::TargetSetChanged`].
+    TargetSetId(u32);
 }
 
 /// What may happen to a request that may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum Idempotency {
     /// It may run again anywhere.
-    Repeatable,
+    Idempotent,
     /// It carries a key: the targets of the group drop a repeat for `span` after the first send.
-    Keyed { group: Group, span: Micros },
+    KeyedWithin { scope: DeduplicationScope, window: Micros },
     /// It must never run twice.
-    Once,
+    NonIdempotent,
 }
 
 /// The targets that know each other's keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DeduplicationScope {
     All,
     Zone,
     Shard,
@@ -59,23 +59,23 @@
 
 /// A class of requests.
 #[derive(Clone, Debug)]
-pub struct Class {
+pub struct RequestClass {
     /// An answer within this time of arrival earns the full worth.
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// The longest a client waits, over all its tries.
     pub deadline: Micros,
-    pub repeat: Repeat,
+    pub idempotency: Idempotency,
     /// Requests with one key run one at a time, in the order taken.
-    pub in_order: bool,
+    pub ordered_by_key: bool,
     pub write: bool,
-    pub worth: f64,
+    pub priority_weight: f64,
     /// The part of the worth that an answer between aim and deadline earns.
-    pub late_worth: f64,
+    pub late_weight: f64,
 }
 
 /// A plan. Its figures hold for each volume, over all initiators and targets together.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct QosPlan {
     /// Units a second that a volume is sized for.
     pub nominal: f64,
     /// Units a second that earn their full worth.
@@ -84,83 +84,83 @@
     pub weight: f64,
     /// Factor on the worth.
     pub price: f64,
-    pub limit: Option<Limit>,
+    pub limit: Option<RateLimit>,
 }
 
 /// A store of units that every request's first send draws from.
 #[derive(Clone, Copy, Debug)]
-pub struct Limit {
+pub struct RateLimit {
     /// Units a second that fill it.
     pub rate: f64,
     /// The most it holds.
     pub burst: f64,
     /// How far below zero it may go.
-    pub slack: f64,
+    pub debt_limit: f64,
 }
 
 /// How many attempts beyond each request's first are allowed in any window.
 #[derive(Clone, Copy, Debug)]
-pub struct AttemptBudget {
-    pub free: f64,
+pub struct RetryBudget {
+    pub minimum: f64,
     pub ratio: f64,
     pub window: Micros,
 }
 
 /// The figures of the rules.
 #[derive(Clone, Debug, Default)]
-pub struct Rules {
+pub struct RuleBounds {
     /// After being told that a target drains or is gone, sends must stop within this time.
     pub drain_grace: Micros,
     /// A target starts at this part of its capacity or more ...
-    pub cold_from: f64,
+    pub slow_start_capacity: f64,
     /// ... and is warm after this long at most.
-    pub warm_within: Micros,
+    pub slow_start_duration: Micros,
     /// Units within `fall_window`, from all initiators together, that a cold target always bears.
-    pub cold_units: f64,
-    pub fall_window: Micros,
+    pub slow_start_units: f64,
+    pub overload_window: Micros,
     /// More than this multiple of its capacity for `fall_window` pushes a cold target over.
-    pub fall_multiple: f64,
-    pub attempt_budget: Option<AttemptBudget>,
+    pub overload_multiple: f64,
+    pub retry_budget: Option<RetryBudget>,
     /// How long a key rests after an attempt that may still run.
-    pub key_rest: Micros,
+    pub key_quiet_period: Micros,
     /// The most attempts of one request.
-    pub attempts: u32,
+    pub max_attempts: u32,
 }
 
 /// All that an initiator is told at its start.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     pub initiators: u32,
-    pub classes: Vec<Class>,
-    pub plans: Vec<Plan>,
-    pub rules: Rules,
+    pub classes: Vec<RequestClass>,
+    pub plans: Vec<QosPlan>,
+    pub rules: RuleBounds,
     /// The mean units of a request.
-    pub usual_units: f64,
+    pub mean_request_units: f64,
     /// Worth of a unit above the reserve, inside the share.
-    pub share_worth: f64,
+    pub weight_within_share: f64,
     /// Worth of a unit above reserve and share.
-    pub spare_worth: f64,
+    pub weight_beyond_share: f64,
     /// Over which period [`Event::Outcome`]'s `used` adds up. 0: it is not told.
     pub meter_period: Micros,
     /// Outcomes tell the units served through other initiators.
-    pub tells_elsewhere: bool,
+    pub reports_usage_elsewhere: bool,
     pub may_probe: bool,
     pub may_cancel: bool,
-    pub may_copy: bool,
+    pub may_hedge: bool,
     /// The longest advice to stay away that a client follows. 0: no advice is given.
-    pub longest_advice: Micros,
+    pub max_retry_after: Micros,
 }
 
 impl Settings {
     /// The rule on targets that have just started.
-    pub fn cold(&self) -> rowanglade_warmup::Rule {
+    pub fn slow_start(&self) -> rowanglade_warmup::Rule {
         let r = &self.rules;
         rowanglade_warmup::Rule {
-            from: r.cold_from,
-            warm_within: r.warm_within,
-            units: r.cold_units,
-            window: r.fall_window,
-            multiple: r.fall_multiple,
+            from: r.slow_start_capacity,
+            warm_within: r.slow_start_duration,
+            units: r.slow_start_units,
+            window: r.overload_window,
+            multiple: r.overload_multiple,
             initiators: self.initiators,
         }
     }
@@ -171,28 +171,28 @@
         if self.classes.is_empty() {
             return err("classes".into(), "are missing");
         }
-        if self.rules.attempts == 0 {
+        if self.rules.max_attempts == 0 {
             return err("rules.attempts".into(), "is zero");
         }
         let r = &self.rules;
         let mut figures = vec![
-            ("usual_units".to_string(), self.usual_units),
-            ("share_worth".into(), self.share_worth),
-            ("spare_worth".into(), self.spare_worth),
-            ("rules.cold_from".into(), r.cold_from),
-            ("rules.cold_units".into(), r.cold_units),
-            ("rules.fall_multiple".into(), r.fall_multiple),
+            ("usual_units".to_string(), self.mean_request_units),
+            ("share_worth".into(), self.weight_within_share),
+            ("spare_worth".into(), self.weight_beyond_share),
+            ("rules.cold_from".into(), r.slow_start_capacity),
+            ("rules.cold_units".into(), r.slow_start_units),
+            ("rules.fall_multiple".into(), r.overload_multiple),
         ];
-        if let Some(b) = r.attempt_budget {
-            figures.push(("rules.attempt_budget.free".into(), b.free));
+        if let Some(b) = r.retry_budget {
+            figures.push(("rules.attempt_budget.free".into(), b.minimum));
             figures.push(("rules.attempt_budget.ratio".into(), b.ratio));
         }
         for (i, c) in self.classes.iter().enumerate() {
-            figures.push((format!("classes[{i}].worth"), c.worth));
-            figures.push((format!("classes[{i}].late_worth"), c.late_worth));
+            figures.push((format!("classes[{i}].worth"), c.priority_weight));
+            figures.push((format!("classes[{i}].late_worth"), c.late_weight));
         }
         for (i, p) in self.plans.iter().enumerate() {
-            let l = p.limit.unwrap_or(Limit { rate: 0.0, burst: 0.0, slack: 0.0 });
+            let l = p.limit.unwrap_or(RateLimit { rate: 0.0, burst: 0.0, debt_limit: 0.0 });
             for (name, value) in [
                 ("nominal", p.nominal),
                 ("reserve", p.reserve),
@@ -200,7 +200,7 @@
                 ("price", p.price),
                 ("limit.rate", l.rate),
                 ("limit.burst", l.burst),
-                ("limit.slack", l.slack),
+                ("limit.slack", l.debt_limit),
             ] {
                 figures.push((format!("plans[{i}].{name}"), value));
             }
@@ -229,15 +229,15 @@
 
 /// A target's report of its load. What it does not tell is absent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Load {
+pub struct LoadReport {
     /// Requests in hand, waiting ones too.
-    pub in_hand: Option<f64>,
+    pub in_flight: Option<f64>,
     /// Requests that wait.
-    pub waiting: Option<f64>,
+    pub queued: Option<f64>,
     /// The recent service time, without waiting.
-    pub service: Option<Micros>,
+    pub service_time: Option<Micros>,
     /// The part of its processors that is busy.
-    pub busy: Option<f64>,
+    pub utilization: Option<f64>,
 }
 
 /// How an attempt ended.
@@ -247,9 +247,9 @@
     /// The target answered with an error; it may have run.
     Error,
     /// Turned away unseen: it never ran.
-    Full,
+    QueueFull,
     /// Turned away unseen, as over by the target's clock: it never ran, there or elsewhere.
-    Over,
+    DeadlineExceeded,
     /// No answer in time: it may have run or still run.
     TimedOut,
     /// No connection: it never ran.
@@ -264,30 +264,33 @@
 
 impl Outcome {
     /// Whether it is proven that it never ran.
-    pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::Over | Outcome::Unreachable | Outcome::NotSent)
+    pub fn proves_not_executed(self) -> bool {
+        matches!(
+            self,
+            Outcome::QueueFull | Outcome::DeadlineExceeded | Outcome::Unreachable | Outcome::NotSent
+        )
     }
 
     /// Whether the request's time is up, by this initiator's clock or the target's.
     pub fn is_late(self) -> bool {
-        matches!(self, Outcome::TimedOut | Outcome::Over)
+        matches!(self, Outcome::TimedOut | Outcome::DeadlineExceeded)
     }
 }
 
 /// What the list says of a target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum TargetState {
-    In,
+    Active,
     /// It finishes its work; nothing new may go to it.
     Draining,
     /// Not in the list any more, or never was.
     #[default]
-    Gone,
+    Removed,
 }
 
 /// A line of the list.
 #[derive(Clone, Copy, Debug)]
-pub struct Entry {
+pub struct EndpointEntry {
     pub target: TargetId,
     pub shard: ShardId,
     pub zone: ZoneId,
@@ -298,20 +301,20 @@
 
 /// What news of the list is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListKind {
+pub enum EndpointUpdateKind {
     /// Only what changed.
-    Changes,
+    Delta,
     /// All of it: a target that is missing is gone.
-    Full,
+    Snapshot,
     /// All of it as this initiator last had it; it may be stale.
-    Remembered,
+    Cached,
     /// Only what changed, as others than discovery tell it.
-    Beside,
+    Gossip,
 }
 
 /// A request as it arrives.
 #[derive(Clone, Copy, Debug)]
-pub struct Request {
+pub struct RequestProfile {
     pub id: RequestId,
     /// Absent: a class that the settings do not name.
     pub class: Option<ClassId>,
@@ -326,73 +329,73 @@
     /// When the client gives this try up.
     pub deadline: Micros,
     /// The targets that it may reach. Absent: every target.
-    pub reach: Option<ReachId>,
+    pub target_set: Option<TargetSetId>,
 }
 
 /// What happened.
 #[derive(Clone, Debug)]
 pub enum Event {
-    Request(Request),
-    Outcome {
+    RequestArrived(RequestProfile),
+    AttemptEnded {
         id: RequestId,
-        attempt: Attempt,
+        attempt: AttemptNumber,
         target: TargetId,
         outcome: Outcome,
         /// From the send until now.
-        took: Micros,
+        elapsed: Micros,
         /// The request is over.
-        over: bool,
+        request_over: bool,
         /// Units served for the volume everywhere in a finished period, as a part of the plan's rate.
         used: Option<f64>,
         /// Units that this shard served for the volume through other initiators since its last answer here.
         elsewhere: f64,
-        load: Load,
+        load: LoadReport,
     },
     /// An answer has begun, or the rest of a long request is being passed on: the attempt takes up no room at its target
     /// any more. Unless it is still timed, the request's deadline no longer runs either, and the attempt lasts as long
     /// as its client takes.
-    Started {
+    TransferStarted {
         id: RequestId,
-        attempt: Attempt,
-        timed: bool,
+        attempt: AttemptNumber,
+        deadline_applies: bool,
     },
     /// The client went away: the request is over.
-    Withdrawn {
+    ClientGone {
         id: RequestId,
     },
-    List {
-        kind: ListKind,
-        entries: Vec<Entry>,
+    EndpointsChanged {
+        kind: EndpointUpdateKind,
+        entries: Vec<EndpointEntry>,
     },
     /// A set of targets, all of it. Absent: no request has it any more. One that was never told holds nobody.
-    Reach {
-        reach: ReachId,
+    TargetSetChanged {
+        set: TargetSetId,
         targets: Option<Vec<TargetId>>,
     },
     /// The targets that this initiator's new objects go to where they are early enough, so that the choices of all
     /// initiators add up evenly. None: it has no preference.
-    Near(Vec<TargetId>),
-    /// Another initiator lacks units of a limited volume: [`Action::Spared`] says what this one can do without.
-    Spare {
+    PreferredTargets(Vec<TargetId>),
+    /// Another initiator lacks units of a limited volume: [`Action::QuotaOffered`] says what this one can do without.
+    OfferQuota {
         volume: VolumeId,
-        most: f64,
+        max_units: f64,
     },
     /// Another initiator gave up units of a limited volume for this one.
-    Units {
+    QuotaReceived {
         volume: VolumeId,
         units: f64,
     },
-    Probed {
+    ProbeEnded {
         target: TargetId,
         outcome: Outcome,
-        took: Micros,
-        load: Load,
+        elapsed: Micros,
+        load: LoadReport,
     },
     /// Another process has what is owned here: units of limits, and the budgets of cold targets. False: it is owned
     /// here again.
-    Handed(bool),
-    /// A timer of [`Action::Wake`] is due.
-    Wake {
+    OwnershipTransferred(bool),
+    /// A timer of [`Action::SetTimer`] is due.
+    TimerFired {
         token: u64,
     },
 }
@@ -401,25 +404,25 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt. Without a time-out it runs until the client gives up.
-    Send {
+    StartAttempt {
         id: RequestId,
         target: TargetId,
         timeout: Option<Micros>,
     },
-    /// Final answer: no, and a new try does no harm; the client should stay away for `wait`.
-    Refuse {
+    /// Final answer: no, and a new try does no harm; the client should stay away for `retry_after`.
+    Reject {
         id: RequestId,
-        wait: Micros,
+        retry_after: Micros,
     },
     /// Final answer: failed, nothing is promised.
     Fail {
         id: RequestId,
     },
-    Cancel {
+    CancelAttempt {
         id: RequestId,
-        attempt: Attempt,
+        attempt: AttemptNumber,
     },
-    Wake {
+    SetTimer {
         token: u64,
         after: Micros,
     },
@@ -427,13 +430,13 @@
         target: TargetId,
     },
     /// A request draws on a store of units that runs low here; others may have some to spare.
-    Lacks {
+    QuotaNeeded {
         volume: VolumeId,
         units: f64,
         initiators: u32,
     },
-    /// Units that are no longer in this initiator's store: the answer to [`Event::Spare`].
-    Spared {
+    /// Units that are no longer in this initiator's store: the answer to [`Event::OfferQuota`].
+    QuotaOffered {
         volume: VolumeId,
         units: f64,
     },
--- a/src/names.rs
+++ b/src/names.rs
@@ -54,8 +54,8 @@
     pub fields: Vec<String>,
     volumes: Interner,
     keys: Interner,
-    nodes: HashMap<String, TargetId>,
-    node_names: Vec<String>,
+    targets: HashMap<String, TargetId>,
+    target_names: Vec<String>,
     requests: HashMap<String, RequestId>,
     open: HashMap<RequestId, Open>,
     next_request: u64,
@@ -92,21 +92,21 @@
     }
 
     pub fn listed(&mut self, name: &str) -> TargetId {
-        if let Some(id) = self.nodes.get(name) {
+        if let Some(id) = self.targets.get(name) {
             return *id;
         }
-        let id = TargetId(self.node_names.len() as u32);
-        self.node_names.push(name.to_string());
-        self.nodes.insert(name.to_string(), id);
+        let id = TargetId(self.target_names.len() as u32);
+        self.target_names.push(name.to_string());
+        self.targets.insert(name.to_string(), id);
         id
     }
 
-    pub fn node(&self, name: &str) -> Option<TargetId> {
-        self.nodes.get(name).copied()
+    pub fn target(&self, name: &str) -> Option<TargetId> {
+        self.targets.get(name).copied()
     }
 
-    pub fn node_name(&self, id: TargetId) -> Option<&str> {
-        self.node_names.get(id.0 as usize).map(String::as_str)
+    pub fn target_name(&self, id: TargetId) -> Option<&str> {
+        self.target_names.get(id.0 as usize).map(String::as_str)
     }
 
     pub fn taken(&mut self, name: &str) -> RequestId {
--- a/src/net/http/discovery.rs
+++ b/src/net/http/discovery.rs
@@ -2,7 +2,7 @@
 //! When to call is decided by [`Schedule`] alone.
 
 use crate::core::{Clock, Handle, LINES_AT_ONCE, Listed, Message, Wire};
-use crate::interface::{ListKind, Micros, TargetState};
+use crate::interface::{EndpointUpdateKind, Micros, TargetState};
 use crate::net::http::dial;
 use crate::net::peers::PeerLink;
 use awc::Client;
@@ -68,9 +68,9 @@
             kind: line.kind,
             shard: line.cell,
             state: match line.state {
-                State::Active => TargetState::In,
+                State::Active => TargetState::Active,
                 State::Leaving => TargetState::Draining,
-                State::Left => TargetState::Gone,
+                State::Left => TargetState::Removed,
             },
             started: (line.started_ms > 0).then(|| line.started_ms.saturating_mul(1_000)),
         }
@@ -86,9 +86,9 @@
             kind: listed.kind,
             cell: listed.shard,
             state: match listed.state {
-                TargetState::In => State::Active,
+                TargetState::Active => State::Active,
                 TargetState::Draining => State::Leaving,
-                TargetState::Gone => State::Left,
+                TargetState::Removed => State::Left,
             },
             started_ms: listed.started.unwrap_or(0) / 1_000,
         }
@@ -98,7 +98,7 @@
 /// Tells the core of the list as this initiator last held it: perhaps stale.
 pub async fn remember(core: &Handle, page: Page) {
     let lines = page.servers.into_iter().map(Listed::from).collect();
-    core.tell_list(Wire::Http, ListKind::Remembered, lines, Instant::now()).await;
+    core.tell_list(Wire::Http, EndpointUpdateKind::Cached, lines, Instant::now()).await;
 }
 
 /// A list as it is written, its lines not read yet.
@@ -286,7 +286,7 @@
         loop {
             if self.client.is_none() {
                 // There is nothing to wait for: what is known of other sources is all there is.
-                self.tell(ListKind::Changes, Vec::new(), Instant::now()).await;
+                self.tell(EndpointUpdateKind::Delta, Vec::new(), Instant::now()).await;
                 changed(&mut addr).await;
                 self.moved();
                 continue;
@@ -381,7 +381,7 @@
         if let Some(peers) = &mut self.peers {
             peers.listed(self.clock.now(), page.version, page.full, page.uses());
         }
-        let kind = if page.full { ListKind::Full } else { ListKind::Changes };
+        let kind = if page.full { EndpointUpdateKind::Snapshot } else { EndpointUpdateKind::Delta };
         self.tell(kind, page.servers.into_iter().map(Listed::from).collect(), received).await;
         End::Answered
     }
@@ -407,7 +407,7 @@
         tracing::info!(addr = ?self.client.as_ref().map(|(addr, _)| addr), "discovery is asked anew");
     }
 
-    async fn tell(&self, kind: ListKind, entries: Vec<Listed>, received: Instant) {
+    async fn tell(&self, kind: EndpointUpdateKind, entries: Vec<Listed>, received: Instant) {
         self.core.tell_list(Wire::Http, kind, entries, received).await;
     }
 }
--- a/src/net/http/message.rs
+++ b/src/net/http/message.rs
@@ -1,7 +1,7 @@
 //! The platform's messages: each is decoded once into a value of the core's and encoded once.
 
 use crate::core::{Answer, Content, Order, Origin, Reply, Wire};
-use crate::interface::{Load, Outcome};
+use crate::interface::{LoadReport, Outcome};
 use actix_http::header::{HOST, HeaderMap, HeaderName, HeaderValue, RETRY_AFTER};
 use actix_http::{Method, RequestHead, Response, StatusCode, Uri};
 use bytes::Bytes;
@@ -195,8 +195,8 @@
         && text(headers, &NOT_RUN) == Some("1");
     let outcome = match code {
         StatusCode::OK => Outcome::Served,
-        StatusCode::GATEWAY_TIMEOUT if unseen => Outcome::Over,
-        _ if unseen => Outcome::Full,
+        StatusCode::GATEWAY_TIMEOUT if unseen => Outcome::DeadlineExceeded,
+        _ if unseen => Outcome::QueueFull,
         _ => Outcome::Error,
     };
     Reply {
@@ -214,18 +214,18 @@
 }
 
 /// `TEXT inflight=7, queue=2, util=0.61`
-pub fn load(text: &str) -> Load {
-    let mut load = Load::default();
+pub fn load(text: &str) -> LoadReport {
+    let mut load = LoadReport::default();
     let pairs = text.trim().trim_start_matches("TEXT").split(',').filter_map(|p| p.split_once('='));
     for (name, value) in pairs {
         let Some(value) = value.trim().parse::<f64>().ok().filter(likely) else {
             continue;
         };
         match name.trim() {
-            "inflight" => load.in_hand = Some(value),
-            "queue" => load.waiting = Some(value),
-            "latency_ms" => load.service = Some((value * 1e3) as u64),
-            "util" => load.busy = Some(value),
+            "inflight" => load.in_flight = Some(value),
+            "queue" => load.queued = Some(value),
+            "latency_ms" => load.service_time = Some((value * 1e3) as u64),
+            "util" => load.utilization = Some(value),
             _ => {}
         }
     }
--- a/src/net/iscsi/session.rs
+++ b/src/net/iscsi/session.rs
@@ -1,7 +1,7 @@
 //! Sessions that go out: the actor of an iSCSI-style target. This side is the initiator.
 
 use crate::core::{Attempt, Clock, Handle, Listed, Message, Probe, Reply, Report, TargetMessage, Wire};
-use crate::interface::{ListKind, Load, Outcome, TargetState};
+use crate::interface::{EndpointUpdateKind, LoadReport, Outcome, TargetState};
 use crate::net::close::{LINGER, close};
 use bytes::{Bytes, BytesMut};
 use futures_util::StreamExt;
@@ -65,7 +65,7 @@
     async fn run(mut self) {
         let mut waiting = VecDeque::new();
         loop {
-            let drained = self.line.state != TargetState::In;
+            let drained = self.line.state != TargetState::Active;
             let again = Instant::now() + TRY_AGAIN;
             while waiting.is_empty() {
                 tokio::select! {
@@ -83,7 +83,7 @@
             match self.opened(&mut waiting).await {
                 Ok(session) => {
                     if drained {
-                        self.tell(TargetState::In).await;
+                        self.tell(TargetState::Active).await;
                     }
                     match session.run(&mut self, waiting).await {
                         End::Mailbox => return,
@@ -133,12 +133,12 @@
     /// The core's list learns what the session told. A target that is back counts as just started.
     async fn tell(&mut self, state: TargetState) {
         self.line.state = state;
-        if state == TargetState::In {
+        if state == TargetState::Active {
             // The core's own clock: a step of the wall clock must not make it far past or future.
             self.line.started = Some(self.figures.clock.now());
         }
         let entries = vec![self.line.clone()];
-        self.core.tell(Message::list(Wire::Iscsi, ListKind::Changes, entries)).await;
+        self.core.tell(Message::list(Wire::Iscsi, EndpointUpdateKind::Delta, entries)).await;
     }
 }
 
@@ -175,7 +175,7 @@
 fn tell_unsent(message: TargetMessage, outcome: Outcome) {
     match message {
         TargetMessage::Attempt(attempt) => attempt.report.tell(Reply::bare(outcome)),
-        TargetMessage::Probe(probe) => probe.report.tell(outcome, Load::default()),
+        TargetMessage::Probe(probe) => probe.report.tell(outcome, LoadReport::default()),
         TargetMessage::Rest(_) => {}
     }
 }
@@ -339,7 +339,7 @@
         match message {
             TargetMessage::Probe(Probe { report, .. }) => {
                 // The session stands: that is all that a shallow probe asks.
-                report.tell(Outcome::Served, Load::default());
+                report.tell(Outcome::Served, LoadReport::default());
                 Ok(())
             }
             TargetMessage::Attempt(attempt) => self.command(*attempt).await,
@@ -361,7 +361,7 @@
         let in_window = self.max_cmd_sn.wrapping_sub(self.cmd_sn) as i32 >= 0;
         let (Some(group), true, false) = (group, in_window && until > Instant::now(), self.leaving) else {
             report.tell(Reply::bare(if self.leaving || !in_window {
-                Outcome::Full
+                Outcome::QueueFull
             } else {
                 Outcome::NotSent
             }));
@@ -518,7 +518,7 @@
         let whole = task.read.len() as u64 + u64::from(missing) == u64::from(task.expected);
         let outcome = match status {
             scsi::GOOD if whole => Outcome::Served,
-            scsi::BUSY | scsi::TASK_SET_FULL => Outcome::Full,
+            scsi::BUSY | scsi::TASK_SET_FULL => Outcome::QueueFull,
             _ => Outcome::Error,
         };
         let body = if outcome == Outcome::Served { task.read.freeze() } else { Bytes::new() };
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -94,7 +94,7 @@
     patience: Micros, // unsent by then, it is given up
     due: Micros,      // the place in the order: the aim, or for background work what it was moved to
     deadline: Micros,
-    reach: Option<ReachId>,
+    reach: Option<TargetSetId>,
     initiators: f64,
     pushed: u32,
     waiting: bool, // in its shard's queue
@@ -160,7 +160,7 @@
     /// Preferred for new objects; empty: none is.
     near: BTreeSet<TargetId>,
     /// What requests with a route may reach, in the order of numbers.
-    reaches: BTreeMap<ReachId, Vec<TargetId>>,
+    reaches: BTreeMap<TargetSetId, Vec<TargetId>>,
     key_queues: BTreeMap<KeyId, KeyQueue>,
     limits: BTreeMap<VolumeId, Store>,
     volumes: BTreeMap<VolumeId, Volume>,
@@ -173,61 +173,74 @@
 impl Scheduler {
     pub fn new(settings: Settings, seed: u64) -> Result<Scheduler, SettingsError> {
         settings.check()?;
-        let tightest = settings.classes.iter().map(|c| c.aim).min().unwrap_or(0);
-        let patient = |c: &Class| c.aim as f64 >= BACKGROUND_AIM * tightest as f64 && c.aim > tightest;
+        let tightest = settings.classes.iter().map(|c| c.latency_objective).min().unwrap_or(0);
+        let patient = |c: &RequestClass| {
+            c.latency_objective as f64 >= BACKGROUND_AIM * tightest as f64 && c.latency_objective > tightest
+        };
         let background = settings.classes.iter().map(|c| !c.write && patient(c)).collect();
         let margins = vec![1.0; settings.classes.len()];
-        let cold = settings.cold();
+        let cold = settings.slow_start();
         Ok(Scheduler { settings, cold, random: seed, background, tightest, margins, ..Scheduler::default() })
     }
 
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.born.get_or_insert(now);
         match event {
-            Event::Request(r) => self.request(now, r, actions),
-            Event::Outcome { id, attempt, outcome, took, over, used, elsewhere, .. } => {
+            Event::RequestArrived(r) => self.request(now, r, actions),
+            Event::AttemptEnded {
+                id,
+                attempt,
+                outcome,
+                elapsed: took,
+                request_over: over,
+                used,
+                elsewhere,
+                ..
+            } => {
                 self.use_told(now, id, outcome, used, elsewhere);
                 self.outcome(now, AttemptEnd { id, attempt, outcome, took, over }, actions);
             }
-            Event::Started { id, attempt, timed } => {
+            Event::TransferStarted { id, attempt, deadline_applies } => {
                 if let Some(h) = self.requests.get_mut(&id) {
-                    if !timed {
+                    if !deadline_applies {
                         self.deadlines.remove(&(h.deadline, id));
                     }
-                    h.started |= !timed;
+                    h.started |= !deadline_applies;
                     let sent = h.tries.get(attempt.0 as usize);
                     sent.into_iter().for_each(|t| {
                         self.targets.free_room(t.target, (t.sent, id, attempt.0), h.units);
                     });
                 }
             }
-            Event::Withdrawn { id } => {
+            Event::ClientGone { id } => {
                 // Nobody waits for it: where the target can drop waiting work, it should.
                 let held = self.requests.get(&id).filter(|_| self.settings.may_cancel);
                 let tries = held.iter().flat_map(|h| h.tries.iter().enumerate());
                 for (i, _) in tries.filter(|(_, t)| t.ran == Ran::Out) {
-                    actions.push(Action::Cancel { id, attempt: Attempt(i as u32) });
+                    actions.push(Action::CancelAttempt { id, attempt: AttemptNumber(i as u32) });
                 }
                 self.end(now, id);
             }
-            Event::List { kind, entries } => self.list(now, kind, &entries, actions),
-            Event::Near(targets) => self.near = targets.into_iter().collect(),
-            Event::Reach { reach, targets: Some(mut targets) } => {
+            Event::EndpointsChanged { kind, entries } => self.list(now, kind, &entries, actions),
+            Event::PreferredTargets(targets) => self.near = targets.into_iter().collect(),
+            Event::TargetSetChanged { set: target_set, targets: Some(mut targets) } => {
                 targets.sort_unstable();
                 targets.dedup();
-                self.reaches.insert(reach, targets);
+                self.reaches.insert(target_set, targets);
             }
-            Event::Reach { reach, targets: None } => drop(self.reaches.remove(&reach)),
-            Event::Spare { volume, most } => {
-                let units = self.spare(now, volume, most);
-                actions.push(Action::Spared { volume, units });
+            Event::TargetSetChanged { set: target_set, targets: None } => {
+                drop(self.reaches.remove(&target_set))
             }
-            Event::Units { volume, units } => {
+            Event::OfferQuota { volume, max_units } => {
+                let units = self.spare(now, volume, max_units);
+                actions.push(Action::QuotaOffered { volume, units });
+            }
+            Event::QuotaReceived { volume, units } => {
                 self.limits.entry(volume).and_modify(|s| s.add(now, units.max(0.0))); // read up to the cap
             }
-            Event::Probed { .. } => {}
-            Event::Handed(handed) => self.handed = handed,
-            Event::Wake { token } => {
+            Event::ProbeEnded { .. } => {}
+            Event::OwnershipTransferred(handed) => self.handed = handed,
+            Event::TimerFired { token } => {
                 if self.wake_at == Some(token) {
                     self.wake_at = None;
                     self.tick(now, actions);
@@ -249,13 +262,13 @@
     fn answer(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let Some(h) = self.requests.get(&id).filter(|h| !h.over) else { return };
         let harmless = h.tries.iter().all(|t| t.ran == Ran::Never)
-            || match self.settings.classes[h.class].repeat {
-                Repeat::Repeatable => true,
-                Repeat::Keyed { group, .. } => group == Group::All,
-                Repeat::Once => false,
+            || match self.settings.classes[h.class].idempotency {
+                Idempotency::Idempotent => true,
+                Idempotency::KeyedWithin { scope: group, .. } => group == DeduplicationScope::All,
+                Idempotency::NonIdempotent => false,
             };
         actions.push(if harmless {
-            Action::Refuse { id, wait: self.advice(now, h) }
+            Action::Reject { id, retry_after: self.advice(now, h) }
         } else {
             Action::Fail { id }
         });
--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -3,11 +3,11 @@
 use super::*;
 
 impl Scheduler {
-    pub(super) fn request(&mut self, now: Micros, r: Request, actions: &mut Vec<Action>) {
+    pub(super) fn request(&mut self, now: Micros, r: RequestProfile, actions: &mut Vec<Action>) {
         if self.requests.contains_key(&r.id) {
             return;
         }
-        if let Some(b) = self.settings.rules.attempt_budget {
+        if let Some(b) = self.settings.rules.retry_budget {
             self.taken.push_back(now);
             self.taken.retain(|t| t + b.window > now);
         }
@@ -16,9 +16,10 @@
             return;
         };
         let c = &self.settings.classes[class];
-        let units = if r.units.is_finite() && r.units > 0.0 { r.units } else { self.settings.usual_units };
+        let units =
+            if r.units.is_finite() && r.units > 0.0 { r.units } else { self.settings.mean_request_units };
         let part = (r.deadline.saturating_sub(now) as f64 * BACKGROUND_WAIT) as Micros;
-        let patience = if self.background[class] { part } else { c.aim };
+        let patience = if self.background[class] { part } else { c.latency_objective };
         let held = RequestState {
             class,
             volume: r.volume,
@@ -27,25 +28,29 @@
             units,
             placed: r.shard.is_some(),
             shard: r.shard,
-            aim: (now + c.aim).min(r.deadline),
-            due: (now + c.aim).min(r.deadline),
-            patience: if c.in_order { r.deadline } else { (now + patience).min(r.deadline) },
+            aim: (now + c.latency_objective).min(r.deadline),
+            due: (now + c.latency_objective).min(r.deadline),
+            patience: if c.ordered_by_key { r.deadline } else { (now + patience).min(r.deadline) },
             deadline: r.deadline,
-            reach: r.reach,
+            reach: r.target_set,
             initiators: if r.initiators == 0 { self.settings.initiators.max(1) } else { r.initiators } as f64,
             ..RequestState::default()
         };
         // Others may have units to spare: they are asked before the store is empty.
         let limit = held.plan.and_then(|p| self.settings.plans[p.0 as usize].limit);
         if let Some(l) = limit {
-            let new = Store::used_up(l.slack / held.initiators, self.born.unwrap_or(now));
+            let new = Store::used_up(l.debt_limit / held.initiators, self.born.unwrap_or(now));
             let store = self.limits.entry(r.volume).or_insert(new);
             (store.rate, store.cap) = (l.rate / held.initiators, l.burst / held.initiators);
             if store.left(now) - units < LOW_PART * store.cap {
-                actions.push(Action::Lacks { volume: r.volume, units, initiators: held.initiators as u32 });
+                actions.push(Action::QuotaNeeded {
+                    volume: r.volume,
+                    units,
+                    initiators: held.initiators as u32,
+                });
             }
         }
-        if let (true, Some(key)) = (c.in_order, r.key) {
+        if let (true, Some(key)) = (c.ordered_by_key, r.key) {
             self.key_queues.entry(key).or_default().requests.push_back(r.id);
         }
         self.requests.insert(r.id, held);
@@ -153,7 +158,7 @@
         let h = &self.requests[&id];
         let (units, initiators) = (h.units, h.initiators);
         let Some(plan) = h.plan.map(|p| self.settings.plans[p.0 as usize].clone()) else { return true };
-        let told = self.settings.tells_elsewhere;
+        let told = self.settings.reports_usage_elsewhere;
         let meter_span = 4 * self.settings.meter_period;
         let v = self.volumes.entry(h.volume).or_default();
         v.seen = now;
@@ -200,9 +205,9 @@
             let n = &self.targets[&target];
             let held: f64 = queue.iter().map(|q| self.requests[q].units).sum();
             let done = self.service(now, target, h.class, n.out_units + held + h.units);
-            let late = done.saturating_sub(self.settings.classes[h.class].aim);
+            let late = done.saturating_sub(self.settings.classes[h.class].latency_objective);
             late.max(n.rest_until.max(self.cold_until(now, target, h, 0.0)).saturating_sub(now))
         });
-        fill.max(busy).max(SHORTEST_ADVICE).min(self.settings.longest_advice)
+        fill.max(busy).max(SHORTEST_ADVICE).min(self.settings.max_retry_after)
     }
 }
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -4,13 +4,13 @@
 
 impl Scheduler {
     /// The target that may take a shard's work of requests with this reach.
-    pub(super) fn target_of(&self, shard: ShardId, reach: Option<ReachId>) -> Option<TargetId> {
-        let usable = self.targets.of_shard(shard).filter(|(_, n)| n.state == TargetState::In);
+    pub(super) fn target_of(&self, shard: ShardId, reach: Option<TargetSetId>) -> Option<TargetId> {
+        let usable = self.targets.of_shard(shard).filter(|(_, n)| n.state == TargetState::Active);
         let usable = usable.filter(|(id, _)| self.may_reach(reach, *id));
         usable.max_by_key(|(_, n)| n.started).map(|(id, _)| id)
     }
 
-    pub(super) fn may_reach(&self, reach: Option<ReachId>, target: TargetId) -> bool {
+    pub(super) fn may_reach(&self, reach: Option<TargetSetId>, target: TargetId) -> bool {
         reach.is_none_or(|r| {
             self.reaches.get(&r).is_some_and(|targets| targets.binary_search(&target).is_ok())
         })
@@ -66,7 +66,7 @@
         let h = &self.requests[&id];
         // Rules 1 to 3 are asked again before the first byte; and there are never two attempts at once.
         let out = h.tries.iter().any(|t| t.ran == Ran::Out);
-        if out || h.tries.len() as u32 >= self.settings.rules.attempts || !self.wanted(now, h, target) {
+        if out || h.tries.len() as u32 >= self.settings.rules.max_attempts || !self.wanted(now, h, target) {
             return false;
         }
         // Rule 4: this initiator's part of what a cold target bears, in every window.
@@ -74,7 +74,7 @@
             return false;
         }
         // Rule 5: requests of one key in turn.
-        if let (true, Some(key)) = (self.settings.classes[h.class].in_order, h.key)
+        if let (true, Some(key)) = (self.settings.classes[h.class].ordered_by_key, h.key)
             && let Some(queue) = self.key_queues.get(&key)
             && (queue.requests.front() != Some(&id) || (queue.rests_until > now && h.tries.is_empty()))
         {
@@ -82,10 +82,10 @@
         }
         // Rule 6: further attempts within their budget.
         let further = !h.tries.is_empty();
-        if further && let Some(b) = self.settings.rules.attempt_budget {
+        if further && let Some(b) = self.settings.rules.retry_budget {
             self.extra.retain(|t| t + b.window >= now);
             let taken = self.taken.iter().filter(|t| **t + b.window > now).count() as f64;
-            if self.extra.len() as f64 + 1.0 > b.free + b.ratio * taken {
+            if self.extra.len() as f64 + 1.0 > b.minimum + b.ratio * taken {
                 return false;
             }
             self.extra.push_back(now);
@@ -109,7 +109,7 @@
             h.limit_owed |= limit.is_some();
             h.tries.push(AttemptState { target, sent: now, ran: Ran::Out, lost: false, predicted });
         }
-        actions.push(Action::Send { id, target, timeout: None });
+        actions.push(Action::StartAttempt { id, target, timeout: None });
         true
     }
 
@@ -120,12 +120,12 @@
             // Rule 2: what may have run is sent again only as its class allows.
             && self.may_repeat(now, h, target)
             // Rule 3: nothing new to a target told to drain or gone, and nothing beyond its reach.
-            && self.targets.get(&target).is_some_and(|n| n.state == TargetState::In)
+            && self.targets.get(&target).is_some_and(|n| n.state == TargetState::Active)
             && self.may_reach(h.reach, target)
     }
 
     /// Whether an attempt may begin now that its connection is up. A target started since then counts anew.
-    pub fn may_start(&self, now: Micros, id: RequestId, attempt: Attempt) -> bool {
+    pub fn may_start(&self, now: Micros, id: RequestId, attempt: AttemptNumber) -> bool {
         let h = self.requests.get(&id);
         let sent = h.and_then(|h| Some((h, h.tries.get(attempt.0 as usize)?)));
         sent.is_some_and(|(h, t)| {
@@ -152,7 +152,7 @@
         let l = self.settings.plans[h.plan?.0 as usize].limit?;
         let store = self.limits.get(&h.volume).filter(|_| !self.handed);
         let Some(store) = store else { return Some((h.units, NEVER)) };
-        let lacking = h.units - store.left(now) - l.slack / h.initiators;
+        let lacking = h.units - store.left(now) - l.debt_limit / h.initiators;
         Some((lacking, (lacking.max(0.0) / store.rate * 1e6).min(NEVER as f64) as Micros))
     }
 
@@ -167,17 +167,17 @@
 
     pub(super) fn may_repeat(&self, now: Micros, h: &RequestState, target: TargetId) -> bool {
         let mut ran = h.tries.iter().filter(|t| t.ran == Ran::Maybe);
-        match self.settings.classes[h.class].repeat {
-            Repeat::Repeatable => true,
-            Repeat::Once => ran.next().is_none(),
-            Repeat::Keyed { group, span } => ran.all(|t| {
+        match self.settings.classes[h.class].idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => ran.next().is_none(),
+            Idempotency::KeyedWithin { scope: group, window } => ran.all(|t| {
                 let same = match (group, self.targets.get(&t.target), self.targets.get(&target)) {
-                    (Group::All, _, _) => true,
-                    (Group::Zone, Some(a), Some(b)) => a.zone == b.zone,
-                    (Group::Shard, Some(a), Some(b)) => a.shard == b.shard,
+                    (DeduplicationScope::All, _, _) => true,
+                    (DeduplicationScope::Zone, Some(a), Some(b)) => a.zone == b.zone,
+                    (DeduplicationScope::Shard, Some(a), Some(b)) => a.shard == b.shard,
                     _ => false,
                 };
-                same && now + ANSWER_EARLY < t.sent + span // it has to arrive by then
+                same && now + ANSWER_EARLY < t.sent + window // it has to arrive by then
             }),
         }
     }
--- a/src/scheduler/endpoint_updates.rs
+++ b/src/scheduler/endpoint_updates.rs
@@ -1,12 +1,18 @@
 //! What the list tells of targets.
 
 use super::Scheduler;
-use crate::interface::{Action, Entry, ListKind, Micros};
+use crate::interface::{Action, EndpointEntry, EndpointUpdateKind, Micros};
 use rowanglade_warmup as warmup;
 
 impl Scheduler {
-    pub(super) fn list(&mut self, now: Micros, kind: ListKind, entries: &[Entry], actions: &mut Vec<Action>) {
-        if matches!(kind, ListKind::Full | ListKind::Remembered) {
+    pub(super) fn list(
+        &mut self,
+        now: Micros,
+        kind: EndpointUpdateKind,
+        entries: &[EndpointEntry],
+        actions: &mut Vec<Action>,
+    ) {
+        if matches!(kind, EndpointUpdateKind::Snapshot | EndpointUpdateKind::Cached) {
             self.targets.begin_whole_list();
         }
         for entry in entries {
--- a/src/scheduler/estimates.rs
+++ b/src/scheduler/estimates.rs
@@ -37,6 +37,7 @@
     /// The bound on units out at the target.
     pub(super) fn bound(&self, now: Micros, target: TargetId) -> f64 {
         let units = self.learned(now, target).0 * AIM_PART * self.tightest as f64 / 1e6;
-        units.clamp(FEWEST_OUT * self.settings.usual_units, MOST_OUT * self.settings.usual_units)
+        units
+            .clamp(FEWEST_OUT * self.settings.mean_request_units, MOST_OUT * self.settings.mean_request_units)
     }
 }
--- a/src/scheduler/outcomes.rs
+++ b/src/scheduler/outcomes.rs
@@ -21,7 +21,7 @@
 /// How an attempt ended.
 pub(super) struct AttemptEnd {
     pub id: RequestId,
-    pub attempt: Attempt,
+    pub attempt: AttemptNumber,
     pub outcome: Outcome,
     pub took: Micros,
     /// The request is over.
@@ -69,7 +69,7 @@
         let AttemptEnd { id, attempt, outcome, over, .. } = end;
         let Some(h) = self.requests.get_mut(&id) else { return };
         let Some(t) = h.tries.get_mut(attempt.0 as usize).filter(|t| t.ran == Ran::Out) else { return };
-        t.ran = if outcome.never_ran() { Ran::Never } else { Ran::Maybe };
+        t.ran = if outcome.proves_not_executed() { Ran::Never } else { Ran::Maybe };
         let (target, sent, units) = (t.target, t.sent, h.units);
         let sample = Sample {
             class: h.class,
@@ -79,10 +79,10 @@
             patience: h.deadline.saturating_sub(sent),
             lost: t.lost,
         };
-        let key = h.key.filter(|_| self.settings.classes[h.class].in_order);
+        let key = h.key.filter(|_| self.settings.classes[h.class].ordered_by_key);
         let may_run_on = matches!(outcome, Outcome::TimedOut | Outcome::Broken | Outcome::Cancelled);
         if let (true, Some(queue)) = (may_run_on, key.and_then(|k| self.key_queues.get_mut(&k))) {
-            queue.rests_until = queue.rests_until.max(now + self.settings.rules.key_rest);
+            queue.rests_until = queue.rests_until.max(now + self.settings.rules.key_quiet_period);
         }
         let shard = h.shard;
         let left = !matches!(outcome, Outcome::NotSent | Outcome::Unreachable);
@@ -117,7 +117,7 @@
         if h.over || h.started || h.waiting {
             return;
         }
-        let spent = h.tries.len() as u32 >= self.settings.rules.attempts || outcome.is_late();
+        let spent = h.tries.len() as u32 >= self.settings.rules.max_attempts || outcome.is_late();
         let out_of_time = now + ANSWER_EARLY >= h.deadline;
         if spent || out_of_time || !self.may_repeat(now, h, target) {
             self.answer(now, id, actions);
@@ -156,7 +156,7 @@
             _ if lost => return,
             Outcome::Served => took.max(1) as f64,
             Outcome::TimedOut | Outcome::Cancelled => (took as f64).max(known_latency),
-            Outcome::Full => (patience as f64).max(known_latency),
+            Outcome::QueueFull => (patience as f64).max(known_latency),
             _ => return,
         };
         let speed = units / latency * 1e6;
@@ -179,7 +179,7 @@
         let Some(n) = self.targets.get_mut(&target) else { return };
         if outcome == Outcome::Served {
             n.failing = 0;
-        } else if matches!(outcome, Outcome::Full | Outcome::Unreachable) && now >= n.rest_until {
+        } else if matches!(outcome, Outcome::QueueFull | Outcome::Unreachable) && now >= n.rest_until {
             // Several sent at once and turned away together count once.
             n.rest_until = now + (REST << n.failing.min(16)).min(LONGEST_REST);
             n.failing += 1;
@@ -204,7 +204,7 @@
         }
         for (id, i) in lost {
             self.requests.entry(id).and_modify(|h| h.tries[i as usize].lost = true);
-            actions.push(Action::Cancel { id, attempt: Attempt(i) });
+            actions.push(Action::CancelAttempt { id, attempt: AttemptNumber(i) });
         }
     }
 }
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -1,7 +1,7 @@
 //! Which shard a new object goes to.
 
 use super::{AIM_PART, Scheduler};
-use crate::interface::{Micros, ReachId, RequestId, ShardId, TargetId};
+use crate::interface::{Micros, RequestId, ShardId, TargetId, TargetSetId};
 
 /// Targets that are compared for one new object at most. Where there are more, those that this initiator knows
 /// best are compared with some drawn at random: a comparison of all would make each request cost what the
@@ -27,7 +27,7 @@
             // Before the first answer all cost nothing: every initiator would begin with the same target.
             let cost = shade * self.service(now, target, h.class, n.out_units + held + h.units).max(1) as f64;
             // One never heard costs a new connection: where another is early enough, that buys nothing.
-            let rank = match cost <= AIM_PART * self.settings.classes[h.class].aim as f64 {
+            let rank = match cost <= AIM_PART * self.settings.classes[h.class].latency_objective as f64 {
                 true if self.near.contains(&target) => 0,
                 true if n.heard.is_some() => 1,
                 _ => 2,
@@ -41,7 +41,7 @@
 
     /// The targets that are compared for a request with this reach: all that may take new work, or of many the
     /// preferred ones, those that have served lately, and some drawn at random.
-    fn compared(&mut self, reach: Option<ReachId>) -> Vec<TargetId> {
+    fn compared(&mut self, reach: Option<TargetSetId>) -> Vec<TargetId> {
         let reached = reach.map(|reach| self.reaches.get(&reach).map_or(&[][..], |r| r.as_slice()));
         let count = reached.map_or(self.targets.usable().len(), <[TargetId]>::len);
         let known =
--- a/src/scheduler/slow_start.rs
+++ b/src/scheduler/slow_start.rs
@@ -16,8 +16,9 @@
         let part = volume.and_then(|v| v.parts.get(&self.targets.get(&target)?.shard));
         let pace = part.and_then(|p| p.pace).unwrap_or_else(|| Pace::new(u64::from(h.volume.0)));
         let asked = volume.map_or(0.0, |v| v.lately.sum(now));
-        let here = part.map_or(0.0, |p| p.lately.sum(now)).max(self.settings.usual_units);
-        let sized = plan.nominal.max(plan.reserve) * here / (asked + self.settings.usual_units).max(here);
+        let here = part.map_or(0.0, |p| p.lately.sum(now)).max(self.settings.mean_request_units);
+        let sized =
+            plan.nominal.max(plan.reserve) * here / (asked + self.settings.mean_request_units).max(here);
         Some((pace, sized.min(plan.reserve) / h.initiators))
     }
 
--- a/src/scheduler/targets.rs
+++ b/src/scheduler/targets.rs
@@ -3,7 +3,7 @@
 //! There may be thousands of targets, and a request concerns a few. So nothing that happens for each request or
 //! each timer walks over all of them: the indexes are kept up by what changes.
 
-use crate::interface::{Entry, Micros, RequestId, ShardId, TargetId, TargetState, ZoneId};
+use crate::interface::{EndpointEntry, Micros, RequestId, ShardId, TargetId, TargetState, ZoneId};
 use indexmap::IndexSet;
 use rowanglade_warmup as warmup;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -139,13 +139,13 @@
 
     /// A whole list begins: what it does not name is gone.
     pub fn begin_whole_list(&mut self) {
-        self.all.values_mut().for_each(|target| target.state = TargetState::Gone);
+        self.all.values_mut().for_each(|target| target.state = TargetState::Removed);
         self.usable.clear();
     }
 
     /// The target of this entry is new, or has started again: what was learned of it is void. What is out there
     /// stays.
-    pub fn replace(&mut self, entry: &Entry, since: Micros, warming: warmup::Target) {
+    pub fn replace(&mut self, entry: &EndpointEntry, since: Micros, warming: warmup::Target) {
         self.heard(entry.target, None);
         let old = self.all.remove(&entry.target);
         let (out, out_units, shard) =
@@ -161,13 +161,13 @@
     }
 
     /// What the list says of a target that is known.
-    pub fn update(&mut self, entry: &Entry) {
+    pub fn update(&mut self, entry: &EndpointEntry) {
         let Some(target) = self.all.get_mut(&entry.target) else { return };
         let before = std::mem::replace(&mut target.shard, entry.shard);
         (target.state, target.zone) = (entry.state, entry.zone);
         match entry.state {
-            TargetState::In => self.usable.insert(entry.target),
-            TargetState::Draining | TargetState::Gone => self.usable.swap_remove(&entry.target),
+            TargetState::Active => self.usable.insert(entry.target),
+            TargetState::Draining | TargetState::Removed => self.usable.swap_remove(&entry.target),
         };
         if before != entry.shard {
             self.leave_shard(entry.target, before);
@@ -177,7 +177,7 @@
 
     /// Forgets targets that are gone and at which nothing is out.
     pub fn forget_gone(&mut self) {
-        let gone = self.all.iter().filter(|(_, n)| n.state == TargetState::Gone && n.out.is_empty());
+        let gone = self.all.iter().filter(|(_, n)| n.state == TargetState::Removed && n.out.is_empty());
         for target in gone.map(|(id, _)| *id).collect::<Vec<TargetId>>() {
             self.heard(target, None);
             if let Some(old) = self.all.remove(&target) {
--- a/src/scheduler/timers.rs
+++ b/src/scheduler/timers.rs
@@ -61,7 +61,7 @@
         }
         if let Some(at) = at.filter(|at| self.wake_at.is_none_or(|w| *at < w)) {
             self.wake_at = Some(at);
-            actions.push(Action::Wake { token: at, after: at - now });
+            actions.push(Action::SetTimer { token: at, after: at - now });
         }
     }
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -247,68 +247,68 @@
         let (info, rules) = (&self.family_info, &self.rules);
         let mut classes = Vec::new();
         for (i, g) in self.grades.iter().enumerate() {
-            classes.push(api::Class {
-                aim: g.promise,
+            classes.push(api::RequestClass {
+                latency_objective: g.promise,
                 deadline: g.hard_limit,
-                repeat: match g.idempotency.as_str() {
-                    "repeatable" => api::Repeat::Repeatable,
-                    "once" => api::Repeat::Once,
-                    "by_key" => api::Repeat::Keyed {
-                        group: match g.group.as_deref() {
-                            None | Some("all") => api::Group::All,
-                            Some("zone") => api::Group::Zone,
-                            Some("cell") => api::Group::Shard,
+                idempotency: match g.idempotency.as_str() {
+                    "repeatable" => api::Idempotency::Idempotent,
+                    "once" => api::Idempotency::NonIdempotent,
+                    "by_key" => api::Idempotency::KeyedWithin {
+                        scope: match g.group.as_deref() {
+                            None | Some("all") => api::DeduplicationScope::All,
+                            Some("zone") => api::DeduplicationScope::Zone,
+                            Some("cell") => api::DeduplicationScope::Shard,
                             _ => return Err(word(format!("grades[{i}].group"))),
                         },
-                        span: g.memory_span.unwrap_or(0),
+                        window: g.memory_span.unwrap_or(0),
                     },
                     _ => return Err(word(format!("grades[{i}].idempotency"))),
                 },
-                in_order: g.fifo_by_key,
+                ordered_by_key: g.fifo_by_key,
                 write: self.writes(i),
-                worth: g.worth.unwrap_or(1.0),
-                late_worth: g.late_worth.unwrap_or(0.0),
+                priority_weight: g.worth.unwrap_or(1.0),
+                late_weight: g.late_worth.unwrap_or(0.0),
             });
         }
-        let plan = |p: &Policy| api::Plan {
+        let plan = |p: &Policy| api::QosPlan {
             nominal: p.nominal.unwrap_or(0.0),
             reserve: p.floor_rate.unwrap_or(0.0),
             weight: p.weight.unwrap_or(1.0),
             price: p.value_factor.unwrap_or(1.0),
-            limit: p.never_over.filter(|r| *r != 0.0).map(|rate| api::Limit {
+            limit: p.never_over.filter(|r| *r != 0.0).map(|rate| api::RateLimit {
                 rate,
                 burst: p.burst.unwrap_or(0.0),
-                slack: p.tolerance.unwrap_or(0.0),
+                debt_limit: p.tolerance.unwrap_or(0.0),
             }),
         };
         Ok(api::Settings {
             initiators: self.siblings,
             classes,
             plans: self.policies.iter().map(plan).collect(),
-            rules: api::Rules {
+            rules: api::RuleBounds {
                 drain_grace: rules.drain_grace.unwrap_or(0),
-                cold_from: rules.cold_from.unwrap_or(1.0),
-                warm_within: rules.warm_within.unwrap_or(0),
-                cold_units: info.cold_units.unwrap_or(0.0),
-                fall_window: rules.tip_after.unwrap_or(0),
-                fall_multiple: rules.fall_multiple.unwrap_or(1.0),
-                attempt_budget: rules.resend_ratio.map(|ratio| api::AttemptBudget {
-                    free: rules.extra_free.unwrap_or(0.0),
+                slow_start_capacity: rules.cold_from.unwrap_or(1.0),
+                slow_start_duration: rules.warm_within.unwrap_or(0),
+                slow_start_units: info.cold_units.unwrap_or(0.0),
+                overload_window: rules.tip_after.unwrap_or(0),
+                overload_multiple: rules.fall_multiple.unwrap_or(1.0),
+                retry_budget: rules.resend_ratio.map(|ratio| api::RetryBudget {
+                    minimum: rules.extra_free.unwrap_or(0.0),
                     ratio,
                     window: rules.counted_over.unwrap_or(0),
                 }),
-                key_rest: rules.turn_gap.unwrap_or(0),
-                attempts: self.ceilings.max_attempts,
+                key_quiet_period: rules.turn_gap.unwrap_or(0),
+                max_attempts: self.ceilings.max_attempts,
             },
-            usual_units: info.usual_units.unwrap_or(1.0),
-            share_worth: info.within_share.unwrap_or(1.0),
-            spare_worth: info.idle_worth.unwrap_or(1.0),
+            mean_request_units: info.usual_units.unwrap_or(1.0),
+            weight_within_share: info.within_share.unwrap_or(1.0),
+            weight_beyond_share: info.idle_worth.unwrap_or(1.0),
             meter_period: info.meter_period.unwrap_or(0),
-            tells_elsewhere: info.tells_elsewhere.unwrap_or(false),
+            reports_usage_elsewhere: info.tells_elsewhere.unwrap_or(false),
             may_probe: self.ceilings.probes,
             may_cancel: self.ceilings.cancel,
-            may_copy: self.ceilings.second_copies,
-            longest_advice: if self.ceilings.retry_after { self.ceilings.max_retry_after } else { 0 },
+            may_hedge: self.ceilings.second_copies,
+            max_retry_after: if self.ceilings.retry_after { self.ceilings.max_retry_after } else { 0 },
         })
     }
 }
--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -18,22 +18,22 @@
 const RESERVED: f64 = 0.9;
 const NOTHING: [u64; 0] = [];
 
-fn cold() -> Entry {
-    Entry { started: Some(START), ..entry(0, 0) }
+fn cold() -> EndpointEntry {
+    EndpointEntry { started: Some(START), ..entry(0, 0) }
 }
 
 /// One initiator, and a cold node that bears four units in each window of a second.
 fn lone() -> Bench {
     let mut s = Settings { initiators: 1, ..settings() };
-    s.rules.cold_units = 4.0;
-    s.rules.warm_within = 1_000 * SECOND;
+    s.rules.slow_start_units = 4.0;
+    s.rules.slow_start_duration = 1_000 * SECOND;
     let mut b = Bench::new(s, &[cold()]);
     b.late = true;
     b
 }
 
-fn large(id: u64) -> Request {
-    Request { units: 4.0, ..request(id, EXPORT) }
+fn large(id: u64) -> RequestProfile {
+    RequestProfile { units: 4.0, ..request(id, EXPORT) }
 }
 
 // Its budget was counted from the decision: by the time a slow connection was up it had filled again.
@@ -99,11 +99,11 @@
 #[test]
 fn what_is_on_its_way_at_a_handover_counts_at_the_successor() {
     let mut even = Settings { initiators: 1, ..settings() };
-    even.rules.cold_units = 4.0;
-    even.rules.warm_within = 1_000 * SECOND;
+    even.rules.slow_start_units = 4.0;
+    even.rules.slow_start_duration = 1_000 * SECOND;
     let mut reserve = Settings { initiators: 1, ..even.clone() };
     reserve.plans[0].reserve = 2.0;
-    reserve.rules.cold_units = 0.0;
+    reserve.rules.slow_start_units = 0.0;
     for settings in [even, reserve] {
         let mut next = successor(&settings);
         assert_eq!(sends(&next.take(large(2))), NOTHING);
@@ -152,11 +152,11 @@
         let mut s = Settings { initiators: count, ..settings() };
         s.plans[0].reserve = RESERVE;
         s.plans[0].nominal = RESERVE;
-        s.rules.warm_within = 15 * SECOND;
-        s.rules.fall_window = 3 * SECOND;
-        s.rules.fall_multiple = 2.5;
-        s.rules.cold_from = 0.28;
-        s.rules.cold_units = 0.1 * allowed(&s.rules, capacity, START) * UNITS;
+        s.rules.slow_start_duration = 15 * SECOND;
+        s.rules.overload_window = 3 * SECOND;
+        s.rules.overload_multiple = 2.5;
+        s.rules.slow_start_capacity = 0.28;
+        s.rules.slow_start_units = 0.1 * allowed(&s.rules, capacity, START) * UNITS;
         let (mut senders, mut left, mut volume) = (Vec::new(), RESERVED * capacity, 0);
         while left > 0.0 {
             volume += 1;
@@ -171,7 +171,7 @@
                 });
             }
         }
-        let warm: Vec<Entry> = (1..NODES).map(|n| entry(n, n)).collect();
+        let warm: Vec<EndpointEntry> = (1..NODES).map(|n| entry(n, n)).collect();
         let bench = |g| {
             let mut b = Bench::seeded(s.clone(), &warm, seed * 1_000 + g);
             b.late = true;
@@ -195,7 +195,7 @@
 
     fn sent(&mut self, initiator: usize, actions: &[Action]) {
         for action in actions {
-            let Action::Send { id, target: node, .. } = action else { continue };
+            let Action::StartAttempt { id, target: node, .. } = action else { continue };
             let attempt = self.attempts.entry(id.0).or_default();
             let late =
                 if self.random.random_bool(0.33) { self.random.random_range(0..1_500 * MS) } else { 0 };
@@ -211,7 +211,7 @@
         self.out = out;
         for o in due {
             let b = &mut self.initiators[o.initiator];
-            if !o.arrived && b.scheduler.may_start(now, RequestId(o.id), Attempt(o.attempt)) {
+            if !o.arrived && b.scheduler.may_start(now, RequestId(o.id), AttemptNumber(o.attempt)) {
                 b.scheduler.settle(now, RequestId(o.id), true);
                 if o.node == 0 {
                     self.reached.push(now);
@@ -232,11 +232,11 @@
     /// A process that is killed takes what it had under way along, and knows of nothing when it is back.
     fn restart(&mut self, initiator: usize) {
         let now = self.initiators[initiator].now;
-        let mut entries: Vec<Entry> = (1..NODES).map(|n| entry(n, n)).collect();
+        let mut entries: Vec<EndpointEntry> = (1..NODES).map(|n| entry(n, n)).collect();
         entries.extend((self.hears[initiator] <= now).then(cold));
         let mut b = Bench::unlisted(self.settings.clone(), self.random.random());
         (b.now, b.late) = (now, true);
-        b.list(ListKind::Remembered, &entries);
+        b.list(EndpointUpdateKind::Cached, &entries);
         self.initiators[initiator] = b;
         self.out.retain(|o| o.initiator != initiator);
     }
@@ -247,7 +247,7 @@
             self.sent(initiator, &actions);
             let now = self.initiators[initiator].now;
             if (now - STEP..now).contains(&self.hears[initiator]) {
-                let actions = self.initiators[initiator].list(ListKind::Changes, &[cold()]);
+                let actions = self.initiators[initiator].list(EndpointUpdateKind::Delta, &[cold()]);
                 self.sent(initiator, &actions);
             }
         }
@@ -262,7 +262,7 @@
                 continue; // it knows of nobody there
             }
             self.next += 1;
-            let asked = Request {
+            let asked = RequestProfile {
                 volume: VolumeId(volume),
                 initiators: hosts,
                 shard: Some(ShardId(node)),
@@ -276,10 +276,10 @@
 }
 
 /// N: requests in the window that begins then.
-fn allowed(rules: &Rules, capacity: f64, begin: Micros) -> f64 {
-    let warmed = begin.saturating_sub(START) as f64 / rules.warm_within as f64;
-    let part = rules.cold_from + (1.0 - rules.cold_from) * warmed.min(1.0);
-    rules.fall_multiple * part * capacity * rules.fall_window as f64 / 1e6 / UNITS
+fn allowed(rules: &RuleBounds, capacity: f64, begin: Micros) -> f64 {
+    let warmed = begin.saturating_sub(START) as f64 / rules.slow_start_duration as f64;
+    let part = rules.slow_start_capacity + (1.0 - rules.slow_start_capacity) * warmed.min(1.0);
+    rules.overload_multiple * part * capacity * rules.overload_window as f64 / 1e6 / UNITS
 }
 
 /// The most requests that any window held, as a part of N + 2 x root of N + 2.
@@ -287,7 +287,7 @@
     let rules = &fleet.settings.rules;
     let part = |begin: &Micros| {
         let n = allowed(rules, capacity, *begin);
-        let inside = fleet.reached.iter().filter(|at| (*begin..begin + rules.fall_window).contains(*at));
+        let inside = fleet.reached.iter().filter(|at| (*begin..begin + rules.overload_window).contains(*at));
         inside.count() as f64 / (n + 2.0 * n.sqrt() + 2.0)
     };
     fleet.reached.iter().map(part).fold(0.0, f64::max)
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -5,7 +5,7 @@
     Answer, Beside, Clock, Connect, Core, Handle, Listed, Message, Order, Origin, TargetMessage, Wire,
     mailbox,
 };
-use rowanglade::interface::{ListKind, TargetState};
+use rowanglade::interface::{EndpointUpdateKind, TargetState};
 use rowanglade::names::Names;
 use rowanglade::scheduler::Scheduler;
 use rowanglade::settings::Settings;
@@ -84,10 +84,10 @@
         addr: SocketAddr::from((Ipv4Addr::LOCALHOST, 1)),
         zone: "kingston".into(),
         shard: 0,
-        state: TargetState::In,
+        state: TargetState::Active,
         started: None,
     }];
-    core.tell(Message::list(Wire::Http, ListKind::Remembered, entries)).await;
+    core.tell(Message::list(Wire::Http, EndpointUpdateKind::Cached, entries)).await;
 }
 
 /// Targets whose actors have ended.
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -18,12 +18,13 @@
 const SLACK: f64 = 2.0;
 
 fn limited(born: Option<Micros>) -> Bench {
-    let entries: Vec<Entry> = (0..TARGETS).map(|n| entry(n, n)).collect();
+    let entries: Vec<EndpointEntry> = (0..TARGETS).map(|n| entry(n, n)).collect();
     let mut s = Settings { initiators: 1, ..settings() };
-    (s.classes[CLASS as usize].aim, s.classes[CLASS as usize].deadline) = (5 * SECOND, 5 * SECOND);
+    (s.classes[CLASS as usize].latency_objective, s.classes[CLASS as usize].deadline) =
+        (5 * SECOND, 5 * SECOND);
     let mut bench = Bench::unlisted(s, 1);
     bench.now = born.unwrap_or(bench.now);
-    bench.list(ListKind::Remembered, &entries);
+    bench.list(EndpointUpdateKind::Cached, &entries);
     bench.late = true;
     bench
 }
@@ -32,14 +33,14 @@
 fn filled() -> Bench {
     let mut bench = limited(None);
     assert!(sends(&bench.take(limited_request(0))).is_empty(), "it starts with nothing");
-    bench.event(Event::Withdrawn { id: RequestId(0) });
+    bench.event(Event::ClientGone { id: RequestId(0) });
     bench.pass(4 * SECOND);
     bench
 }
 
-fn limited_request(id: u64) -> Request {
+fn limited_request(id: u64) -> RequestProfile {
     let shard = Some(ShardId((id % u64::from(TARGETS)) as u32));
-    Request { plan: Some(PlanId(1)), initiators: 1, units: 2.0, shard, ..request(id, CLASS) }
+    RequestProfile { plan: Some(PlanId(1)), initiators: 1, units: 2.0, shard, ..request(id, CLASS) }
 }
 
 /// The volume's store as all of the platform's initiators and targets count it.
@@ -88,7 +89,7 @@
     assert_eq!(sent.len(), 11);
     assert!(sends(&bench.take(limited_request(12))).is_empty());
     for id in sent {
-        bench.event(Event::Withdrawn { id: RequestId(id) });
+        bench.event(Event::ClientGone { id: RequestId(id) });
         bench.outcome(id, 0, id as u32 % TARGETS, Outcome::NotSent, 0);
     }
     let again: Vec<u64> = (13..=40).flat_map(|id| sends(&bench.take(limited_request(id)))).collect();
@@ -119,7 +120,7 @@
                 _ if random.random_bool(0.7) => continue,
                 _ => {
                     let Some(id) = out.pop_first() else { continue };
-                    let mut actions = bench.event(Event::Withdrawn { id: RequestId(id) });
+                    let mut actions = bench.event(Event::ClientGone { id: RequestId(id) });
                     actions.extend(bench.outcome(id, 0, id as u32 % TARGETS, Outcome::NotSent, 0));
                     actions
                 }
--- a/tests/many_initiators.rs
+++ b/tests/many_initiators.rs
@@ -10,7 +10,7 @@
 fn a_hundred_gateways_together_keep_a_cold_nodes_budget_and_do_not_starve_it() {
     let s = Settings { initiators: 100, ..settings() };
     let started = 100 * SECOND;
-    let cold = Entry { started: Some(started), ..entry(0, 0) };
+    let cold = EndpointEntry { started: Some(started), ..entry(0, 0) };
     let mut all: Vec<Bench> = (0..100).map(|seed| Bench::seeded(s.clone(), &[cold], seed)).collect();
     let mut sent: Vec<(Micros, f64)> = Vec::new();
     for step in 0..90u64 {
@@ -25,18 +25,19 @@
     }
     let r = &s.rules;
     let most = |end: Micros| {
-        let begin = end.saturating_sub(r.fall_window);
-        let part =
-            r.cold_from + (1.0 - r.cold_from) * begin.saturating_sub(started) as f64 / r.warm_within as f64;
-        r.cold_units * part.clamp(r.cold_from, 1.0) / r.cold_from
+        let begin = end.saturating_sub(r.overload_window);
+        let part = r.slow_start_capacity
+            + (1.0 - r.slow_start_capacity) * begin.saturating_sub(started) as f64
+                / r.slow_start_duration as f64;
+        r.slow_start_units * part.clamp(r.slow_start_capacity, 1.0) / r.slow_start_capacity
     };
     for (end, _) in &sent {
-        let window = sent.iter().filter(|(at, _)| at <= end && at + r.fall_window > *end);
+        let window = sent.iter().filter(|(at, _)| at <= end && at + r.overload_window > *end);
         let units: f64 = window.map(|(_, u)| u).sum();
         assert!(units <= most(*end), "{units} units in the window to {end}, {} borne", most(*end));
     }
     let early: f64 = sent.iter().filter(|(at, _)| *at < started + 4 * SECOND).map(|(_, u)| u).sum();
-    assert!(early >= 0.3 * 4.0 * r.cold_units, "only {early} units in the first four seconds");
+    assert!(early >= 0.3 * 4.0 * r.slow_start_units, "only {early} units in the first four seconds");
 }
 
 // The even part of a hundred initiators is less than a request: most of six in ten nodes that had just been replaced
@@ -62,13 +63,13 @@
 fn reserved_settings() -> Settings {
     let mut s = Settings { initiators: 100, ..settings() };
     s.plans[0].reserve = 2.0; // of 24 volumes that is 48 units a second
-    s.rules.cold_units = 8.0; // a node that can do 60 a second bears 45 in its first window
+    s.rules.slow_start_units = 8.0; // a node that can do 60 a second bears 45 in its first window
     s
 }
 
 /// When units are sent to a node that has just started, by initiators that ask for all that is reserved.
 fn sent_to_a_cold_node(class: u32, draw: u64) -> Vec<(Micros, f64)> {
-    let cold = Entry { started: Some(STARTED), ..entry(0, 0) };
+    let cold = EndpointEntry { started: Some(STARTED), ..entry(0, 0) };
     let s = reserved_settings();
     let seeds = (0..48).map(|initiator| draw * 1_000 + initiator);
     let mut all: Vec<Bench> = seeds.map(|seed| Bench::seeded(s.clone(), &[cold], seed)).collect();
@@ -78,7 +79,7 @@
             let mut actions = b.pass(100 * MS);
             if (step + g as u64).is_multiple_of(5) {
                 let volume = VolumeId(g as u32 / 2);
-                actions.extend(b.take(Request { volume, initiators: 2, ..request(step, class) }));
+                actions.extend(b.take(RequestProfile { volume, initiators: 2, ..request(step, class) }));
             }
             for id in sends(&actions) {
                 sent.push((b.now, UNITS));
@@ -92,13 +93,17 @@
 /// What the node bears in a window that ends then.
 fn borne(end: Micros) -> f64 {
     let r = reserved_settings().rules;
-    let begin = end.saturating_sub(r.fall_window).max(STARTED);
-    let warmed = (begin - STARTED) as f64 / r.warm_within as f64;
-    r.fall_multiple * (r.cold_from + (1.0 - r.cold_from) * warmed) * CAPACITY * r.fall_window as f64 / 1e6
+    let begin = end.saturating_sub(r.overload_window).max(STARTED);
+    let warmed = (begin - STARTED) as f64 / r.slow_start_duration as f64;
+    r.overload_multiple
+        * (r.slow_start_capacity + (1.0 - r.slow_start_capacity) * warmed)
+        * CAPACITY
+        * r.overload_window as f64
+        / 1e6
 }
 
 fn in_window(sent: &[(Micros, f64)], end: Micros) -> f64 {
-    let window = reserved_settings().rules.fall_window;
+    let window = reserved_settings().rules.overload_window;
     sent.iter().filter(|(at, _)| *at <= end && at + window > end).map(|(_, u)| u).sum()
 }
 
@@ -160,7 +165,7 @@
 #[test]
 fn a_jam_that_serves_nothing_is_not_forgotten() {
     let mut s = settings();
-    s.rules.attempts = 1;
+    s.rules.max_attempts = 1;
     let refused_on_arrival = |outcome: Outcome| {
         let mut b = Bench::new(s.clone(), &[entry(0, 0)]);
         b.take(request(1_000, READ));
@@ -176,7 +181,7 @@
         }
         refused
     };
-    for outcome in [Outcome::Full, Outcome::TimedOut] {
+    for outcome in [Outcome::QueueFull, Outcome::TimedOut] {
         assert!(refused_on_arrival(outcome) > 8, "{outcome:?}: {}", refused_on_arrival(outcome));
     }
     assert_eq!(refused_on_arrival(Outcome::Error), 0, "an error tells nothing of the queue");
@@ -187,8 +192,9 @@
     for may_cancel in [true, false] {
         let mut b = Bench::new(Settings { may_cancel, ..settings() }, &[entry(0, 0)]);
         assert_eq!(sends(&b.take(request(1, READ))), [1]);
-        let actions = b.event(Event::Withdrawn { id: RequestId(1) });
-        let called_off = actions.contains(&Action::Cancel { id: RequestId(1), attempt: Attempt(0) });
+        let actions = b.event(Event::ClientGone { id: RequestId(1) });
+        let called_off =
+            actions.contains(&Action::CancelAttempt { id: RequestId(1), attempt: AttemptNumber(0) });
         assert_eq!(called_off, may_cancel);
     }
 }
@@ -196,12 +202,12 @@
 #[test]
 fn the_mean_of_all_nodes_follows_few_answers_after_a_surge() {
     let mut s = settings();
-    s.classes[KEYED as usize].aim = SECOND; // so that it is let in while the node is late for reads
+    s.classes[KEYED as usize].latency_objective = SECOND; // so that it is let in while the node is late for reads
     let mut b = Bench::new(s, &[entry(0, 0), entry(1, 1)]);
     let mut id = 0;
     let mut answer = |b: &mut Bench, took: Micros, pause: Micros| {
         id += 1;
-        assert_eq!(sends(&b.take(Request { shard: Some(ShardId(1)), ..request(id, KEYED) })), [id]);
+        assert_eq!(sends(&b.take(RequestProfile { shard: Some(ShardId(1)), ..request(id, KEYED) })), [id]);
         b.outcome(id, 0, 1, Outcome::Served, took);
         b.pass(pause);
     };
--- a/tests/many_targets.rs
+++ b/tests/many_targets.rs
@@ -8,7 +8,7 @@
 use support::*;
 
 /// So many targets, each with a shard of its own.
-fn targets(count: u32) -> Vec<Entry> {
+fn targets(count: u32) -> Vec<EndpointEntry> {
     (0..count).map(|i| entry(i, i)).collect()
 }
 
@@ -18,7 +18,7 @@
     let mut bench = Bench::new(settings(), &entries);
     let heard = |bench: &mut Bench| {
         let begun = Instant::now();
-        bench.list(ListKind::Full, &entries);
+        bench.list(EndpointUpdateKind::Snapshot, &entries);
         begun.elapsed()
     };
     (0..5).map(|_| heard(&mut bench)).min().expect("some")
@@ -37,8 +37,10 @@
 #[test]
 fn a_target_that_a_whole_list_leaves_out_is_gone_and_the_rest_stays() {
     let mut bench = Bench::new(settings(), &targets(1_024));
-    bench.list(ListKind::Full, &targets(1_023));
-    assert_eq!(sends(&bench.take(Request { shard: Some(ShardId(1_022)), ..request(1, READ) })), [1]);
-    assert!(sends(&bench.take(Request { shard: Some(ShardId(1_023)), ..request(2, READ) })).is_empty());
-    assert_eq!(sends(&bench.list(ListKind::Full, &targets(1_024))), [2], "it is back");
+    bench.list(EndpointUpdateKind::Snapshot, &targets(1_023));
+    assert_eq!(sends(&bench.take(RequestProfile { shard: Some(ShardId(1_022)), ..request(1, READ) })), [1]);
+    assert!(
+        sends(&bench.take(RequestProfile { shard: Some(ShardId(1_023)), ..request(2, READ) })).is_empty()
+    );
+    assert_eq!(sends(&bench.list(EndpointUpdateKind::Snapshot, &targets(1_024))), [2], "it is back");
 }
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -77,9 +77,9 @@
 #[test]
 fn a_request_that_would_push_an_accepted_one_past_its_aim_is_refused() {
     let mut b = heard(25 * MS); // 80 units a second, 25 ms latency
-    let large = |id, class| Request { units: 4.0, ..request(id, class) };
+    let large = |id, class| RequestProfile { units: 4.0, ..request(id, class) };
     assert_eq!(sends(&b.take(large(1, KEYED))), [1]);
-    let held = b.take(Request { units: 9.0, ..request(2, KEYED) });
+    let held = b.take(RequestProfile { units: 9.0, ..request(2, KEYED) });
     assert!(held.is_empty(), "(4 + 9) / 80 s + 25 ms: just in time, and held at the bound");
     let pushed = b.take(request(3, READ));
     assert_eq!(answers(&pushed), [(3, true)], "in time itself, but 2 would be late");
@@ -101,17 +101,17 @@
 fn a_new_object_goes_where_it_completes_first() {
     let mut b = Bench::new(settings(), &[entry(0, 0), entry(1, 1)]);
     for (id, shard, took) in [(1, 0, 60 * MS), (2, 1, 10 * MS)] {
-        b.take(Request { shard: Some(ShardId(shard)), ..request(id, READ) });
+        b.take(RequestProfile { shard: Some(ShardId(shard)), ..request(id, READ) });
         b.outcome(id, 0, shard, Outcome::Served, took);
     }
-    let sent = b.take(Request { shard: None, ..request(3, ONCE) });
-    assert_eq!(sent, [Action::Send { id: RequestId(3), target: TargetId(1), timeout: None }]);
+    let sent = b.take(RequestProfile { shard: None, ..request(3, ONCE) });
+    assert_eq!(sent, [Action::StartAttempt { id: RequestId(3), target: TargetId(1), timeout: None }]);
 }
 
 #[test]
 fn what_missed_its_aim_does_not_go_before_timely_work() {
     let mut s = settings();
-    s.classes[ONCE as usize].aim = 1_900 * MS;
+    s.classes[ONCE as usize].latency_objective = 1_900 * MS;
     s.classes[ONCE as usize].deadline = 3 * SECOND;
     let mut b = Bench::new(s, &[entry(0, 0)]);
     b.take(request(1_000, READ));
@@ -147,7 +147,7 @@
         }
         let small = id % 10 == 0;
         let volume = VolumeId(if small { 2 } else { 1 });
-        let actions = b.take(Request { volume, ..request(id, READ) });
+        let actions = b.take(RequestProfile { volume, ..request(id, READ) });
         let tally = if small { &mut modest } else { &mut greedy };
         tally.0 += 1;
         tally.1 += answers(&actions).len();
@@ -183,11 +183,11 @@
     let mut b = Bench::new(settings(), &[entry(0, 0)]);
     assert!(b.served(77, MS).is_empty());
     assert!(b.outcome(77, 9, 9, Outcome::Error, 0).is_empty());
-    assert!(b.event(Event::Wake { token: 1 }).is_empty());
-    assert!(b.event(Event::Withdrawn { id: RequestId(5) }).is_empty());
-    assert_eq!(answers(&b.take(Request { class: None, ..request(1, READ) })), [(1, false)]);
-    assert_eq!(sends(&b.take(Request { units: f64::NAN, ..request(2, READ) })), [2]);
-    assert_eq!(sends(&b.take(Request { units: 0.0, plan: None, key: None, ..request(3, READ) })), [3]);
+    assert!(b.event(Event::TimerFired { token: 1 }).is_empty());
+    assert!(b.event(Event::ClientGone { id: RequestId(5) }).is_empty());
+    assert_eq!(answers(&b.take(RequestProfile { class: None, ..request(1, READ) })), [(1, false)]);
+    assert_eq!(sends(&b.take(RequestProfile { units: f64::NAN, ..request(2, READ) })), [2]);
+    assert_eq!(sends(&b.take(RequestProfile { units: 0.0, plan: None, key: None, ..request(3, READ) })), [3]);
     for id in 10..20 {
         b.take(request(id, READ));
         b.served(id, 0); // the clock stands still
@@ -235,7 +235,7 @@
 fn one_costly_answer_of_a_node_seldom_heard_does_not_shut_it() {
     let mut b = Bench::new(settings(), &[entry(0, 0), entry(1, 1)]);
     for id in 1..60 {
-        b.take(Request { shard: Some(ShardId(1)), ..request(id, READ) });
+        b.take(RequestProfile { shard: Some(ShardId(1)), ..request(id, READ) });
         b.pass(50 * MS);
         b.outcome(id, 0, 1, Outcome::Served, 10 * MS);
     }
@@ -246,7 +246,7 @@
 
 fn calls_off(actions: &[Action]) -> Vec<u64> {
     let called_off = |a: &Action| match a {
-        Action::Cancel { id, .. } => Some(id.0),
+        Action::CancelAttempt { id, .. } => Some(id.0),
         _ => None,
     };
     actions.iter().filter_map(called_off).collect()
@@ -308,9 +308,9 @@
 #[test]
 fn what_the_limit_keeps_beyond_its_aim_is_given_up_at_once_with_advice() {
     let mut s = settings();
-    s.longest_advice = 500 * MS;
+    s.max_retry_after = 500 * MS;
     let mut b = Bench::new(s, &[entry(0, 0)]);
-    let limited = |id| Request { plan: Some(PlanId(1)), units: 4.0, ..request(id, READ) };
+    let limited = |id| RequestProfile { plan: Some(PlanId(1)), units: 4.0, ..request(id, READ) };
     b.pass(5 * SECOND);
     let mut actions = Vec::new();
     for id in 0..12 {
@@ -319,7 +319,7 @@
     }
     let refused = |actions: &[Action]| -> Vec<(u64, Micros)> {
         let refusal = |a: &Action| match a {
-            Action::Refuse { id, wait } => Some((id.0, *wait)),
+            Action::Reject { id, retry_after } => Some((id.0, *retry_after)),
             _ => None,
         };
         actions.iter().filter_map(refusal).collect()
@@ -340,27 +340,27 @@
     let mut bench = Bench::new(settings(), &[entry(0, 0), fresh, entry(2, 1)]);
     let node = |actions: &[Action]| {
         let to = |a: &Action| match a {
-            Action::Send { target: node, .. } => Some(node.0),
+            Action::StartAttempt { target: node, .. } => Some(node.0),
             _ => None,
         };
         actions.iter().find_map(to)
     };
     assert_eq!(node(&bench.take(request(1, READ))), Some(1), "the one that started last");
-    let reach = |id, nodes: &[u32]| Event::Reach {
-        reach: ReachId(id),
+    let reach = |id, nodes: &[u32]| Event::TargetSetChanged {
+        set: TargetSetId(id),
         targets: Some(nodes.iter().map(|n| TargetId(*n)).collect()),
     };
     bench.event(reach(7, &[0, 2]));
-    let kept = |id, reach| Request { reach: Some(ReachId(reach)), ..request(id, READ) };
+    let kept = |id, reach| RequestProfile { target_set: Some(TargetSetId(reach)), ..request(id, READ) };
     assert_eq!(node(&bench.take(kept(2, 7))), Some(0));
-    let anywhere = Request { shard: None, ..kept(3, 7) };
+    let anywhere = RequestProfile { shard: None, ..kept(3, 7) };
     assert!(matches!(node(&bench.take(anywhere)), Some(0 | 2)));
     bench.event(reach(8, &[2]));
     assert_eq!(answers(&bench.take(kept(4, 8))), [(4, true)], "data on one node never goes elsewhere");
     assert_eq!(answers(&bench.take(kept(5, 9))), [(5, true)], "a reach that was never told holds nobody");
     // What waits follows its reach: a node taken out of it gets nothing more of it.
     bench.event(reach(7, &[]));
-    assert_eq!(sends(&bench.outcome(2, 0, 0, Outcome::Full, MS)), Vec::<u64>::new());
+    assert_eq!(sends(&bench.outcome(2, 0, 0, Outcome::QueueFull, MS)), Vec::<u64>::new());
     assert_eq!(sends(&bench.pass(SECOND)).iter().filter(|id| **id == 2).count(), 0);
 }
 
@@ -368,28 +368,31 @@
 #[test]
 fn units_move_between_stores_and_are_not_made() {
     let volume = VolumeId(1);
-    let limited = |id| Request { plan: Some(PlanId(1)), initiators: 2, ..request(id, READ) };
+    let limited = |id| RequestProfile { plan: Some(PlanId(1)), initiators: 2, ..request(id, READ) };
     let spared = |actions: &[Action]| {
-        actions.iter().find_map(|a| if let Action::Spared { units, .. } = a { Some(*units) } else { None })
+        actions
+            .iter()
+            .find_map(|a| if let Action::QuotaOffered { units, .. } = a { Some(*units) } else { None })
     };
     let mut bench = Bench::new(settings(), &[entry(0, 0)]);
     assert_eq!(
-        spared(&bench.event(Event::Spare { volume, most: 5.0 })),
+        spared(&bench.event(Event::OfferQuota { volume, max_units: 5.0 })),
         Some(0.0),
         "none of its requests came"
     );
-    let lacks = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::Lacks { initiators: 2, .. }));
+    let lacks =
+        |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::QuotaNeeded { initiators: 2, .. }));
     assert!(lacks(&bench.take(limited(1))), "it starts with an empty store");
     bench.served(1, MS);
     // Its half of the store, 10 units, is full by now; a quarter of it, and what is asked here, is kept.
     bench.pass(30 * SECOND);
-    let first = spared(&bench.event(Event::Spare { volume, most: 5.0 })).expect("an answer");
+    let first = spared(&bench.event(Event::OfferQuota { volume, max_units: 5.0 })).expect("an answer");
     assert!((first - 5.0).abs() < 1e-9, "{first}");
-    let second = spared(&bench.event(Event::Spare { volume, most: 50.0 })).expect("an answer");
+    let second = spared(&bench.event(Event::OfferQuota { volume, max_units: 50.0 })).expect("an answer");
     assert!((second - 2.5).abs() < 0.1, "{second}");
-    assert_eq!(spared(&bench.event(Event::Spare { volume, most: 50.0 })), Some(0.0));
-    bench.event(Event::Units { volume, units: 500.0 });
-    let back = spared(&bench.event(Event::Spare { volume, most: 50.0 })).expect("an answer");
+    assert_eq!(spared(&bench.event(Event::OfferQuota { volume, max_units: 50.0 })), Some(0.0));
+    bench.event(Event::QuotaReceived { volume, units: 500.0 });
+    let back = spared(&bench.event(Event::OfferQuota { volume, max_units: 50.0 })).expect("an answer");
     assert!((back - 7.5).abs() < 0.1, "no more than the store holds: {back}");
 }
 
@@ -402,7 +405,7 @@
         b.pass(unheard);
         assert_eq!(sends(&b.take(request(1, KEYED))), [1]);
         let actions = b.pass(400 * MS);
-        actions.contains(&Action::Cancel { id: RequestId(1), attempt: Attempt(0) })
+        actions.contains(&Action::CancelAttempt { id: RequestId(1), attempt: AttemptNumber(0) })
     };
     assert!(cancelled(0), "a silent connection must not hold it to the end");
     assert!(!cancelled(4 * SECOND), "it may just be slow");
@@ -413,10 +416,10 @@
 fn a_new_object_goes_to_a_node_heard_before_unless_that_is_late() {
     let placed = |took: Micros, seed: u64| {
         let mut b = Bench::seeded(settings(), &[entry(0, 0), entry(1, 1)], seed);
-        b.take(Request { shard: Some(ShardId(1)), ..request(1, READ) });
+        b.take(RequestProfile { shard: Some(ShardId(1)), ..request(1, READ) });
         b.outcome(1, 0, 1, Outcome::Served, took);
-        let sent = b.take(Request { shard: None, ..request(2, ONCE) });
-        sent.iter().any(|a| matches!(a, Action::Send { target: TargetId(1), .. }))
+        let sent = b.take(RequestProfile { shard: None, ..request(2, ONCE) });
+        sent.iter().any(|a| matches!(a, Action::StartAttempt { target: TargetId(1), .. }))
     };
     assert!((0..20).all(|seed| placed(20 * MS, seed)), "40 ms of an aim of 200");
     assert!((0..20).any(|seed| !placed(90 * MS, seed)), "180 ms: a new connection is worth it");
@@ -426,12 +429,12 @@
 // started together all began with one node, and stayed there: what was heard before is preferred.
 #[test]
 fn the_first_new_objects_of_many_gateways_go_to_all_nodes() {
-    let nodes: Vec<Entry> = (0..6).map(|i| entry(i, i)).collect();
+    let nodes: Vec<EndpointEntry> = (0..6).map(|i| entry(i, i)).collect();
     let mut counts = [0; 6];
     for seed in 0..120 {
         let mut b = Bench::seeded(settings(), &nodes, seed);
-        for action in b.take(Request { shard: None, ..request(1, ONCE) }) {
-            if let Action::Send { target: node, .. } = action {
+        for action in b.take(RequestProfile { shard: None, ..request(1, ONCE) }) {
+            if let Action::StartAttempt { target: node, .. } = action {
                 counts[node.0 as usize] += 1;
             }
         }
@@ -444,14 +447,14 @@
 fn a_new_object_goes_to_a_preferred_node_unless_that_is_late_or_rests() {
     let placed = |took: Micros, outcome: Outcome| {
         let mut b = Bench::new(settings(), &[entry(0, 0), entry(1, 1), entry(2, 2)]);
-        b.event(Event::Near(vec![TargetId(2)]));
+        b.event(Event::PreferredTargets(vec![TargetId(2)]));
         for (id, node, took) in [(1, 0, 32 * MS), (2, 2, took)] {
-            b.take(Request { shard: Some(ShardId(node)), ..request(id, READ) });
+            b.take(RequestProfile { shard: Some(ShardId(node)), ..request(id, READ) });
             b.outcome(id, 0, node, if node == 2 { outcome } else { Outcome::Served }, took);
         }
-        let sent = b.take(Request { shard: None, ..request(3, ONCE) });
+        let sent = b.take(RequestProfile { shard: None, ..request(3, ONCE) });
         sent.iter().find_map(|a| match a {
-            Action::Send { target: node, .. } => Some(node.0),
+            Action::StartAttempt { target: node, .. } => Some(node.0),
             _ => None,
         })
     };
@@ -467,7 +470,11 @@
         let mut b = heard(2 * MS);
         assert_eq!(sends(&b.take(request(1, READ))), [1]);
         if told {
-            b.event(Event::Started { id: RequestId(1), attempt: Attempt(0), timed: true });
+            b.event(Event::TransferStarted {
+                id: RequestId(1),
+                attempt: AttemptNumber(0),
+                deadline_applies: true,
+            });
         }
         b
     };
@@ -490,7 +497,7 @@
         limit.rate = 40.0;
     }
     let mut b = Bench::new(s, &[entry(0, 0), entry(1, 1)]);
-    let limited = |id: u64, shard: u32| Request {
+    let limited = |id: u64, shard: u32| RequestProfile {
         plan: Some(PlanId(1)),
         shard: Some(ShardId(shard)),
         ..request(id, READ)
--- a/tests/safety_rules.rs
+++ b/tests/safety_rules.rs
@@ -27,8 +27,8 @@
 fn a_withdrawn_request_gets_nothing_more() {
     let mut b = Bench::new(settings(), &[]);
     b.take(request(1, READ));
-    b.event(Event::Withdrawn { id: RequestId(1) });
-    assert!(b.list(ListKind::Changes, &[entry(0, 0)]).is_empty());
+    b.event(Event::ClientGone { id: RequestId(1) });
+    assert!(b.list(EndpointUpdateKind::Delta, &[entry(0, 0)]).is_empty());
     assert!(b.pass(3 * SECOND).is_empty());
 }
 
@@ -60,7 +60,8 @@
 #[test]
 fn a_keyed_request_is_not_sent_again_outside_its_span_or_group() {
     let mut s = settings();
-    s.classes[KEYED as usize].repeat = Repeat::Keyed { group: Group::Shard, span: 50 * MS };
+    s.classes[KEYED as usize].idempotency =
+        Idempotency::KeyedWithin { scope: DeduplicationScope::Shard, window: 50 * MS };
     let mut b = Bench::new(s.clone(), &[entry(0, 0)]);
     b.take(request(1, KEYED));
     b.pass(60 * MS);
@@ -72,11 +73,11 @@
     let mut new_object = request(2, KEYED);
     new_object.shard = None;
     let first = b.take(new_object);
-    let Some(Action::Send { target: node, .. }) = first.first() else { panic!("not sent") };
+    let Some(Action::StartAttempt { target: node, .. }) = first.first() else { panic!("not sent") };
     let (node, other) = (node.0, 1 - node.0);
     let mut gone = entry(node, node);
-    gone.state = TargetState::Gone;
-    b.list(ListKind::Changes, &[gone]);
+    gone.state = TargetState::Removed;
+    b.list(EndpointUpdateKind::Delta, &[gone]);
     let mut actions = b.outcome(2, 0, node, Outcome::Broken, MS);
     actions.extend(b.pass(SECOND));
     assert!(sends(&actions).is_empty(), "node {other} is outside the group");
@@ -88,8 +89,8 @@
     let mut b = Bench::new(settings(), &[entry(0, 0), entry(1, 1)]);
     let mut lame = entry(0, 0);
     lame.state = TargetState::Draining;
-    b.list(ListKind::Changes, &[lame]);
-    b.list(ListKind::Full, &[lame]);
+    b.list(EndpointUpdateKind::Delta, &[lame]);
+    b.list(EndpointUpdateKind::Snapshot, &[lame]);
     let mut actions = b.take(request(1, READ));
     let mut other = request(2, READ);
     other.shard = Some(ShardId(1));
@@ -103,18 +104,18 @@
 fn a_successor_takes_what_waits_for_its_shard() {
     let mut b = Bench::new(settings(), &[]);
     b.take(request(1, READ));
-    assert_eq!(sends(&b.list(ListKind::Changes, &[entry(7, 0)])), [1]);
+    assert_eq!(sends(&b.list(EndpointUpdateKind::Delta, &[entry(7, 0)])), [1]);
 }
 
-fn cold(node: u32, started: Micros) -> Entry {
-    Entry { started: Some(started), ..entry(node, 0) }
+fn cold(node: u32, started: Micros) -> EndpointEntry {
+    EndpointEntry { started: Some(started), ..entry(node, 0) }
 }
 
 #[test]
 fn a_cold_node_gets_no_more_than_this_gateways_part_in_any_window() {
     let mut b = Bench::new(settings(), &[]);
     b.pass(5 * SECOND);
-    b.list(ListKind::Changes, &[cold(0, b.now)]);
+    b.list(EndpointUpdateKind::Delta, &[cold(0, b.now)]);
     // 16 units a second are borne from two initiators: 8 from this one, or four requests of 2 units.
     let mut sent = Vec::new();
     for id in 0..12 {
@@ -133,7 +134,7 @@
         b.pass(5 * SECOND);
         let started = b.now;
         b.pass(waited);
-        b.list(ListKind::Changes, &[cold(0, started)]);
+        b.list(EndpointUpdateKind::Delta, &[cold(0, started)]);
         let mut sent = 0;
         for id in 0..40 {
             if sends(&b.take(request(id, EXPORT))).contains(&id) {
@@ -151,7 +152,7 @@
 #[test]
 fn a_restarted_gateway_holds_back_from_a_cold_node_for_a_window() {
     let mut b = Bench::new(settings(), &[cold(0, 99 * SECOND)]);
-    let patient = Request { deadline: b.now + 20 * SECOND, ..request(1, EXPORT) };
+    let patient = RequestProfile { deadline: b.now + 20 * SECOND, ..request(1, EXPORT) };
     assert!(sends(&b.take(patient)).is_empty());
     assert_eq!(sends(&b.pass(1_100 * MS)), [1]);
 }
@@ -159,12 +160,12 @@
 #[test]
 fn requests_of_one_key_run_one_at_a_time_and_the_key_rests() {
     let mut b = Bench::new(settings(), &[entry(0, 0)]);
-    let same = |id| Request { key: Some(KeyId(9)), ..request(id, ORDERED) };
+    let same = |id| RequestProfile { key: Some(KeyId(9)), ..request(id, ORDERED) };
     assert_eq!(sends(&b.take(same(1))), [1]);
     assert!(sends(&b.take(same(2))).is_empty());
     assert_eq!(sends(&b.served(1, MS)), [2]);
     assert!(sends(&b.take(same(3))).is_empty());
-    b.event(Event::Withdrawn { id: RequestId(2) });
+    b.event(Event::ClientGone { id: RequestId(2) });
     assert!(sends(&b.pass(50 * MS)).is_empty(), "its attempt has no outcome");
     b.outcome(2, 0, 0, Outcome::Broken, MS);
     assert!(sends(&b.pass(290 * MS)).is_empty(), "the key rests");
@@ -174,8 +175,8 @@
 #[test]
 fn further_attempts_stay_within_their_budget() {
     let mut s = settings();
-    s.rules.attempt_budget = Some(AttemptBudget { free: 1.0, ratio: 0.1, window: 5 * SECOND });
-    s.rules.attempts = 10;
+    s.rules.retry_budget = Some(RetryBudget { minimum: 1.0, ratio: 0.1, window: 5 * SECOND });
+    s.rules.max_attempts = 10;
     let mut b = Bench::new(s, &[entry(0, 0)]);
     let mut sent = sends(&b.take(request(1, READ))).len();
     for attempt in 0..4 {
@@ -190,7 +191,7 @@
 fn a_volumes_limit_holds_from_the_first_second() {
     let mut b = Bench::new(settings(), &[entry(0, 0)]);
     let deadline = b.now + 20 * SECOND;
-    let limited = |id| Request { plan: Some(PlanId(1)), deadline, ..request(id, EXPORT) };
+    let limited = |id| RequestProfile { plan: Some(PlanId(1)), deadline, ..request(id, EXPORT) };
     let mut sent = 0;
     for id in 0..20 {
         sent += sends(&b.take(limited(id))).len();
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -12,64 +12,72 @@
 pub const ONCE: u32 = 3;
 pub const ORDERED: u32 = 4;
 
-fn class(aim: Micros, deadline: Micros, repeat: Repeat, write: bool) -> Class {
-    Class { aim, deadline, repeat, in_order: false, write, worth: 1.0, late_worth: 0.1 }
+fn class(aim: Micros, deadline: Micros, repeat: Idempotency, write: bool) -> RequestClass {
+    RequestClass {
+        latency_objective: aim,
+        deadline,
+        idempotency: repeat,
+        ordered_by_key: false,
+        write,
+        priority_weight: 1.0,
+        late_weight: 0.1,
+    }
 }
 
 pub fn settings() -> Settings {
-    let keyed = Repeat::Keyed { group: Group::Shard, span: 2 * SECOND };
-    let mut ordered = class(100 * MS, SECOND, Repeat::Repeatable, false);
-    ordered.in_order = true;
+    let keyed = Idempotency::KeyedWithin { scope: DeduplicationScope::Shard, window: 2 * SECOND };
+    let mut ordered = class(100 * MS, SECOND, Idempotency::Idempotent, false);
+    ordered.ordered_by_key = true;
     Settings {
         initiators: 2,
         classes: vec![
-            class(100 * MS, SECOND, Repeat::Repeatable, false),
+            class(100 * MS, SECOND, Idempotency::Idempotent, false),
             class(200 * MS, SECOND, keyed, true),
-            class(600 * MS, 2 * SECOND, Repeat::Repeatable, false),
-            class(200 * MS, SECOND, Repeat::Once, true),
+            class(600 * MS, 2 * SECOND, Idempotency::Idempotent, false),
+            class(200 * MS, SECOND, Idempotency::NonIdempotent, true),
             ordered,
         ],
         plans: vec![
-            Plan { nominal: 10.0, reserve: 0.0, weight: 1.0, price: 1.0, limit: None },
-            Plan {
+            QosPlan { nominal: 10.0, reserve: 0.0, weight: 1.0, price: 1.0, limit: None },
+            QosPlan {
                 nominal: 10.0,
                 reserve: 0.0,
                 weight: 1.0,
                 price: 1.0,
-                limit: Some(Limit { rate: 10.0, burst: 20.0, slack: 2.0 }),
+                limit: Some(RateLimit { rate: 10.0, burst: 20.0, debt_limit: 2.0 }),
             },
         ],
-        rules: Rules {
+        rules: RuleBounds {
             drain_grace: SECOND,
-            cold_from: 0.25,
-            warm_within: 10 * SECOND,
-            cold_units: 16.0,
-            fall_window: SECOND,
-            fall_multiple: 3.0,
-            attempt_budget: None,
-            key_rest: 300 * MS,
-            attempts: 3,
+            slow_start_capacity: 0.25,
+            slow_start_duration: 10 * SECOND,
+            slow_start_units: 16.0,
+            overload_window: SECOND,
+            overload_multiple: 3.0,
+            retry_budget: None,
+            key_quiet_period: 300 * MS,
+            max_attempts: 3,
         },
-        usual_units: 2.0,
-        share_worth: 0.4,
-        spare_worth: 0.1,
+        mean_request_units: 2.0,
+        weight_within_share: 0.4,
+        weight_beyond_share: 0.1,
         may_cancel: true,
         ..Settings::default()
     }
 }
 
-pub fn entry(node: u32, shard: u32) -> Entry {
-    Entry {
+pub fn entry(node: u32, shard: u32) -> EndpointEntry {
+    EndpointEntry {
         target: TargetId(node),
         shard: ShardId(shard),
         zone: ZoneId(0),
-        state: TargetState::In,
+        state: TargetState::Active,
         started: None,
     }
 }
 
-pub fn request(id: u64, class: u32) -> Request {
-    Request {
+pub fn request(id: u64, class: u32) -> RequestProfile {
+    RequestProfile {
         id: RequestId(id),
         class: Some(ClassId(class)),
         plan: Some(PlanId(0)),
@@ -79,7 +87,7 @@
         shard: Some(ShardId(0)),
         initiators: 1,
         deadline: 0,
-        reach: None,
+        target_set: None,
     }
 }
 
@@ -95,13 +103,13 @@
 
 impl Bench {
     /// With one node for each entry, as the list's first news.
-    pub fn new(settings: Settings, entries: &[Entry]) -> Bench {
+    pub fn new(settings: Settings, entries: &[EndpointEntry]) -> Bench {
         Bench::seeded(settings, entries, 1)
     }
 
-    pub fn seeded(settings: Settings, entries: &[Entry], seed: u64) -> Bench {
+    pub fn seeded(settings: Settings, entries: &[EndpointEntry], seed: u64) -> Bench {
         let mut bench = Bench::unlisted(settings, seed);
-        bench.list(ListKind::Remembered, entries);
+        bench.list(EndpointUpdateKind::Cached, entries);
         bench
     }
 
@@ -116,26 +124,26 @@
         self.scheduler.handle(self.now, event, &mut actions);
         for action in &actions {
             match action {
-                Action::Wake { token, after } => self.timers.push((self.now + after, *token)),
-                Action::Send { id, .. } if !self.late => self.scheduler.settle(self.now, *id, true),
+                Action::SetTimer { token, after } => self.timers.push((self.now + after, *token)),
+                Action::StartAttempt { id, .. } if !self.late => self.scheduler.settle(self.now, *id, true),
                 _ => {}
             }
         }
-        actions.retain(|a| !matches!(a, Action::Wake { .. }));
+        actions.retain(|a| !matches!(a, Action::SetTimer { .. }));
         actions
     }
 
-    pub fn list(&mut self, kind: ListKind, entries: &[Entry]) -> Vec<Action> {
-        self.event(Event::List { kind, entries: entries.to_vec() })
+    pub fn list(&mut self, kind: EndpointUpdateKind, entries: &[EndpointEntry]) -> Vec<Action> {
+        self.event(Event::EndpointsChanged { kind, entries: entries.to_vec() })
     }
 
     /// Takes a request; without a deadline of its own it gets its class's.
-    pub fn take(&mut self, mut request: Request) -> Vec<Action> {
+    pub fn take(&mut self, mut request: RequestProfile) -> Vec<Action> {
         if request.deadline == 0 {
             let class = request.class.map_or(0, |c| c.0 as usize);
             request.deadline = self.now + self.settings.classes[class].deadline;
         }
-        self.event(Event::Request(request))
+        self.event(Event::RequestArrived(request))
     }
 
     pub fn outcome(
@@ -146,16 +154,16 @@
         outcome: Outcome,
         took: Micros,
     ) -> Vec<Action> {
-        self.event(Event::Outcome {
+        self.event(Event::AttemptEnded {
             id: RequestId(id),
-            attempt: Attempt(attempt),
+            attempt: AttemptNumber(attempt),
             target: TargetId(node),
             outcome,
-            took,
-            over: outcome == Outcome::Served,
+            elapsed: took,
+            request_over: outcome == Outcome::Served,
             used: None,
             elsewhere: 0.0,
-            load: Load::default(),
+            load: LoadReport::default(),
         })
     }
 
@@ -171,7 +179,7 @@
             let place = self.timers.iter().position(|t| t.0 == at).expect("just found");
             let (_, token) = self.timers.remove(place);
             self.now = self.now.max(at);
-            actions.extend(self.event(Event::Wake { token }));
+            actions.extend(self.event(Event::TimerFired { token }));
         }
         self.now = until;
         actions
@@ -180,7 +188,7 @@
 
 pub fn sends(actions: &[Action]) -> Vec<u64> {
     let send = |a: &Action| match a {
-        Action::Send { id, .. } => Some(id.0),
+        Action::StartAttempt { id, .. } => Some(id.0),
         _ => None,
     };
     actions.iter().filter_map(send).collect()
@@ -189,7 +197,7 @@
 /// Final answers: (request, whether it is a refusal).
 pub fn answers(actions: &[Action]) -> Vec<(u64, bool)> {
     let answer = |a: &Action| match a {
-        Action::Refuse { id, .. } => Some((id.0, true)),
+        Action::Reject { id, .. } => Some((id.0, true)),
         Action::Fail { id } => Some((id.0, false)),
         _ => None,
     };
