--- /dev/null
+++ b/tests/compatibility/handover.rs
@@ -0,0 +1,93 @@
+//! The messages between a process and its successor. Guards against a build that no longer understands the one it
+//! replaces: a lost field name would silently start the successor with an empty list, limit or pace.
+
+use rowanglade::core::Call;
+use rowanglade::upgrade::{Message, Share, send};
+use rowanglade_handover::Word;
+use rowanglade_placement::Seen;
+use tokio::io::AsyncReadExt;
+use tokio::net::UnixStream;
+
+/// One message a line.
+const WORDS: &str = include_str!("samples/handover-words.jsonl");
+const WELCOME: &str = include_str!("samples/handover-welcome.json");
+const GIVEN: &str = include_str!("samples/handover-given.json");
+
+fn decoded(line: &str) -> Message {
+    serde_json::from_str(line).unwrap_or_else(|e| panic!("{e}: {line}"))
+}
+
+fn encoded(message: &Message) -> String {
+    serde_json::to_string(message).expect("JSON")
+}
+
+/// Every word, and what is told beside them, each with all fields set.
+fn messages() -> Vec<Message> {
+    let words = [
+        Word::Hello { version: 1 },
+        Word::Welcome,
+        Word::Busy,
+        Word::Refuse { version: 2 },
+        Word::Ready,
+        Word::Given,
+        Word::Taken,
+        Word::Yours,
+    ];
+    let calls = [Call::Maint("box-1".into()), Call::Ready("box-2".into())];
+    let seen = [((11, 12), Seen::At(3)), ((13, 14), Seen::NotAt(4))];
+    let mut all: Vec<Message> =
+        words.into_iter().map(|word| Message { word: Some(word), ..Message::default() }).collect();
+    all.extend(calls.map(|call| Message { call: Some(call), ..Message::default() }));
+    all.extend(seen.map(|seen| Message { seen: Some(seen), ..Message::default() }));
+    all.push(Message { share: Some(Share { descriptors: 5 }), ..Message::default() });
+    all
+}
+
+#[test]
+fn words_calls_and_places_are_written_as_recorded() {
+    let written: Vec<String> = messages().iter().map(encoded).collect();
+    assert_eq!(written, WORDS.lines().collect::<Vec<_>>());
+}
+
+#[test]
+fn words_calls_and_places_are_read_without_loss() {
+    for (line, message) in WORDS.lines().zip(messages()) {
+        let read = decoded(line);
+        assert_eq!(
+            (read.word, &read.call, read.seen, read.share),
+            (message.word, &message.call, message.seen, message.share)
+        );
+        assert_eq!(encoded(&read), line);
+    }
+}
+
+#[test]
+fn a_welcome_keeps_every_field() {
+    let read = decoded(WELCOME.trim_end());
+    let welcome = read.welcome.as_ref().expect("a welcome");
+    assert_eq!((welcome.now, welcome.share.descriptors, welcome.list.version()), (1_234_567, 6, 17));
+    assert_eq!(welcome.listeners, ["http", "iscsi", "admin"]);
+    assert_eq!(welcome.list.boxes().len(), 2, "one of three has left");
+    assert_eq!(encoded(&read), WELCOME.trim_end());
+}
+
+// What is learned and owned has private fields: a name that is lost comes back as a default, or not at all.
+#[test]
+fn what_is_given_keeps_every_field() {
+    let read = decoded(GIVEN.trim_end());
+    let given = read.given.as_ref().expect("what is given");
+    assert!(given.maintenance.is_out("box-1"));
+    assert_eq!(given.places, [((21, 22), Seen::At(1)), ((23, 24), Seen::NotAt(2))]);
+    assert_eq!(encoded(&read), GIVEN.trim_end());
+}
+
+#[tokio::test(flavor = "current_thread")]
+async fn a_message_goes_behind_its_length_in_four_bytes() {
+    let (from, mut to) = UnixStream::pair().expect("a pair");
+    send(&from, &decoded(WELCOME.trim_end()), &[]).await.expect("sent");
+    drop(from);
+    let mut bytes = Vec::new();
+    to.read_to_end(&mut bytes).await.expect("received");
+    let text = WELCOME.trim_end().as_bytes();
+    assert_eq!(bytes, [&(text.len() as u32).to_be_bytes(), text].concat());
+}
