--- /dev/null
+++ b/crates/replay/tests/compatibility.rs
@@ -0,0 +1,67 @@
+//! A report against a recorded sample. Guards against a build that can no longer compare its replay with the report of
+//! an earlier one, and against tools that read reports finding other keys.
+
+use rowanglade_replay::Report;
+use rowanglade_replay::report::{Class, Second, Times, VERSION, Volume};
+use std::collections::BTreeMap;
+
+const SAMPLE: &str = include_str!("samples/report.json");
+
+fn times(micros: &[u64]) -> Times {
+    let mut times = Times::default();
+    micros.iter().for_each(|m| times.record(*m));
+    times
+}
+
+/// Each field has a value of its own.
+fn report() -> Report {
+    let class = Class {
+        due: 11,
+        sent: 12,
+        again: 13,
+        served: 14,
+        in_time: 15,
+        refused: 16,
+        failed: 17,
+        lost: 18,
+        unsent: 19,
+        aim_ms: 20,
+        latency: times(&[1_000, 2_000]),
+        refusal: times(&[300]),
+    };
+    let second = Second { due: 21, served: 22, refused: 23, failed: 24, lost: 25, unsent: 26, drift_us: 27 };
+    let volume = Volume {
+        volume: "00000003b4d60021".into(),
+        plan: "basic".into(),
+        rate: 4.5,
+        limit: Some(32.25),
+        asked: 33.5,
+        served: 34.5,
+        busiest: 35.5,
+    };
+    Report {
+        version: VERSION,
+        trace: "a.trace".into(),
+        front: "http".into(),
+        initiators: 2,
+        speed: 1.5,
+        seed: 3,
+        seconds: 4.5,
+        stopped: true,
+        unfinished: 5,
+        classes: BTreeMap::from([("view".into(), class)]),
+        drift: times(&[10, 20, 30]),
+        held: 6,
+        most_out: 7,
+        timeline: vec![second],
+        volumes: vec![volume.clone(), Volume { limit: None, ..volume }],
+        volumes_in_all: 8,
+    }
+}
+
+#[test]
+fn a_report_is_read_and_written_as_recorded() {
+    let text = |report: &Report| serde_json::to_string_pretty(report).expect("JSON");
+    assert_eq!(text(&report()), SAMPLE.trim_end());
+    assert_eq!(text(&Report::parse(SAMPLE).expect("a report")), SAMPLE.trim_end());
+}
