--- a/src/bin/rowanglade-benchlink/wire.rs
+++ b/src/bin/rowanglade-benchlink/wire.rs
@@ -355,3 +355,6 @@
         Some(Sent { inst, what })
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/bin/rowanglade-benchlink/wire/tests.rs
@@ -0,0 +1,128 @@
+//! The simulator's messages against recorded samples. Guards against a field whose name is lost: most are optional, so
+//! that without them the module would decide by less than it was told. `tests/adapter.rs` has those that begin and end
+//! an instance.
+
+use super::*;
+use rowanglade::interface::{Entry, KeyId, ListKind, Load, NodeState, Outcome, VolumeId, ZoneId};
+
+const EVENTS: &str = include_str!("../../../../tests/compatibility/samples/simulator-events.json");
+const ACTIONS: &str = include_str!("../../../../tests/compatibility/samples/simulator-actions.json");
+const STORE: &str = "10.0.0.1:7000";
+
+fn names() -> Names {
+    let words = |words: &[&str]| words.iter().map(|word| word.to_string()).collect();
+    let mut names = Names::default();
+    names.classes = words(&["view", "deposit"]);
+    names.plans = words(&["basic", "full"]);
+    names.zones = words(&["kingston", "negril"]);
+    names.fields = words(&["concurrent", "depth", "mean_ms", "load_share"]);
+    names
+}
+
+#[test]
+fn every_event_is_read_whole() {
+    let batch: Batch = serde_json::from_str(EVENTS).expect("a batch");
+    assert_eq!(batch.now, 1_000_000);
+    let mut names = names();
+    let read: Vec<String> = batch
+        .events
+        .into_iter()
+        .map(|event| match event.open() {
+            Ok((3, Opened::Other(event))) => format!("{:?}", event.translate(&mut names).expect("known")),
+            _ => panic!("none of instance 3"),
+        })
+        .collect();
+    let expected: Vec<String> = expected(&names).iter().map(|event| format!("{event:?}")).collect();
+    assert_eq!(read, expected);
+}
+
+/// The sample's events, as the module has them.
+fn expected(names: &Names) -> Vec<api::Event> {
+    let (id, node) = (names.request("a-1").expect("open"), names.node(STORE).expect("listed"));
+    let entry = |shard, state| Entry {
+        node: api::NodeId(shard - 1),
+        shard: ShardId(shard),
+        zone: ZoneId(1),
+        state,
+        started: Some(u64::from(100 + shard)),
+    };
+    let list = |kind, entries| api::Event::List { kind, entries };
+    let load = Load { in_hand: Some(7.0), waiting: Some(8.0), service: Some(9_000), busy: Some(0.25) };
+    let resolved = |outcome| api::Event::Outcome {
+        id,
+        attempt: Attempt(6),
+        node,
+        outcome,
+        took: 900,
+        over: true,
+        used: Some(1.5),
+        elsewhere: 1.5,
+        load,
+    };
+    let request = api::Request {
+        id,
+        class: names.class("deposit"),
+        plan: names.plan("full"),
+        volume: VolumeId(1),
+        key: Some(KeyId(1)),
+        units: 2.5,
+        shard: Some(ShardId(4)),
+        gateways: 5,
+        deadline: 2_000_000,
+        reach: None,
+    };
+    let (here, rest) = (entry(1, NodeState::In), [entry(2, NodeState::Draining), entry(3, NodeState::Gone)]);
+    let outcomes = [
+        Outcome::Served,
+        Outcome::Full,
+        Outcome::TimedOut,
+        Outcome::Unreachable,
+        Outcome::Broken,
+        Outcome::Cancelled,
+        Outcome::NotSent,
+        Outcome::Error,
+    ];
+    let mut events = vec![
+        list(ListKind::Changes, vec![here, rest[0], rest[1]]),
+        list(ListKind::Full, vec![here]),
+        list(ListKind::Remembered, vec![here]),
+        api::Event::Request(request),
+    ];
+    events.extend(outcomes.map(resolved));
+    events.extend([
+        api::Event::Started { id, attempt: Attempt(6), timed: false },
+        api::Event::Wake { token: 77 },
+        api::Event::Withdrawn { id },
+        api::Event::Probed { node, outcome: Outcome::Served, took: 800, load },
+    ]);
+    events
+}
+
+#[test]
+fn every_action_is_written_as_recorded() {
+    let mut names = names();
+    let (node, id, other) = (names.listed(STORE), names.taken("a-1"), names.taken("a-2"));
+    let actions = [
+        Action::Send { id, node, timeout: Some(500) },
+        Action::Send { id, node, timeout: None },
+        Action::Cancel { id, attempt: Attempt(6) },
+        Action::Wake { token: 7, after: 8 },
+        Action::Probe { node },
+        Action::Refuse { id, wait: 9 },
+        Action::Fail { id: other },
+    ];
+    let mut sent: Vec<Sent> =
+        actions.iter().map(|action| Sent::from(3, action, &mut names).expect("known")).collect();
+    sent.extend([Sent::subscribe(3), Sent::panic(3, "why".into())]);
+    let text = serde_json::to_string(&Reply { actions: sent }).expect("JSON");
+    assert_eq!(text, ACTIONS.trim_end());
+}
+
+#[test]
+fn events_that_carry_nothing_for_the_module_are_told_apart() {
+    let open = |text: &str| serde_json::from_str::<Event>(text).expect("an event").open();
+    let failed = open(r#"{"verb":"Membership","gateway-id":4,"mode":"X"}"#);
+    assert!(matches!(failed, Ok((4, Opened::DiscoveryFailed))));
+    assert!(matches!(open(r#"{"verb":"Destroy","gateway-id":4}"#), Ok((4, Opened::Destroy))));
+    assert!(matches!(open(r#"{"verb":"Mail","gateway-id":4}"#), Ok((4, Opened::Other(Event::Mail(_))))));
+}
