--- a/crates/replay/tests/compatibility.rs
+++ b/crates/replay/tests/compatibility.rs
@@ -2,10 +2,12 @@
 //! an earlier one, and against tools that read reports finding other keys.
 
 use rowanglade_replay::Report;
+use rowanglade_replay::compare::{Change, Comparison};
 use rowanglade_replay::report::{Class, Second, Times, VERSION, Volume};
 use std::collections::BTreeMap;
 
 const SAMPLE: &str = include_str!("samples/report.json");
+const COMPARISON: &str = include_str!("samples/comparison.json");
 
 fn times(micros: &[u64]) -> Times {
     let mut times = Times::default();
@@ -65,3 +67,11 @@
     assert_eq!(text(&report()), SAMPLE.trim_end());
     assert_eq!(text(&Report::parse(SAMPLE).expect("a report")), SAMPLE.trim_end());
 }
+
+#[test]
+fn a_comparison_is_written_as_recorded() {
+    let change =
+        Change { class: "view".into(), figure: "served", before: 1.5, after: 2.5, beyond_noise: true };
+    let comparison = Comparison { changes: vec![change], unlike: vec!["speed: 1 and 2".into()] };
+    assert_eq!(serde_json::to_string_pretty(&comparison).expect("JSON"), COMPARISON.trim_end());
+}
