--- a/tests/compatibility/main.rs
+++ b/tests/compatibility/main.rs
@@ -5,3 +5,4 @@
 mod admin;
 mod configuration;
 mod handover;
+mod inspection;
