--- a/src/bin/rowanglade-benchlink/wire/tests.rs
+++ b/src/bin/rowanglade-benchlink/wire/tests.rs
@@ -34,6 +34,7 @@
         .collect();
     let expected: Vec<String> = expected(&names).iter().map(|event| format!("{event:?}")).collect();
     assert_eq!(read, expected);
+    assert_eq!(names.volume_name(VolumeId(1)), Some("p:v"), "a volume without a name has a number too");
 }
 
 /// The sample's events, as the module has them.
