--- a/src/bin/rowanglade-benchlink/wire.rs
+++ b/src/bin/rowanglade-benchlink/wire.rs
@@ -357,3 +357,6 @@
         Some(Sent { inst, what })
     }
 }
+
+#[cfg(test)]
+mod tests;
