--- a/crates/capture/src/access_log.rs
+++ b/crates/capture/src/access_log.rs
@@ -1,6 +1,6 @@
 //! Access logs in the Common Log Format and the Combined one, as web servers write them. A last field beyond
-//! the Combined Format's (or the Common one's) is read as the time that the answer took, in seconds if it has a
-//! decimal point and in microseconds if it is whole.
+//! the Combined Format's (or the Common one's) is read as the time that the answer took, in seconds if it has
+//! a decimal point and in microseconds if it is whole.
 
 use crate::offer::Offer;
 use jiff::fmt::strtime;
--- a/crates/capture/src/har.rs
+++ b/crates/capture/src/har.rs
@@ -127,8 +127,8 @@
     }
 }
 
-/// The request of an entry; none for one that never went to a server (`data:` and the like). An error names the
-/// key.
+/// The request of an entry; none for one that never went to a server (`data:` and the like). An error names
+/// the key.
 pub fn parse(text: &str) -> Result<Option<Offer<'_>>, String> {
     let entry: Entry = serde_json::from_str(text).map_err(|e| e.to_string())?;
     let at: jiff::Timestamp = entry.started_date_time.parse().map_err(|e| format!("startedDateTime: {e}"))?;
--- a/crates/capture/src/mapping/compile.rs
+++ b/crates/capture/src/mapping/compile.rs
@@ -25,9 +25,8 @@
 impl Context<'_> {
     /// Checks the `rule` tables.
     ///
-    /// # Errors
-    /// A pattern cannot be compiled, a key is missing or out of range, or a rule refers to a class, plan, network or
-    /// group that does not exist.
+    /// # Errors A pattern cannot be compiled, a key is missing or out of range, or a rule refers to a class,
+    /// plan, network or group that does not exist.
     pub fn rules(&self, tables: Vec<RuleTable>) -> Result<Vec<Rule>, MappingError> {
         let compile = |(place, table)| RuleCompiler { context: self, place }.compile(table);
         tables.into_iter().enumerate().map(compile).collect()
--- a/crates/capture/src/mapping/convert.rs
+++ b/crates/capture/src/mapping/convert.rs
@@ -51,7 +51,8 @@
         Ok(Mapped::Request(self.start(offer), record))
     }
 
-    /// The record of a request that the daemon logged: it needs no rule, only a class and a plan of the mapping.
+    /// The record of a request that the daemon logged: it needs no rule, only a class and a plan of the
+    /// mapping.
     pub(super) fn convert_known(&self, offer: &Offer<'_>, known: &Known<'_>) -> Mapped {
         let (Some((class, terms)), Some(plan)) =
             (self.class(&known.class), self.plan_or_first(known.plan.as_deref()))
--- a/crates/capture/src/mapping/mod.rs
+++ b/crates/capture/src/mapping/mod.rs
@@ -1,8 +1,8 @@
 //! The mapping file: which store request a recorded request stands for.
 //!
-//! Rules are tried in file order, and the first match decides. Patterns are regular expressions whose named groups
-//! the rule's other keys may use (`volume = "$volume"`). A client belongs to the network with the longest
-//! prefix that holds its address; an IPv4 address mapped into IPv6 counts as the IPv4 one.
+//! Rules are tried in file order, and the first match decides. Patterns are regular expressions whose named
+//! groups the rule's other keys may use (`volume = "$volume"`). A client belongs to the network with the
+//! longest prefix that holds its address; an IPv4 address mapped into IPv6 counts as the IPv4 one.
 //!
 //! `format` is the file as it is written; `terms`, `networks`, `names` and `compile` check it; `rule` matches
 //! recorded requests, and `convert` makes records of them.
--- a/crates/capture/src/mapping/names.rs
+++ b/crates/capture/src/mapping/names.rs
@@ -1,4 +1,5 @@
-//! Numbers for the names of volumes, pieces and idempotency keys, hashed under a secret key where a file has one.
+//! Numbers for the names of volumes, pieces and idempotency keys, hashed under a secret key where a file has
+//! one.
 
 use super::error::{MappingError, Source};
 use super::format::AnonymiseTable;
@@ -34,9 +35,8 @@
 impl Names {
     /// Reads the `anonymise` table; a key file is looked for in `folder`.
     ///
-    /// # Errors
-    /// The table has neither a key nor a key file, or both; the file cannot be read; the key is not 64 hex digits.
-    /// No error shows the key.
+    /// # Errors The table has neither a key nor a key file, or both; the file cannot be read; the key is not
+    /// 64 hex digits. No error shows the key.
     pub fn read(
         source: &Source<'_>,
         table: Option<AnonymiseTable>,
--- a/crates/capture/src/mapping/pattern.rs
+++ b/crates/capture/src/mapping/pattern.rs
@@ -13,7 +13,8 @@
 /// The longest file name ending that is shown as it is.
 const LONGEST_ENDING: usize = 5;
 
-/// A request's method and path with numbers and identifiers replaced, so that similar requests share a pattern.
+/// A request's method and path with numbers and identifiers replaced, so that similar requests share a
+/// pattern.
 pub fn pattern(offer: &Offer<'_>) -> String {
     let mut out = format!("{} ", offer.method.chars().take(LONGEST_METHOD).collect::<String>());
     for segment in offer.path.split('/').skip(1).take(MOST_SEGMENTS) {
--- a/crates/capture/src/order.rs
+++ b/crates/capture/src/order.rs
@@ -1,8 +1,8 @@
 //! The order in which requests were made, out of the one in which they were written down.
 //!
-//! Servers log a request when it ends, browsers when they like. Whatever comes within a window of the newest time
-//! seen is put in order; what comes later than that is let through at the earliest time that is still open, and
-//! counted, so that nothing is lost.
+//! Servers log a request when it ends, browsers when they like. Whatever comes within a window of the newest
+//! time seen is put in order; what comes later than that is let through at the earliest time that is still
+//! open, and counted, so that nothing is lost.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
--- a/crates/capture/src/read.rs
+++ b/crates/capture/src/read.rs
@@ -1,6 +1,6 @@
-//! Reads a file of recorded requests: opens it, finds its compression and its form by its first bytes, and hands
-//! its requests on one by one. What cannot be read is counted, sampled with its place and its reason, and passed
-//! over, until it is more than a stated share.
+//! Reads a file of recorded requests: opens it, finds its compression and its form by its first bytes, and
+//! hands its requests on one by one. What cannot be read is counted, sampled with its place and its reason,
+//! and passed over, until it is more than a stated share.
 
 use crate::lines::{Line, Lines};
 use crate::offer::Offer;
@@ -178,9 +178,8 @@
 
 /// Reads a file.
 ///
-/// # Errors
-/// The file cannot be opened, or more of it is bad than is tolerated; what came before has been handed on. A file
-/// that is torn is no error: [`Stats::torn`] tells.
+/// # Errors The file cannot be opened, or more of it is bad than is tolerated; what came before has been
+/// handed on. A file that is torn is no error: [`Stats::torn`] tells.
 pub fn read_file(path: &Path, options: Options<'_>, sink: &mut Sink<'_>) -> Result<Stats, ReadError> {
     let named = |error| ReadError::Io { file: path.display().to_string(), error };
     let file = File::open(path).map_err(named)?;
--- a/crates/capture/src/trace.rs
+++ b/crates/capture/src/trace.rs
@@ -1,9 +1,10 @@
 //! The project's own trace format: requests in the order of their times, ready to be sent again.
 //!
 //! A file is the eight bytes `RWGTRACE`, a version (u16, little endian) and a sequence of frames: a tag, the
-//! length of the payload (u32), a CRC-32C over tag and payload (u32), the payload. `H` holds the [`Header`] as
-//! JSON, so that any version can show what it is; each `B` a block of [`Record`]s, postcard within zstd; `E` the
-//! counts, and nothing comes behind it. A file without its `E` was torn: what it holds up to there is whole.
+//! length of the payload (u32), a CRC-32C over tag and payload (u32), the payload. `H` holds the [`Header`]
+//! as JSON, so that any version can show what it is; each `B` a block of [`Record`]s, postcard within zstd;
+//! `E` the counts, and nothing comes behind it. A file without its `E` was torn: what it holds up to there is
+//! whole.
 
 use serde::{Deserialize, Serialize};
 use std::fs::File;
--- a/crates/capture/tests/compatibility.rs
+++ b/crates/capture/tests/compatibility.rs
@@ -1,6 +1,6 @@
-//! Traces, own access log lines and mapping files against recorded samples. Guards against a build that can no longer
-//! read what an earlier one stored, or writes what an earlier one cannot read. A trace's blocks are compressed: another
-//! version of zstd may write other bytes that read as the same records.
+//! Traces, own access log lines and mapping files against recorded samples. Guards against a build that can
+//! no longer read what an earlier one stored, or writes what an earlier one cannot read. A trace's blocks are
+//! compressed: another version of zstd may write other bytes that read as the same records.
 
 use rowanglade_capture::mapping::{Mapped, Mapping};
 use rowanglade_capture::own_log::{AccessLine, End, PREFIX, VERSION, parse};
@@ -140,7 +140,8 @@
     assert_eq!(offer.known, Some(expected));
 }
 
-// Unknown keys are refused, so a key that was renamed fails here; that each has its effect is seen on a request.
+// Unknown keys are refused, so a key that was renamed fails here; that each has its effect is seen on a
+// request.
 #[test]
 fn a_mapping_file_with_every_key_means_what_it_did() {
     let mapping = Mapping::parse("sample", MAPPING, Path::new(".")).expect("usable");
--- a/crates/capture/tests/sources.rs
+++ b/crates/capture/tests/sources.rs
@@ -144,7 +144,8 @@
     let second = line(2, "deposit", "e") + &line(21, "deposit", "e") + &line(21, "view", "/f") + "oops\n";
     let second = second + &line(22, "view", "x").repeat(20);
     let (imported, records) = imported(&folder(), &[first.as_bytes(), second.as_bytes()]);
-    // The requests of a second are spread over it; what came 18 s late is kept at the earliest time still open.
+    // The requests of a second are spread over it; what came 18 s late is kept at the earliest time still
+    // open.
     let at: Vec<(u64, u16)> = records.iter().map(|r| (r.at / 1_000, r.class)).take(6).collect();
     assert_eq!(at, [(0, 0), (1_666, 0), (2_000, 2), (2_333, 1), (19_000, 0), (20_000, 1)]);
     assert_eq!(imported.late.0, 1);
--- a/crates/checker/src/drains.rs
+++ b/crates/checker/src/drains.rs
@@ -51,8 +51,8 @@
         News { changes, deliveries, starts, outages: &history.outages, heard_within: rules.heard_within }
     }
 
-    /// Since when a process knows that a target is out of use, as of a time; none: it does not, or the target has
-    /// been in use again since.
+    /// Since when a process knows that a target is out of use, as of a time; none: it does not, or the target
+    /// has been in use again since.
     fn leaving_since(&self, process: ProcessId, target: &str, at: Micros) -> Option<Micros> {
         let mut since = None;
         for change in self.changes.get(target)? {
@@ -71,8 +71,8 @@
         since.filter(|told| *told <= at)
     }
 
-    /// When a change counts as told to a process: written to it, or so long after discovery had it and could be
-    /// reached by the process.
+    /// When a change counts as told to a process: written to it, or so long after discovery had it and could
+    /// be reached by the process.
     fn told_at(&self, process: ProcessId, change: &Change) -> Micros {
         let deliveries = self.deliveries.get(&process).map_or(&[][..], Vec::as_slice);
         let written = deliveries.iter().filter(|d| d.version >= change.version).map(|d| d.at).min();
--- a/crates/checker/src/history.rs
+++ b/crates/checker/src/history.rs
@@ -27,8 +27,8 @@
     Left { at: Micros },
     /// The client waited for as long as it said and half a second more.
     WaitedInVain { at: Micros },
-    /// The initiator closed the connection, on which the whole request had been written. `first`: nothing had been asked
-    /// on it before.
+    /// The initiator closed the connection, on which the whole request had been written. `first`: nothing had
+    /// been asked on it before.
     Closed { at: Micros, first: bool },
     /// The request never was an initiator's: no connection came up, or it was not written whole.
     NotTaken,
@@ -159,6 +159,7 @@
     pub ends: Vec<ProcessEnd>,
     /// Times in which the rig itself stood still, so that what it recorded then is late by as much.
     pub stalls: Vec<Outage>,
-    /// Processes whose descriptors idle clients fill, and since when: new connections may be shut unread then.
+    /// Processes whose descriptors idle clients fill, and since when: new connections may be shut unread
+    /// then.
     pub crowds: Vec<(ProcessId, Micros)>,
 }
--- a/crates/checker/src/lib.rs
+++ b/crates/checker/src/lib.rs
@@ -1,8 +1,9 @@
 //! Checks what clients, targets and discovery recorded during a test against the rules of the protocol.
 //!
-//! A test rig fills a [`History`]: every request as its client saw it, every attempt as its target saw it, every
-//! change of the list, and when discovery wrote which version to which process. [`check`] returns each [`Breach`].
-//! All times are on one monotonic clock, so the checker needs neither sockets nor a clock of its own.
+//! A test rig fills a [`History`]: every request as its client saw it, every attempt as its target saw it,
+//! every change of the list, and when discovery wrote which version to which process. [`check`] returns each
+//! [`Breach`]. All times are on one monotonic clock, so the checker needs neither sockets nor a clock of its
+//! own.
 //!
 //! The checker errs on the side of the program under test only by the slack that [`Rules`] states.
 
--- a/crates/checker/src/requests.rs
+++ b/crates/checker/src/requests.rs
@@ -30,8 +30,8 @@
     breaches
 }
 
-/// Whether a request ended without an answer since its process was killed, as the rules allow: it was not told to end
-/// before, or the request came so soon after it was told that nobody counts it.
+/// Whether a request ended without an answer since its process was killed, as the rules allow: it was not
+/// told to end before, or the request came so soon after it was told that nobody counts it.
 fn excused(request: &Request, ends: &[ProcessEnd], rules: &Rules) -> bool {
     let Some(end) = ends.iter().find(|end| end.process == request.process) else { return false };
     let Some(killed) = end.killed else { return false };
--- a/crates/checker/src/slow_start.rs
+++ b/crates/checker/src/slow_start.rs
@@ -6,7 +6,8 @@
 const FEW: f64 = 30.0;
 
 impl SlowStart {
-    /// The requests of usual work that a target bears in the window that ends at `at`, with the part for chance.
+    /// The requests of usual work that a target bears in the window that ends at `at`, with the part for
+    /// chance.
     fn allowance(&self, started: Micros, at: Micros) -> f64 {
         let begin = at.saturating_sub(self.window).max(started);
         let warmed = (begin - started) as f64 / self.warm_within.max(1) as f64;
@@ -17,8 +18,8 @@
     }
 }
 
-/// The first window of each start in which a target was sent too much. `units` of attempts are counted in requests
-/// of usual work.
+/// The first window of each start in which a target was sent too much. `units` of attempts are counted in
+/// requests of usual work.
 pub fn check(history: &History, rule: &SlowStart) -> Vec<Breach> {
     let mut breaches = Vec::new();
     for change in &history.changes {
--- a/crates/checker/tests/planted.rs
+++ b/crates/checker/tests/planted.rs
@@ -181,7 +181,8 @@
     assert_eq!(found(&sent(44)), [BreachKind::SlowStartExceeded]);
 }
 
-// A killed process answers no more; one that had been told to end before owes what came later than 0.7 s after that.
+// A killed process answers no more; one that had been told to end before owes what came later than 0.7 s
+// after that.
 #[test]
 fn what_a_killed_process_had_taken_is_a_breach_only_after_it_was_told_to_end() {
     let closed = |told: Option<Micros>, killed| {
--- a/crates/departures/src/lib.rs
+++ b/crates/departures/src/lib.rs
@@ -1,27 +1,30 @@
-//! What instances tell each other of targets that leave, for the time in which discovery does not answer one of them.
+//! What instances tell each other of targets that leave, for the time in which discovery does not answer one
+//! of them.
 //!
-//! Discovery is one service for all instances. After an outage, or a restart of many instances, it needs seconds to
-//! answer all of them, and those that wait would go on sending to targets that leave. So an instance without an open
-//! watch asks a few others, drawn at random, and one whose watch is open answers with the targets that have left since
-//! the version that is held. Only those without a watch ask, and only those with one answer, so the exchange costs
-//! nothing while discovery answers.
+//! Discovery is one service for all instances. After an outage, or a restart of many instances, it needs
+//! seconds to answer all of them, and those that wait would go on sending to targets that leave. So an
+//! instance without an open watch asks a few others, drawn at random, and one whose watch is open answers
+//! with the targets that have left since the version that is held. Only those without a watch ask, and only
+//! those with one answer, so the exchange costs nothing while discovery answers.
 //!
 //! # What a report can do
 //!
-//! It can only take a target out of use, and only until discovery itself is heard: a target is never used because a
-//! peer says so, and a report that is late, doubled, forged or wrong keeps a target idle for seconds at most. Reports
-//! are taken only as answers to queries of the last seconds. One that claims a gap moves the position that is asked from:
-//! wrongly claimed by a peer, it can keep other peers' departures from this instance until discovery is heard.
+//! It can only take a target out of use, and only until discovery itself is heard: a target is never used
+//! because a peer says so, and a report that is late, doubled, forged or wrong keeps a target idle for
+//! seconds at most. Reports are taken only as answers to queries of the last seconds. One that claims a gap
+//! moves the position that is asked from: wrongly claimed by a peer, it can keep other peers' departures from
+//! this instance until discovery is heard.
 //!
 //! # How thousands of departures are told
 //!
-//! All departures stand in one order that the instances share ([`Position`]). A query names the position up to which the
-//! asker knows them, an answer goes on from there in datagrams that each name where they begin and end, and the last
-//! says whether there is more. So the asker notices a datagram that was lost, asks on from the gap, and is told all in
-//! the end: nothing is left out in silence. What an instance sends is bounded by a budget of bytes a second; reaching
-//! it is counted ([`Counters`]), and the asker goes on later.
+//! All departures stand in one order that the instances share ([`Position`]). A query names the position up
+//! to which the asker knows them, an answer goes on from there in datagrams that each name where they begin
+//! and end, and the last says whether there is more. So the asker notices a datagram that was lost, asks on
+//! from the gap, and is told all in the end: nothing is left out in silence. What an instance sends is
+//! bounded by a budget of bytes a second; reaching it is counted ([`Counters`]), and the asker goes on later.
 //!
-//! There is no clock, socket or runtime here: a driver tells the time, carries the datagrams, and is told what to do.
+//! There is no clock, socket or runtime here: a driver tells the time, carries the datagrams, and is told
+//! what to do.
 
 #![forbid(unsafe_code)]
 
@@ -145,8 +148,8 @@
         self.start_over();
     }
 
-    /// Discovery told a list of this version: the targets that are in use, and those that are not, among them those that
-    /// a whole list does not name any more.
+    /// Discovery told a list of this version: the targets that are in use, and those that are not, among them
+    /// those that a whole list does not name any more.
     pub fn listed<'a>(&mut self, now: Micros, version: u64, targets: impl Iterator<Item = (&'a str, bool)>) {
         if !self.listed {
             // What left before this list is not known here.
@@ -257,8 +260,8 @@
         reports.into_iter().map(|report| Outgoing { to: from, message: Message::Report(report) }).collect()
     }
 
-    /// A peer's report. Returns the targets that it says have left; none where it is no answer to a query of the last
-    /// rounds, or a watch is open.
+    /// A peer's report. Returns the targets that it says have left; none where it is no answer to a query of
+    /// the last rounds, or a watch is open.
     pub fn report(&mut self, now: Micros, from: usize, report: &Report) -> Vec<TargetKey> {
         if self.watching || self.round.wrapping_sub(report.number) >= ROUNDS_HEARD {
             self.counters.not_asked += 1;
--- a/crates/departures/src/log.rs
+++ b/crates/departures/src/log.rs
@@ -8,8 +8,8 @@
 /// A departure is kept for this long: who missed it has heard the list by then.
 const KEPT_FOR: Micros = 60_000_000;
 
-/// A place in the order of all departures: the version of the list that told it, then the target's key. Instances that
-/// ask the same discovery agree on it, so one can go on at a peer where another peer stopped.
+/// A place in the order of all departures: the version of the list that told it, then the target's key.
+/// Instances that ask the same discovery agree on it, so one can go on at a peer where another peer stopped.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, serde::Serialize, serde::Deserialize,
 )]
@@ -106,7 +106,8 @@
         self.complete_after = self.complete_after.max(last);
     }
 
-    /// Where a report that goes on behind `cursor` can begin, and whether departures before that are not known here.
+    /// Where a report that goes on behind `cursor` can begin, and whether departures before that are not
+    /// known here.
     pub fn start(&self, cursor: Position) -> (Position, bool) {
         (cursor.max(self.complete_after), cursor < self.complete_after)
     }
--- a/crates/departures/src/message.rs
+++ b/crates/departures/src/message.rs
@@ -1,4 +1,5 @@
-//! The datagrams, which hold 256 bytes at most: a byte for the version of the format, then the message by postcard.
+//! The datagrams, which hold 256 bytes at most: a byte for the version of the format, then the message by
+//! postcard.
 
 use crate::Position;
 use serde::{Deserialize, Serialize};
@@ -7,8 +8,8 @@
 /// The most bytes of a datagram.
 pub const LONGEST: usize = 256;
 const FORMAT: u8 = 2;
-/// The most bytes before the targets of a report: format, kind, a number of up to 5 bytes, two positions of up to 18, two
-/// flags, a count.
+/// The most bytes before the targets of a report: format, kind, a number of up to 5 bytes, two positions of
+/// up to 18, two flags, a count.
 const HEAD: usize = 47;
 /// Targets that one report names at most.
 pub const MOST_TARGETS: usize = (LONGEST - HEAD) / size_of::<TargetKey>();
--- a/crates/departures/tests/compatibility.rs
+++ b/crates/departures/tests/compatibility.rs
@@ -1,5 +1,6 @@
-//! The datagrams against recorded bytes. Guards against an instance whose peers, which run another build, misread what
-//! it tells them: postcard writes fields by their order, which a round trip within one build does not show.
+//! The datagrams against recorded bytes. Guards against an instance whose peers, which run another build,
+//! misread what it tells them: postcard writes fields by their order, which a round trip within one build
+//! does not show.
 
 use rowanglade_departures::{Message, Position, Report, TargetKey};
 
--- a/crates/departures/tests/exchange.rs
+++ b/crates/departures/tests/exchange.rs
@@ -34,7 +34,8 @@
     reports(&mut fleet[query.to], now, number, after).into_iter().flat_map(|report| report.departed).collect()
 }
 
-// Asking alone, the last of 300 instances heard 6 s and more after discovery's return; by then it had sent to what left.
+// Asking alone, the last of 300 instances heard 6 s and more after discovery's return; by then it had sent to
+// what left.
 #[test]
 fn who_has_no_watch_hears_of_departures_within_a_second_of_any_part_that_has_one() {
     const INSTANCES: usize = 300;
@@ -144,8 +145,8 @@
     }
 }
 
-// Each answer named the first 232 departures, again and again: an instance that waited for discovery went on sending to
-// all others.
+// Each answer named the first 232 departures, again and again: an instance that waited for discovery went on
+// sending to all others.
 #[test]
 fn thousands_of_departures_are_all_told_in_seconds_by_one_peer() {
     let gone = names(3_200);
@@ -189,8 +190,8 @@
     late: u32,
 }
 
-/// Plays the exchange of one that tells and one that asks, until all is told or the time is up: when the last departure
-/// was heard, and all that were.
+/// Plays the exchange of one that tells and one that asks, until all is told or the time is up: when the last
+/// departure was heard, and all that were.
 fn play(
     teller: &mut Exchange,
     asker: &mut Exchange,
--- a/crates/discovery-schedule/src/lib.rs
+++ b/crates/discovery-schedule/src/lib.rs
@@ -1,21 +1,23 @@
-//! Decides when an initiator asks discovery for the list of targets: the discovery client's schedule, with its
-//! retries, their pace, jitter, hedging and deadlines. It has no sockets, runtime or clock: a driver tells it the
-//! time and how calls ended, and carries out the commands it returns.
+//! Decides when an initiator asks discovery for the list of targets: the discovery client's schedule, with
+//! its retries, their pace, jitter, hedging and deadlines. It has no sockets, runtime or clock: a driver
+//! tells it the time and how calls ended, and carries out the commands it returns.
 //!
 //! # What it promises
 //!
-//! With 5 to 1,024 instances, after an outage of up to 11 s, the list is heard within [`HEARD_WITHIN`] of discovery's
-//! return, as long as discovery serves all instances once in 5 s; with 1 to 4, as long as it does in 3 s. It is not
-//! promised after longer outages, in which instances call less often: see docs/design/discovery.md.
+//! With 5 to 1,024 instances, after an outage of up to 11 s, the list is heard within [`HEARD_WITHIN`] of
+//! discovery's return, as long as discovery serves all instances once in 5 s; with 1 to 4, as long as it does
+//! in 3 s. It is not promised after longer outages, in which instances call less often: see
+//! docs/design/discovery.md.
 //!
 //! # Why calls are paced and not retried at once
 //!
-//! Discovery is one service for all instances. It serves calls one after another, and fails those that would wait
-//! too long; a call that it fails still costs it work. So retries that come faster than it can serve them keep it
-//! failing all of them, for ever. Each instance therefore makes one call in a *cycle*, at a phase drawn at random:
-//! the sum over all instances is a steady stream of calls, whatever made them ask at the same moment (a restart,
-//! an outage, a reset of all watches). Where calls have failed for long, even this stream may be too much; only then
-//! does the cycle grow, up to the time that the settings give for asking, which discovery has to bear.
+//! Discovery is one service for all instances. It serves calls one after another, and fails those that would
+//! wait too long; a call that it fails still costs it work. So retries that come faster than it can serve
+//! them keep it failing all of them, for ever. Each instance therefore makes one call in a *cycle*, at a
+//! phase drawn at random: the sum over all instances is a steady stream of calls, whatever made them ask at
+//! the same moment (a restart, an outage, a reset of all watches). Where calls have failed for long, even
+//! this stream may be too much; only then does the cycle grow, up to the time that the settings give for
+//! asking, which discovery has to bear.
 //!
 //! docs/design/discovery.md has the measurements and the options that were weighed.
 
@@ -45,8 +47,8 @@
     /// One service for all instances answers when asked. `ask_within` is how long an instance may go without
     /// asking; 0 if the settings do not tell.
     OnRequest { ask_within: Micros },
-    /// An agent of this instance's own is up to date without being asked, and what it has counts as known here.
-    /// Sends by an older list are allowed for `grace`.
+    /// An agent of this instance's own is up to date without being asked, and what it has counts as known
+    /// here. Sends by an older list are allowed for `grace`.
     Pushed { grace: Micros },
 }
 
@@ -74,14 +76,15 @@
 const MOST_CALLS: usize = 2;
 /// The same for an agent of the instance's own, which a call burdens little.
 const MOST_CALLS_TO_AGENT: usize = 8;
-/// The longest wait of a call for news. News missed by a silent watch counts as known 6 s after it fell silent, or
-/// 2 s after the wait, whichever is later: so a short wait leaves the most time to notice and to ask again.
+/// The longest wait of a call for news. News missed by a silent watch counts as known 6 s after it fell
+/// silent, or 2 s after the wait, whichever is later: so a short wait leaves the most time to notice and to
+/// ask again.
 const LONGEST_HOLD: Micros = 2 * SECOND;
 const SHORTEST_HOLD: Micros = 500 * MILLISECOND;
 /// An answer this much later than the end of its wait does not come any more.
 const HOLD_SLACK: Micros = 700 * MILLISECOND;
-/// A call that does not wait, and has no answer after this long, may be lost: another is made beside it. Discovery
-/// fails a call that waits too long in its queue before that.
+/// A call that does not wait, and has no answer after this long, may be lost: another is made beside it.
+/// Discovery fails a call that waits too long in its queue before that.
 const HEDGE_AFTER: Micros = 3 * SECOND;
 /// A call that does not wait is given up after this long.
 const CALL_TIMEOUT: Micros = 5 * SECOND;
@@ -183,7 +186,8 @@
         self.phase == Phase::Watching
     }
 
-    /// A random time within `spread`, in this instance's own part of it: all instances together cover it evenly.
+    /// A random time within `spread`, in this instance's own part of it: all instances together cover it
+    /// evenly.
     fn offset(&mut self, spread: Micros) -> Micros {
         let instances = u128::from(self.settings.instances.max(1));
         let (part, parts) = match self.settings.number.map(u128::from).filter(|number| *number < instances) {
@@ -270,8 +274,8 @@
         self.commands.push_back(Command::Start(Call { id, hold }));
     }
 
-    /// How long the next call waits for news: shorter by chance, so that the watches of all instances, which the
-    /// same news has renewed, do not end together.
+    /// How long the next call waits for news: shorter by chance, so that the watches of all instances, which
+    /// the same news has renewed, do not end together.
     fn hold(&mut self) -> Micros {
         let longest = match self.settings.delivery {
             Delivery::OnRequest { ask_within } if ask_within > 0 => ask_within.min(LONGEST_HOLD),
--- a/crates/discovery-schedule/src/pace.rs
+++ b/crates/discovery-schedule/src/pace.rs
@@ -4,12 +4,13 @@
 
 /// From the moment that discovery can be reached, the list is heard within this time.
 pub const HEARD_WITHIN: Micros = 6 * SECOND;
-/// The longest time from one call to the next while discovery is not known to be overloaded. Within a cycle after
-/// discovery can be reached, each instance makes one call that can be served; together with a wait in its queue that
-/// has to stay under [`HEARD_WITHIN`].
+/// The longest time from one call to the next while discovery is not known to be overloaded. Within a cycle
+/// after discovery can be reached, each instance makes one call that can be served; together with a wait in
+/// its queue that has to stay under [`HEARD_WITHIN`].
 pub const LONGEST_CYCLE: Micros = 5 * SECOND;
-/// The same for a fleet of fewer than [`FEW`]: each call is a larger part of discovery's work there, so a shorter cycle
-/// leaves time for it. The calls of one cycle may then wait for each other, for less than discovery lets them.
+/// The same for a fleet of fewer than [`FEW`]: each call is a larger part of discovery's work there, so a
+/// shorter cycle leaves time for it. The calls of one cycle may then wait for each other, for less than
+/// discovery lets them.
 const LONGEST_CYCLE_OF_FEW: Micros = 3_500 * MILLISECOND;
 /// One alone has nobody to make room for.
 const LONGEST_CYCLE_OF_ONE: Micros = SECOND;
@@ -21,8 +22,9 @@
 const SHORTEST_CYCLE: Micros = 500 * MILLISECOND;
 /// The part of a cycle that each instance adds while it is shorter than the longest.
 const CYCLE_PER_INSTANCE: Micros = 125 * MILLISECOND;
-/// Where a watch fell silent, a call to open it again gets another beside it after this long, since the news that was
-/// missed is older by then; and later where many instances may stand in discovery's queue with such calls.
+/// Where a watch fell silent, a call to open it again gets another beside it after this long, since the news
+/// that was missed is older by then; and later where many instances may stand in discovery's queue with such
+/// calls.
 const SHORTEST_HEDGE_AFTER_SILENCE: Micros = 500 * MILLISECOND;
 const LONGEST_HEDGE_AFTER_SILENCE: Micros = 2_200 * MILLISECOND;
 const HEDGE_PER_INSTANCE: Micros = 50 * MILLISECOND;
@@ -34,13 +36,14 @@
 const LONGEST_SPREAD_AFTER_SILENCE: Micros = 3 * SECOND;
 /// After a refusal, from one call to the next at least: a call that is refused still costs discovery work.
 const SHORTEST_CYCLE_AFTER_REFUSAL: Micros = 2 * SECOND;
-/// Calls that have failed for this long mean a long outage, or an overload; instances then call less often than once
-/// in [`LONGEST_CYCLE`], up to what the settings ask of discovery.
+/// Calls that have failed for this long mean a long outage, or an overload; instances then call less often
+/// than once in [`LONGEST_CYCLE`], up to what the settings ask of discovery.
 const LONG_OUTAGE: Micros = 12 * SECOND;
 /// Where the settings do not say how often discovery bears to be asked.
 const DEFAULT_ASK_WITHIN: Micros = 10 * SECOND;
 
-/// The part of the grace on sends by an older list that may pass between two calls to an instance's own agent.
+/// The part of the grace on sends by an older list that may pass between two calls to an instance's own
+/// agent.
 const AGENT_PART: Micros = 4;
 const SHORTEST_AGENT_PAUSE: Micros = 20 * MILLISECOND;
 const LONGEST_AGENT_PAUSE: Micros = 500 * MILLISECOND;
@@ -132,8 +135,8 @@
         }
     }
 
-    /// From one call to the next: doubled at each further failure up to the longest, and beyond that only in a long
-    /// outage.
+    /// From one call to the next: doubled at each further failure up to the longest, and beyond that only in
+    /// a long outage.
     fn cycle(&self, refused: bool) -> Micros {
         // A refused call was work for discovery, and all instances that ask it may have been refused.
         let (shortest, first) = match refused {
@@ -161,8 +164,8 @@
         }
     }
 
-    /// How long a call to an instance's own agent may go without an answer before another is made beside it: about
-    /// the grace. An agent that is back answers the new call, and one that is slow the old one.
+    /// How long a call to an instance's own agent may go without an answer before another is made beside it:
+    /// about the grace. An agent that is back answers the new call, and one that is slow the old one.
     pub fn hedge_after(&self) -> Option<Micros> {
         self.agent_pause().map(|pause| pause * AGENT_PART)
     }
--- a/crates/discovery-schedule/tests/fleet.rs
+++ b/crates/discovery-schedule/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! What holds when many instances ask one discovery that serves their calls one after another, whatever made them ask:
-//! a start, an outage of any kind, watches that end together.
+//! What holds when many instances ask one discovery that serves their calls one after another, whatever made
+//! them ask: a start, an outage of any kind, watches that end together.
 
 mod support;
 
@@ -46,8 +46,9 @@
     (fleet.all_heard_within(since, 60 * SECOND), fleet)
 }
 
-// The operators' fault: after a failed call an instance of a fleet of 300 waited for 5 to 15 s, and up to twice as long
-// the next time; targets that drained soon after discovery's return were sent to for seconds after all had to know.
+// The operators' fault: after a failed call an instance of a fleet of 300 waited for 5 to 15 s, and up to
+// twice as long the next time; targets that drained soon after discovery's return were sent to for seconds
+// after all had to know.
 #[test]
 fn the_list_is_heard_in_time_after_an_outage() {
     for instances in SIZES {
@@ -63,8 +64,8 @@
     }
 }
 
-// Fleets of fewer than 40 called in cycles that were short next to what a heavy call takes: calls were refused, which
-// cost discovery work, and the list was heard 8 to 17 s after its return.
+// Fleets of fewer than 40 called in cycles that were short next to what a heavy call takes: calls were
+// refused, which cost discovery work, and the list was heard 8 to 17 s after its return.
 #[test]
 fn a_small_fleet_hears_the_list_in_time_after_an_outage() {
     // Discovery serves all once in so many seconds; the least fleet for which that holds.
@@ -128,11 +129,12 @@
     }
 }
 
-// Every instance asked again at once after a failure: refused calls kept discovery busy, and nobody was served for as
-// long as the play went on.
+// Every instance asked again at once after a failure: refused calls kept discovery busy, and nobody was
+// served for as long as the play went on.
 #[test]
 fn retries_do_not_keep_an_overloaded_discovery_from_serving() {
-    // As slow as the settings allow: it can serve every instance once in the time for asking, and hardly more.
+    // As slow as the settings allow: it can serve every instance once in the time for asking, and hardly
+    // more.
     for instances in [100, 300, 350, 1024] {
         let mut fleet = Fleet::new(numbered(instances), 8, discovery(instances, 9 * SECOND));
         let since = fleet.now;
@@ -192,7 +194,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 96, ..ProptestConfig::default() })]
 
-    // Whatever happened before, in any order: once discovery can be reached all hear the list, and watches stay open.
+    // Whatever happened before, in any order: once discovery can be reached all hear the list, and watches
+    // stay open.
     #[test]
     fn the_list_is_always_heard_in_the_end(troubles in proptest::collection::vec(trouble(), 1..8), seed: u64) {
         let mut fleet = watching(40, 3 * SECOND, seed);
--- a/crates/discovery-schedule/tests/schedule.rs
+++ b/crates/discovery-schedule/tests/schedule.rs
@@ -7,7 +7,8 @@
 const NOW: Micros = 100 * SECOND;
 /// The shortest grace of the settings known, after which nothing may be sent by an older list.
 const GRACE: Micros = 250 * MS;
-/// When news counts as known, whether or not it came: after a watch's wait was over, and after it fell silent.
+/// When news counts as known, whether or not it came: after a watch's wait was over, and after it fell
+/// silent.
 const KNOWN_AFTER_WAIT: Micros = 2 * SECOND;
 
 fn on_request(ask_within: Micros, instances: u32) -> Settings {
@@ -56,8 +57,8 @@
     }
 }
 
-// After a watch fell silent the next call was made after 5 to 15 s where many instances take turns. By then targets
-// that drained had been sent to for seconds: on the fleet day with silent watches 293 times.
+// After a watch fell silent the next call was made after 5 to 15 s where many instances take turns. By then
+// targets that drained had been sent to for seconds: on the fleet day with silent watches 293 times.
 #[test]
 fn a_silent_watch_is_opened_again_while_the_older_list_may_still_be_followed() {
     for instances in [2, 300, 1024] {
@@ -109,7 +110,8 @@
     }
 }
 
-// A watch that was reset waited for its instance's turn among all of them, and what drained just then was sent to.
+// A watch that was reset waited for its instance's turn among all of them, and what drained just then was
+// sent to.
 #[test]
 fn a_watch_that_is_reset_is_opened_again_within_a_cycle() {
     for (instances, within) in [(1, 125 * MS), (8, SECOND), (300, LONGEST_CYCLE), (1024, LONGEST_CYCLE)] {
@@ -171,7 +173,8 @@
     }
 }
 
-// A long wait leaves little time between its end and the moment at which what a silent watch missed counts as known.
+// A long wait leaves little time between its end and the moment at which what a silent watch missed counts as
+// known.
 #[test]
 fn a_watch_waits_for_two_seconds_at_most_and_no_longer_than_the_settings_leave() {
     for (ask_within, longest) in [(0, 2_000), (4_000, 2_000), (1_500, 1_500), (1, 500), (600_000, 2_000)] {
--- a/crates/discovery-schedule/tests/support/mod.rs
+++ b/crates/discovery-schedule/tests/support/mod.rs
@@ -23,8 +23,9 @@
     Silent,
 }
 
-/// One discovery. A call takes its time whether or not its caller still waits; one that would wait longer than the
-/// time-out is refused, after the time-out or, where the queue is twice as long, at once, and still takes its time.
+/// One discovery. A call takes its time whether or not its caller still waits; one that would wait longer
+/// than the time-out is refused, after the time-out or, where the queue is twice as long, at once, and still
+/// takes its time.
 pub struct Discovery {
     pub service: Service,
     /// The work of one call.
--- a/crates/distribution/src/follower.rs
+++ b/crates/distribution/src/follower.rs
@@ -10,11 +10,11 @@
 const PATIENCE: Millis = 1_500;
 /// The same for a whole state, which a relay may put off while many are asked for.
 const PATIENCE_FOR_ALL: Millis = 5_000;
-/// An answer whose source was heard longer ago than this comes from a relay that is cut off: relays hold their own watches
-/// for a second.
+/// An answer whose source was heard longer ago than this comes from a relay that is cut off: relays hold
+/// their own watches for a second.
 const MOST_AGE: Millis = 4_000;
-/// The wait before the next relay is asked once all have failed: doubled up to the longest, and half to one and a half
-/// of it, by chance.
+/// The wait before the next relay is asked once all have failed: doubled up to the longest, and half to one
+/// and a half of it, by chance.
 const SHORTEST_WAIT: Millis = 250;
 const LONGEST_WAIT: Millis = 2_000;
 /// A follower that has left its first relay tries it again after this long.
--- a/crates/distribution/src/message.rs
+++ b/crates/distribution/src/message.rs
@@ -1,7 +1,7 @@
 //! What passes between instances, relays and the source, and its form on a wire.
 //!
-//! A message is a version byte, the content in postcard's form, and a code of 16 bytes: BLAKE3 keyed by the fleet's key,
-//! over the sender and all before it. Whole states are compressed by zstd.
+//! A message is a version byte, the content in postcard's form, and a code of 16 bytes: BLAKE3 keyed by the
+//! fleet's key, over the sender and all before it. Whole states are compressed by zstd.
 
 use crate::state::{Delta, Digest, State, Version};
 use crate::{Millis, NodeId};
@@ -76,7 +76,8 @@
 pub enum Body {
     /// Nothing is newer.
     Same,
-    /// From older to newer, each the base of the next: whoever passes them on can serve followers at any of them.
+    /// From older to newer, each the base of the next: whoever passes them on can serve followers at any of
+    /// them.
     Deltas(Vec<Delta>),
     Snapshot(Snapshot),
     /// The relay's state at that version is another: the whole state must be asked for.
--- a/crates/distribution/src/relay.rs
+++ b/crates/distribution/src/relay.rs
@@ -1,5 +1,5 @@
-//! A relay's part: a bounded number of followers, told of news as fast as its own budget of bytes lets it. The source is a
-//! relay that follows nobody.
+//! A relay's part: a bounded number of followers, told of news as fast as its own budget of bytes lets it.
+//! The source is a relay that follows nobody.
 
 use crate::follower::{Follower, News};
 use crate::message::{Answer, Body, Snapshot, Watch};
@@ -16,7 +16,8 @@
 /// Bytes of an answer beside its content, and of a change beside its text.
 const HEAD: usize = 96;
 const CHANGE: usize = 8;
-/// What a follower refuses is forgotten once it has not watched for so long: it may have gone to another relay.
+/// What a follower refuses is forgotten once it has not watched for so long: it may have gone to another
+/// relay.
 const FORGET: Millis = 15_000;
 /// A watch is held for this long at most.
 const LONGEST_HOLD: Millis = 10_000;
@@ -88,7 +89,8 @@
         Relay::of(me, limits, Role::Source(state))
     }
 
-    /// A relay behind these, from the most preferred one on. `known` is what it kept of its last life, if anything.
+    /// A relay behind these, from the most preferred one on. `known` is what it kept of its last life, if
+    /// anything.
     pub fn new(me: NodeId, limits: Limits, upstreams: Vec<NodeId>, known: Option<State>) -> Relay {
         // A relay passes on what it is told: whether it can be run with is for each instance to say.
         let follower = Follower::new(me, upstreams, RELAY_HOLD, Box::new(|_| Ok(())), known);
--- a/crates/distribution/src/state.rs
+++ b/crates/distribution/src/state.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Of all states of one source: newer ones are greater. A source that starts anew without its last state takes a greater
-/// epoch; no step compares clocks.
+/// Of all states of one source: newer ones are greater. A source that starts anew without its last state
+/// takes a greater epoch; no step compares clocks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Version {
     pub epoch: u64,
@@ -124,8 +124,8 @@
 
     /// The state that a delta makes of this one.
     ///
-    /// # Errors
-    /// It is made for another version, leads to none that is newer, or its digest is not that of what it makes.
+    /// # Errors It is made for another version, leads to none that is newer, or its digest is not that of
+    /// what it makes.
     pub fn after(&self, delta: &Delta) -> Result<State, Inapplicable> {
         if delta.base != self.version {
             return Err(Inapplicable::Base);
--- a/crates/distribution/src/topology.rs
+++ b/crates/distribution/src/topology.rs
@@ -86,8 +86,8 @@
         Err(wrong(format!("{key}.zone"), format!("{:?} is no zone of {:?}", place.zone, place.region)))
     }
 
-    /// Whom an instance watches, by the places of the list: relays of its own region first, spread evenly over all
-    /// instances by a hash of both.
+    /// Whom an instance watches, by the places of the list: relays of its own region first, spread evenly
+    /// over all instances by a hash of both.
     pub fn preferred(&self, me: NodeId, region: &str) -> Vec<usize> {
         let mut places: Vec<usize> = (0..self.relay.len()).collect();
         places.sort_by_key(|i| {
--- a/crates/distribution/tests/compatibility.rs
+++ b/crates/distribution/tests/compatibility.rs
@@ -1,6 +1,7 @@
-//! Messages and the operator's file against recorded samples. Guards against instances and relays of different builds
-//! that misread each other: postcard writes fields and variants by their order, which a round trip within one build does
-//! not show. Whole states are compressed: another version of zstd may write other bytes that read as the same entries.
+//! Messages and the operator's file against recorded samples. Guards against instances and relays of
+//! different builds that misread each other: postcard writes fields and variants by their order, which a
+//! round trip within one build does not show. Whole states are compressed: another version of zstd may write
+//! other bytes that read as the same entries.
 
 use rowanglade_distribution::{
     Answer, Body, Delta, Digest, Held, Message, NodeId, Place, Region, Snapshot, State, Topology, Version,
--- a/crates/distribution/tests/model.rs
+++ b/crates/distribution/tests/model.rs
@@ -1,5 +1,5 @@
-//! Any order of what a network, restarts and cuts can do to a source, two relays and three instances: newer wins, nothing
-//! is in force that the source did not have, and once all is well everybody has the newest.
+//! Any order of what a network, restarts and cuts can do to a source, two relays and three instances: newer
+//! wins, nothing is in force that the source did not have, and once all is well everybody has the newest.
 
 use proptest::prelude::*;
 use rowanglade_distribution::relay::Limits;
--- a/crates/fault-shim/src/lib.rs
+++ b/crates/fault-shim/src/lib.rs
@@ -1,9 +1,10 @@
 //! Makes system calls of a process under test fail, as Linux documents that they may.
 //!
-//! A test rig loads this library into the process (`LD_PRELOAD`) and names the faults in [`VARIABLE`]; without that
-//! variable every call goes through unchanged. It is never part of the product. It stands before the C library's functions,
-//! through which the standard library, `mio` and `socket2` make their calls; `rustix` makes system calls by itself and is
-//! not reached. Spurious EAGAIN is not offered: with edge-triggered readiness no event would follow, which Linux does not do.
+//! A test rig loads this library into the process (`LD_PRELOAD`) and names the faults in [`VARIABLE`];
+//! without that variable every call goes through unchanged. It is never part of the product. It stands before
+//! the C library's functions, through which the standard library, `mio` and `socket2` make their calls;
+//! `rustix` makes system calls by itself and is not reached. Spurious EAGAIN is not offered: with
+//! edge-triggered readiness no event would follow, which Linux does not do.
 
 mod plan;
 
@@ -19,7 +20,8 @@
 
 /// How often the counts are written to their file.
 const WRITE_EVERY: u64 = 20;
-/// From one late call to the next at least: the rules allow for one hold-up on a request's way, not for several.
+/// From one late call to the next at least: the rules allow for one hold-up on a request's way, not for
+/// several.
 const BETWEEN_HOLD_UPS: Duration = Duration::from_millis(500);
 
 /// What the process under test is to suffer, and what it has.
@@ -34,8 +36,8 @@
     /// By call and fault.
     counts: BTreeMap<String, u64>,
     injected: u64,
-    /// Descriptors that `accept4` gave. Their connections are clients', which are not to break: a request is lost where
-    /// the process itself ends its connection.
+    /// Descriptors that `accept4` gave. Their connections are clients', which are not to break: a request is
+    /// lost where the process itself ends its connection.
     accepted: HashSet<c_int>,
     /// When a call was last late.
     late_at: Option<Duration>,
@@ -69,8 +71,8 @@
 }
 
 impl Injector {
-    /// The state, unless it is in use. A signal's handler may call in the middle of another call of its thread, and
-    /// must not wait for what that holds.
+    /// The state, unless it is in use. A signal's handler may call in the middle of another call of its
+    /// thread, and must not wait for what that holds.
     fn state(&self) -> Option<MutexGuard<'_, State>> {
         match self.state.try_lock() {
             Ok(state) => Some(state),
--- a/crates/fault-shim/src/plan.rs
+++ b/crates/fault-shim/src/plan.rs
@@ -10,7 +10,8 @@
 
 /// The variable that holds the plan.
 pub const VARIABLE: &str = "ROWANGLADE_FAULTS";
-/// The variable with the path of the file that counts of injected faults go to; the process's number is added to it.
+/// The variable with the path of the file that counts of injected faults go to; the process's number is added
+/// to it.
 pub const COUNTS: &str = "ROWANGLADE_FAULT_COUNTS";
 
 /// A call that can fail.
--- a/crates/fleet-state/src/exchange.rs
+++ b/crates/fleet-state/src/exchange.rs
@@ -1,26 +1,29 @@
 //! Units of a limited volume, moved toward demand.
 //!
-//! Each of the `k` instances that a volume comes through has a store of its own that fills at a `k`th of the limit's
-//! rate and holds a `k`th of its burst at most. That is the even split, and what stands where nobody is heard. An
-//! instance that lacks units asks all others; one that has some to spare takes them out of its store and sends them.
+//! Each of the `k` instances that a volume comes through has a store of its own that fills at a `k`th of the
+//! limit's rate and holds a `k`th of its burst at most. That is the even split, and what stands where nobody
+//! is heard. An instance that lacks units asks all others; one that has some to spare takes them out of its
+//! store and sends them.
 //!
-//! **Invariant.** At any time, over all instances: units spent, plus units in all stores, plus units in grants that
-//! will still be accepted, are at most the units that the stores were ever filled with; and no store holds more than
-//! its `k`th of the burst. So what all spend in any window is at most the burst and what fills in the window.
+//! **Invariant.** At any time, over all instances: units spent, plus units in all stores, plus units in
+//! grants that will still be accepted, are at most the units that the stores were ever filled with; and no
+//! store holds more than its `k`th of the burst. So what all spend in any window is at most the burst and
+//! what fills in the window.
 //!
-//! *Proof.* Units enter a store by filling, or by accepting a grant; they leave by being spent, by being given up, or
-//! with an instance that ends. A grant is made only of units that its giver has taken out of its store in the same
-//! step ([`Store::give_up`] comes first), so making one moves units from a store into the grant. A grant answers one
-//! ask, named by a nonce that only the asker made: its incarnation, drawn at random at its start, and a number that it
-//! never uses twice. The asker accepts a grant only while it holds that ask open, and one from each peer; so a datagram
-//! that is doubled, or late beyond the asker's patience or its life, adds nothing, and what is accepted was given up
-//! once. A second grant of the same peer to the same ask (the ask was doubled) is dropped: its units are lost, never
-//! doubled. Lost datagrams lose units. An instance that starts has an empty store and no open ask. No step compares
-//! two instances' clocks: an asker closes its asks by its own, and closing early only loses units. Accepting adds to a
-//! store no more than its room. ∎
+//! *Proof.* Units enter a store by filling, or by accepting a grant; they leave by being spent, by being
+//! given up, or with an instance that ends. A grant is made only of units that its giver has taken out of its
+//! store in the same step ([`Store::give_up`] comes first), so making one moves units from a store into the
+//! grant. A grant answers one ask, named by a nonce that only the asker made: its incarnation, drawn at
+//! random at its start, and a number that it never uses twice. The asker accepts a grant only while it holds
+//! that ask open, and one from each peer; so a datagram that is doubled, or late beyond the asker's patience
+//! or its life, adds nothing, and what is accepted was given up once. A second grant of the same peer to the
+//! same ask (the ask was doubled) is dropped: its units are lost, never doubled. Lost datagrams lose units.
+//! An instance that starts has an empty store and no open ask. No step compares two instances' clocks: an
+//! asker closes its asks by its own, and closing early only loses units. Accepting adds to a store no more
+//! than its room. ∎
 //!
-//! An instance gives up units of a volume only if requests of it come through it; otherwise it is none of the `k`, and
-//! what it would give was never filled.
+//! An instance gives up units of a volume only if requests of it come through it; otherwise it is none of the
+//! `k`, and what it would give was never filled.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -31,7 +34,8 @@
 
 /// How often an instance asks at most.
 const EVERY: Micros = 50_000;
-/// How long it holds an ask open. An answer takes some milliseconds; later units are worth less than certainty.
+/// How long it holds an ask open. An answer takes some milliseconds; later units are worth less than
+/// certainty.
 const OPEN_FOR: Micros = 500_000;
 /// What is lacked is forgotten after this long: the requests that lacked it are over.
 const LACK_FOR: Micros = 1_000_000;
@@ -62,8 +66,8 @@
 
 /// This instance's stores, which the decision module owns.
 pub trait Store {
-    /// Takes units that can be spared out of the volume's store, `most` at most, and tells how many they were. None
-    /// where no request of the volume has come through this instance.
+    /// Takes units that can be spared out of the volume's store, `most` at most, and tells how many they
+    /// were. None where no request of the volume has come through this instance.
     fn give_up(&mut self, volume: u64, most: Milli) -> Milli;
     /// Adds units to the volume's store, as many as it has room for.
     fn add(&mut self, volume: u64, units: Milli);
@@ -104,7 +108,8 @@
 }
 
 impl Exchange {
-    /// Of an instance that has just started. `incarnation` is drawn at random: two lives must not have the same.
+    /// Of an instance that has just started. `incarnation` is drawn at random: two lives must not have the
+    /// same.
     pub fn new(incarnation: u64) -> Exchange {
         Exchange {
             incarnation,
@@ -149,7 +154,8 @@
             self.lacks.remove(volume);
         }
         let number = self.next;
-        // After four thousand million asks there are no more: a number that comes again could name an old grant.
+        // After four thousand million asks there are no more: a number that comes again could name an old
+        // grant.
         self.next = number.checked_add(1)?;
         self.asked_at = Some(now);
         self.counters.asked += 1;
--- a/crates/fleet-state/src/wire.rs
+++ b/crates/fleet-state/src/wire.rs
@@ -1,8 +1,8 @@
 //! The datagrams: 256 bytes at most, with a code that only those who have the fleet's key can make.
 //!
-//! Version (1 byte), kind (1), incarnation (8), number (4), then for each volume its number (8) and thousandths of
-//! units (4), then the code (16): BLAKE3 keyed by the fleet's key, over the sender's number and all before it. Numbers
-//! are little endian.
+//! Version (1 byte), kind (1), incarnation (8), number (4), then for each volume its number (8) and
+//! thousandths of units (4), then the code (16): BLAKE3 keyed by the fleet's key, over the sender's number
+//! and all before it. Numbers are little endian.
 
 use crate::exchange::{MOST_VOLUMES, Message, Nonce, Peer};
 
--- a/crates/fleet-state/tests/compatibility.rs
+++ b/crates/fleet-state/tests/compatibility.rs
@@ -1,5 +1,6 @@
-//! The datagrams against recorded bytes. Guards against an instance whose peers, which run another build, drop what it
-//! tells them: a change of order, width or code that a round trip within one build does not show.
+//! The datagrams against recorded bytes. Guards against an instance whose peers, which run another build,
+//! drop what it tells them: a change of order, width or code that a round trip within one build does not
+//! show.
 
 use rowanglade_fleet_state::{Message, Nonce, Peer, decode, encode};
 
--- a/crates/fleet-state/tests/model.rs
+++ b/crates/fleet-state/tests/model.rs
@@ -1,5 +1,5 @@
-//! The exchange itself, checked over every order of events of a small fleet: three instances and one volume, where
-//! datagrams are lost, doubled, late, and instances start anew from nothing.
+//! The exchange itself, checked over every order of events of a small fleet: three instances and one volume,
+//! where datagrams are lost, doubled, late, and instances start anew from nothing.
 
 use rowanglade_fleet_state::exchange::Milli;
 use rowanglade_fleet_state::{Exchange, Message, Peer, Store};
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -1,9 +1,9 @@
 //! How a process that serves hands all that it owns over to another that was started beside it.
 //!
-//! Whoever serves owns things of which there must be one owner: the place from which clients are accepted, units of
-//! limited volumes, budgets of cold targets, the word on maintenance. Ownership goes with a lock that the system
-//! frees when its holder dies, so at no moment do two processes hold it, and it never stays with a dead one. A link
-//! between two processes carries the rest:
+//! Whoever serves owns things of which there must be one owner: the place from which clients are accepted,
+//! units of limited volumes, budgets of cold targets, the word on maintenance. Ownership goes with a lock
+//! that the system frees when its holder dies, so at no moment do two processes hold it, and it never stays
+//! with a dead one. A link between two processes carries the rest:
 //!
 //! ```text
 //! successor                      predecessor
@@ -21,10 +21,10 @@
 //!   takes the lock, serves         finishes what it holds
 //! ```
 //!
-//! Until `Taken` has come, the predecessor owns all, and goes on with it when the link breaks. From then on the
-//! successor owns it. When a link breaks, either side tries the lock: who gets it is alone, and starts from nothing
-//! that the other may have spent meanwhile. So whichever dies, at whichever moment, the other serves on, and nothing
-//! is spent twice.
+//! Until `Taken` has come, the predecessor owns all, and goes on with it when the link breaks. From then on
+//! the successor owns it. When a link breaks, either side tries the lock: who gets it is alone, and starts
+//! from nothing that the other may have spent meanwhile. So whichever dies, at whichever moment, the other
+//! serves on, and nothing is spent twice.
 //!
 //! [`Machine`] is that conversation, for either side. It is told what happened and says what to do.
 
@@ -33,11 +33,12 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// The version of what is said on a link. One that differs in what a word means has another number; fields that
-/// are added and may be left out do not.
+/// The version of what is said on a link. One that differs in what a word means has another number; fields
+/// that are added and may be left out do not.
 pub const VERSION: u32 = 1;
 
-/// How long a predecessor waits for a successor to get ready, and for its `Taken`. It is frozen for the latter.
+/// How long a predecessor waits for a successor to get ready, and for its `Taken`. It is frozen for the
+/// latter.
 const READY_WITHIN: Duration = Duration::from_secs(30);
 const TAKEN_WITHIN: Duration = Duration::from_millis(1_000);
 /// How long a successor that was put off, or finds nobody yet, waits before it looks again.
--- a/crates/handover/tests/model.rs
+++ b/crates/handover/tests/model.rs
@@ -1,5 +1,5 @@
-//! The handover, checked over every order of events of three processes: one that serves, and two that are started
-//! beside it, of which any may die at any moment and any link may break.
+//! The handover, checked over every order of events of three processes: one that serves, and two that are
+//! started beside it, of which any may die at any moment and any link may break.
 
 use rowanglade_handover::{Action, Event, Link, Machine, Word};
 use stateright::{Checker, Model, Property};
--- a/crates/iscsi/src/connection.rs
+++ b/crates/iscsi/src/connection.rs
@@ -33,7 +33,8 @@
 }
 
 impl Connection {
-    /// Connects, and logs in as `initiator` to the target of this name. Dropping the future closes the connection.
+    /// Connects, and logs in as `initiator` to the target of this name. Dropping the future closes the
+    /// connection.
     ///
     /// # Errors
     /// The connection could not be opened or broke, a step took too long, or the target refused the login.
--- a/crates/iscsi/src/lib.rs
+++ b/crates/iscsi/src/lib.rs
@@ -1,5 +1,6 @@
-//! An iSCSI-style protocol over TCP in the terms of RFC 7143: PDUs and their framing, the login phase, and the
-//! SCSI commands and statuses that the daemon's front, its sessions to targets, and the replay's client share.
+//! An iSCSI-style protocol over TCP in the terms of RFC 7143: PDUs and their framing, the login phase, and
+//! the SCSI commands and statuses that the daemon's front, its sessions to targets, and the replay's client
+//! share.
 #![forbid(unsafe_code)]
 
 pub mod connection;
--- a/crates/lab/src/cold.rs
+++ b/crates/lab/src/cold.rs
@@ -1,5 +1,5 @@
-//! A box starts again, cold, before a fleet of which some processes are killed just then: what the whole fleet sends
-//! it, counted where it arrives.
+//! A box starts again, cold, before a fleet of which some processes are killed just then: what the whole
+//! fleet sends it, counted where it arrives.
 
 use crate::outcome::{Experiment, Failure, Outcome, Run};
 use crate::world::{self, ZONE, block_on};
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,5 +1,5 @@
-//! The lab: experiments that start real daemons and stand-ins on loopback, print figures, and fail where a stated
-//! claim does not hold.
+//! The lab: experiments that start real daemons and stand-ins on loopback, print figures, and fail where a
+//! stated claim does not hold.
 #![forbid(unsafe_code)]
 
 mod capture;
@@ -60,8 +60,8 @@
             ExitCode::SUCCESS
         }
         Some("run") => run(rest),
-        // What experiments start this program for: the daemon's own command line, the same with its usage told
-        // at the end, and a box that answers at once.
+        // What experiments start this program for: the daemon's own command line, the same with its usage
+        // told at the end, and a box that answers at once.
         Some("rowanglade") => rowanglade::cli::run(rest),
         Some("measured") => {
             let code = rowanglade::cli::run(rest);
--- a/crates/lab/src/many_targets.rs
+++ b/crates/lab/src/many_targets.rs
@@ -1,5 +1,5 @@
-//! What a process needs and serves before many targets: the same traffic before 200, 800, 1,600 and 3,200, with a small
-//! share of a core, through a release, an outage of discovery, restarts and targets that hang.
+//! What a process needs and serves before many targets: the same traffic before 200, 800, 1,600 and 3,200,
+//! with a small share of a core, through a release, an outage of discovery, restarts and targets that hang.
 
 use crate::outcome::{Experiment, Failure, Outcome, Run, Seeds};
 use crate::world::{ZONE, block_on, header};
@@ -26,8 +26,8 @@
 /// One of so many targets hangs, and goes on later.
 const HANGING: usize = 20;
 const OUTAGE: Duration = Duration::from_secs(4);
-/// How long a process may take to end after SIGTERM, by the platform's rule: the longest deadline, counted as 3 s at
-/// most, and 0.7 s.
+/// How long a process may take to end after SIGTERM, by the platform's rule: the longest deadline, counted as
+/// 3 s at most, and 0.7 s.
 const PATIENCE: Duration = Duration::from_millis(3_700);
 const QUIET: Duration = Duration::from_secs(2);
 /// Every row is to stay within this part of its bound.
@@ -141,7 +141,8 @@
     })
 }
 
-/// The longest time from a departure's being written to a process to an attempt of that process there, in seconds.
+/// The longest time from a departure's being written to a process to an attempt of that process there, in
+/// seconds.
 fn latest_send(history: &History) -> f64 {
     let processes: HashMap<&str, _> = history.requests.iter().map(|r| (r.id.as_str(), r.process)).collect();
     let mut departures: HashMap<&str, u64> = HashMap::new();
--- a/crates/lab/src/routes.rs
+++ b/crates/lab/src/routes.rs
@@ -148,7 +148,8 @@
     Ok(out)
 }
 
-/// New objects of half of the volumes go to one box, which changes with every version; the rest to all but box 0.
+/// New objects of half of the volumes go to one box, which changes with every version; the rest to all but
+/// box 0.
 fn version(number: usize) -> String {
     let target = 1 + number % 3;
     format!(
--- a/crates/lab/src/scale/all_pairs.rs
+++ b/crates/lab/src/scale/all_pairs.rs
@@ -1,5 +1,5 @@
-//! The table as it was before each target drew its candidates: a hash of every pair of an instance and a target, sorted
-//! at every change. Kept as the baseline of `scale-subsets` only.
+//! The table as it was before each target drew its candidates: a hash of every pair of an instance and a
+//! target, sorted at every change. Kept as the baseline of `scale-subsets` only.
 
 use rowanglade_subset::Rule;
 use std::collections::BTreeSet;
--- a/crates/lab/src/scale/distribution.rs
+++ b/crates/lab/src/scale/distribution.rs
@@ -34,7 +34,8 @@
     Shape { instances, relays: RELAYS, regions: REGIONS, seed: SEED }
 }
 
-/// Names, addresses and starts have nothing in common, as on a fleet that has grown: a list in order would pack to nothing.
+/// Names, addresses and starts have nothing in common, as on a fleet that has grown: a list in order would
+/// pack to nothing.
 fn drawn(place: usize, what: u64) -> u64 {
     xxh3_64_with_seed(&place.to_le_bytes(), what)
 }
@@ -102,8 +103,9 @@
 const POISON_AT: u64 = 95;
 const END: u64 = 130;
 
-/// Everything at once: a tenth restarts, a relay dies in the middle of a change and comes back with old state, a region is
-/// cut for 35 s while a zone goes, and a configuration that nobody can run with is published and taken back.
+/// Everything at once: a tenth restarts, a relay dies in the middle of a change and comes back with old
+/// state, a region is cut for 35 s while a zone goes, and a configuration that nobody can run with is
+/// published and taken back.
 pub fn faults(instances: u32) -> Result<(Network, usize), Failure> {
     let first = list(TARGETS);
     let mut network = Network::new(shape(instances), first.clone(), Some(&first));
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -1,5 +1,5 @@
-//! Hollow instances: whole initiators that share a process and have no clients. Beside them real ones, each a process
-//! of its own, for the sizes that fit.
+//! Hollow instances: whole initiators that share a process and have no clients. Beside them real ones, each a
+//! process of its own, for the sizes that fit.
 
 use super::cost::process_time;
 use super::lists;
--- a/crates/lab/src/scale/lists.rs
+++ b/crates/lab/src/scale/lists.rs
@@ -108,7 +108,8 @@
 /// Microseconds that a target takes.
 const SERVED_IN: Micros = 2_000;
 
-/// The decision module by itself, with requests of as many shards as there are targets, all of which are served.
+/// The decision module by itself, with requests of as many shards as there are targets, all of which are
+/// served.
 pub fn module_request(size: Size) -> Result<Cost, Failure> {
     module_requests(size, |number| Some(ShardId((number as usize * 7 % size.targets) as u32)))
 }
@@ -187,8 +188,8 @@
     Ok(Cost { processor: (thread_time() - begun) / EMPTY_CHANGES as f64, ..Cost::default() })
 }
 
-/// A core without sockets beside targets that are no more than a mailbox: the whole list once, then changes of one
-/// target each. The state is the list's, the processor time that of one change.
+/// A core without sockets beside targets that are no more than a mailbox: the whole list once, then changes
+/// of one target each. The state is the list's, the processor time that of one change.
 fn core_changes(size: Size, subset: Option<Rule>) -> Result<Cost, Failure> {
     let settings =
         rowanglade_standin::settings(&world::header(), size.instances as usize, ZONE, size.targets);
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -1,8 +1,8 @@
 //! Slopes: what the control of a fleet costs at four sizes each, and what law that follows.
 //!
 //! Memory and processor time of code without sockets are measured in processes of their own ([`cost`]); whole
-//! initiators without clients share processes ([`hollow`]), with real ones beside them at one size; what no number of
-//! sockets on one machine holds is simulated ([`reads`]).
+//! initiators without clients share processes ([`hollow`]), with real ones beside them at one size; what no
+//! number of sockets on one machine holds is simulated ([`reads`]).
 
 mod all_pairs;
 mod connections;
--- a/crates/lab/src/scale/network.rs
+++ b/crates/lab/src/scale/network.rs
@@ -1,5 +1,5 @@
-//! A source, relays and hollow instances on a simulated network: their own code and their own bytes, with delays, cuts,
-//! deaths and restarts, in simulated time.
+//! A source, relays and hollow instances on a simulated network: their own code and their own bytes, with
+//! delays, cuts, deaths and restarts, in simulated time.
 
 use super::cost::thread_time;
 use crate::outcome::Failure;
@@ -404,8 +404,9 @@
         sums
     }
 
-    /// Milliseconds from each version's publication until each instance had it or a newer one in force: from the end of
-    /// what kept it from being told, if anything did. None: it never had. Versions listed in `skip` are left out.
+    /// Milliseconds from each version's publication until each instance had it or a newer one in force: from
+    /// the end of what kept it from being told, if anything did. None: it never had. Versions listed in
+    /// `skip` are left out.
     pub fn delays(&self, skip: &[usize]) -> Vec<Option<Millis>> {
         let mut delays = Vec::new();
         for (version, published) in self.published.iter().enumerate().skip(2) {
@@ -441,7 +442,8 @@
         match news {
             News::InForce(state) => {
                 let number = state.version().number as usize;
-                // After a restart from nothing an older one than before may come, through a relay that is behind.
+                // After a restart from nothing an older one than before may come, through a relay that is
+                // behind.
                 let restarted = self.away.iter().any(|(from, to)| from == to);
                 self.went_back |= number + 1 < self.reached.len() && !restarted;
                 if self.reached.len() <= number {
--- a/crates/lab/src/scale/reads.rs
+++ b/crates/lab/src/scale/reads.rs
@@ -1,5 +1,5 @@
-//! Whole lists from one discovery that serves calls one after another, in simulated time: what no number of sockets on
-//! one machine holds.
+//! Whole lists from one discovery that serves calls one after another, in simulated time: what no number of
+//! sockets on one machine holds.
 
 use super::cost::{SIZES, Size, probe, thread_time};
 use super::curve::Curve;
@@ -20,10 +20,12 @@
 };
 
 const SEED: u64 = 33;
-/// Seconds that a call waits for its answer, as `rowanglade_discovery_schedule` has it for one that does not hold.
+/// Seconds that a call waits for its answer, as `rowanglade_discovery_schedule` has it for one that does not
+/// hold.
 const PATIENCE: f64 = 5.0;
-/// Each instance's first call, and the next after one that failed, come within this span, as the module has it where
-/// the list must be asked for every 10 s: a tenth of a second for each instance of the fleet, at most those 10 s.
+/// Each instance's first call, and the next after one that failed, come within this span, as the module has
+/// it where the list must be asked for every 10 s: a tenth of a second for each instance of the fleet, at
+/// most those 10 s.
 const TURN: f64 = 0.1;
 const LONGEST_TURN: f64 = 10.0;
 /// Seconds that are simulated at most.
@@ -54,8 +56,8 @@
     }
 }
 
-/// Seconds until so many instances of a fleet that start at once each have an answer, where a call takes `service` seconds.
-/// None: some have none when the simulation ends.
+/// Seconds until so many instances of a fleet that start at once each have an answer, where a call takes
+/// `service` seconds. None: some have none when the simulation ends.
 pub fn all_served(starting: u32, fleet: u32, service: f64) -> Option<f64> {
     let mut chance = Pcg64Mcg::seed_from_u64(SEED);
     let turn = (TURN * f64::from(fleet)).min(LONGEST_TURN);
--- a/crates/lab/src/scale/subsets.rs
+++ b/crates/lab/src/scale/subsets.rs
@@ -71,7 +71,8 @@
     Ok(Cost { processor, ..cost })
 }
 
-/// How much of the table moves when an instance joins, or a target leaves, as a multiple of the part that is theirs.
+/// How much of the table moves when an instance joins, or a target leaves, as a multiple of the part that is
+/// theirs.
 fn moved(way: Way, size: Size) -> (f64, f64) {
     let all = names(size.targets);
     let all = strs(&all);
--- a/crates/lab/src/scale/tests.rs
+++ b/crates/lab/src/scale/tests.rs
@@ -46,7 +46,8 @@
     assert_eq!(all_served(2_200, 2_200, 0.05), all_served(2_200, 2_200, 0.05), "the same seed, the same end");
 }
 
-// Few instances, and all that goes wrong at the size: restarts, a relay's death and old state, a cut, a poison.
+// Few instances, and all that goes wrong at the size: restarts, a relay's death and old state, a cut, a
+// poison.
 #[test]
 fn with_relays_every_version_is_in_force_in_time_whatever_goes_wrong() {
     const INSTANCES: u32 = 160;
--- a/crates/lab/src/scale/units.rs
+++ b/crates/lab/src/scale/units.rs
@@ -20,8 +20,8 @@
     fn add(&mut self, _volume: u64, _units: Milli) {}
 }
 
-/// The asker's part in one lack of a volume that comes through all instances: it asks all others, and each answers.
-/// The bytes are those that it sends and receives.
+/// The asker's part in one lack of a volume that comes through all instances: it asks all others, and each
+/// answers. The bytes are those that it sends and receives.
 pub fn lack(size: Size) -> Result<Cost, Failure> {
     let now = 1_000_000;
     let ask = || {
--- a/crates/lab/src/sites.rs
+++ b/crates/lab/src/sites.rs
@@ -25,8 +25,9 @@
 const FAR: std::ops::Range<usize> = 2..6;
 const INSTANCES: usize = 3;
 const VOLUMES: u64 = 60;
-/// Of [`settings`], but for how long a box is cold: what a cold one bears within three seconds, from which part of its
-/// power on; the multiple of its power that pushes it over; and the reserve of a volume on the plan `full`.
+/// Of [`settings`], but for how long a box is cold: what a cold one bears within three seconds, from which
+/// part of its power on; the multiple of its power that pushes it over; and the reserve of a volume on the
+/// plan `full`.
 const COLD_UNITS: f64 = 51.0;
 const COLD_FROM: f64 = 0.28;
 const WARM_WITHIN: f64 = 10.0;
@@ -39,7 +40,8 @@
     Entry { zone: Some(zone.into()), ..Entry::of(each, State::Active) }
 }
 
-/// Units that a box that returned at 0 bears in the window that begins then, if the rule on cold boxes is kept.
+/// Units that a box that returned at 0 bears in the window that begins then, if the rule on cold boxes is
+/// kept.
 fn bears(from: f64) -> f64 {
     let power = COLD_FROM + (1.0 - COLD_FROM) * ((from + WINDOW) / WARM_WITHIN).min(1.0);
     let reserves = RESERVE * VOLUMES as f64 / FAR.end as f64;
--- a/crates/lab/src/soak.rs
+++ b/crates/lab/src/soak.rs
@@ -1,8 +1,8 @@
 //! A seeded soak: real processes under faults that a seed draws, and the checker's word on what they did.
 //!
-//! Each seed draws the size of the fleet, the number of targets, the traffic, and a list of faults with their times. A
-//! seed that breaks a rule prints its timeline and is played again with one fault left out at a time, until no fault can
-//! be left out: what is left is the least that shows the breach.
+//! Each seed draws the size of the fleet, the number of targets, the traffic, and a list of faults with their
+//! times. A seed that breaks a rule prints its timeline and is played again with one fault left out at a
+//! time, until no fault can be left out: what is left is the least that shows the breach.
 
 use crate::outcome::{Experiment, Failure, Outcome, Run, Seeds};
 use crate::world::{ZONE, block_on, header};
@@ -25,7 +25,8 @@
 /// How long clients ask.
 const PLAY: Duration = Duration::from_secs(9);
 const GRACE: u64 = 1_000_000;
-/// SIGKILL comes this long after SIGTERM at the earliest: the longest deadline, counted as 3 s at most, and 0.7 s.
+/// SIGKILL comes this long after SIGTERM at the earliest: the longest deadline, counted as 3 s at most, and
+/// 0.7 s.
 const EARLIEST_KILL: Duration = Duration::from_millis(3_700);
 /// The seeds of the short run.
 const SHORT: std::ops::RangeInclusive<u64> = 1..=4;
@@ -157,8 +158,8 @@
         }
     }
 
-    /// Leaves out what holds processes up. The short run has to give the same verdict on a machine that is busy, which
-    /// holds them up by itself.
+    /// Leaves out what holds processes up. The short run has to give the same verdict on a machine that is
+    /// busy, which holds them up by itself.
     fn leave_time_alone(&mut self) {
         self.share = None;
         self.calls.retain(|call| !call.contains("late="));
@@ -363,8 +364,8 @@
     Ok(())
 }
 
-/// The shim's counts of all processes. A process writes its file every so many faults, and none where there was no
-/// fault.
+/// The shim's counts of all processes. A process writes its file every so many faults, and none where there
+/// was no fault.
 fn read_counts(folder: &Path) -> BTreeMap<String, u64> {
     let mut counts: BTreeMap<String, u64> = BTreeMap::new();
     let files = std::fs::read_dir(folder).into_iter().flatten().flatten();
--- a/crates/lab/src/subsets.rs
+++ b/crates/lab/src/subsets.rs
@@ -81,7 +81,8 @@
     })
 }
 
-/// How much of the table moves when an instance joins, or a box leaves, as a multiple of the part that is theirs.
+/// How much of the table moves when an instance joins, or a box leaves, as a multiple of the part that is
+/// theirs.
 fn moved() -> (f64, f64) {
     let names: Vec<String> = (0..BOXES).map(|i| format!("s-{i:08x}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
--- a/crates/lab/src/upgrade.rs
+++ b/crates/lab/src/upgrade.rs
@@ -146,8 +146,8 @@
         watch.abort();
 
         let total = report.total();
-        // Of the limited volume, whose box nobody else uses: the store is empty when the first process starts, so no
-        // more may have come at any time than what has filled it since, and the slack.
+        // Of the limited volume, whose box nobody else uses: the store is empty when the first process
+        // starts, so no more may have come at any time than what has filled it since, and the slack.
         let seen: Vec<f64> = {
             let seen = site.boxes[0].seen();
             seen.iter().map(|(at, _)| at.duration_since(born).as_secs_f64()).collect()
--- a/crates/link/src/lib.rs
+++ b/crates/link/src/lib.rs
@@ -1,8 +1,8 @@
 //! HTTP/1.1 connections of a client, and the store that keeps idle ones: the daemon's to its targets, and the
 //! replay's to initiators.
 //!
-//! It speaks through the client codec of the HTTP library: the client above that codec takes a 1xx answer, and
-//! whatever comes behind an answer, for the answer to the next request.
+//! It speaks through the client codec of the HTTP library: the client above that codec takes a 1xx answer,
+//! and whatever comes behind an answer, for the answer to the next request.
 
 #![forbid(unsafe_code)]
 
@@ -37,8 +37,8 @@
 pub enum Fault {
     /// The last byte of the request was not written.
     NotWritten,
-    /// The connection ended before a byte of an answer came. The request may have run, unless the connection had
-    /// served before ([`Link::fresh`]) and was closed for its idleness just then.
+    /// The connection ended before a byte of an answer came. The request may have run, unless the connection
+    /// had served before ([`Link::fresh`]) and was closed for its idleness just then.
     Unheard,
     /// The connection ended, or what came is no answer. The request may have run.
     Broken,
@@ -154,8 +154,8 @@
         self.buffer.is_empty() && matches!(peeked, Err(e) if e.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// One exchange, whose answer is held whole and is not larger than `largest`. Dropped half way, or after a
-    /// fault, the connection is of no further use.
+    /// One exchange, whose answer is held whole and is not larger than `largest`. Dropped half way, or after
+    /// a fault, the connection is of no further use.
     pub async fn exchange(
         &mut self,
         head: RequestHead,
@@ -171,8 +171,8 @@
         Ok(Answered { status: head.status, headers: head.headers, body: content.freeze() })
     }
 
-    /// Sends a request and reads the head of its answer, of which no more than `largest` bytes are to come. The
-    /// answer may begin before the request is whole; then no more of the request is sent.
+    /// Sends a request and reads the head of its answer, of which no more than `largest` bytes are to come.
+    /// The answer may begin before the request is whole; then no more of the request is sent.
     pub async fn ask<S: Rest>(
         &mut self,
         head: RequestHead,
@@ -302,7 +302,8 @@
         }
     }
 
-    /// The next piece of the answer's body, which comes within `stall` of the last. None: the answer is whole.
+    /// The next piece of the answer's body, which comes within `stall` of the last. None: the answer is
+    /// whole.
     pub async fn piece(&mut self, stall: Option<Duration>) -> Result<Option<Bytes>, Fault> {
         loop {
             match &mut self.reading {
--- a/crates/link/src/stream.rs
+++ b/crates/link/src/stream.rs
@@ -1,8 +1,9 @@
 //! Reads and writes of a stream that may move less than they could.
 //!
-//! The runtime takes a read that fills only a part of its buffer, or a write of only a part, for the sign that the system
-//! has no more, and waits for the next event. Where a call is cut short for another reason no such event comes, and the
-//! exchange stands still until its time is up. Here only `WouldBlock` says that there is nothing more to do.
+//! The runtime takes a read that fills only a part of its buffer, or a write of only a part, for the sign
+//! that the system has no more, and waits for the next event. Where a call is cut short for another reason no
+//! such event comes, and the exchange stands still until its time is up. Here only `WouldBlock` says that
+//! there is nothing more to do.
 
 use bytes::BytesMut;
 use std::io;
@@ -47,7 +48,8 @@
     }
 }
 
-/// Reads what has come behind what a buffer holds; 0: the end. Dropped before it resolves, it has read nothing.
+/// Reads what has come behind what a buffer holds; 0: the end. Dropped before it resolves, it has read
+/// nothing.
 ///
 /// # Errors
 /// The connection is broken.
--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -1,13 +1,14 @@
 //! Which targets operators have called out, and what of discovery's news holds for them.
 //!
-//! Two parties say whether a target may be sent anything: discovery, which lists it, and operators, who leave it out
-//! while they work on it. Neither overwrites the other's word here: the list is kept as discovery tells it, and
-//! [`Maintenance::view`] says what follows from both. A target that is out drains, whatever discovery says, and one
-//! that is called back is as discovery lists it from that moment on, with nothing to wait for.
+//! Two parties say whether a target may be sent anything: discovery, which lists it, and operators, who leave
+//! it out while they work on it. Neither overwrites the other's word here: the list is kept as discovery
+//! tells it, and [`Maintenance::view`] says what follows from both. A target that is out drains, whatever
+//! discovery says, and one that is called back is as discovery lists it from that moment on, with nothing to
+//! wait for.
 //!
-//! Operators restart a target while it is out, so it comes back cold, and discovery's news of that may be late. A
-//! target called back therefore counts as just started until discovery tells a start that came after it was called
-//! out.
+//! Operators restart a target while it is out, so it comes back cold, and discovery's news of that may be
+//! late. A target called back therefore counts as just started until discovery tells a start that came after
+//! it was called out.
 
 #![forbid(unsafe_code)]
 
@@ -81,7 +82,8 @@
         }
     }
 
-    /// Forgets what discovery's news has made moot: a start told since the target was called out, or its leaving.
+    /// Forgets what discovery's news has made moot: a start told since the target was called out, or its
+    /// leaving.
     pub fn told(&mut self, target: &str, state: State, started: Option<Micros>) {
         let Some(back) = self.back.get(target) else { return };
         if state == State::Gone || started.is_some_and(|s| s > back.out) {
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,17 +1,18 @@
 //! Which shard holds a piece of data, as the answers of targets show it.
 //!
-//! A request names the shard that holds its data, and a target of another shard turns it away unseen. A client that
-//! has begun to write its request before a new object was placed names the shard it then expected, and is turned away
-//! at every attempt, though the initiator itself may have placed the object a moment ago. What a target served is
-//! proof: its shard holds the data, and data does not move. So what was seen here wins over what a request says.
+//! A request names the shard that holds its data, and a target of another shard turns it away unseen. A
+//! client that has begun to write its request before a new object was placed names the shard it then
+//! expected, and is turned away at every attempt, though the initiator itself may have placed the object a
+//! moment ago. What a target served is proof: its shard holds the data, and data does not move. So what was
+//! seen here wins over what a request says.
 //!
-//! Only what is worth it is kept: where new objects were placed, and objects for which a request and a target once
-//! disagreed. All else is where requests say it is. The oldest are forgotten beyond a number; a request for them goes
-//! where it says, as it would without this.
+//! Only what is worth it is kept: where new objects were placed, and objects for which a request and a target
+//! once disagreed. All else is where requests say it is. The oldest are forgotten beyond a number; a request
+//! for them goes where it says, as it would without this.
 //!
-//! Two processes of one initiator, of which one replaces the other, tell each other what they see: all of it at once,
-//! and then each piece of news. Whatever arrives late or twice is news of an older answer, and the next answer of a
-//! target puts it right.
+//! Two processes of one initiator, of which one replaces the other, tell each other what they see: all of it
+//! at once, and then each piece of news. Whatever arrives late or twice is news of an older answer, and the
+//! next answer of a target puts it right.
 
 #![forbid(unsafe_code)]
 
@@ -56,8 +57,8 @@
         }
     }
 
-    /// Notes that a target of `shard` served a request which named `requested`. Returns what is new about the object,
-    /// for the other process.
+    /// Notes that a target of `shard` served a request which named `requested`. Returns what is new about the
+    /// object, for the other process.
     pub fn served(
         &mut self,
         object: Object,
@@ -70,8 +71,8 @@
         self.keep(object, Seen::At(shard))
     }
 
-    /// Notes that a target of `shard` turned a request for the object away, as it does not hold it. Returns what is new
-    /// about the object, for the other process.
+    /// Notes that a target of `shard` turned a request for the object away, as it does not hold it. Returns
+    /// what is new about the object, for the other process.
     pub fn turned_away(&mut self, object: Object, shard: Shard) -> Option<(Object, Seen)> {
         self.keep(object, Seen::NotAt(shard))
     }
--- a/crates/replay/src/compare.rs
+++ b/crates/replay/src/compare.rs
@@ -1,9 +1,9 @@
 //! Two reports side by side: what changed, and whether it is more than noise.
 //!
-//! Counts are compared as parts of what came due, by the two-proportion z-test (beyond 3 standard errors is no
-//! noise). A quantile is compared by its confidence interval, which the ranks around it give without a guess at
-//! the distribution (the binomial's normal approximation): where the intervals of the two do not meet, and the
-//! change is more than a twentieth and 0.5 ms, it is more than noise.
+//! Counts are compared as parts of what came due, by the two-proportion z-test (beyond 3 standard errors is
+//! no noise). A quantile is compared by its confidence interval, which the ranks around it give without a
+//! guess at the distribution (the binomial's normal approximation): where the intervals of the two do not
+//! meet, and the change is more than a twentieth and 0.5 ms, it is more than noise.
 
 use crate::report::{Class, Report, Times};
 use serde::Serialize;
--- a/crates/replay/src/drive.rs
+++ b/crates/replay/src/drive.rs
@@ -33,8 +33,8 @@
 
 /// What sends tries to initiators. The future may be dropped when the client has gone.
 pub trait Transport {
-    /// Sends a try to an initiator, by its place, and tells how it ended. A try without an answer by its time is
-    /// [`End::Lost`]; the transport sees to that.
+    /// Sends a try to an initiator, by its place, and tells how it ended. A try without an answer by its time
+    /// is [`End::Lost`]; the transport sees to that.
     fn send(&self, initiator: usize, outgoing: Outgoing) -> LocalBoxFuture<'static, End>;
 }
 
--- a/crates/replay/src/http.rs
+++ b/crates/replay/src/http.rs
@@ -1,5 +1,5 @@
-//! The platform's front: HTTP/1.1, one request at a time on a connection, connections kept and more opened when
-//! all are busy.
+//! The platform's front: HTTP/1.1, one request at a time on a connection, connections kept and more opened
+//! when all are busy.
 
 use crate::drive::{Outgoing, Transport};
 use crate::plan::End;
--- a/crates/replay/src/iscsi.rs
+++ b/crates/replay/src/iscsi.rs
@@ -1,6 +1,6 @@
-//! The iSCSI-style front: a session to each initiator, whose commands share its window (RFC 7143, section 4.2.2).
-//! A volume is a LUN, a piece an address, a class a group number. Refusals tell when to come back in the status
-//! qualifier, in tenths of a second.
+//! The iSCSI-style front: a session to each initiator, whose commands share its window (RFC 7143, section
+//! 4.2.2). A volume is a LUN, a piece an address, a class a group number. Refusals tell when to come back in
+//! the status qualifier, in tenths of a second.
 
 use crate::drive::{Outgoing, Transport};
 use crate::plan::End;
--- a/crates/replay/src/lib.rs
+++ b/crates/replay/src/lib.rs
@@ -2,10 +2,10 @@
 //! before it.
 //!
 //! [`plan`] decides what goes when, where, and whether a client tries again; it has no clock and no sockets.
-//! [`drive`] gives it a clock, and a [`Transport`] the sockets: [`http`] for the platform's front, [`iscsi`] for
-//! the iSCSI-style one. [`report`] sums up what became of the requests and [`compare`] sets two reports side by
-//! side. Latency counts from the moment a request was due, so that a stall is not hidden by requests that were
-//! never sent because of it.
+//! [`drive`] gives it a clock, and a [`Transport`] the sockets: [`http`] for the platform's front, [`iscsi`]
+//! for the iSCSI-style one. [`report`] sums up what became of the requests and [`compare`] sets two reports
+//! side by side. Latency counts from the moment a request was due, so that a stall is not hidden by requests
+//! that were never sent because of it.
 #![forbid(unsafe_code)]
 
 pub mod compare;
--- a/crates/replay/src/pick.rs
+++ b/crates/replay/src/pick.rs
@@ -15,8 +15,8 @@
     Pcg64Mcg::seed_from_u64(first ^ b)
 }
 
-/// The initiators of a volume, out of `of`: the `hosts` that rank highest for it (rendezvous hashing), so that
-/// another initiator moves few volumes.
+/// The initiators of a volume, out of `of`: the `hosts` that rank highest for it (rendezvous hashing), so
+/// that another initiator moves few volumes.
 pub fn set(seed: u64, volume: u64, hosts: u32, of: usize) -> Vec<usize> {
     let mut ranked: Vec<(u64, usize)> =
         (0..of).map(|i| (draw(seed, volume, i as u64 + 1).random(), i)).collect();
--- a/crates/replay/src/plan.rs
+++ b/crates/replay/src/plan.rs
@@ -1,15 +1,15 @@
 //! What goes when: the schedule, the clients' own retries, and the bound on what is out at once.
 //!
-//! A machine without clock or sockets. It is given records in the order of their times ([`Planner::offer`]), the
-//! time, and how tries ended ([`Planner::ended`]); it gives back tries to send and final words on requests
-//! ([`Planner::poll`]). Times are microseconds since the replay's beginning.
+//! A machine without clock or sockets. It is given records in the order of their times ([`Planner::offer`]),
+//! the time, and how tries ended ([`Planner::ended`]); it gives back tries to send and final words on
+//! requests ([`Planner::poll`]). Times are microseconds since the replay's beginning.
 //!
-//! Clients act as the brief describes: they try again once at most, after the wait that the answer asks for or a short one
-//! of their own, under a new id, through the same initiator, and never when the answer could not come before
-//! their deadline. A read is tried again after anything but an answer. A keyed write is tried again after a
-//! refusal, or when the initiator was not reached; after an answer that leaves open whether it ran, only while
-//! its rack still remembers the key, and only where its shard is known, so that no other rack takes it. A write
-//! without a key is tried again only where it did not run.
+//! Clients act as the brief describes: they try again once at most, after the wait that the answer asks for
+//! or a short one of their own, under a new id, through the same initiator, and never when the answer could
+//! not come before their deadline. A read is tried again after anything but an answer. A keyed write is tried
+//! again after a refusal, or when the initiator was not reached; after an answer that leaves open whether it
+//! ran, only while its rack still remembers the key, and only where its shard is known, so that no other rack
+//! takes it. A write without a key is tried again only where it did not run.
 
 use crate::pick;
 use rand::{Rng, SeedableRng};
@@ -32,7 +32,8 @@
     pub most_out: usize,
     /// Whether clients try again.
     pub retries: bool,
-    /// How long a client waits where the answer asks for no wait, in microseconds; up to as much again is random.
+    /// How long a client waits where the answer asks for no wait, in microseconds; up to as much again is
+    /// random.
     pub retry_wait: Micros,
     pub seed: u64,
 }
@@ -215,7 +216,8 @@
         self.schedule.is_empty() && self.open.is_empty() && self.actions.is_empty()
     }
 
-    /// Sends nothing more. What is scheduled is dropped; what is held or waits for another try has its last word.
+    /// Sends nothing more. What is scheduled is dropped; what is held or waits for another try has its last
+    /// word.
     pub fn stop(&mut self, now: Micros) {
         self.stopped = true;
         self.schedule.clear();
@@ -349,7 +351,8 @@
             Repeat::Safe => true,
             _ if harmless => true,
             Repeat::Keyed { span_ms } => {
-                // Behind the try stand the initiator's own sends: all must be over while the key is remembered.
+                // Behind the try stand the initiator's own sends: all must be over while the key is
+                // remembered.
                 let remembered = open.first_sent.unwrap_or(now) + u64::from(span_ms) * 1_000;
                 let deadline = open.deadline.min(remembered);
                 let permitted = open.record.shard.is_some() && at < deadline;
--- a/crates/replay/src/run.rs
+++ b/crates/replay/src/run.rs
@@ -53,7 +53,8 @@
     }
 }
 
-/// How long a client waits before its second try where the answer asks for no wait: 50 to 100 ms, in microseconds.
+/// How long a client waits before its second try where the answer asks for no wait: 50 to 100 ms, in
+/// microseconds.
 const RETRY_WAIT: u64 = 50_000;
 
 /// Why nothing was replayed.
@@ -67,11 +68,11 @@
     NotReady(SocketAddr, Duration),
 }
 
-/// Replays a trace until its end or until `stop` resolves. Beside the report stands what was wrong with the rest
-/// of the trace, if anything. It must be called where tasks can be spawned that stay on their thread.
+/// Replays a trace until its end or until `stop` resolves. Beside the report stands what was wrong with the
+/// rest of the trace, if anything. It must be called where tasks can be spawned that stay on their thread.
 ///
-/// # Errors
-/// Nothing was sent: the trace cannot be opened, what is asked makes no sense, or an initiator does not serve.
+/// # Errors Nothing was sent: the trace cannot be opened, what is asked makes no sense, or an initiator does
+/// not serve.
 pub async fn replay(
     trace: &Path,
     ask: &Replay,
--- a/crates/replay/tests/compatibility.rs
+++ b/crates/replay/tests/compatibility.rs
@@ -1,5 +1,5 @@
-//! A report against a recorded sample. Guards against a build that can no longer compare its replay with the report of
-//! an earlier one, and against tools that read reports finding other keys.
+//! A report against a recorded sample. Guards against a build that can no longer compare its replay with the
+//! report of an earlier one, and against tools that read reports finding other keys.
 
 use rowanglade_replay::Report;
 use rowanglade_replay::compare::{Change, Comparison};
--- a/crates/routing/src/check.rs
+++ b/crates/routing/src/check.rs
@@ -1,9 +1,9 @@
-//! Holds expectations against a table: for all requests, by classes of requests that no route and no expectation
-//! tells apart, and for all states of boxes, by what a pool could ever hold.
+//! Holds expectations against a table: for all requests, by classes of requests that no route and no
+//! expectation tells apart, and for all states of boxes, by what a pool could ever hold.
 //!
-//! A class of requests is one point of each field's values: one for each value that is named, one for all others,
-//! one between any two edges of networks. A box that is not listed can come with any name and place that its pool
-//! takes; where only its attributes would decide, the verdict waits for the list to name it.
+//! A class of requests is one point of each field's values: one for each value that is named, one for all
+//! others, one between any two edges of networks. A box that is not listed can come with any name and place
+//! that its pool takes; where only its attributes would decide, the verdict waits for the list to name it.
 
 use crate::expect::{Expectation, Must, Undecided};
 use crate::request::{Front, Request};
@@ -88,7 +88,8 @@
         }
     }
 
-    /// What an operator reads: each broken or undecided expectation, contradiction and warning, a paragraph each.
+    /// What an operator reads: each broken or undecided expectation, contradiction and warning, a paragraph
+    /// each.
     pub fn lines(&self, expectations: &[Expectation]) -> Vec<String> {
         let named = |place: usize| {
             expectations.get(place).map_or(String::new(), |e| format!("{}: {:?}", e.origin, e.name))
@@ -212,7 +213,8 @@
     }
 }
 
-/// Volumes that stand for all that a region holds: those that routes name, and one between any two edges of ranges.
+/// Volumes that stand for all that a region holds: those that routes name, and one between any two edges of
+/// ranges.
 pub(crate) fn volumes(table: &Table, region: &Match) -> Vec<u64> {
     if let Some(named) = region.single_volumes() {
         return named.collect();
--- a/crates/routing/src/file.rs
+++ b/crates/routing/src/file.rs
@@ -270,8 +270,8 @@
     }
 }
 
-/// Reads files in their order: routes and expectations of an earlier file come before those of a later one, and a
-/// pool's name stands for one pool in all of them.
+/// Reads files in their order: routes and expectations of an earlier file come before those of a later one,
+/// and a pool's name stands for one pool in all of them.
 ///
 /// # Errors
 /// A file cannot be used; the error names it, the line and the key.
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -92,7 +92,8 @@
         self.by_volume.contains_key(&volume)
     }
 
-    /// The place of a request's route; none: it may reach every box. Precedence is decided here and nowhere else.
+    /// The place of a request's route; none: it may reach every box. Precedence is decided here and nowhere
+    /// else.
     pub fn route(&self, request: &Request<'_>) -> Option<usize> {
         let matching = self.candidates(request.volume).filter_map(|place| {
             let prefix = self.routes[place].requests.holds(request)?;
@@ -111,7 +112,8 @@
         matching.into_iter().map(|(prefix, place)| (place, prefix.0)).collect()
     }
 
-    /// Which of these boxes a request for a shard (absent: a new object) may reach on a route, in their order.
+    /// Which of these boxes a request for a shard (absent: a new object) may reach on a route, in their
+    /// order.
     pub fn reach<'b, B>(
         &self,
         route: Option<usize>,
--- a/crates/routing/tests/agreement.rs
+++ b/crates/routing/tests/agreement.rs
@@ -1,4 +1,5 @@
-//! The checker and brute force: on small random configurations they agree, request by request and list by list.
+//! The checker and brute force: on small random configurations they agree, request by request and list by
+//! list.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -133,7 +134,8 @@
     out
 }
 
-/// Whether it is broken by listed boxes or one that nobody names, and whether by one that is named and not listed.
+/// Whether it is broken by listed boxes or one that nobody names, and whether by one that is named and not
+/// listed.
 fn brute(table: &Table, e: &Expectation, listed: &[BoxInfo]) -> (bool, bool) {
     let (mut plainly, mut by_named) = (false, false);
     let reach = |request: &Request<'_>, boxes: &[(&BoxInfo, BoxState)]| -> Vec<BoxInfo> {
--- a/crates/routing/tests/compatibility.rs
+++ b/crates/routing/tests/compatibility.rs
@@ -1,5 +1,5 @@
-//! A file of routes with every key. Guards against a key that is no longer read: operators' files would be refused, or
-//! an expectation would hold less than it says.
+//! A file of routes with every key. Guards against a key that is no longer read: operators' files would be
+//! refused, or an expectation would hold less than it says.
 
 use rowanglade_routing::expect::Undecided;
 use rowanglade_routing::{Addresses, BoxState, Front, Match, Must, Rules, Selector, Source, Terms, parse};
--- a/crates/routing/tests/model.rs
+++ b/crates/routing/tests/model.rs
@@ -1,9 +1,9 @@
-//! A model of the table, the list as it is told, and the module's side of a request, checked over every order of
-//! events of a small configuration: three boxes, one request, a list that changes up to three times.
+//! A model of the table, the list as it is told, and the module's side of a request, checked over every order
+//! of events of a small configuration: three boxes, one request, a list that changes up to three times.
 //!
-//! The table is the real one. The module is modelled by what its interface promises: it sends only to boxes of the
-//! request's reach that it was told to be in, tries three times at most, and gives one final answer. Each mutation
-//! takes one of these promises away and must be caught.
+//! The table is the real one. The module is modelled by what its interface promises: it sends only to boxes
+//! of the request's reach that it was told to be in, tries three times at most, and gives one final answer.
+//! Each mutation takes one of these promises away and must be caught.
 
 use rowanglade_routing::{BoxInfo, BoxState, Front, Match, Origin, Pool, Request, Route, Selector, Table};
 use stateright::{Checker, Model, Property};
--- a/crates/sites/src/lib.rs
+++ b/crates/sites/src/lib.rs
@@ -1,14 +1,15 @@
 //! Whole sites: when one is taken for lost, what holds for its targets meanwhile, and how they come back.
 //!
-//! A target that fails is the decision module's: it rests, and is tried again. When a site is gone, that is done for each
-//! of its targets and by every instance, for as long as it is away, and on its return all turn to it at once. So a
-//! site is judged as a whole here. It is lost when most of its targets have failed or left the list within one
-//! window, with no answer of theirs since; those that nobody asked meanwhile are probed first, since silence about a
-//! target is no evidence. One that is lost gets nothing, for a time that doubles with each further loss: a site that
-//! comes and goes must not take the load along each time. After that it is probed, by all instances in turn, and comes
-//! back once most of its targets answer. They come back as if just started, whether or not they were: the rule on
-//! cold targets then parts what they are sent among all instances, so that the sum of what returns is paced. Where they
-//! answer far slower than before the loss, the ramp begins anew.
+//! A target that fails is the decision module's: it rests, and is tried again. When a site is gone, that is
+//! done for each of its targets and by every instance, for as long as it is away, and on its return all turn
+//! to it at once. So a site is judged as a whole here. It is lost when most of its targets have failed or
+//! left the list within one window, with no answer of theirs since; those that nobody asked meanwhile are
+//! probed first, since silence about a target is no evidence. One that is lost gets nothing, for a time that
+//! doubles with each further loss: a site that comes and goes must not take the load along each time. After
+//! that it is probed, by all instances in turn, and comes back once most of its targets answer. They come
+//! back as if just started, whether or not they were: the rule on cold targets then parts what they are sent
+//! among all instances, so that the sum of what returns is paced. Where they answer far slower than before
+//! the loss, the ramp begins anew.
 //!
 //! Targets that drained before they left are no evidence: somebody planned that.
 
@@ -157,7 +158,8 @@
     targets: BTreeMap<String, Target>,
     /// The targets of each shard.
     by_shard: BTreeMap<u32, BTreeSet<String>>,
-    /// Targets that failed or went lately, perhaps: while there is none and all sites are up, nothing is looked through.
+    /// Targets that failed or went lately, perhaps: while there is none and all sites are up, nothing is
+    /// looked through.
     suspects: BTreeSet<String>,
     sites: BTreeMap<String, Site>,
 }
@@ -258,7 +260,8 @@
         }
     }
 
-    /// Whether nobody but targets of lost sites has a shard: of which site, and after which time it may be back.
+    /// Whether nobody but targets of lost sites has a shard: of which site, and after which time it may be
+    /// back.
     pub fn refused(&self, now: Micros, shard: u32) -> Option<(&str, Micros)> {
         let mut found = None;
         let names = self.by_shard.get(&shard).into_iter().flatten();
--- a/crates/standin/src/boxes.rs
+++ b/crates/standin/src/boxes.rs
@@ -392,8 +392,8 @@
     }
 }
 
-/// A socket that is bound to a free port of the loopback address and never listens. Others may listen there as long
-/// as it is held; while nobody does, connections are refused, and no other socket is given the port.
+/// A socket that is bound to a free port of the loopback address and never listens. Others may listen there
+/// as long as it is held; while nobody does, connections are refused, and no other socket is given the port.
 fn reserve_port() -> io::Result<socket2::Socket> {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
--- a/crates/standin/src/daemon.rs
+++ b/crates/standin/src/daemon.rs
@@ -93,7 +93,8 @@
     pub memory_mb: usize,
     /// The text of an operator's file, if there is one.
     pub operator: Option<String>,
-    /// Where it meets a process that it replaces, or that replaces it; it then listens for operators' calls too.
+    /// Where it meets a process that it replaces, or that replaces it; it then listens for operators' calls
+    /// too.
     pub meeting: Option<Meeting>,
     /// Further variables of its environment.
     pub env: Vec<(String, String)>,
@@ -141,7 +142,8 @@
         let status = read("status");
         let peak = status.lines().find_map(|l| l.strip_prefix("VmHWM:"));
         let kib = peak.and_then(|l| l.trim().split(' ').next()).and_then(|n| n.parse::<u64>().ok());
-        // Fields 14 and 15, counted behind the name, which may hold spaces; in ticks of a hundredth of a second.
+        // Fields 14 and 15, counted behind the name, which may hold spaces; in ticks of a hundredth of a
+        // second.
         let stat = read("stat");
         let fields: Vec<&str> =
             stat.rsplit_once(')').map_or("", |(_, rest)| rest).split_ascii_whitespace().collect();
--- a/crates/standin/src/duty_cycle.rs
+++ b/crates/standin/src/duty_cycle.rs
@@ -1,7 +1,7 @@
 //! Gives processes a small share of a core: they are stopped for most of every period.
 //!
-//! No special rights are needed, and the machine's other processes are left alone. A process that is stopped hears
-//! and says nothing, as one that waits for its turn on a busy machine does.
+//! No special rights are needed, and the machine's other processes are left alone. A process that is stopped
+//! hears and says nothing, as one that waits for its turn on a busy machine does.
 
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -43,7 +43,8 @@
         self.processes.lock().unwrap_or_else(PoisonError::into_inner).insert(process);
     }
 
-    /// The process is left alone, and goes on if it was stopped. To be called before the process is waited for.
+    /// The process is left alone, and goes on if it was stopped. To be called before the process is waited
+    /// for.
     pub fn remove(&self, process: u32) {
         let mut processes = self.processes.lock().unwrap_or_else(PoisonError::into_inner);
         if processes.remove(&process) {
--- a/crates/standin/src/fleet.rs
+++ b/crates/standin/src/fleet.rs
@@ -1,4 +1,5 @@
-//! A fleet of real processes before many targets: their clients, releases of targets, restarts, and the record of it all.
+//! A fleet of real processes before many targets: their clients, releases of targets, restarts, and the
+//! record of it all.
 
 use crate::boxes::{BoxPlan, DiskBox};
 use crate::daemon::{Daemon, Start, Usage};
@@ -179,8 +180,8 @@
         Ok(Member { number, process, daemon, load })
     }
 
-    /// Ends a member's process by a signal, waits until it has ended or `patience` is over, kills it then, and starts
-    /// another in its place.
+    /// Ends a member's process by a signal, waits until it has ended or `patience` is over, kills it then,
+    /// and starts another in its place.
     ///
     /// # Errors
     /// The new process does not serve.
@@ -234,8 +235,8 @@
         self.members.iter_mut().map(|member| usize::from(member.daemon.ended())).sum()
     }
 
-    /// Has a part of the targets leave, and starts as many for the same shards, in one version of the list. The names
-    /// of those that leave are returned.
+    /// Has a part of the targets leave, and starts as many for the same shards, in one version of the list.
+    /// The names of those that leave are returned.
     ///
     /// # Errors
     /// A socket cannot be bound.
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,6 +1,7 @@
-//! Stand-ins for what an initiator talks to: disk boxes and discovery, as the platform's protocol has them, on
-//! loopback addresses; and real daemons as processes beside them. The stand-ins misbehave on command, draw whatever is left to chance from a seed, and count what
-//! they see, so that an experiment can compare it with what clients were told.
+//! Stand-ins for what an initiator talks to: disk boxes and discovery, as the platform's protocol has them,
+//! on loopback addresses; and real daemons as processes beside them. The stand-ins misbehave on command, draw
+//! whatever is left to chance from a seed, and count what they see, so that an experiment can compare it with
+//! what clients were told.
 //!
 //! Everything runs on the caller's thread, in a `LocalSet` or a runtime that has one.
 #![forbid(unsafe_code)]
--- a/crates/standin/src/load.rs
+++ b/crates/standin/src/load.rs
@@ -1,4 +1,5 @@
-//! Clients that ask at random times whether or not earlier requests have their answers, and record how each ended.
+//! Clients that ask at random times whether or not earlier requests have their answers, and record how each
+//! ended.
 
 use crate::recorder::Recorder;
 use bytes::BytesMut;
@@ -135,7 +136,8 @@
         load
     }
 
-    /// Later requests go to another process. Connections to the one before stay in use for as long as they are open.
+    /// Later requests go to another process. Connections to the one before stay in use for as long as they
+    /// are open.
     pub fn turn_to(&self, process: ProcessId, addr: SocketAddr) {
         self.process.set((process, addr));
         self.connects.set(true);
@@ -233,8 +235,8 @@
 
     /// The process that was asked, when the last byte was written, and how it ended.
     async fn ask(&self, asked: &Asked) -> (ProcessId, Instant, ClientEnd) {
-        // The last used first. One that the initiator closed meanwhile has not read the request, which is sent once
-        // more on a new connection.
+        // The last used first. One that the initiator closed meanwhile has not read the request, which is
+        // sent once more on a new connection.
         loop {
             let Some((process, stream)) = self.idle.borrow_mut().pop() else { break };
             if let Some(end) = self.exchange(process, stream, asked, false).await {
--- a/crates/subset/src/candidates.rs
+++ b/crates/subset/src/candidates.rs
@@ -1,8 +1,10 @@
-//! Which instances are candidates of a target: a bounded number for each, found alike by all without a look at every pair.
+//! Which instances are candidates of a target: a bounded number for each, found alike by all without a look
+//! at every pair.
 //!
-//! A target draws in layers. In each it draws one instance of every block of [`BLOCK`] consecutive numbers, and its rank
-//! for the instance is the layer and place of the first such draw. So ranks depend on the target's name and the instance's
-//! number alone: whoever joins or leaves changes no rank of others, and fewer layers leave out the worst ranks only.
+//! A target draws in layers. In each it draws one instance of every block of [`BLOCK`] consecutive numbers,
+//! and its rank for the instance is the layer and place of the first such draw. So ranks depend on the
+//! target's name and the instance's number alone: whoever joins or leaves changes no rank of others, and
+//! fewer layers leave out the worst ranks only.
 
 use crate::Rule;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -28,7 +30,8 @@
     (candidates * u64::from(BLOCK)).div_ceil(targets.max(1) as u64)
 }
 
-/// A target's candidates of `instances`. `seen` has a place for each instance, and is left as it came: all false.
+/// A target's candidates of `instances`. `seen` has a place for each instance, and is left as it came: all
+/// false.
 pub fn candidates(target: &str, layers: u64, instances: u32, seen: &mut [bool]) -> Vec<Candidate> {
     let mut found = Vec::new();
     for layer in 0..layers {
--- a/crates/subset/src/lib.rs
+++ b/crates/subset/src/lib.rs
@@ -1,4 +1,5 @@
-//! Which targets each of many instances prefers, so that their choices add up evenly without a word between them.
+//! Which targets each of many instances prefers, so that their choices add up evenly without a word between
+//! them.
 //!
 //! Every instance knows how many there are, which one it is, and the list of targets. From these alone all of them
 //! compute the same table: each instance has `size` targets, and the instances of a target are from the mean over
@@ -8,12 +9,13 @@
 //! change moves the pairs that it touches and few others: an instance or a target that comes or goes frees or fills
 //! places that only the next in score move into. The room between the bounds is what keeps such moves short.
 //!
-//! Not every pair takes part: each target draws a bounded number of instances, alike everywhere, and only where these
-//! leave a place open does it look at all others. So what the table costs grows with instances times the size of a
-//! subset, not with instances times targets; at a change of the list only the candidates of what has changed are drawn.
+//! Not every pair takes part: each target draws a bounded number of instances, alike everywhere, and only
+//! where these leave a place open does it look at all others. So what the table costs grows with instances
+//! times the size of a subset, not with instances times targets; at a change of the list only the candidates
+//! of what has changed are drawn.
 //!
-//! Lists reach instances at different times. While two see different lists their tables differ in what the news
-//! moves, and no more; nothing depends on their agreement.
+//! Lists reach instances at different times. While two see different lists their tables differ in what the
+//! news moves, and no more; nothing depends on their agreement.
 
 #![forbid(unsafe_code)]
 
@@ -28,13 +30,14 @@
 pub struct Rule {
     /// Targets of an instance.
     pub size: usize,
-    /// The most instances of a target, as a multiple of their mean number, and the mean as a multiple of the fewest.
-    /// At least 1.
+    /// The most instances of a target, as a multiple of their mean number, and the mean as a multiple of the
+    /// fewest. At least 1.
     pub spread: f64,
 }
 
 impl Rule {
-    /// The fewest and the most instances that a target has, unless places are left over nowhere else: then one more.
+    /// The fewest and the most instances that a target has, unless places are left over nowhere else: then
+    /// one more.
     pub fn bounds(&self, instances: u32, targets: usize) -> (usize, usize) {
         let mean = self.size.min(targets) as f64 * f64::from(instances) / targets.max(1) as f64;
         let spread = self.spread.max(1.0);
@@ -42,7 +45,8 @@
     }
 }
 
-/// What each instance prefers, by its number. Targets stand as places in `targets`, whose order does not matter.
+/// What each instance prefers, by its number. Targets stand as places in `targets`, whose order does not
+/// matter.
 pub fn table(rule: &Rule, instances: u32, targets: &[&str]) -> Vec<BTreeSet<usize>> {
     let places: BTreeMap<&str, usize> = targets.iter().enumerate().map(|(t, name)| (*name, t)).collect();
     let mut table = Table::new(*rule, instances);
--- a/crates/subset/src/table.rs
+++ b/crates/subset/src/table.rs
@@ -13,7 +13,8 @@
     target: u32,
 }
 
-/// The candidate pairs of a fleet. What it stores and does at a change grows with instances times the size of a subset.
+/// The candidate pairs of a fleet. What it stores and does at a change grows with instances times the size of
+/// a subset.
 #[derive(Clone, Debug)]
 pub struct Table {
     rule: Rule,
@@ -41,8 +42,8 @@
         Table { rule, instances, listed: BTreeMap::new(), free: Vec::new(), layers: 0, pairs: Vec::new() }
     }
 
-    /// The targets that may take new work now; false where they are those of before. Only targets that have come draw,
-    /// unless their number has changed by so much that all draw another number of layers.
+    /// The targets that may take new work now; false where they are those of before. Only targets that have
+    /// come draw, unless their number has changed by so much that all draw another number of layers.
     pub fn list(&mut self, targets: &BTreeSet<String>) -> bool {
         if self.listed.keys().eq(targets) {
             return false;
@@ -83,8 +84,8 @@
         }
         let mut pairs = std::mem::take(&mut self.pairs);
         let names = self.names();
-        // Where ranks are the same, numbers and names decide, not the order of the list. A stable sort finds what is
-        // in order already, and merges.
+        // Where ranks are the same, numbers and names decide, not the order of the list. A stable sort finds
+        // what is in order already, and merges.
         pairs.sort_by(|a, b| {
             let named = |pair: &Pair| names[pair.target as usize];
             a.rank.cmp(&b.rank).then(a.instance.cmp(&b.instance)).then_with(|| named(a).cmp(named(b)))
@@ -160,7 +161,8 @@
         self.of[instance as usize].len() < self.rule.size
     }
 
-    /// Puts a pair into the table, unless it is there, its instance has enough targets, or its target no room.
+    /// Puts a pair into the table, unless it is there, its instance has enough targets, or its target no
+    /// room.
     fn put(&mut self, instance: u32, target: u32, room: usize) {
         let mine = &mut self.of[instance as usize];
         if mine.len() < self.rule.size && self.held[target as usize] < room && !mine.contains(&target) {
@@ -176,8 +178,8 @@
         }
     }
 
-    /// A target that its candidates have left with too few takes any instances that have room, the best first. That is
-    /// rare, and takes a look at all instances.
+    /// A target that its candidates have left with too few takes any instances that have room, the best
+    /// first. That is rare, and takes a look at all instances.
     fn fill_targets(&mut self, listed: &BTreeMap<String, u32>, fewest: usize) {
         for (name, target) in listed {
             if self.held[*target as usize] >= fewest {
--- a/crates/subset/src/tests.rs
+++ b/crates/subset/src/tests.rs
@@ -16,7 +16,8 @@
 }
 
 proptest! {
-    // Each instance by itself chose what it had heard of first: some targets were everybody's, others nobody's.
+    // Each instance by itself chose what it had heard of first: some targets were everybody's, others
+    // nobody's.
     #[test]
     fn every_target_has_its_part_of_the_instances(
         instances in 1u32..64, targets in 1usize..80, size in 1usize..10, spread in 1.0f64..2.0,
@@ -28,8 +29,9 @@
             let (fewest, most) = rule.bounds(instances, targets);
             let loads = loads(&table, targets);
             prop_assert!(loads.iter().all(|load| *load <= most + 1), "{loads:?} beyond {most}");
-            // A target that lacks some when the first pass ends has all other instances full: those alone would have
-            // taken more places than the pass gives. With hardly any spread that is no contradiction.
+            // A target that lacks some when the first pass ends has all other instances full: those alone
+            // would have taken more places than the pass gives. With hardly any spread that is no
+            // contradiction.
             let others = (u64::from(instances) + 1).saturating_sub(fewest as u64);
             if others as f64 * spread >= f64::from(instances) {
                 prop_assert!(loads.iter().all(|load| *load >= fewest), "{loads:?} under {fewest}");
--- a/crates/warmup/src/lib.rs
+++ b/crates/warmup/src/lib.rs
@@ -1,28 +1,31 @@
-//! What each of many initiators may send to a target that has just started, so that all of them together never push
-//! it over, though none hears what the others send.
+//! What each of many initiators may send to a target that has just started, so that all of them together
+//! never push it over, though none hears what the others send.
 //!
 //! A target falls over when, for a window, it is sent more than a multiple of what it can do at the time. Its
 //! capacity is told to nobody. Two budgets stand side by side, and a request that either has room for may go:
 //!
-//! - **The even part.** A number of units that a target always bears in its first window is told. It grows as the
-//!   target warms at its slowest, and each initiator has its even part ([`Target`]). Over a hundred initiators that part is
-//!   less than one request, so it alone leaves a target that has just started almost without work for as long as it
-//!   is cold, and most of the initiators that hold a part never ask the target for anything.
-//! - **The reserves.** What is reserved for the volumes whose data a target holds is at most what the target can do
-//!   when warm, or the reserves could not be kept at all. So if every volume's reserve is let through at `part` of
-//!   its rate, the target gets at most `part` of its full capacity; and it bears `multiple` times the share of its
-//!   capacity that it has reached. With `part` below that by [`KEPT_BACK`], the rule holds whoever else sends, for
-//!   every initiator paces its own share of the reserve ([`Pace`]): no initiator needs to hear of another. A volume's
-//!   reserve is for all its targets together: each cold one has a pace of its own, at that target's part of it.
+//! - **The even part.** A number of units that a target always bears in its first window is told. It grows as
+//!   the target warms at its slowest, and each initiator has its even part ([`Target`]). Over a hundred
+//!   initiators that part is less than one request, so it alone leaves a target that has just started almost
+//!   without work for as long as it is cold, and most of the initiators that hold a part never ask the target
+//!   for anything.
+//! - **The reserves.** What is reserved for the volumes whose data a target holds is at most what the target
+//!   can do when warm, or the reserves could not be kept at all. So if every volume's reserve is let through
+//!   at `part` of its rate, the target gets at most `part` of its full capacity; and it bears `multiple`
+//!   times the share of its capacity that it has reached. With `part` below that by [`KEPT_BACK`], the rule
+//!   holds whoever else sends, for every initiator paces its own share of the reserve ([`Pace`]): no
+//!   initiator needs to hear of another. A volume's reserve is for all its targets together: each cold one
+//!   has a pace of its own, at that target's part of it.
 //!
-//! Targets fall by what reaches them, and a request reaches its target when its connection is up, which may be long after
-//! the decision. What was taken from a budget and has not reached its target yet counts as reaching it now, at every
-//! look; it counts from its arrival once that is told, and comes back where it never left ([`Taken`]). So nothing that
-//! waits for connections adds up beside what was granted since.
+//! Targets fall by what reaches them, and a request reaches its target when its connection is up, which may
+//! be long after the decision. What was taken from a budget and has not reached its target yet counts as
+//! reaching it now, at every look; it counts from its arrival once that is told, and comes back where it
+//! never left ([`Taken`]). So nothing that waits for connections adds up beside what was granted since.
 //!
 //! Many paces that begin at once must not send their first requests at once: a request larger than what has
-//! been made up yet waits for a phase of its own, drawn evenly, so that in the sum they begin at their rate. It
-//! also keeps a mass restart of initiators harmless: what is not known of the time before is made up by the phases.
+//! been made up yet waits for a phase of its own, drawn evenly, so that in the sum they begin at their rate.
+//! It also keeps a mass restart of initiators harmless: what is not known of the time before is made up by
+//! the phases.
 
 #![forbid(unsafe_code)]
 
@@ -34,8 +37,8 @@
 
 /// This much of the told budget is spared where single requests of many initiators make it up by chance.
 const SPARED: f64 = 0.5;
-/// This much of what a cold target bears is kept back from the reserves' traffic: for chance, for the even parts
-/// beside it, and for targets weaker than the reserves count on.
+/// This much of what a cold target bears is kept back from the reserves' traffic: for chance, for the even
+/// parts beside it, and for targets weaker than the reserves count on.
 const KEPT_BACK: f64 = 0.2;
 
 /// The rule on cold targets, and how many initiators keep it together.
@@ -68,8 +71,8 @@
         now < started.saturating_add(self.warm_within)
     }
 
-    /// The part of their rate at which reserves may be sent to a target. It passes one where the target bears more than
-    /// it can do.
+    /// The part of their rate at which reserves may be sent to a target. It passes one where the target bears
+    /// more than it can do.
     pub fn reserve_part(&self, started: Micros, now: Micros) -> f64 {
         let begin = now.saturating_sub(self.window);
         self.multiple * self.capacity(started, begin) * (1.0 - KEPT_BACK)
@@ -114,8 +117,8 @@
         Target { started, told, phase, ..Target::default() }
     }
 
-    /// Until when these units are to wait for this initiator's even part. `born`: when the initiator started; what it
-    /// sent before that is not known to it.
+    /// Until when these units are to wait for this initiator's even part. `born`: when the initiator started;
+    /// what it sent before that is not known to it.
     pub fn even_until(&self, rule: &Rule, now: Micros, born: Micros, units: f64) -> Micros {
         let (started, begin) = (self.started, now.saturating_sub(rule.window));
         let from = rule.from();
--- a/crates/warmup/tests/fleet.rs
+++ b/crates/warmup/tests/fleet.rs
@@ -33,8 +33,8 @@
     }
 }
 
-/// What arrives at a target that started at `STARTED`, when every volume's initiators would send all the time. They
-/// hear of the start after `told`; all initiators are restarted after `restart`.
+/// What arrives at a target that started at `STARTED`, when every volume's initiators would send all the
+/// time. They hear of the start after `told`; all initiators are restarted after `restart`.
 fn sent(seed: u64, told: impl Fn(usize) -> Micros, restart: Option<Micros>) -> Vec<(Micros, f64)> {
     let (rule, mut phases) = (rule(), Phases(seed));
     let senders: Vec<usize> = (0..VOLUMES * HOSTS).collect();
@@ -89,7 +89,8 @@
             let fullest = fullest(&all);
             assert!(fullest <= 1.0, "seed {seed}, lag {lag}: {fullest} of what the target bears");
             let early: f64 = all.iter().filter(|(at, _)| *at < STARTED + 8 * SECOND).map(|(_, u)| u).sum();
-            // An even part alone lets 12 units in 3 s through; the target can do 28 % of 60 a second and more.
+            // An even part alone lets 12 units in 3 s through; the target can do 28 % of 60 a second and
+            // more.
             assert!(early > 0.3 * 8.0 * CAPACITY, "seed {seed}, lag {lag}: {early} units in 8 s");
         }
     }
--- a/crates/warmup/tests/ramp.rs
+++ b/crates/warmup/tests/ramp.rs
@@ -1,7 +1,8 @@
-//! The sum of what 20, 30 and 350 processes send to one target that has just started, counted where it arrives.
+//! The sum of what 20, 30 and 350 processes send to one target that has just started, counted where it
+//! arrives.
 //!
-//! A target that has just started falls when, within the rule's window, it gets more than N + 2 x root of N + 2 requests
-//! of mean size, N being what the rule allows: multiple x present capacity x window.
+//! A target that has just started falls when, within the rule's window, it gets more than N + 2 x root of N +
+//! 2 requests of mean size, N being what the rule allows: multiple x present capacity x window.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -87,7 +88,8 @@
     f64::from(units)
 }
 
-/// When units reach the target that a fleet sends it whose clients ask for more than it may have all the time.
+/// When units reach the target that a fleet sends it whose clients ask for more than it may have all the
+/// time.
 fn arrivals(seed: u64, processes: u32, troubles: Troubles) -> Vec<(Micros, f64)> {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let rule = rule(processes, &troubles);
@@ -213,7 +215,8 @@
 }
 
 const FLEETS: [u32; 3] = [20, 30, 350];
-/// What the settings tell that a cold target always bears, as a part of what it does bear: the reserves leave a fifth.
+/// What the settings tell that a cold target always bears, as a part of what it does bear: the reserves leave
+/// a fifth.
 const TOLD: [f64; 2] = [0.1, 0.2];
 
 #[test]
@@ -234,7 +237,8 @@
     }
 }
 
-// Clients that all fall silent and all come back in one moment find every pace with one request to its credit.
+// Clients that all fall silent and all come back in one moment find every pace with one request to its
+// credit.
 #[test]
 fn a_fleet_whose_clients_all_come_at_once_stays_near_the_fall() {
     for processes in FLEETS {
--- a/src/bin/rowanglade-benchlink/discovery.rs
+++ b/src/bin/rowanglade-benchlink/discovery.rs
@@ -1,5 +1,5 @@
-//! Drives the schedule of one instance's calls for the list on the simulator's wire, where a subscription stays open by
-//! itself and a failure does not say which call it belongs to.
+//! Drives the schedule of one instance's calls for the list on the simulator's wire, where a subscription
+//! stays open by itself and a failure does not say which call it belongs to.
 
 use crate::wire::Sent;
 use rowanglade::interface::Micros;
--- a/src/bin/rowanglade-benchlink/wire/tests.rs
+++ b/src/bin/rowanglade-benchlink/wire/tests.rs
@@ -1,9 +1,11 @@
-//! The simulator's messages against recorded samples. Guards against a field whose name is lost: most are optional, so
-//! that without them the module would decide by less than it was told. `tests/adapter.rs` has those that begin and end
-//! an instance.
+//! The simulator's messages against recorded samples. Guards against a field whose name is lost: most are
+//! optional, so that without them the module would decide by less than it was told. `tests/adapter.rs` has
+//! those that begin and end an instance.
 
 use super::*;
-use rowanglade::interface::{Entry, KeyId, ListKind, Load, NodeState, Outcome, VolumeId, ZoneId};
+use rowanglade::interface::{
+    EndpointEntry, EndpointUpdateKind, KeyId, LoadReport, Outcome, TargetState, VolumeId, ZoneId,
+};
 
 const EVENTS: &str = include_str!("../../../../tests/compatibility/samples/simulator-events.json");
 const ACTIONS: &str = include_str!("../../../../tests/compatibility/samples/simulator-actions.json");
@@ -39,28 +41,33 @@
 
 /// The sample's events, as the module has them.
 fn expected(names: &Names) -> Vec<api::Event> {
-    let (id, node) = (names.request("a-1").expect("open"), names.node(STORE).expect("listed"));
-    let entry = |shard, state| Entry {
-        node: api::NodeId(shard - 1),
+    let (id, node) = (names.request("a-1").expect("open"), names.target(STORE).expect("listed"));
+    let entry = |shard, state| EndpointEntry {
+        target: api::TargetId(shard - 1),
         shard: ShardId(shard),
         zone: ZoneId(1),
         state,
         started: Some(u64::from(100 + shard)),
     };
-    let list = |kind, entries| api::Event::List { kind, entries };
-    let load = Load { in_hand: Some(7.0), waiting: Some(8.0), service: Some(9_000), busy: Some(0.25) };
-    let resolved = |outcome| api::Event::Outcome {
+    let list = |kind, entries| api::Event::EndpointsChanged { kind, entries };
+    let load = LoadReport {
+        in_flight: Some(7.0),
+        queued: Some(8.0),
+        service_time: Some(9_000),
+        utilization: Some(0.25),
+    };
+    let resolved = |outcome| api::Event::AttemptEnded {
         id,
-        attempt: Attempt(6),
-        node,
+        attempt: AttemptNumber(6),
+        target: node,
         outcome,
-        took: 900,
-        over: true,
+        elapsed: 900,
+        request_over: true,
         used: Some(1.5),
         elsewhere: 1.5,
         load,
     };
-    let request = api::Request {
+    let request = api::RequestProfile {
         id,
         class: names.class("deposit"),
         plan: names.plan("full"),
@@ -68,14 +75,15 @@
         key: Some(KeyId(1)),
         units: 2.5,
         shard: Some(ShardId(4)),
-        gateways: 5,
+        initiators: 5,
         deadline: 2_000_000,
-        reach: None,
+        target_set: None,
     };
-    let (here, rest) = (entry(1, NodeState::In), [entry(2, NodeState::Draining), entry(3, NodeState::Gone)]);
+    let (here, rest) =
+        (entry(1, TargetState::Active), [entry(2, TargetState::Draining), entry(3, TargetState::Removed)]);
     let outcomes = [
         Outcome::Served,
-        Outcome::Full,
+        Outcome::QueueFull,
         Outcome::TimedOut,
         Outcome::Unreachable,
         Outcome::Broken,
@@ -84,17 +92,17 @@
         Outcome::Error,
     ];
     let mut events = vec![
-        list(ListKind::Changes, vec![here, rest[0], rest[1]]),
-        list(ListKind::Full, vec![here]),
-        list(ListKind::Remembered, vec![here]),
-        api::Event::Request(request),
+        list(EndpointUpdateKind::Delta, vec![here, rest[0], rest[1]]),
+        list(EndpointUpdateKind::Snapshot, vec![here]),
+        list(EndpointUpdateKind::Cached, vec![here]),
+        api::Event::RequestArrived(request),
     ];
     events.extend(outcomes.map(resolved));
     events.extend([
-        api::Event::Started { id, attempt: Attempt(6), timed: false },
-        api::Event::Wake { token: 77 },
-        api::Event::Withdrawn { id },
-        api::Event::Probed { node, outcome: Outcome::Served, took: 800, load },
+        api::Event::TransferStarted { id, attempt: AttemptNumber(6), deadline_applies: false },
+        api::Event::TimerFired { token: 77 },
+        api::Event::ClientGone { id },
+        api::Event::ProbeEnded { target: node, outcome: Outcome::Served, elapsed: 800, load },
     ]);
     events
 }
@@ -104,12 +112,12 @@
     let mut names = names();
     let (node, id, other) = (names.listed(STORE), names.taken("a-1"), names.taken("a-2"));
     let actions = [
-        Action::Send { id, node, timeout: Some(500) },
-        Action::Send { id, node, timeout: None },
-        Action::Cancel { id, attempt: Attempt(6) },
-        Action::Wake { token: 7, after: 8 },
-        Action::Probe { node },
-        Action::Refuse { id, wait: 9 },
+        Action::StartAttempt { id, target: node, timeout: Some(500) },
+        Action::StartAttempt { id, target: node, timeout: None },
+        Action::CancelAttempt { id, attempt: AttemptNumber(6) },
+        Action::SetTimer { token: 7, after: 8 },
+        Action::Probe { target: node },
+        Action::Reject { id, retry_after: 9 },
         Action::Fail { id: other },
     ];
     let mut sent: Vec<Sent> =
--- a/src/config/iscsi.rs
+++ b/src/config/iscsi.rs
@@ -19,8 +19,8 @@
     pub blocks_per_unit: u32,
     /// How long a login to a target may take.
     pub login_timeout: Duration,
-    /// How long a session that owes answers may be silent before it is asked with a NOP-Out; after as long again it
-    /// counts as broken.
+    /// How long a session that owes answers may be silent before it is asked with a NOP-Out; after as long
+    /// again it counts as broken.
     pub silence: Duration,
     /// Volumes by their LUN.
     pub luns: HashMap<u64, Lun>,
@@ -89,9 +89,8 @@
 impl IscsiTable {
     /// Checks the table.
     ///
-    /// # Errors
-    /// A value is zero, a LUN is no hex number or stands twice, a plan is not in the settings, or a target stands
-    /// twice.
+    /// # Errors A value is zero, a LUN is no hex number or stands twice, a plan is not in the settings, or a
+    /// target stands twice.
     pub fn check(self, settings: &Settings) -> Result<Iscsi, ConfigError> {
         above_zero("blocks_per_unit", u64::from(self.blocks_per_unit))?;
         let luns = check_volumes(self.volume, settings)?;
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,7 +1,8 @@
-//! The configuration: the platform's JSON, the environment and the operator's files, read, checked and completed
-//! with defaults.
+//! The configuration: the platform's JSON, the environment and the operator's files, read, checked and
+//! completed with defaults.
 //!
-//! Each table of the operator's files has a module of its own, which checks it and gives what the program uses.
+//! Each table of the operator's files has a module of its own, which checks it and gives what the program
+//! uses.
 
 mod access_log;
 mod error;
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -15,8 +15,8 @@
 #[derive(Default)]
 pub struct OperatorFiles {
     pub tables: OperatorTables,
-    /// The files' texts in their order, of which the routing crate reads pools, routes and expectations: those of an
-    /// earlier file come first.
+    /// The files' texts in their order, of which the routing crate reads pools, routes and expectations:
+    /// those of an earlier file come first.
     pub sources: Vec<Source>,
 }
 
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -42,8 +42,8 @@
 }
 
 impl PlatformFile {
-    /// Where the peers are; none where instances may not talk to each other, or need not, since each has the list from
-    /// an agent of its own.
+    /// Where the peers are; none where instances may not talk to each other, or need not, since each has the
+    /// list from an agent of its own.
     ///
     /// # Errors
     /// This instance's number is no place in `peers`.
--- a/src/config/reload.rs
+++ b/src/config/reload.rs
@@ -18,8 +18,8 @@
 }
 
 impl Reload {
-    /// Reads the files again; blocks for 50 ms. Their address of discovery wins over `LB_DISCOVERY`, which holds what
-    /// was in force at the start.
+    /// Reads the files again; blocks for 50 ms. Their address of discovery wins over `LB_DISCOVERY`, which
+    /// holds what was in force at the start.
     ///
     /// # Errors
     /// As [`Config::load`]; also where one of the operator's files changes meanwhile.
--- a/src/config/routing.rs
+++ b/src/config/routing.rs
@@ -21,8 +21,8 @@
         Ok(Routing { rules, terms })
     }
 
-    /// Checks the expectations against the routes and these targets. With thousands of targets and expectations it
-    /// takes up to a second, during which it blocks.
+    /// Checks the expectations against the routes and these targets. With thousands of targets and
+    /// expectations it takes up to a second, during which it blocks.
     pub fn check(&self, boxes: &[BoxInfo]) -> Report {
         rowanglade_routing::check(&self.rules.table, &self.rules.expectations, &self.terms, boxes)
     }
--- a/src/config/subset.rs
+++ b/src/config/subset.rs
@@ -5,7 +5,8 @@
 use rowanglade_subset::{Rule, Subset};
 use serde::Deserialize;
 
-/// The most instances that targets are divided among: the time that a change of the list takes grows with them.
+/// The most instances that targets are divided among: the time that a change of the list takes grows with
+/// them.
 const MOST_INSTANCES: u32 = 4_096;
 
 /// How many targets an instance prefers for new objects.
--- a/src/core/access_log.rs
+++ b/src/core/access_log.rs
@@ -1,5 +1,5 @@
-//! The access log: one line a request, written by a thread of its own. The request path only puts a line into a
-//! bounded queue; what finds it full is dropped and counted.
+//! The access log: one line a request, written by a thread of its own. The request path only puts a line into
+//! a bounded queue; what finds it full is dropped and counted.
 
 use crate::core::message::{Answer, Order, Wire};
 use rowanglade_capture::own_log::{AccessLine, End, VERSION};
--- a/src/core/actor.rs
+++ b/src/core/actor.rs
@@ -28,9 +28,9 @@
 /// A request that the module has not answered this long past its deadline fails here: later than the module's
 /// own last word, and well inside the slack that the rules give.
 pub(super) const BACKSTOP: Micros = 10_000;
-/// Without an answer of discovery, what is remembered of the list must do after this long. A discovery that is not
-/// overbooked has answered by then; after a release that killed most instances it takes seconds, and clients whose
-/// instances are away are served by nobody.
+/// Without an answer of discovery, what is remembered of the list must do after this long. A discovery that
+/// is not overbooked has answered by then; after a release that killed most instances it takes seconds, and
+/// clients whose instances are away are served by nobody.
 const TRUST_MEMORY: Duration = Duration::from_millis(300);
 /// Objects whose places are kept in mind: about a megabyte.
 const PLACES: usize = 16_384;
@@ -210,7 +210,8 @@
             self.diagnostics.step(step, begun, self.targets.len(), self.open.get());
             let begun = Instant::now();
             if !self.trusting && self.clock.now() >= trust {
-                // Once, whether or not there is a target: a time that has passed must not be waited for again.
+                // Once, whether or not there is a target: a time that has passed must not be waited for
+                // again.
                 self.trusting = true;
                 self.make_ready();
             }
--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -1,4 +1,5 @@
-//! Attempts and probes on their way to a target's actor, and the promises that the core will hear how they ended.
+//! Attempts and probes on their way to a target's actor, and the promises that the core will hear how they
+//! ended.
 
 use crate::core::clock::Clock;
 use crate::core::message::{Listed, Message, Order, Reply};
@@ -39,8 +40,8 @@
 /// Makes the actor of a target, which lives as long as its mailbox is held.
 pub type Connect = Box<dyn Fn(&Listed) -> mpsc::Sender<TargetMessage>>;
 
-/// The duty to ask before an attempt's first byte, and to tell how it ended. Dropped untold, it counts as broken if
-/// it had started: it may have run.
+/// The duty to ask before an attempt's first byte, and to tell how it ended. Dropped untold, it counts as
+/// broken if it had started: it may have run.
 #[derive(Debug)]
 pub struct Report {
     to: Option<(RequestId, AttemptNumber, OwnedPermit<Message>)>,
@@ -69,8 +70,8 @@
         }
     }
 
-    /// Whether the first byte may go out. It is asked once, when nothing else is left to wait for; false: it ends as
-    /// never sent.
+    /// Whether the first byte may go out. It is asked once, when nothing else is left to wait for; false: it
+    /// ends as never sent.
     pub async fn may_start(&self) -> bool {
         let (Some((id, number, _)), Some(place)) = (&self.to, self.start.take()) else { return false };
         let (answer, told) = oneshot::channel();
--- a/src/core/body.rs
+++ b/src/core/body.rs
@@ -13,8 +13,8 @@
 /// Pieces of an answer that may wait for its client.
 pub const PIECES: usize = 2;
 
-/// What comes behind the held bytes of a long request, as its client sends it. One attempt takes it: what was taken
-/// is not there for another.
+/// What comes behind the held bytes of a long request, as its client sends it. One attempt takes it: what was
+/// taken is not there for another.
 pub struct Upload {
     /// Of the whole body, where its head tells it.
     length: Option<u64>,
--- a/src/core/diagnostics.rs
+++ b/src/core/diagnostics.rs
@@ -1,8 +1,10 @@
-//! What the core measures of itself and tells the log: steps that take long, messages that wait long, requests that
-//! end late or without an answer, and how long a list takes from its arrival until it is in force.
+//! What the core measures of itself and tells the log: steps that take long, messages that wait long,
+//! requests that end late or without an answer, and how long a list takes from its arrival until it is in
+//! force.
 //!
-//! One thread owes every answer. A step that takes long holds up the last answers of all open requests and the news of
-//! targets that leave, so the log says what the step did. [`Counters`] go to the log with SIGUSR1, and at the end.
+//! One thread owes every answer. A step that takes long holds up the last answers of all open requests and
+//! the news of targets that leave, so the log says what the step did. [`Counters`] go to the log with
+//! SIGUSR1, and at the end.
 
 use crate::core::requests::Open;
 use crate::interface::{Micros, Outcome, TargetId};
@@ -11,7 +13,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A step that takes longer is told: the last answers of requests leave 4 ms before their clients' time is up.
+/// A step that takes longer is told: the last answers of requests leave 4 ms before their clients' time is
+/// up.
 pub const LONG_STEP: Duration = Duration::from_millis(5);
 /// A message that waited longer for its turn is counted.
 const LONG_WAIT: Duration = Duration::from_millis(20);
@@ -122,8 +125,8 @@
     }
 }
 
-/// One line on a request that ended late, or without an answer: when it came, and what became of each attempt. Times
-/// are in microseconds from its arrival.
+/// One line on a request that ended late, or without an answer: when it came, and what became of each
+/// attempt. Times are in microseconds from its arrival.
 pub(super) fn tell_late(open: &Open, end: &str, now: Micros, names: &Names) {
     let since = |at: Micros| at.saturating_sub(open.arrived);
     let mut attempts = String::new();
--- a/src/core/listing.rs
+++ b/src/core/listing.rs
@@ -1,4 +1,5 @@
-//! What the list, operators' calls and judged sites say of targets, and what the core's neighbours learn of it.
+//! What the list, operators' calls and judged sites say of targets, and what the core's neighbours learn of
+//! it.
 
 use crate::core::actor::{Core, Target};
 use crate::core::attempt::TargetMessage;
@@ -9,8 +10,8 @@
 use tokio::sync::mpsc;
 
 impl Core {
-    /// The news of one source, or a part of it. Another source's targets are not in its list, and stay. What it costs
-    /// goes with what has changed, beyond a look at each line that came.
+    /// The news of one source, or a part of it. Another source's targets are not in its list, and stay. What
+    /// it costs goes with what has changed, beyond a look at each line that came.
     pub(super) fn list(
         &mut self,
         wire: Wire,
@@ -132,8 +133,8 @@
         }
     }
 
-    /// The targets that other instances said were leaving, and of which discovery, which has been heard now, tells no
-    /// change: as discovery had them.
+    /// The targets that other instances said were leaving, and of which discovery, which has been heard now,
+    /// tells no change: as discovery had them.
     fn not_departed(&self, changes: &[Listed]) -> Vec<Listed> {
         let told: HashSet<&str> = changes.iter().map(|change| change.name.as_str()).collect();
         let departed = self.departed.iter().filter_map(|node| self.targets.get(node));
@@ -256,7 +257,8 @@
         };
         let (probes, changed) = (nodes(probes), nodes(changed));
         if !changed.is_empty() {
-            // One that discovery has drain is not held here: nobody would tell its connections that it is back.
+            // One that discovery has drain is not held here: nobody would tell its connections that it is
+            // back.
             let rests = |node: &TargetId| {
                 self.targets.get(node).is_some_and(|t| {
                     let held = t.told.state == TargetState::Active
--- a/src/core/mailbox.rs
+++ b/src/core/mailbox.rs
@@ -12,7 +12,8 @@
 use tokio::sync::{oneshot, watch};
 use tokio::time::Instant;
 
-/// Places in the core's mailbox: two for each descriptor's request and four for its attempts' starts and ends.
+/// Places in the core's mailbox: two for each descriptor's request and four for its attempts' starts and
+/// ends.
 const MAILBOX: usize = 8_192;
 
 /// Lines of a list that the core, or whoever reads a list, takes in one step: a fraction of a millisecond.
@@ -101,8 +102,8 @@
 }
 
 impl Handle {
-    /// Whether the settings have such a request, and no other goes by its id. Served, it would be an answer made
-    /// for something else.
+    /// Whether the settings have such a request, and no other goes by its id. Served, it would be an answer
+    /// made for something else.
     pub fn fit(&self, order: &Order) -> Result<(), Unfit> {
         let class = self.terms.classes.iter().find(|(name, ..)| *name == order.class);
         let (_, write, keyed) = class.ok_or(Unfit::Class)?;
@@ -121,8 +122,8 @@
         if self.ids.borrow().contains(&order.id) { Err(Unfit::Id) } else { Ok(()) }
     }
 
-    /// Hands a fit request over. The place for the news that its client has gone is taken beforehand, so that a
-    /// full mailbox cannot lose it. Cancelled while it waits for places, it leaves nothing behind.
+    /// Hands a fit request over. The place for the news that its client has gone is taken beforehand, so that
+    /// a full mailbox cannot lose it. Cancelled while it waits for places, it leaves nothing behind.
     pub async fn submit(&self, order: Order) -> Result<Pending, Unfit> {
         let arrived = Instant::now();
         let places = self.two_places().await;
@@ -152,7 +153,8 @@
         let _ = self.tx.send(message).await;
     }
 
-    /// Tells the core of a list that came at `received`, in parts: between two of them requests have their turn.
+    /// Tells the core of a list that came at `received`, in parts: between two of them requests have their
+    /// turn.
     pub async fn tell_list(
         &self,
         wire: Wire,
--- a/src/core/message.rs
+++ b/src/core/message.rs
@@ -208,7 +208,8 @@
     Boxes(oneshot::Sender<Vec<BoxInfo>>),
     /// Another instance said something.
     Peer(Peer, rowanglade_fleet_state::Message),
-    /// An attempt takes the rest of a long body: it cannot be made again, and lasts as long as its client takes.
+    /// An attempt takes the rest of a long body: it cannot be made again, and lasts as long as its client
+    /// takes.
     Begun {
         id: RequestId,
         number: AttemptNumber,
--- a/src/core/replacing.rs
+++ b/src/core/replacing.rs
@@ -37,7 +37,8 @@
                 let Given { maintenance, module, places } = *given;
                 self.maintenance = maintenance;
                 self.places.learn(places);
-                // What they change of the list is told before what was learned, which is void for another start.
+                // What they change of the list is told before what was learned, which is void for another
+                // start.
                 let all = self.targets.keys().copied();
                 let (out, back): (Vec<TargetId>, Vec<TargetId>) =
                     all.partition(|node| self.maintenance.is_out(&self.targets[node].told.name));
--- a/src/core/routes.rs
+++ b/src/core/routes.rs
@@ -1,5 +1,5 @@
-//! The table in force, and whom each open request may reach under the table it began with. Without I/O: it takes
-//! requests and news of the list, and gives the module's [`Event::Reach`]s.
+//! The table in force, and whom each open request may reach under the table it began with. Without I/O: it
+//! takes requests and news of the list, and gives the module's [`Event::Reach`]s.
 
 use crate::core::message::{Listed, Order, Wire};
 use crate::interface::{Event, TargetId, TargetSetId, TargetState};
@@ -57,7 +57,8 @@
         }
     }
 
-    /// Puts another table in force. Open requests keep the one they began with, which ends with the last of them.
+    /// Puts another table in force. Open requests keep the one they began with, which ends with the last of
+    /// them.
     pub fn swap(&mut self, table: Arc<Loaded>) {
         self.current = table;
         self.drop_idle(|set, current| set.key.version != current);
@@ -139,7 +140,8 @@
         }
     }
 
-    /// Lines of the list that have changed. Sets change where a pool has got somebody, or has nobody any more.
+    /// Lines of the list that have changed. Sets change where a pool has got somebody, or has nobody any
+    /// more.
     pub fn changed<'a>(&mut self, lines: impl Iterator<Item = (TargetId, &'a Listed)>) {
         let mut shards = BTreeSet::new();
         for (node, line) in lines {
--- a/src/core/sending.rs
+++ b/src/core/sending.rs
@@ -1,5 +1,5 @@
-//! Attempts and probes on their way out: handed to a target's actor, asked for once more before their first byte, and
-//! called off.
+//! Attempts and probes on their way out: handed to a target's actor, asked for once more before their first
+//! byte, and called off.
 
 use crate::core::actor::Core;
 use crate::core::attempt::{Attempt, Probe, ProbeReport, Report, TargetMessage};
@@ -75,9 +75,10 @@
         }
     }
 
-    /// The last check before an attempt's first byte: its connection is up, which may have taken long. What was true
-    /// when it was sent must still be: its target is wanted and where it was, its client waits, there is time, and it
-    /// may run beside what ran before. The units that it took are held for as long as it is out.
+    /// The last check before an attempt's first byte: its connection is up, which may have taken long. What
+    /// was true when it was sent must still be: its target is wanted and where it was, its client waits,
+    /// there is time, and it may run beside what ran before. The units that it took are held for as long as
+    /// it is out.
     pub(super) fn may_start(&mut self, id: RequestId, number: AttemptNumber) -> bool {
         let wanted = self.scheduler.may_start(self.clock.now(), id, number);
         let Some(open) = self.requests.get_mut(&id).filter(|open| open.answer.is_some()) else {
@@ -98,8 +99,8 @@
         started
     }
 
-    /// Calls off what has not started at a target that takes nothing new, so that it need not wait for a connection
-    /// that it may not use.
+    /// Calls off what has not started at a target that takes nothing new, so that it need not wait for a
+    /// connection that it may not use.
     pub(super) fn call_off_unstarted(&mut self) {
         let targets = &self.targets;
         let wanted = |out: &Out| {
--- a/src/core/starts.rs
+++ b/src/core/starts.rs
@@ -1,8 +1,9 @@
 //! When targets started, on the core's clock.
 //!
-//! The list tells starts in Unix time, and the core's clock begins with the system's wall clock at the start of the
-//! process and is monotonic from then on. If that wall clock was wrong just then, every start looks far past or far in
-//! the future: a target that has just started would get its full load at once, or next to none for an hour.
+//! The list tells starts in Unix time, and the core's clock begins with the system's wall clock at the start
+//! of the process and is monotonic from then on. If that wall clock was wrong just then, every start looks
+//! far past or far in the future: a target that has just started would get its full load at once, or next to
+//! none for an hour.
 
 use crate::interface::Micros;
 
@@ -17,8 +18,8 @@
 }
 
 impl StartTimes {
-    /// A listed target tells another start than before: it has started again since then, a short while ago. True: that
-    /// shows that the clock is ahead.
+    /// A listed target tells another start than before: it has started again since then, a short while ago.
+    /// True: that shows that the clock is ahead.
     pub fn restarted(&mut self, now: Micros, told: Micros) -> bool {
         let age = now.saturating_sub(told.saturating_add(self.ahead));
         if age < IMPLAUSIBLE {
@@ -28,7 +29,8 @@
         true
     }
 
-    /// A told start on the core's clock. It never lies in the future: a clock that is behind makes it just now.
+    /// A told start on the core's clock. It never lies in the future: a clock that is behind makes it just
+    /// now.
     pub fn on_clock(&self, now: Micros, told: Micros) -> Micros {
         told.saturating_add(self.ahead).min(now)
     }
--- a/src/initiator.rs
+++ b/src/initiator.rs
@@ -34,13 +34,13 @@
 const LONGEST: Duration = Duration::from_secs(3);
 const AFTER: Duration = Duration::from_millis(700);
 
-/// How long an answer that has begun may stand still: half of the tightest aim, so that a new attempt can still
-/// be in time, within these bounds.
+/// How long an answer that has begun may stand still: half of the tightest aim, so that a new attempt can
+/// still be in time, within these bounds.
 const SHORTEST_STALL: Duration = Duration::from_millis(30);
 const LONGEST_STALL: Duration = Duration::from_millis(400);
 
-/// How long an answer that comes in pieces is held back, so that it can be tried for again: an eighth of the tightest
-/// aim, within these bounds.
+/// How long an answer that comes in pieces is held back, so that it can be tried for again: an eighth of the
+/// tightest aim, within these bounds.
 const SHORTEST_HOLD: Duration = Duration::from_millis(20);
 const LONGEST_HOLD: Duration = Duration::from_millis(200);
 
@@ -105,9 +105,8 @@
 impl Initiator {
     /// Starts the core, the list and the listeners.
     ///
-    /// # Errors
-    /// The configuration cannot be used, a socket cannot be opened, or another process of this initiator serves and
-    /// cannot hand over to this one.
+    /// # Errors The configuration cannot be used, a socket cannot be opened, or another process of this
+    /// initiator serves and cannot hand over to this one.
     pub async fn start(config: Config) -> Result<Initiator, Error> {
         let (scheduler, names) = config.decide().map_err(Error::Config)?;
         let Handover { keeper, mut listeners, welcome } = Handover::receive(&config).await?;
@@ -182,8 +181,8 @@
         };
         actix_rt::spawn(Core::new(scheduler, names, clock, inbox, connect, beside).run());
         let platform_list = config.known.clone();
-        // What the predecessor holds is newer than what the platform remembers. The watch goes on from the latter's
-        // version: what it tells again changes nothing.
+        // What the predecessor holds is newer than what the platform remembers. The watch goes on from the
+        // latter's version: what it tells again changes nothing.
         let known = welcome.map(|w| w.list).or(config.known).unwrap_or_default();
         http::remember(&core, known).await;
         if let Some((_, iscsi)) = &iscsi {
@@ -247,8 +246,8 @@
     }
 }
 
-/// Checks the routes that are in force from the start. Returns whether some of their expectations wait for targets
-/// that are not listed yet.
+/// Checks the routes that are in force from the start. Returns whether some of their expectations wait for
+/// targets that are not listed yet.
 ///
 /// # Errors
 /// An expectation is broken.
--- a/src/initiator/error.rs
+++ b/src/initiator/error.rs
@@ -10,7 +10,8 @@
     Config(ConfigError),
     /// A socket or file could not be opened, or failed.
     Io(std::io::Error),
-    /// Another process of this initiator serves, and hands over by a version of the protocol that is unknown here.
+    /// Another process of this initiator serves, and hands over by a version of the protocol that is unknown
+    /// here.
     Version(u32),
 }
 
--- a/src/initiator/handover.rs
+++ b/src/initiator/handover.rs
@@ -32,7 +32,8 @@
     }
 }
 
-/// Contacts the process of this initiator that serves. None: this process can neither replace nor be replaced.
+/// Contacts the process of this initiator that serves. None: this process can neither replace nor be
+/// replaced.
 async fn meet(config: &Config) -> Option<(Keeper, Begun)> {
     // Without operators' calls nobody would learn when the successor serves.
     let folder = config.meeting.as_ref().filter(|_| config.admin.is_some())?;
--- a/src/initiator/reload.rs
+++ b/src/initiator/reload.rs
@@ -22,7 +22,8 @@
 impl Reloads {
     /// Takes over what is valid whatever the routes are: discovery's address, and a reopened access log.
     pub fn take(&self, reload: &Reload) {
-        // Also at the same address: another service may stand behind it, and the watch there may have fallen silent.
+        // Also at the same address: another service may stand behind it, and the watch there may have fallen
+        // silent.
         let moved = self.discovery.send_replace(reload.discovery) != reload.discovery;
         if let Some(log) = &self.access_log {
             log.reopen();
@@ -30,7 +31,8 @@
         tracing::info!(moved, "the configuration was read again");
     }
 
-    /// Puts a table in force in one step, and returns its version. Open requests keep the table they began with.
+    /// Puts a table in force in one step, and returns its version. Open requests keep the table they began
+    /// with.
     pub fn load(&self, table: Table) -> u64 {
         let mut version = 0;
         self.table.send_modify(|loaded| {
@@ -100,8 +102,8 @@
     Ok(checked)
 }
 
-/// Reads the configuration whenever `requested` yields true, until it yields false. Routes that wait for targets are
-/// checked again whenever the list that the core has in force changes.
+/// Reads the configuration whenever `requested` yields true, until it yields false. Routes that wait for
+/// targets are checked again whenever the list that the core has in force changes.
 pub async fn keep_reloading(
     mut requested: impl AsyncFnMut() -> bool,
     read: impl Fn() -> Result<Reload, ConfigError> + Send + Clone + 'static,
--- a/src/initiator/run.rs
+++ b/src/initiator/run.rs
@@ -11,8 +11,8 @@
 
 /// For this long after SIGTERM clients may still connect, and a request must be answered whenever it comes.
 const STILL_COME: Duration = Duration::from_millis(750);
-/// Clients go on with the connections that stay open, and nobody else serves them until the next start: so they
-/// do stay open, until this much is left for what is held by then.
+/// Clients go on with the connections that stay open, and nobody else serves them until the next start: so
+/// they do stay open, until this much is left for what is held by then.
 const LAST_ANSWERS: Duration = Duration::from_millis(900);
 /// What has no answer this long before the end is failed, so that none is lost.
 const GIVE_UP: Duration = Duration::from_millis(100);
@@ -22,8 +22,8 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 impl Initiator {
-    /// Serves until `stop` is ready, then finishes open requests within the time that the platform leaves. Dropping
-    /// the future stops serving at once, and leaves open requests without an answer.
+    /// Serves until `stop` is ready, then finishes open requests within the time that the platform leaves.
+    /// Dropping the future stops serving at once, and leaves open requests without an answer.
     ///
     /// # Errors
     /// The HTTP listener failed.
@@ -141,8 +141,8 @@
         tracing::info!(open = self.core.open(), connections = self.clients.open(), sessions, "ended");
     }
 
-    /// Polls until no client is connected and no request is open: the end of a program is no time to have every
-    /// owner report.
+    /// Polls until no client is connected and no request is open: the end of a program is no time to have
+    /// every owner report.
     async fn idle(&self) {
         while self.clients.open() > 0 || self.core.open() > 0 {
             tokio::time::sleep(POLL_INTERVAL).await;
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -351,9 +351,9 @@
         elsewhere: f64,
         load: LoadReport,
     },
-    /// An answer has begun, or the rest of a long request is being passed on: the attempt takes up no room at its target
-    /// any more. Unless it is still timed, the request's deadline no longer runs either, and the attempt lasts as long
-    /// as its client takes.
+    /// An answer has begun, or the rest of a long request is being passed on: the attempt takes up no room at
+    /// its target any more. Unless it is still timed, the request's deadline no longer runs either, and the
+    /// attempt lasts as long as its client takes.
     TransferStarted {
         id: RequestId,
         attempt: AttemptNumber,
@@ -372,10 +372,11 @@
         set: TargetSetId,
         targets: Option<Vec<TargetId>>,
     },
-    /// The targets that this initiator's new objects go to where they are early enough, so that the choices of all
-    /// initiators add up evenly. None: it has no preference.
+    /// The targets that this initiator's new objects go to where they are early enough, so that the choices
+    /// of all initiators add up evenly. None: it has no preference.
     PreferredTargets(Vec<TargetId>),
-    /// Another initiator lacks units of a limited volume: [`Action::QuotaOffered`] says what this one can do without.
+    /// Another initiator lacks units of a limited volume: [`Action::QuotaOffered`] says what this one can do
+    /// without.
     OfferQuota {
         volume: VolumeId,
         max_units: f64,
@@ -391,8 +392,8 @@
         elapsed: Micros,
         load: LoadReport,
     },
-    /// Another process has what is owned here: units of limits, and the budgets of cold targets. False: it is owned
-    /// here again.
+    /// Another process has what is owned here: units of limits, and the budgets of cold targets. False: it is
+    /// owned here again.
     OwnershipTransferred(bool),
     /// A timer of [`Action::SetTimer`] is due.
     TimerFired {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -13,7 +13,7 @@
 //!     classes: vec![RequestClass {
 //!         latency_objective: 100_000,
 //!         deadline: 1_000_000,
-//!         repeat: Idempotency::Idempotent,
+//!         idempotency: Idempotency::Idempotent,
 //!         ordered_by_key: false,
 //!         write: false,
 //!         priority_weight: 1.0,
--- a/src/net/accept.rs
+++ b/src/net/accept.rs
@@ -1,8 +1,8 @@
 //! What follows when a connection cannot be accepted.
 //!
-//! Linux reports three kinds of failure by `accept`: the connection itself is broken or the network is in trouble (the next
-//! one may be well), the process or the system has no descriptor or memory left, or the listener is unusable. Whatever it
-//! is, a listener neither spins nor stops for good.
+//! Linux reports three kinds of failure by `accept`: the connection itself is broken or the network is in
+//! trouble (the next one may be well), the process or the system has no descriptor or memory left, or the
+//! listener is unusable. Whatever it is, a listener neither spins nor stops for good.
 
 use rustix::io::Errno;
 use std::io;
@@ -11,7 +11,8 @@
 
 /// Wait where descriptors or memory are short.
 const SHORT_WAIT: Duration = Duration::from_millis(20);
-/// Failures in a row that are not waited for: each has taken a broken connection out of the queue, as far as is known.
+/// Failures in a row that are not waited for: each has taken a broken connection out of the queue, as far as
+/// is known.
 const MOST_AT_ONCE: u32 = 64;
 /// How often failures are told of.
 const TELL_EVERY: Duration = Duration::from_secs(1);
--- a/src/net/budget.rs
+++ b/src/net/budget.rs
@@ -1,7 +1,7 @@
 //! The descriptors of the process, and who may have how many.
 //!
-//! What the program cannot do without is reserved first, whether or not it is used: clients, who may fill all that they
-//! are given, get a part of what is left.
+//! What the program cannot do without is reserved first, whether or not it is used: clients, who may fill all
+//! that they are given, get a part of what is left.
 
 use crate::config::Limits;
 use crate::net::admin;
@@ -10,13 +10,13 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// The process's own: the standard streams, the runtime, signals, the log, the listener and its copy for another process,
-/// a file that is read.
+/// The process's own: the standard streams, the runtime, signals, the log, the listener and its copy for
+/// another process, a file that is read.
 const PROCESS: usize = 12;
 /// What processes meet by: a folder, a lock, a listener and links.
 const MEETING: usize = 6;
-/// Connections to discovery: calls beside each other and one that is being closed. Where the list is pushed there are
-/// more of them.
+/// Connections to discovery: calls beside each other and one that is being closed. Where the list is pushed
+/// there are more of them.
 pub const DISCOVERY: usize = 4;
 pub const DISCOVERY_PUSHED: usize = 9;
 /// The fleet's socket, and the second front's listener, each with its copy.
@@ -28,8 +28,9 @@
 const PASSING: usize = MOST_PASSING + 1;
 /// However few descriptors there are, so many are left for targets, sessions and clients.
 const LEAST_SHARED: usize = 15;
-/// Clients and sessions get five eighths of what so many, and the operators', leave. The rest of the reservations comes out
-/// of targets' part, whose idle connections make room for others, and which is a fifth at least.
+/// Clients and sessions get five eighths of what so many, and the operators', leave. The rest of the
+/// reservations comes out of targets' part, whose idle connections make room for others, and which is a fifth
+/// at least.
 const BARE: usize = 24;
 
 /// What this process is at.
@@ -68,7 +69,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reservations {
     pub process: usize,
-    /// The whole daemon waits for the list, and idle clients may hold all that is theirs when discovery returns.
+    /// The whole daemon waits for the list, and idle clients may hold all that is theirs when discovery
+    /// returns.
     pub discovery: usize,
     pub operators: usize,
     pub fleet: usize,
@@ -81,8 +83,8 @@
     pub targets: usize,
     /// Connections of the platform's clients.
     pub clients: usize,
-    /// How many of these may stand idle for long. The platform's clients hold a third of the descriptors at most, and
-    /// need the rest of that third for those that come new.
+    /// How many of these may stand idle for long. The platform's clients hold a third of the descriptors at
+    /// most, and need the rest of that third for those that come new.
     pub idle_clients: usize,
 }
 
--- a/src/net/close.rs
+++ b/src/net/close.rs
@@ -1,5 +1,6 @@
-//! The end of a client's connection, seen and made. A close over unread bytes resets it, and takes along what the client has not read
-//! yet: so writing is shut down, what still comes is read and dropped for a bounded while, and only then it is closed.
+//! The end of a client's connection, seen and made. A close over unread bytes resets it, and takes along what
+//! the client has not read yet: so writing is shut down, what still comes is read and dropped for a bounded
+//! while, and only then it is closed.
 
 use std::io;
 use std::net::Shutdown;
@@ -28,12 +29,13 @@
     }
 }
 
-/// Resolves once the peer has closed its side of the connection or reset it, also where bytes that it sent before are
-/// unread, and whether or not somebody reads them.
+/// Resolves once the peer has closed its side of the connection or reset it, also where bytes that it sent
+/// before are unread, and whether or not somebody reads them.
 ///
-/// It is told by the system's event (EPOLLRDHUP), without a timer. Readiness to read would hold for as long as bytes
-/// are unread. The priority interest holds for the closed side alone: no stream here is registered for urgent data.
-/// Cancelled, it leaves nothing behind. Without a runtime that drives the stream it resolves too: nothing more will come.
+/// It is told by the system's event (EPOLLRDHUP), without a timer. Readiness to read would hold for as long
+/// as bytes are unread. The priority interest holds for the closed side alone: no stream here is registered
+/// for urgent data. Cancelled, it leaves nothing behind. Without a runtime that drives the stream it resolves
+/// too: nothing more will come.
 pub async fn read_closed(stream: &TcpStream) {
     while let Ok(ready) = stream.ready(Interest::PRIORITY).await {
         if ready.is_read_closed() {
--- a/src/net/fleet.rs
+++ b/src/net/fleet.rs
@@ -1,4 +1,5 @@
-//! Datagrams between instances: UDP, each with the fleet's code. What is not the fleet's is dropped and counted.
+//! Datagrams between instances: UDP, each with the fleet's code. What is not the fleet's is dropped and
+//! counted.
 
 use crate::core::{Handle, Message, Outgoing};
 use crate::net::Phase;
@@ -84,7 +85,8 @@
                 let Some((to, message)) = next else { return };
                 let bytes = encode(&peers.key, peers.me, &message);
                 let (me, all) = (usize::from(peers.me.0), &peers.addrs);
-                // All others, from the next number on: where the system has no room for all, others get it each time.
+                // All others, from the next number on: where the system has no room for all, others get it
+                // each time.
                 let places = match to {
                     Some(to) => usize::from(to.0)..usize::from(to.0) + 1,
                     None => me + 1..me + all.len(),
--- a/src/net/http/clients.rs
+++ b/src/net/http/clients.rs
@@ -1,8 +1,9 @@
-//! The connections of clients: what each is at, which of them make room for new ones, when a client has gone, and how
-//! a connection is closed.
+//! The connections of clients: what each is at, which of them make room for new ones, when a client has gone,
+//! and how a connection is closed.
 //!
-//! A close over unread bytes resets the connection, and takes along what the client has not read yet. So writing is shut
-//! down first, what still comes is read and dropped for a bounded while, and only then the connection is closed.
+//! A close over unread bytes resets the connection, and takes along what the client has not read yet. So
+//! writing is shut down first, what still comes is read and dropped for a bounded while, and only then the
+//! connection is closed.
 
 use crate::net::close::{LINGER, close, read_closed};
 use std::cell::{Cell, RefCell};
@@ -19,31 +20,34 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// How long a connection may take until it has brought a whole head, and say nothing at all. Clients may take 2 s.
+/// How long a connection may take until it has brought a whole head, and say nothing at all. Clients may take
+/// 2 s.
 pub const HEAD: Duration = Duration::from_millis(2_400);
-/// How long a connection may stand idle between requests; and where too many are idle, for how long it may at least.
+/// How long a connection may stand idle between requests; and where too many are idle, for how long it may at
+/// least.
 pub const IDLE: Duration = Duration::from_secs(2);
-/// The same while less than this part of the places is taken. Closing one then buys nothing, and a request may just
-/// be on its way on it.
+/// The same while less than this part of the places is taken. Closing one then buys nothing, and a request
+/// may just be on its way on it.
 pub const LONG_IDLE: Duration = Duration::from_secs(30);
 pub const ROOMY_PART: usize = 4;
-/// How long a client may take nothing of what is written to it. A slow one takes a buffer of the system's at a time.
+/// How long a client may take nothing of what is written to it. A slow one takes a buffer of the system's at
+/// a time.
 pub const UNREAD: Duration = Duration::from_secs(30);
 pub const BRIEFLY: Duration = Duration::from_millis(200);
 /// Where room is short, silent connections make it once they have stood for this long, then idle ones. Before
 /// that, a request or an answer may just be under way.
 pub const SETTLED: Duration = Duration::from_millis(50);
 
-/// Bytes behind a request that is with its handler, at most: clients send one request at a time. What comes beyond them
-/// is dropped, and the connection ends with the answers to what came before.
+/// Bytes behind a request that is with its handler, at most: clients send one request at a time. What comes
+/// beyond them is dropped, and the connection ends with the answers to what came before.
 pub const MOST_BEHIND: usize = 32 * 1024;
 /// Connections beyond the places that may be told so at once, before they are closed.
 const MOST_TURNED_AWAY: usize = 8;
-/// Connections that are open and have no place: told so, or evicted for others. At that number no more are accepted
-/// until one is closed: a burst of new ones may not take the descriptors that are kept for others.
+/// Connections that are open and have no place: told so, or evicted for others. At that number no more are
+/// accepted until one is closed: a burst of new ones may not take the descriptors that are kept for others.
 pub const MOST_PASSING: usize = MOST_TURNED_AWAY + 2;
-/// How long one that was told so is read on before it is closed. New connections wait meanwhile, and the time of their requests
-/// runs: less than the 0.15 s by which what a target is told may be off.
+/// How long one that was told so is read on before it is closed. New connections wait meanwhile, and the time
+/// of their requests runs: less than the 0.15 s by which what a target is told may be off.
 const TURNED_AWAY_FOR: Duration = Duration::from_millis(50);
 const NO_PLACE: &[u8] =
     b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.100\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
@@ -149,8 +153,8 @@
         self.cut.set(true);
     }
 
-    /// Resolves once the client has closed its side or reset the connection, also where bytes that it sent before are
-    /// still unread.
+    /// Resolves once the client has closed its side or reset the connection, also where bytes that it sent
+    /// before are still unread.
     pub async fn gone(&self) {
         read_closed(&self.stream).await;
     }
@@ -283,8 +287,8 @@
         self.0.over.set(true);
     }
 
-    /// Takes a new connection in; where all places are taken, one that waits for nothing makes room. None: all of
-    /// them have a request open, and the new one is told to come again and closed.
+    /// Takes a new connection in; where all places are taken, one that waits for nothing makes room. None:
+    /// all of them have a request open, and the new one is told to come again and closed.
     pub fn seat(&self, stream: TcpStream) -> Option<Guarded> {
         if self.open() >= self.0.most.get() && !self.make_room() {
             self.turn_away(stream);
@@ -327,9 +331,9 @@
         });
     }
 
-    /// Ends what has kept silent, taken over a head, or stood idle for too long. Of idle connections beyond their
-    /// number the oldest go first: clients may hold only so many, and new clients find none while others keep
-    /// theirs without a use.
+    /// Ends what has kept silent, taken over a head, or stood idle for too long. Of idle connections beyond
+    /// their number the oldest go first: clients may hold only so many, and new clients find none while
+    /// others keep theirs without a use.
     pub fn sweep(&self) {
         let now = Instant::now();
         let lasted = |seat: &Seat| now.saturating_duration_since(seat.since.get());
@@ -356,8 +360,8 @@
     }
 }
 
-/// The connection to end for a new one: the one being closed for longest, else the one silent for longest, else the one idle for longest, else the one
-/// whose head has taken longest.
+/// The connection to end for a new one: the one being closed for longest, else the one silent for longest,
+/// else the one idle for longest, else the one whose head has taken longest.
 fn spare(seats: &BTreeMap<u64, Rc<Seat>>) -> Option<u64> {
     let now = Instant::now();
     let rank = |phase| match phase {
@@ -392,8 +396,8 @@
     }
 }
 
-/// A client's stream. Once its seat is ended it reads as closed, and takes nothing more. Dropped, it is closed in order,
-/// and keeps its place meanwhile.
+/// A client's stream. Once its seat is ended it reads as closed, and takes nothing more. Dropped, it is
+/// closed in order, and keeps its place meanwhile.
 #[derive(Debug)]
 pub struct Guarded {
     stream: Rc<Stream>,
@@ -448,8 +452,8 @@
     }
 
     fn write(&mut self, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        // Of a client that has gone, an answer that it does not take must not hold up the end of its next request: the
-        // HTTP service writes all that it has before it lets go of a handler.
+        // Of a client that has gone, an answer that it does not take must not hold up the end of its next
+        // request: the HTTP service writes all that it has before it lets go of a handler.
         let gone = self.seat.read_closed.get() && self.seat.waiting.get();
         if self.seat.ended.get() || gone {
             return Poll::Ready(Err(io::ErrorKind::BrokenPipe.into()));
@@ -478,7 +482,8 @@
             false => self.read(cx, buf),
         };
         if self.seat.ended.get() {
-            // What came just before the end is served: closed on it, the client could not tell whether it had run.
+            // What came just before the end is served: closed on it, the client could not tell whether it had
+            // run.
             let came = buf.filled().len() > before;
             let held = self.place.as_ref().is_some_and(Place::held);
             if !came || self.seat.phase.get() != Phase::Idle || !held {
--- a/src/net/http/discovery.rs
+++ b/src/net/http/discovery.rs
@@ -1,5 +1,5 @@
-//! The discovery client: makes the calls for the list that its schedule asks for, and tells the core what they bring.
-//! When to call is decided by [`Schedule`] alone.
+//! The discovery client: makes the calls for the list that its schedule asks for, and tells the core what
+//! they bring. When to call is decided by [`Schedule`] alone.
 
 use crate::core::{Clock, Handle, LINES_AT_ONCE, Listed, Message, Wire};
 use crate::interface::{EndpointUpdateKind, Micros, TargetState};
@@ -363,8 +363,8 @@
         self.schedule.ended(self.clock.now(), id, end);
     }
 
-    /// Tells the core of a list, if it can be used. The last good list stays otherwise, and the whole list is asked
-    /// for next.
+    /// Tells the core of a list, if it can be used. The last good list stays otherwise, and the whole list is
+    /// asked for next.
     async fn take(&mut self, id: CallId, page: Page, received: Instant) -> End {
         if let Err(error) = page.check(self.version) {
             tracing::error!(call = id.0, %error, "a list was not used; the one before goes on");
@@ -412,7 +412,8 @@
     }
 }
 
-/// Asks for what has changed since `version`, or for the whole list. `hold`: how long discovery may wait for news.
+/// Asks for what has changed since `version`, or for the whole list. `hold`: how long discovery may wait for
+/// news.
 async fn get(
     client: &Client,
     addr: SocketAddr,
--- a/src/net/http/server.rs
+++ b/src/net/http/server.rs
@@ -24,8 +24,8 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// How long a request's body may take: so long in any case, and a second more for so many bytes. A half body must
-/// not keep its connection for ever.
+/// How long a request's body may take: so long in any case, and a second more for so many bytes. A half body
+/// must not keep its connection for ever.
 const BODY: Duration = Duration::from_secs(2);
 const BYTES_A_SECOND: u64 = 64_000;
 /// What the rest of a long body takes up at most, in the buffers that it passes through.
@@ -46,7 +46,8 @@
     pub core: Handle,
     /// Turns true when connections are to be closed: idle ones at once, the others with their answers.
     pub closing: watch::Receiver<bool>,
-    /// Clients are accepted while this process serves. Once it leaves, connections close with their next answer.
+    /// Clients are accepted while this process serves. Once it leaves, connections close with their next
+    /// answer.
     pub phase: watch::Receiver<Phase>,
     pub clients: Clients,
     /// Bytes that bodies may take up together from now on.
@@ -110,7 +111,8 @@
             Err(error) => match failures.failed(&error, "clients") {
                 AfterFailure::GoOn => {}
                 AfterFailure::MakeRoom(wait) => {
-                    // What the budget does not know of has taken the descriptors: one that waits for nothing makes room.
+                    // What the budget does not know of has taken the descriptors: one that waits for nothing
+                    // makes room.
                     front.clients.make_room();
                     tokio::time::sleep(wait).await;
                 }
@@ -131,7 +133,8 @@
     let seat = request.conn_data::<Rc<Seat>>().cloned();
     let busy = seat.as_ref().map(Seat::busy);
     let mut response = if seat.as_ref().is_some_and(|seat| seat.closes()) {
-        // It came behind a request whose answer was the connection's last: its client sends it again elsewhere.
+        // It came behind a request whose answer was the connection's last: its client sends it again
+        // elsewhere.
         message::status(StatusCode::SERVICE_UNAVAILABLE)
     } else if request.path() == "/up" {
         let up = request.method() == Method::GET && front.core.ready();
--- a/src/net/http/target.rs
+++ b/src/net/http/target.rs
@@ -156,8 +156,8 @@
             // Nobody is served it.
             return Ok(Content::Whole(Bytes::new()));
         }
-        // One that is slow to come could not be tried for again in time, and is no use to its client held. One that
-        // stands still may be spoilt.
+        // One that is slow to come could not be tried for again in time, and is no use to its client held.
+        // One that stands still may be spoilt.
         if long || (Instant::now() >= until && head.status == StatusCode::OK) {
             return Ok(streamed(pool, link, held, told));
         }
@@ -171,7 +171,8 @@
     Content::Streamed(Download { length, pieces })
 }
 
-/// Passes a long answer on, no faster than its client takes it. A client that goes takes the connection along.
+/// Passes a long answer on, no faster than its client takes it. A client that goes takes the connection
+/// along.
 async fn pass(links: Links, mut link: Link, first: Bytes, to: mpsc::Sender<Result<Bytes, Lost>>) {
     let mut piece = Ok(Some(first));
     while let Ok(Some(bytes)) = piece {
--- a/src/net/iscsi/front.rs
+++ b/src/net/iscsi/front.rs
@@ -169,8 +169,8 @@
     stat_sn: u32,
     exp_cmd_sn: u32,
     out: &'a mut OwnedWriteHalf,
-    /// What is said and not written. A peer that is slow to read must not keep what it sends from being read: it may
-    /// abort what waits.
+    /// What is said and not written. A peer that is slow to read must not keep what it sends from being read:
+    /// it may abort what waits.
     unsent: BytesMut,
     /// When the last of it was written, or the first of it said.
     written: Instant,
@@ -264,7 +264,8 @@
         }
     }
 
-    /// Says the answers that there is room for. The others keep their tasks, of which there are so many at most.
+    /// Says the answers that there is room for. The others keep their tasks, of which there are so many at
+    /// most.
     fn answer_ended(&mut self) {
         while self.unsent.len() <= ENOUGH_UNSENT
             && let Some((itt, expected, answer)) = self.ended.pop_front()
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -1,5 +1,5 @@
-//! Carries what instances tell each other of targets that leave: the datagrams of [`Exchange`], to and from the addresses
-//! that the platform gives for peers.
+//! Carries what instances tell each other of targets that leave: the datagrams of [`Exchange`], to and from
+//! the addresses that the platform gives for peers.
 
 use crate::core::Clock;
 use crate::interface::Micros;
@@ -58,7 +58,8 @@
         self.exchange.remembers(version);
     }
 
-    /// A list was heard: the names of its targets, and whether they are in use. `full`: others are not listed any more.
+    /// A list was heard: the names of its targets, and whether they are in use. `full`: others are not listed
+    /// any more.
     pub fn listed<'a>(
         &mut self,
         now: Micros,
@@ -141,8 +142,8 @@
         }
     }
 
-    /// Waits for the next datagram, answers it if it asks, and returns the names of targets that it tells to have left.
-    /// Cancellation loses nothing.
+    /// Waits for the next datagram, answers it if it asks, and returns the names of targets that it tells to
+    /// have left. Cancellation loses nothing.
     pub async fn receive(&mut self, clock: Clock) -> Vec<String> {
         let Some(socket) = &self.socket else { return std::future::pending().await };
         let mut buffer = [0; LONGEST + 1];
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -258,7 +258,8 @@
         ((z ^ (z >> 31)) >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// The one way to a final answer of this initiator's: a refusal where the class allows it, else a failure.
+    /// The one way to a final answer of this initiator's: a refusal where the class allows it, else a
+    /// failure.
     fn answer(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let Some(h) = self.requests.get(&id).filter(|h| !h.over) else { return };
         let harmless = h.tries.iter().all(|t| t.ran == Ran::Never)
--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -153,7 +153,8 @@
     }
 
     /// Counts a request as asked, and tells whether it is inside its volume's due at the shard: the reserve
-    /// and the weighted share at the queue's level, of which the part asked through this initiator counts here.
+    /// and the weighted share at the queue's level, of which the part asked through this initiator counts
+    /// here.
     pub(super) fn within_due(&mut self, now: Micros, id: RequestId, shard: ShardId) -> bool {
         let h = &self.requests[&id];
         let (units, initiators) = (h.units, h.initiators);
--- a/src/scheduler/estimates.rs
+++ b/src/scheduler/estimates.rs
@@ -24,7 +24,8 @@
     pub(super) fn closed_form(&self, now: Micros, target: TargetId, units: f64) -> f64 {
         let (speed, latency) = self.learned(now, target);
         // Silence while answers are owed tells already what they will tell, and ends with the first. One
-        // alone may have a silent connection: closed for it, the target could not show that it answers others.
+        // alone may have a silent connection: closed for it, the target could not show that it answers
+        // others.
         let n = &self.targets[&target];
         let owed = n.out.first_key_value().filter(|_| n.out.len() > 1);
         let owed = owed.map(|((sent, _, _), _)| n.answered.max(*sent));
