--- a/src/scheduler/outcomes.rs
+++ b/src/scheduler/outcomes.rs
@@ -186,8 +186,9 @@
         }
     }
 
-    /// Calls off attempts that the target's answers to later ones have overtaken: silent connections would hold
-    /// their units until the deadline. One alone waits longer. It hurts where work varies by `LOST_AFTER`.
+    /// Calls off attempts that the target's answers to later ones have overtaken: silent connections would
+    /// hold their units until the deadline. One alone waits longer. It hurts where work varies by
+    /// `LOST_AFTER`.
     pub(super) fn call_off_lost(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let mut lost = Vec::new();
         for (target, n) in self.targets.busy().filter(|_| self.settings.may_cancel) {
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -3,9 +3,9 @@
 use super::{AIM_PART, Scheduler};
 use crate::interface::{Micros, RequestId, ShardId, TargetId, TargetSetId};
 
-/// Targets that are compared for one new object at most. Where there are more, those that this initiator knows
-/// best are compared with some drawn at random: a comparison of all would make each request cost what the
-/// list is long.
+/// Targets that are compared for one new object at most. Where there are more, those that this initiator
+/// knows best are compared with some drawn at random: a comparison of all would make each request cost what
+/// the list is long.
 const MOST_COMPARED: usize = 256;
 /// Of these, at most so many that have served lately.
 const MOST_HEARD: usize = 96;
@@ -39,8 +39,8 @@
         best.map(|(.., shard)| shard)
     }
 
-    /// The targets that are compared for a request with this reach: all that may take new work, or of many the
-    /// preferred ones, those that have served lately, and some drawn at random.
+    /// The targets that are compared for a request with this reach: all that may take new work, or of many
+    /// the preferred ones, those that have served lately, and some drawn at random.
     fn compared(&mut self, reach: Option<TargetSetId>) -> Vec<TargetId> {
         let reached = reach.map(|reach| self.reaches.get(&reach).map_or(&[][..], |r| r.as_slice()));
         let count = reached.map_or(self.targets.usable().len(), <[TargetId]>::len);
--- a/src/scheduler/slow_start.rs
+++ b/src/scheduler/slow_start.rs
@@ -6,10 +6,10 @@
 use rowanglade_warmup::{Pace, Taken};
 
 impl Scheduler {
-    /// The pace of a request's volume at a cold target, and this initiator's share of the volume's reserve there,
-    /// in units a second. The reserve is for all the volume's targets: a target has no more of it than its part
-    /// of what the volume is sized for, as far as requests tell that part lately. One request more than was
-    /// seen is counted, so that the first ones of a volume don't claim all of it for their target.
+    /// The pace of a request's volume at a cold target, and this initiator's share of the volume's reserve
+    /// there, in units a second. The reserve is for all the volume's targets: a target has no more of it than
+    /// its part of what the volume is sized for, as far as requests tell that part lately. One request more
+    /// than was seen is counted, so that the first ones of a volume don't claim all of it for their target.
     pub(super) fn reserved(&self, now: Micros, target: TargetId, h: &RequestState) -> Option<(Pace, f64)> {
         let plan = &self.settings.plans[h.plan?.0 as usize];
         let volume = self.volumes.get(&h.volume);
--- a/src/scheduler/snapshot.rs
+++ b/src/scheduler/snapshot.rs
@@ -1,5 +1,5 @@
-//! What an initiator hands over to its successor, and what it goes on with after. Nothing is decided here: the
-//! state is read out of one module and put into another, which decides with it as the first would have.
+//! What an initiator hands over to its successor, and what it goes on with after. Nothing is decided here:
+//! the state is read out of one module and put into another, which decides with it as the first would have.
 
 use super::targets::Target;
 use super::token_bucket::Store;
--- a/src/scheduler/targets.rs
+++ b/src/scheduler/targets.rs
@@ -1,7 +1,7 @@
 //! The targets that are known, with an index for each question that a request or a timer asks of them.
 //!
-//! There may be thousands of targets, and a request concerns a few. So nothing that happens for each request or
-//! each timer walks over all of them: the indexes are kept up by what changes.
+//! There may be thousands of targets, and a request concerns a few. So nothing that happens for each request
+//! or each timer walks over all of them: the indexes are kept up by what changes.
 
 use crate::interface::{EndpointEntry, Micros, RequestId, ShardId, TargetId, TargetState, ZoneId};
 use indexmap::IndexSet;
@@ -143,8 +143,8 @@
         self.usable.clear();
     }
 
-    /// The target of this entry is new, or has started again: what was learned of it is void. What is out there
-    /// stays.
+    /// The target of this entry is new, or has started again: what was learned of it is void. What is out
+    /// there stays.
     pub fn replace(&mut self, entry: &EndpointEntry, since: Micros, warming: warmup::Target) {
         self.heard(entry.target, None);
         let old = self.all.remove(&entry.target);
--- a/src/upgrade/mod.rs
+++ b/src/upgrade/mod.rs
@@ -1,5 +1,6 @@
-//! Replacing the process: a successor that is started beside it takes over all that it owns. What is said, and who
-//! owns when, is decided in crates/handover; here stand the lock, the socket and what the words carry.
+//! Replacing the process: a successor that is started beside it takes over all that it owns. What is said,
+//! and who owns when, is decided in crates/handover; here stand the lock, the socket and what the words
+//! carry.
 
 mod keeper;
 mod wire;
--- a/src/upgrade/wire.rs
+++ b/src/upgrade/wire.rs
@@ -24,7 +24,8 @@
 /// The most descriptors that go with a message: one for each listener.
 const MOST_PASSED: usize = 4;
 
-/// What may be known early. It is out of date by the time that everything is given, but for what does not change.
+/// What may be known early. It is out of date by the time that everything is given, but for what does not
+/// change.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Welcome {
     /// The predecessor's time, on whose clock the successor goes on.
--- a/tests/accept.rs
+++ b/tests/accept.rs
@@ -1,4 +1,5 @@
-//! What follows when accept fails: no failure of one connection costs another client its own, and nothing spins.
+//! What follows when accept fails: no failure of one connection costs another client its own, and nothing
+//! spins.
 
 use rowanglade::net::accept::{AcceptFailures, AfterFailure};
 use std::io;
@@ -19,8 +20,8 @@
     failures.failed(&io::Error::from_raw_os_error(errno), "a test")
 }
 
-// Any failure ended the connection of an idle client and stopped accepting for 20 ms, also where the system had only
-// told that the one connection was broken.
+// Any failure ended the connection of an idle client and stopped accepting for 20 ms, also where the system
+// had only told that the one connection was broken.
 #[test]
 fn only_a_lack_of_descriptors_or_memory_ends_others() {
     for errno in [EMFILE, ENFILE, ENOBUFS, ENOMEM] {
@@ -32,7 +33,8 @@
     }
 }
 
-// Each such failure was waited for: a burst of clients stood in the queue for longer than the slack on their time.
+// Each such failure was waited for: a burst of clients stood in the queue for longer than the slack on their
+// time.
 #[test]
 fn a_lack_that_is_over_at_once_is_not_waited_for() {
     let mut failures = AcceptFailures::default();
--- a/tests/budget.rs
+++ b/tests/budget.rs
@@ -1,4 +1,5 @@
-//! The descriptors of the process: what is reserved ahead of clients, and that all together stay within the limit.
+//! The descriptors of the process: what is reserved ahead of clients, and that all together stay within the
+//! limit.
 
 use rowanglade::net::budget::{DISCOVERY, DISCOVERY_PUSHED};
 use rowanglade::net::{Parts, Reservations};
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -1,4 +1,5 @@
-//! The book of clients' connections: who makes room for whom, what counts as idle, and how a connection is closed.
+//! The book of clients' connections: who makes room for whom, what counts as idle, and how a connection is
+//! closed.
 
 use rowanglade::net::close::LINGER;
 use rowanglade::net::http::Clients;
@@ -259,7 +260,8 @@
     });
 }
 
-// The end was looked for every 50 ms while bytes were unread. Time passes here only where something waits for it.
+// The end was looked for every 50 ms while bytes were unread. Time passes here only where something waits for
+// it.
 #[test]
 fn that_a_client_goes_is_an_event_and_takes_no_time() {
     story(true, async {
@@ -288,8 +290,8 @@
     });
 }
 
-// The HTTP service writes what it has before it lets go of a handler: an answer that its client did not take kept the
-// request behind it alive when the client had closed its side.
+// The HTTP service writes what it has before it lets go of a handler: an answer that its client did not take
+// kept the request behind it alive when the client had closed its side.
 #[test]
 fn an_answer_that_is_not_taken_does_not_hold_up_the_end_of_the_request_behind_it() {
     story(false, async {
@@ -328,8 +330,8 @@
     });
 }
 
-// A burst of new connections evicted as many idle ones, all of which stayed open until their tasks had a turn: together
-// they took twice what clients are given, and the descriptors that discovery needs.
+// A burst of new connections evicted as many idle ones, all of which stayed open until their tasks had a
+// turn: together they took twice what clients are given, and the descriptors that discovery needs.
 #[test]
 fn a_burst_opens_no_more_than_a_few_beyond_the_places() {
     const PLACES: usize = 20;
--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -205,7 +205,8 @@
         }
     }
 
-    /// A connection that came up is asked for; what arrives is answered a step later, one in five by an error.
+    /// A connection that came up is asked for; what arrives is answered a step later, one in five by an
+    /// error.
     fn come_up(&mut self, now: Micros) {
         let (due, out) = std::mem::take(&mut self.out).into_iter().partition(|o| o.at <= now);
         self.out = out;
@@ -293,7 +294,8 @@
     fleet.reached.iter().map(part).fold(0.0, f64::max)
 }
 
-// Each volume's whole reserve could go to one of its nodes: where that was the cold one, it got more than it bears.
+// Each volume's whole reserve could go to one of its nodes: where that was the cold one, it got more than it
+// bears.
 #[test]
 fn a_fleet_with_restarts_late_news_and_late_connections_stays_below_a_cold_nodes_fall() {
     let capacity = 60.0;
--- a/tests/compatibility/admin.rs
+++ b/tests/compatibility/admin.rs
@@ -1,5 +1,5 @@
-//! Operators' calls and the bytes of their answers. Guards against scripts of operators that find a path gone, or an
-//! answer that they cannot read.
+//! Operators' calls and the bytes of their answers. Guards against scripts of operators that find a path
+//! gone, or an answer that they cannot read.
 
 use rowanglade::core::{Call, Operation};
 use rowanglade::net::Phase;
--- a/tests/compatibility/configuration.rs
+++ b/tests/compatibility/configuration.rs
@@ -1,8 +1,9 @@
-//! The platform's file and an operator's file, each with every key set to a value that is no default. Guards against a
-//! key that is no longer read: most have defaults, so that without it a process starts, and paces by other figures.
+//! The platform's file and an operator's file, each with every key set to a value that is no default. Guards
+//! against a key that is no longer read: most have defaults, so that without it a process starts, and paces
+//! by other figures.
 
 use rowanglade::config::Config;
-use rowanglade::interface::{Group, Repeat};
+use rowanglade::interface::{DeduplicationScope, Idempotency};
 use rowanglade::names::Names;
 use rowanglade_discovery_schedule::Delivery;
 use rowanglade_subset::{Rule, Subset};
@@ -72,25 +73,38 @@
     let mut names = Names::default();
     let settings = load().settings.translate(&mut names).expect("usable");
     assert_eq!(names.fields, ["depth", "mean_ms"]);
-    assert_eq!(settings.gateways, 3);
-    let figures = (settings.usual_units, settings.share_worth, settings.spare_worth, settings.meter_period);
+    assert_eq!(settings.initiators, 3);
+    let figures = (
+        settings.mean_request_units,
+        settings.weight_within_share,
+        settings.weight_beyond_share,
+        settings.meter_period,
+    );
     assert_eq!(figures, (2.5, 0.375, 0.125, 70_000));
-    let may = [settings.tells_elsewhere, settings.may_probe, settings.may_cancel, settings.may_copy];
-    assert_eq!((may, settings.longest_advice), ([true; 4], 500_000));
+    let may = [settings.reports_usage_elsewhere, settings.may_probe, settings.may_cancel, settings.may_hedge];
+    assert_eq!((may, settings.max_retry_after), ([true; 4], 500_000));
     let rules = settings.rules;
-    assert_eq!((rules.cold_from, rules.cold_units, rules.warm_within), (0.28, 51.0, 15_000_000));
-    assert_eq!((rules.drain_grace, rules.fall_window, rules.fall_multiple), (1_000_000, 3_000_000, 2.5));
-    assert_eq!((rules.key_rest, rules.attempts), (90_000, 4));
-    let budget = rules.attempt_budget.expect("a budget");
-    assert_eq!((budget.free, budget.ratio, budget.window), (6.5, 0.1, 8_000_000));
+    assert_eq!(
+        (rules.slow_start_capacity, rules.slow_start_units, rules.slow_start_duration),
+        (0.28, 51.0, 15_000_000)
+    );
+    assert_eq!(
+        (rules.drain_grace, rules.overload_window, rules.overload_multiple),
+        (1_000_000, 3_000_000, 2.5)
+    );
+    assert_eq!((rules.key_quiet_period, rules.max_attempts), (90_000, 4));
+    let budget = rules.retry_budget.expect("a budget");
+    assert_eq!((budget.minimum, budget.ratio, budget.window), (6.5, 0.1, 8_000_000));
     let plan = &settings.plans[0];
     assert_eq!((plan.nominal, plan.reserve, plan.weight, plan.price), (4.5, 2.25, 1.5, 0.75));
     let limit = plan.limit.expect("a limit");
-    assert_eq!((limit.rate, limit.burst, limit.slack), (32.25, 50.5, 5.5));
+    assert_eq!((limit.rate, limit.burst, limit.debt_limit), (32.25, 50.5, 5.5));
     let classes: Vec<_> = settings
         .classes
         .iter()
-        .map(|c| (c.aim, c.deadline, c.in_order, c.write, c.worth, c.late_worth))
+        .map(|c| {
+            (c.latency_objective, c.deadline, c.ordered_by_key, c.write, c.priority_weight, c.late_weight)
+        })
         .collect();
     assert_eq!(
         classes,
@@ -102,15 +116,15 @@
             (700_000, 1_900_000, false, false, 1.0, 0.0),
         ]
     );
-    let repeats: Vec<Repeat> = settings.classes.iter().map(|c| c.repeat).collect();
+    let repeats: Vec<Idempotency> = settings.classes.iter().map(|c| c.idempotency).collect();
     assert_eq!(
         repeats,
         [
-            Repeat::Keyed { group: Group::All, span: 5_000_000 },
-            Repeat::Keyed { group: Group::Shard, span: 6_000_000 },
-            Repeat::Keyed { group: Group::Zone, span: 7_000_000 },
-            Repeat::Repeatable,
-            Repeat::Once,
+            Idempotency::KeyedWithin { scope: DeduplicationScope::All, window: 5_000_000 },
+            Idempotency::KeyedWithin { scope: DeduplicationScope::Shard, window: 6_000_000 },
+            Idempotency::KeyedWithin { scope: DeduplicationScope::Zone, window: 7_000_000 },
+            Idempotency::Idempotent,
+            Idempotency::NonIdempotent,
         ]
     );
 }
--- a/tests/compatibility/handover.rs
+++ b/tests/compatibility/handover.rs
@@ -1,5 +1,5 @@
-//! The messages between a process and its successor. Guards against a build that no longer understands the one it
-//! replaces: a lost field name would silently start the successor with an empty list, limit or pace.
+//! The messages between a process and its successor. Guards against a build that no longer understands the
+//! one it replaces: a lost field name would silently start the successor with an empty list, limit or pace.
 
 use rowanglade::core::Call;
 use rowanglade::upgrade::{Message, Share, send};
--- a/tests/compatibility/inspection.rs
+++ b/tests/compatibility/inspection.rs
@@ -1,4 +1,5 @@
-//! What `capture inspect --json` says of a recorded trace. Guards against tools that read it finding other keys.
+//! What `capture inspect --json` says of a recorded trace. Guards against tools that read it finding other
+//! keys.
 
 use std::process::Command;
 
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -1,4 +1,5 @@
-//! The core beside targets that are no more than a mailbox: what it owes its requests whatever becomes of those.
+//! The core beside targets that are no more than a mailbox: what it owes its requests whatever becomes of
+//! those.
 
 use bytes::Bytes;
 use rowanglade::core::{
@@ -128,8 +129,8 @@
     });
 }
 
-// An attempt whose actor drops it untold may have run: a keyed write must not be refused as harmless. Dropped before it
-// asked whether its first byte may go out, it never ran.
+// An attempt whose actor drops it untold may have run: a keyed write must not be refused as harmless. Dropped
+// before it asked whether its first byte may go out, it never ran.
 #[test]
 fn an_attempt_dropped_untold_counts_as_broken_once_it_may_have_started() {
     let drops = |started: bool| -> Connect {
--- a/tests/fleets/faults.rs
+++ b/tests/fleets/faults.rs
@@ -1,4 +1,5 @@
-//! System calls of the process fail, are cut short or come late, as Linux documents that they may: the rules hold.
+//! System calls of the process fail, are cut short or come late, as Linux documents that they may: the rules
+//! hold.
 
 use crate::many_targets::{by_kind, plan};
 use rowanglade_checker::{Rules, check};
@@ -55,14 +56,15 @@
     });
 }
 
-// The runtime takes a short read or write for the last one, and waited for an event that did not come: a list was heard
-// when its call was given up, a second and more late, and a request stood until its time was up.
+// The runtime takes a short read or write for the last one, and waited for an event that did not come: a list
+// was heard when its call was given up, a second and more late, and a request stood until its time was up.
 #[test]
 fn reads_and_writes_that_are_cut_short_stop_nothing() {
     story("recv:short:0.5;send:short:0.5", 0.95);
 }
 
-// Each such failure ended the connection of a client that waited for nothing, and nobody was accepted for 20 ms.
+// Each such failure ended the connection of a client that waited for nothing, and nobody was accepted for 20
+// ms.
 #[test]
 fn connections_that_break_while_they_are_accepted_cost_others_nothing() {
     story("accept4:ECONNABORTED:0.3;accept4:ENETUNREACH:0.2", 0.95);
--- a/tests/fleets/many_targets.rs
+++ b/tests/fleets/many_targets.rs
@@ -1,5 +1,5 @@
-//! Real processes before thousands of targets, with the traffic that they have before two hundred: the rules hold, and
-//! as much is served (incident 278639).
+//! Real processes before thousands of targets, with the traffic that they have before two hundred: the rules
+//! hold, and as much is served (incident 278639).
 
 use rowanglade_checker::{Breach, Rules, check};
 use rowanglade_standin::{
@@ -91,8 +91,8 @@
     kinds
 }
 
-// The report's day in small: a release of targets in steps, traffic with new objects, and instances that have just
-// started. What a request costs an instance must not go with the number of targets.
+// The report's day in small: a release of targets in steps, traffic with new objects, and instances that have
+// just started. What a request costs an instance must not go with the number of targets.
 #[test]
 fn a_release_before_thousands_of_targets_breaks_no_rule_and_serves_as_much() {
     let limit = Duration::from_secs(120);
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,5 +1,5 @@
-//! Volumes with a limit, whose requests reach their targets long after they were sent: a connection can take a second
-//! and more to come up.
+//! Volumes with a limit, whose requests reach their targets long after they were sent: a connection can take
+//! a second and more to come up.
 
 mod support;
 
@@ -61,8 +61,8 @@
     }
 }
 
-// On a day on which connections came up to 1.5 s late (zone+brink, seed 403) a volume went past its limit: the store
-// filled up again while what it had granted was still on its way, and both arrived together.
+// On a day on which connections came up to 1.5 s late (zone+brink, seed 403) a volume went past its limit:
+// the store filled up again while what it had granted was still on its way, and both arrived together.
 #[test]
 fn what_a_limit_granted_is_not_granted_again_before_it_has_arrived() {
     let mut bench = filled();
--- a/tests/many_initiators.rs
+++ b/tests/many_initiators.rs
@@ -40,8 +40,8 @@
     assert!(early >= 0.3 * 4.0 * r.slow_start_units, "only {early} units in the first four seconds");
 }
 
-// The even part of a hundred initiators is less than a request: most of six in ten nodes that had just been replaced
-// stood idle until they were warm.
+// The even part of a hundred initiators is less than a request: most of six in ten nodes that had just been
+// replaced stood idle until they were warm.
 #[test]
 fn a_hundred_gateways_together_let_the_reserves_through_to_a_cold_node() {
     let_the_reserves_through(KEYED);
--- a/tests/many_targets.rs
+++ b/tests/many_targets.rs
@@ -1,5 +1,5 @@
-//! What a whole list costs the module where there are a thousand targets and more: walks over it grow in step with it,
-//! not with its square.
+//! What a whole list costs the module where there are a thousand targets and more: walks over it grow in step
+//! with it, not with its square.
 
 mod support;
 
@@ -24,8 +24,8 @@
     (0..5).map(|_| heard(&mut bench)).min().expect("some")
 }
 
-// Each target was looked for in the whole list, and each shard's target among all: a list of 1,024 took as long as
-// hundreds of requests, while nothing else was served.
+// Each target was looked for in the whole list, and each shard's target among all: a list of 1,024 took as
+// long as hundreds of requests, while nothing else was served.
 #[test]
 fn the_cost_of_a_whole_list_grows_in_step_with_it() {
     let (few, many) = (whole_list(1_024), whole_list(16_384));
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -304,7 +304,8 @@
     assert!(refused(40 * MS) > refused(10 * MS));
 }
 
-// A volume beyond its limit used to be held until its client gave up; no answer until then told it to slow down.
+// A volume beyond its limit used to be held until its client gave up; no answer until then told it to slow
+// down.
 #[test]
 fn what_the_limit_keeps_beyond_its_aim_is_given_up_at_once_with_advice() {
     let mut s = settings();
@@ -396,8 +397,9 @@
     assert!((back - 7.5).abs() < 0.1, "no more than the store holds: {back}");
 }
 
-// Where a fleet spreads its traffic thin, most attempts meet a node that was not heard for seconds. Judged by what
-// others' latencies predict, those at slow nodes were called off, ran on all the same, and were sent once more.
+// Where a fleet spreads its traffic thin, most attempts meet a node that was not heard for seconds. Judged by
+// what others' latencies predict, those at slow nodes were called off, ran on all the same, and were sent
+// once more.
 #[test]
 fn an_attempt_alone_is_called_off_soon_only_where_its_node_was_heard_lately() {
     let cancelled = |unheard: Micros| {
@@ -411,7 +413,8 @@
     assert!(!cancelled(4 * SECOND), "it may just be slow");
 }
 
-// A hundred initiators that each placed new objects at any of sixty nodes held a connection to almost every one.
+// A hundred initiators that each placed new objects at any of sixty nodes held a connection to almost every
+// one.
 #[test]
 fn a_new_object_goes_to_a_node_heard_before_unless_that_is_late() {
     let placed = |took: Micros, seed: u64| {
@@ -425,8 +428,9 @@
     assert!((0..20).any(|seed| !placed(90 * MS, seed)), "180 ms: a new connection is worth it");
 }
 
-// Before the first answer all nodes cost nothing, and the first in the list's order was taken. So 48 initiators that
-// started together all began with one node, and stayed there: what was heard before is preferred.
+// Before the first answer all nodes cost nothing, and the first in the list's order was taken. So 48
+// initiators that started together all began with one node, and stayed there: what was heard before is
+// preferred.
 #[test]
 fn the_first_new_objects_of_many_gateways_go_to_all_nodes() {
     let nodes: Vec<EndpointEntry> = (0..6).map(|i| entry(i, i)).collect();
@@ -463,7 +467,8 @@
     assert_eq!(placed(MS, Outcome::Unreachable), Some(0), "it rests");
 }
 
-// An answer that its target wrote slowly took up the node's room until its last byte, and was called off as silent.
+// An answer that its target wrote slowly took up the node's room until its last byte, and was called off as
+// silent.
 #[test]
 fn an_attempt_whose_answer_has_begun_takes_no_room_and_is_not_called_off_but_stays_timed() {
     let begun = |told: bool| {
@@ -488,8 +493,8 @@
     assert_eq!(ends(begun(true)), (vec![], vec![(1, true)]), "its client still gets an answer in time");
 }
 
-// What filled the store of a limited volume always went to the lowest shard that had a request waiting: asked beyond its
-// limit, a volume got nothing at its other shards.
+// What filled the store of a limited volume always went to the lowest shard that had a request waiting: asked
+// beyond its limit, a volume got nothing at its other shards.
 #[test]
 fn units_of_a_limited_volume_go_to_the_earliest_deadline_whatever_its_shard() {
     let mut s = settings();
--- a/tests/network/bodies.rs
+++ b/tests/network/bodies.rs
@@ -165,7 +165,8 @@
     });
 }
 
-// A body of 3 MB was turned away. It goes on as it comes: the target has its first bytes before the client sends more.
+// A body of 3 MB was turned away. It goes on as it comes: the target has its first bytes before the client
+// sends more.
 #[test]
 fn a_long_request_is_passed_on_as_it_comes() {
     story(async {
@@ -245,7 +246,8 @@
     });
 }
 
-// Targets turned slow requests away as over, which counted as a full target: it rested, and was believed slow.
+// Targets turned slow requests away as over, which counted as a full target: it rested, and was believed
+// slow.
 #[test]
 fn a_target_that_calls_a_request_over_is_not_full_and_not_asked_again() {
     story(async {
@@ -311,8 +313,9 @@
     });
 }
 
-// An answer without a length was held until 64 KiB of it had come, and one whose target wrote it slowly was called off
-// as silent, three times over: views of 290 ms were refused after 1,447 ms, though their targets served each attempt.
+// An answer without a length was held until 64 KiB of it had come, and one whose target wrote it slowly was
+// called off as silent, three times over: views of 290 ms were refused after 1,447 ms, though their targets
+// served each attempt.
 #[test]
 fn an_answer_that_is_slow_to_come_is_passed_on_and_not_called_off() {
     story(async {
--- a/tests/network/broken_answers.rs
+++ b/tests/network/broken_answers.rs
@@ -1,5 +1,6 @@
-//! Targets whose answers end wrongly: reset before, in or behind the head, half way, without a length, hung, or never ending.
-//! What a client gets is whole, or it can tell that it is not; what may have run is repeated only as its class permits.
+//! Targets whose answers end wrongly: reset before, in or behind the head, half way, without a length, hung,
+//! or never ending. What a client gets is whole, or it can tell that it is not; what may have run is repeated
+//! only as its class permits.
 
 use crate::late::{next_seen, sent};
 use crate::site::*;
@@ -59,7 +60,8 @@
                 match end {
                     // A reset tells by itself.
                     Ok(Err(_)) => {}
-                    // The end of the connection is that of the body, unless a chunk or a length says otherwise.
+                    // The end of the connection is that of the body, unless a chunk or a length says
+                    // otherwise.
                     Ok(Ok(_)) if text.contains("whole") => {}
                     Ok(Ok(_)) => assert!(chunked && !text.ends_with("0\r\n\r\n"), "{told}"),
                     // It was tried for again, and the connection stays.
--- a/tests/network/deployments.rs
+++ b/tests/network/deployments.rs
@@ -1,5 +1,5 @@
-//! The same stories on the settings of every deployment in `deploy/sites/`: other classes, effects, plans, deadlines,
-//! limits, zones and ways to learn of the list. Nothing in the program is fitted to one of them.
+//! The same stories on the settings of every deployment in `deploy/sites/`: other classes, effects, plans,
+//! deadlines, limits, zones and ways to learn of the list. Nothing in the program is fitted to one of them.
 
 use crate::late::{next_seen, seen_after};
 use crate::site::*;
--- a/tests/network/discovery.rs
+++ b/tests/network/discovery.rs
@@ -1,5 +1,5 @@
-//! Real processes of a large fleet before one discovery that serves their calls one after another, is in trouble for some
-//! seconds, and comes back just as a target begins to leave.
+//! Real processes of a large fleet before one discovery that serves their calls one after another, is in
+//! trouble for some seconds, and comes back just as a target begins to leave.
 
 use crate::processes::told;
 use crate::site::{ask, ok, peer, request, story};
@@ -79,8 +79,8 @@
     assert!(kept.seen.try_recv().is_ok());
 }
 
-// The operators saw requests go to targets announced as leaving after discovery had been down: an instance of a large
-// fleet whose call had failed waited for 5 to 15 s, and longer the next time.
+// The operators saw requests go to targets announced as leaving after discovery had been down: an instance of
+// a large fleet whose call had failed waited for 5 to 15 s, and longer the next time.
 #[test]
 fn after_refusals_the_list_is_heard_before_what_it_says_counts() {
     story(nothing_goes_to_what_leaves_at_the_return(Trouble::Refusing));
--- a/tests/network/endings.rs
+++ b/tests/network/endings.rs
@@ -1,5 +1,6 @@
-//! Requests that wait while what they wait for ends: the target is announced as leaving, the client goes, the time for
-//! a repeat passes. Connections come up late where a listener's queue is full: the system tries again after a second.
+//! Requests that wait while what they wait for ends: the target is announced as leaving, the client goes, the
+//! time for a repeat passes. Connections come up late where a listener's queue is full: the system tries
+//! again after a second.
 
 use crate::late::*;
 use crate::site::*;
@@ -14,8 +15,8 @@
     peer(vec![ok(&page(2, "")), Step::Wait(later), Step::Silence]).await
 }
 
-// The decision to send was taken before the announcement, and the request went out when its connection came up: up to
-// the connect time-out later.
+// The decision to send was taken before the announcement, and the request went out when its connection came
+// up: up to the connect time-out later.
 #[test]
 fn a_target_announced_as_leaving_while_a_connection_to_it_comes_up_gets_nothing() {
     story(async {
@@ -59,7 +60,8 @@
     });
 }
 
-// Where the settings let nothing be cancelled, the attempt of a client that had left went on to its first byte.
+// Where the settings let nothing be cancelled, the attempt of a client that had left went on to its first
+// byte.
 #[test]
 fn a_client_that_leaves_while_a_connection_comes_up_leaves_nothing_to_be_sent() {
     for may_cancel in [true, false] {
@@ -111,8 +113,8 @@
     json["settings"]["rules"]["must-ask-in"] = serde_json::Value::Null;
 }
 
-// Nobody asks for a list that is pushed, and the program took that for nobody needing to watch it: drains were missed for
-// as long as it ran.
+// Nobody asks for a list that is pushed, and the program took that for nobody needing to watch it: drains
+// were missed for as long as it ran.
 #[test]
 fn a_pushed_list_is_watched_from_the_start_and_its_leaving_targets_get_nothing() {
     story(async {
@@ -157,8 +159,8 @@
     });
 }
 
-// The store of a volume's limit filled up again while what it had granted waited for connections, and both arrived
-// together: past the limit by what it allows in the time that a connection takes.
+// The store of a volume's limit filled up again while what it had granted waited for connections, and both
+// arrived together: past the limit by what it allows in the time that a connection takes.
 #[test]
 fn a_limit_holds_where_connections_come_up_late() {
     const RATE: f64 = 20.0;
@@ -187,7 +189,8 @@
         };
         next(8).await;
         tokio::time::sleep(Duration::from_millis(900)).await;
-        // What is sent from now on arrives at once, what was sent before when the system tries its connections again.
+        // What is sent from now on arrives at once, what was sent before when the system tries its
+        // connections again.
         let mut target = full.let_in((0..16).map(|_| ok("late")).collect());
         next(8).await;
         let (mut left, mut at) = (BURST, Instant::now());
@@ -201,8 +204,8 @@
     });
 }
 
-// A target that closed without a byte was read from without end, at full speed, until the client's time was up: the request
-// was never tried again, and one core did nothing else.
+// A target that closed without a byte was read from without end, at full speed, until the client's time was
+// up: the request was never tried again, and one core did nothing else.
 #[test]
 fn a_target_that_closes_without_a_byte_has_ended_the_attempt_at_once() {
     story(async {
--- a/tests/network/fleet.rs
+++ b/tests/network/fleet.rs
@@ -50,8 +50,8 @@
         for bytes in [&forged, &encode(&KEY, Peer(0), &grant(other_ask)), &true_one, &true_one, &true_one] {
             other.send_to(bytes, addr).await.expect("sent");
         }
-        // Asked behind them, it gives what it can do without: of 12 units less than 6 once its own part is kept (its
-        // store fills by 16 a second meanwhile), of 24 and more it would be 18.
+        // Asked behind them, it gives what it can do without: of 12 units less than 6 once its own part is
+        // kept (its store fills by 16 a second meanwhile), of 24 and more it would be 18.
         let mine = Nonce { incarnation: 9, number: 1 };
         let want = Message::Want { nonce: mine, lacks: vec![(VOLUME, 100_000), (1, 5_000)] };
         other.send_to(&encode(&KEY, Peer(0), &want), addr).await.expect("sent");
--- a/tests/network/http.rs
+++ b/tests/network/http.rs
@@ -39,8 +39,8 @@
     calls.lines().map(line).collect::<Vec<_>>().join("\n")
 }
 
-// The module asks for the list when it hears of anything. Without a remembered list it heard of nothing, and the
-// program never became ready.
+// The module asks for the list when it hears of anything. Without a remembered list it heard of nothing, and
+// the program never became ready.
 #[test]
 fn without_a_remembered_list_discovery_is_asked_for_one() {
     story(async {
@@ -56,8 +56,8 @@
     });
 }
 
-// Guards the table of outcomes: what never ran goes again at once, what may have run only as its class allows,
-// and only bytes that a target made whole are served.
+// Guards the table of outcomes: what never ran goes again at once, what may have run only as its class
+// allows, and only bytes that a target made whole are served.
 #[test]
 fn a_target_that_breaks_off_is_tried_again_and_half_an_answer_is_none() {
     story(async {
@@ -260,8 +260,8 @@
     });
 }
 
-// After a call that fell silent the next one waited for this instance's turn among all of them, and boxes that drained
-// meanwhile were sent to.
+// After a call that fell silent the next one waited for this instance's turn among all of them, and boxes
+// that drained meanwhile were sent to.
 #[test]
 fn discovery_that_falls_silent_is_asked_again_beside_the_silent_call() {
     story(async {
@@ -331,8 +331,8 @@
     });
 }
 
-// A request whose head was begun before a new object was placed names a shard that does not hold it: its target turned
-// it away at every attempt, 504 and unseen, though the initiator itself had placed the object.
+// A request whose head was begun before a new object was placed names a shard that does not hold it: its
+// target turned it away at every attempt, 504 and unseen, though the initiator itself had placed the object.
 #[test]
 fn an_object_is_asked_for_where_it_was_placed_whatever_its_request_says() {
     story(async {
--- a/tests/network/iscsi.rs
+++ b/tests/network/iscsi.rs
@@ -303,7 +303,8 @@
     });
 }
 
-// A connection that resets mid-write: the data was not written whole, so the deposit never ran and goes again.
+// A connection that resets mid-write: the data was not written whole, so the deposit never ran and goes
+// again.
 #[test]
 fn a_reset_in_the_middle_of_a_deposit_gets_one_answer() {
     story(async {
@@ -324,7 +325,8 @@
     });
 }
 
-// A target that takes a login and commands and then says nothing must not hold its clients to their deadlines.
+// A target that takes a login and commands and then says nothing must not hold its clients to their
+// deadlines.
 #[test]
 fn a_target_that_logs_in_and_falls_silent_is_left_and_the_client_told() {
     story(async {
@@ -516,7 +518,8 @@
     });
 }
 
-// A close over unread bytes reset the connection, which takes along the last word where its client has not got it yet.
+// A close over unread bytes reset the connection, which takes along the last word where its client has not
+// got it yet.
 #[test]
 fn the_last_word_of_a_session_arrives_though_its_client_goes_on_sending() {
     story(async {
@@ -625,8 +628,8 @@
     }
 }
 
-// What waited for a session was told of nothing until the login had come or failed: a request called off stayed with a
-// target that operators had left out.
+// What waited for a session was told of nothing until the login had come or failed: a request called off
+// stayed with a target that operators had left out.
 #[test]
 fn what_waits_for_a_login_is_called_off_at_once_when_its_target_is_left_out() {
     story(async {
@@ -689,7 +692,8 @@
     }
 }
 
-// A client that was slow to read what was answered was not heard either, for up to 5 s: neither its aborts nor its end.
+// A client that was slow to read what was answered was not heard either, for up to 5 s: neither its aborts
+// nor its end.
 #[test]
 fn what_a_client_takes_back_is_heard_though_it_reads_nothing() {
     const WAITS: u32 = 1;
--- a/tests/network/leaving.rs
+++ b/tests/network/leaving.rs
@@ -1,5 +1,6 @@
-//! A request waits, for room at its target, for its volume's limit, for a connection or between two attempts; meanwhile its
-//! target is announced as leaving, in every way in which that can be told, or its client leaves. Nothing of it is sent on.
+//! A request waits, for room at its target, for its volume's limit, for a connection or between two attempts;
+//! meanwhile its target is announced as leaving, in every way in which that can be told, or its client
+//! leaves. Nothing of it is sent on.
 
 use crate::late::*;
 use crate::site::*;
@@ -267,8 +268,8 @@
 /// So much of a body is more than the front waits for before it hands the request over.
 const HALF: usize = 200_000;
 
-/// The rule gives 0.1 s from a client's leaving to the last attempt that may begin for it. Turns of the runtime are
-/// counted, which a busy machine makes longer than 1 ms, but no more of them.
+/// The rule gives 0.1 s from a client's leaving to the last attempt that may begin for it. Turns of the
+/// runtime are counted, which a busy machine makes longer than 1 ms, but no more of them.
 const TURNS: usize = 10;
 
 /// Passes once no more than so many requests are open.
@@ -330,8 +331,8 @@
     }
 }
 
-/// A target that turns everything away rests for 20 ms, then for 40 ms. Tells how many attempts of a request begin once
-/// its client has left while the target rests, or, where it stays, behind the first two.
+/// A target that turns everything away rests for 20 ms, then for 40 ms. Tells how many attempts of a request
+/// begin once its client has left while the target rests, or, where it stays, behind the first two.
 async fn backed_off(leave: Option<Leave>) -> usize {
     let mut target = peer(vec![Step::Answer(TURNED_AWAY.into()); 9]).await;
     let node = start_with(&[line(target.addr, 0, "active")], None, None, patient).await;
--- a/tests/network/lost_site.rs
+++ b/tests/network/lost_site.rs
@@ -147,7 +147,8 @@
 
 const LOST: &str = "site negril is lost";
 
-// Each instance tried each box of a site that was gone again and again, and all turned to it at once on its return.
+// Each instance tried each box of a site that was gone again and again, and all turned to it at once on its
+// return.
 #[test]
 fn a_lost_site_is_left_by_all_and_its_return_is_paced_over_all() {
     story(async {
@@ -182,8 +183,8 @@
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
         tokio::time::sleep(Duration::from_secs(4)).await;
-        // At each box, in any window of 3 s: what the settings say that a cold box bears, as it grows with its warming,
-        // whichever instances send. 51 units at 0.28 of its power; each request is two.
+        // At each box, in any window of 3 s: what the settings say that a cold box bears, as it grows with
+        // its warming, whichever instances send. 51 units at 0.28 of its power; each request is two.
         for place in FAR {
             let seen: Vec<f64> = (site.boxes[place].seen().iter())
                 .filter(|(at, _)| *at >= returned - Duration::from_secs(1))
@@ -247,8 +248,8 @@
     });
 }
 
-// A limited volume, asked for far beyond its limit through three instances at boxes of both sites, while a site is lost
-// and returns: whatever moves, no more reaches all boxes together than the limit lets through.
+// A limited volume, asked for far beyond its limit through three instances at boxes of both sites, while a
+// site is lost and returns: whatever moves, no more reaches all boxes together than the limit lets through.
 #[test]
 fn the_limit_of_a_collection_holds_over_the_fleet_through_loss_and_return() {
     const RATE: f64 = 32.0;
--- a/tests/network/peers.rs
+++ b/tests/network/peers.rs
@@ -44,8 +44,8 @@
     begun.elapsed()
 }
 
-// Discovery answers one of two instances. After a mass restart or an outage it needs seconds to answer all, and those that
-// wait went on sending to what leaves.
+// Discovery answers one of two instances. After a mass restart or an outage it needs seconds to answer all,
+// and those that wait went on sending to what leaves.
 #[test]
 fn an_instance_that_discovery_does_not_answer_hears_of_a_leaving_target_from_its_peer() {
     story(async {
@@ -84,7 +84,8 @@
             let (gap, more) = (false, false);
             Message::Report(Report { number, after, through, gap, more, departed }).encode()
         };
-        // A number that was not asked with, from the peer; and all that may have been, from a stranger; and noise.
+        // A number that was not asked with, from the peer; and all that may have been, from a stranger; and
+        // noise.
         other.send_to(&report(1_000_000), peers[0]).await.expect("sent");
         other.send_to(&[0xff; 256], peers[0]).await.expect("sent");
         for number in 0..50 {
--- a/tests/network/processes.rs
+++ b/tests/network/processes.rs
@@ -1,5 +1,5 @@
-//! Processes of the program on the platform's protocol, with faults between them: one replaces another while signals
-//! and clients come, bodies get stuck on both sides, descriptors run out.
+//! Processes of the program on the platform's protocol, with faults between them: one replaces another while
+//! signals and clients come, bodies get stuck on both sides, descriptors run out.
 
 use crate::site::{ask, ask_on, line, ok, peer, read_message, request, story};
 use rowanglade_standin::{BoxPlan, Daemon, Fault, Meeting, Signal, Site, Start, standard_settings};
@@ -76,8 +76,8 @@
     open
 }
 
-// Both processes live, clients open a connection for every request, and operators have the configuration read again:
-// nobody is turned back unheard, and both end only when told.
+// Both processes live, clients open a connection for every request, and operators have the configuration read
+// again: nobody is turned back unheard, and both end only when told.
 #[test]
 fn signals_and_a_burst_of_clients_during_the_overlap_turn_nobody_back() {
     story(async {
@@ -128,7 +128,8 @@
     });
 }
 
-// A deposit is open in the old process when its client has enough and asks the new one, with the same key: it runs once.
+// A deposit is open in the old process when its client has enough and asks the new one, with the same key: it
+// runs once.
 #[test]
 fn a_deposit_open_in_the_old_process_and_asked_again_at_the_new_one_runs_once() {
     story(async {
@@ -148,14 +149,16 @@
     });
 }
 
-// Forty bodies stand still half way, each of far more than there is memory for: twenty of targets that stopped, twenty
-// of clients that do not read. The process stays within its memory, and a usual client is served beside them.
+// Forty bodies stand still half way, each of far more than there is memory for: twenty of targets that
+// stopped, twenty of clients that do not read. The process stays within its memory, and a usual client is
+// served beside them.
 #[test]
 fn forty_stuck_bodies_stay_within_the_memory_and_hinder_nobody() {
     const LONG: usize = 24 << 20;
     story(async {
         let site = boxes(&[BoxPlan::default()]).await;
-        // Another target, whose answers are long: for requests of shard 1, and stopped half way for those named so.
+        // Another target, whose answers are long: for requests of shard 1, and stopped half way for those
+        // named so.
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
         site.discovery.put(rowanglade_standin::Entry {
             id: "long".into(),
@@ -209,8 +212,8 @@
     });
 }
 
-// Far more connections than descriptors: silent ones, half heads, and idle ones that all wake at once. Requests under
-// way are answered, operators hear an answer, and discovery's news still comes.
+// Far more connections than descriptors: silent ones, half heads, and idle ones that all wake at once.
+// Requests under way are answered, operators hear an answer, and discovery's news still comes.
 #[test]
 fn with_every_descriptor_taken_requests_calls_and_the_list_go_on() {
     story(async {
@@ -328,8 +331,9 @@
     }
 }
 
-// Idle clients fill every descriptor that they are given while discovery is down, and come in bursts; the system refuses
-// more than the settings tell. At discovery's return the list is heard in time: a target that leaves gets nothing more.
+// Idle clients fill every descriptor that they are given while discovery is down, and come in bursts; the
+// system refuses more than the settings tell. At discovery's return the list is heard in time: a target that
+// leaves gets nothing more.
 #[test]
 fn idle_clients_that_fill_the_descriptors_do_not_keep_discovery_away() {
     const SOCKETS: usize = 96;
--- a/tests/network/replay.rs
+++ b/tests/network/replay.rs
@@ -1,4 +1,5 @@
-//! Stories on traffic sent again: from a trace through an initiator to stand-in boxes, and what both ends count.
+//! Stories on traffic sent again: from a trace through an initiator to stand-in boxes, and what both ends
+//! count.
 
 use crate::site::*;
 use rowanglade_capture::{
@@ -70,8 +71,8 @@
     report
 }
 
-// A repeat of a deposit in a capture is a repeat at the box, not a second write; and the same trace twice gives
-// the same counts.
+// A repeat of a deposit in a capture is a repeat at the box, not a second write; and the same trace twice
+// gives the same counts.
 #[test]
 fn a_trace_gives_the_same_counts_twice_and_a_deposit_sent_again_is_a_repeat() {
     story(async {
--- a/tests/network/routes.rs
+++ b/tests/network/routes.rs
@@ -83,8 +83,8 @@
     }
 }
 
-// A file that depends on a box that is not listed is held back, and taken over when the list names the box and the
-// expectation holds; one that is in force with a warning is told of when the box turns out wrong.
+// A file that depends on a box that is not listed is held back, and taken over when the list names the box
+// and the expectation holds; one that is in force with a warning is told of when the box turns out wrong.
 #[test]
 fn a_file_is_held_back_until_the_list_names_its_box() {
     story(async {
--- a/tests/network/scale.rs
+++ b/tests/network/scale.rs
@@ -1,5 +1,5 @@
-//! Real processes in a large fleet: 1,024 targets in what they remember and on discovery, and as many instances in
-//! their settings. They start while discovery is down, slow or refuses every call.
+//! Real processes in a large fleet: 1,024 targets in what they remember and on discovery, and as many
+//! instances in their settings. They start while discovery is down, slow or refuses every call.
 
 use crate::processes::told;
 use crate::site::{Nobody, Peer, Step, ask, ask_on, ok, peer, read_message, request, story};
@@ -152,7 +152,8 @@
     Refusing,
 }
 
-/// Starts a discovery that behaves like this, with this list. One that is down is held, so that its port is nobody else's.
+/// Starts a discovery that behaves like this, with this list. One that is down is held, so that its port is
+/// nobody else's.
 async fn discovery(kind: Discovery, page: String) -> (SocketAddr, Option<Nobody>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
     let addr = listener.local_addr().expect("bound");
@@ -256,8 +257,8 @@
     });
 }
 
-// Nothing is remembered, and every call is refused: there is no target to serve by, so it is not ready, and refuses
-// whoever asks all the same. It is ready soon after discovery serves.
+// Nothing is remembered, and every call is refused: there is no target to serve by, so it is not ready, and
+// refuses whoever asks all the same. It is ready soon after discovery serves.
 #[test]
 fn one_that_remembers_nothing_is_ready_once_discovery_serves() {
     story(async {
--- a/tests/network/site.rs
+++ b/tests/network/site.rs
@@ -104,8 +104,8 @@
     Step::Answer(format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()))
 }
 
-/// An address that refuses connections. It is nobody else's while this is held: a port that is free again may be given
-/// to another test, whose peer would then hear what was meant for nobody.
+/// An address that refuses connections. It is nobody else's while this is held: a port that is free again may
+/// be given to another test, whose peer would then hear what was meant for nobody.
 pub struct Nobody {
     #[expect(dead_code, reason = "bound for as long as it is held, and never listening")]
     socket: socket2::Socket,
--- a/tests/network/starting.rs
+++ b/tests/network/starting.rs
@@ -1,4 +1,5 @@
-//! The program starts while discovery is down, cut off, silent or overbooked: it serves from the list in its configuration.
+//! The program starts while discovery is down, cut off, silent or overbooked: it serves from the list in its
+//! configuration.
 
 use crate::late::{Full, next_seen, sent};
 use crate::site::*;
@@ -64,7 +65,8 @@
     });
 }
 
-// Many clients that send much at once and go, that send noise, or that say nothing: others are served meanwhile.
+// Many clients that send much at once and go, that send noise, or that say nothing: others are served
+// meanwhile.
 #[test]
 fn floods_of_bad_clients_hinder_nobody() {
     story(async {
--- a/tests/network/stopping.rs
+++ b/tests/network/stopping.rs
@@ -1,5 +1,5 @@
-//! The program is told to end while requests are under way, half received, or come on connections that rest until it ends
-//! them. Each is answered once, or its connection ends in order with nothing of it sent on.
+//! The program is told to end while requests are under way, half received, or come on connections that rest
+//! until it ends them. Each is answered once, or its connection ends in order with nothing of it sent on.
 
 use crate::late::{patient_request, sent};
 use crate::site::*;
@@ -60,7 +60,8 @@
     });
 }
 
-// What is read after the shutdown and sent on is lost: its answer finds nobody. What was read before has its answer.
+// What is read after the shutdown and sent on is lost: its answer finds nobody. What was read before has its
+// answer.
 #[test]
 fn a_request_in_the_moment_of_the_close_is_answered_whole_or_nothing_of_it_is_sent() {
     const CLIENTS: usize = 80;
@@ -108,7 +109,8 @@
     });
 }
 
-// Clients send one request at a time; whoever sends two gets each answered once while the first answer is not the last.
+// Clients send one request at a time; whoever sends two gets each answered once while the first answer is not
+// the last.
 #[test]
 fn of_two_requests_sent_at_once_each_is_answered_once_or_not_sent_on() {
     story(async {
--- a/tests/network/subset.rs
+++ b/tests/network/subset.rs
@@ -37,7 +37,8 @@
         Fleet { site, daemons, round: 0 }
     }
 
-    /// New objects through each instance that lives, one after another; every one is to be taken. What boxes saw.
+    /// New objects through each instance that lives, one after another; every one is to be taken. What boxes
+    /// saw.
     async fn deposit(&mut self, each: usize) -> Vec<(u32, usize)> {
         self.round += 1;
         let round = self.round;
@@ -92,8 +93,8 @@
     seen.iter().copied().collect()
 }
 
-// By itself each instance places new objects at the box that it heard first, so some boxes have all instances and
-// others none.
+// By itself each instance places new objects at the box that it heard first, so some boxes have all instances
+// and others none.
 #[test]
 fn instances_part_the_boxes_evenly_and_a_loss_moves_only_its_share() {
     story(async {
--- a/tests/network/upgrade.rs
+++ b/tests/network/upgrade.rs
@@ -31,7 +31,8 @@
     }
 }
 
-/// A process that can be replaced, or that replaces the one that serves. `listen`: where it would listen by itself.
+/// A process that can be replaced, or that replaces the one that serves. `listen`: where it would listen by
+/// itself.
 async fn process(folder: &Path, lines: &[String], listen: Option<SocketAddr>) -> Running {
     start_with(lines, None, None, |json| {
         json["admin"] = "127.0.0.1:0".into();
@@ -86,8 +87,9 @@
     }
 }
 
-// The second process could not listen and ended. It takes the listener and all that is owned over; connections that are
-// open are served on by the first, one request each, and operators' calls hold on both sides.
+// The second process could not listen and ended. It takes the listener and all that is owned over;
+// connections that are open are served on by the first, one request each, and operators' calls hold on both
+// sides.
 #[test]
 fn a_successor_takes_over_and_no_connection_is_turned_back() {
     story(async {
@@ -152,8 +154,8 @@
     });
 }
 
-// What a successor says is not to be trusted to come whole: whatever it does before it has taken over, the process
-// that serves goes on with all that it owns.
+// What a successor says is not to be trusted to come whole: whatever it does before it has taken over, the
+// process that serves goes on with all that it owns.
 #[test]
 fn a_successor_that_fails_leaves_the_predecessor_serving() {
     story(async {
@@ -250,8 +252,8 @@
     });
 }
 
-// Units of a limited volume have one owner. Counted at the box, no more came than the limit lets through, though both
-// processes were asked for them all the time.
+// Units of a limited volume have one owner. Counted at the box, no more came than the limit lets through,
+// though both processes were asked for them all the time.
 #[test]
 fn a_limited_volume_stays_within_its_limit_across_the_overlap() {
     const RATE: f64 = 32.0;
@@ -300,8 +302,8 @@
     });
 }
 
-// Clients that began to write before an object was placed name another shard. The successor sent them where they said,
-// and they were turned away there: it knew of nothing that the predecessor had placed.
+// Clients that began to write before an object was placed name another shard. The successor sent them where
+// they said, and they were turned away there: it knew of nothing that the predecessor had placed.
 #[test]
 fn a_successor_asks_for_objects_where_either_process_saw_them() {
     story(async {
--- a/tests/policy_size.rs
+++ b/tests/policy_size.rs
@@ -1,4 +1,5 @@
-//! The modules of decisions are read and ported by hand: each is small, and the deploy file lists all of them.
+//! The modules of decisions are read and ported by hand: each is small, and the deploy file lists all of
+//! them.
 
 use std::path::{Path, PathBuf};
 
--- a/tests/signals.rs
+++ b/tests/signals.rs
@@ -57,8 +57,8 @@
 
 const ROUTES: &str = "[[pool]]\nname = \"one\"\nboxes = \"s-0\"\n[[route]]\nname = \"r\"\npool = \"one\"\n";
 
-// Routes are taken over while discovery is away; a file that breaks an expectation or is cut short leaves those in
-// force; signals one upon the other, and SIGTERM among them, end in order.
+// Routes are taken over while discovery is away; a file that breaks an expectation or is cut short leaves
+// those in force; signals one upon the other, and SIGTERM among them, end in order.
 #[test]
 fn sighup_takes_routes_over_only_where_every_expectation_holds() {
     let dir = std::env::temp_dir().join(format!("rowanglade-signals-routes-{}", std::process::id()));
--- a/tests/starts.rs
+++ b/tests/starts.rs
@@ -15,8 +15,8 @@
     assert_eq!(starts.on_clock(NOW, NOW - 5 * HOUR), NOW - 5 * HOUR, "long ago, told by a whole list");
 }
 
-// A process that started while the wall clock was an hour behind took every start for an hour in the future, and sent
-// such targets next to nothing for as long.
+// A process that started while the wall clock was an hour behind took every start for an hour in the future,
+// and sent such targets next to nothing for as long.
 #[test]
 fn a_start_is_never_in_the_future() {
     let behind = NOW - HOUR;
