--- a/crates/discovery-schedule/tests/fleet.rs
+++ b/crates/discovery-polling/tests/fleet.rs
@@ -4,7 +4,7 @@
 mod support;
 
 use proptest::prelude::*;
-use rowanglade_discovery_schedule::*;
+use rowanglade_discovery_polling::*;
 use support::*;
 
 /// What the settings give for asking, and how long a call may wait in discovery's queue.
--- a/crates/discovery-schedule/tests/schedule.rs
+++ b/crates/discovery-polling/tests/schedule.rs
@@ -1,6 +1,6 @@
 //! One instance's schedule, in every order of ends.
 
-use rowanglade_discovery_schedule::*;
+use rowanglade_discovery_polling::*;
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
--- a/crates/discovery-schedule/tests/support/mod.rs
+++ b/crates/discovery-polling/tests/support/mod.rs
@@ -1,7 +1,7 @@
 //! A fleet of schedules before one discovery that serves their calls one after another, in simulated time.
 #![allow(dead_code)]
 
-use rowanglade_discovery_schedule::*;
+use rowanglade_discovery_polling::*;
 use std::collections::BTreeMap;
 
 pub const MS: Micros = 1_000;
--- a/crates/departures/tests/compatibility.rs
+++ b/crates/drain-gossip/tests/compatibility.rs
@@ -2,7 +2,7 @@
 //! misread what it tells them: postcard writes fields by their order, which a round trip within one build
 //! does not show.
 
-use rowanglade_departures::{Message, Position, Report, TargetKey};
+use rowanglade_drain_gossip::{Message, Position, Report, TargetKey};
 
 /// A kind and the bytes of its datagram in hex.
 const SAMPLES: &str = include_str!("samples/datagrams.txt");
--- a/crates/departures/tests/exchange.rs
+++ b/crates/drain-gossip/tests/exchange.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use rowanglade_departures::*;
+use rowanglade_drain_gossip::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 const MS: Micros = 1_000;
--- a/crates/lab/src/cold.rs
+++ b/crates/lab/src/cold.rs
@@ -7,7 +7,7 @@
 use rand_pcg::Pcg64Mcg;
 use rowanglade_capture::{Record, TraceWriter};
 use rowanglade_replay::Replay;
-use rowanglade_standin::{BoxPlan, Daemon, Meeting, Signal, Site, Start, settings};
+use rowanglade_test_fleet::{BoxPlan, Daemon, Meeting, Signal, Site, Start, settings};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Duration;
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -4,7 +4,7 @@
 use crate::world::{self, ZONE, block_on};
 use rowanglade_capture::{Record, TraceWriter};
 use rowanglade_replay::Replay;
-use rowanglade_standin::{BoxPlan, Site};
+use rowanglade_test_fleet::{BoxPlan, Site};
 use std::net::{SocketAddr, UdpSocket};
 use std::path::Path;
 
@@ -13,7 +13,7 @@
     vec![Experiment { name: "fleet-share", about, run: Run::Plain(share) }]
 }
 
-/// Units a second, the store, and the slack of the plan `basic` in [`rowanglade_standin::settings`].
+/// Units a second, the store, and the slack of the plan `basic` in [`rowanglade_test_fleet::settings`].
 const LIMIT: f64 = 32.0;
 const BURST: f64 = 48.0;
 const SLACK: f64 = 3.2;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -65,7 +65,7 @@
         Some("rowanglade") => rowanglade::cli::run(rest),
         Some("measured") => {
             let code = rowanglade::cli::run(rest);
-            let usage = rowanglade_standin::Usage::of("self");
+            let usage = rowanglade_test_fleet::Usage::of("self");
             println!("{}", serde_json::json!({"memory": usage.memory, "processor": usage.processor}));
             code
         }
--- a/crates/lab/src/many_targets.rs
+++ b/crates/lab/src/many_targets.rs
@@ -4,7 +4,7 @@
 use crate::outcome::{Experiment, Failure, Outcome, Run, Seeds};
 use crate::world::{ZONE, block_on, header};
 use rowanglade_checker::{Attempt, Breach, ClientEnd, History, Micros, Rules, TargetState, check};
-use rowanglade_standin::{
+use rowanglade_test_fleet::{
     BoxPlan, Counts, Fault, Fleet, FleetPlan, LoadPlan, Patience, Signal, Start, Trouble, settings,
     usual_classes,
 };
--- a/crates/lab/src/replays.rs
+++ b/crates/lab/src/replays.rs
@@ -3,7 +3,7 @@
 use crate::outcome::{Experiment, Failure, Outcome, Run};
 use crate::world::{self, Sink, Traffic, ZONE, block_on};
 use rowanglade_replay::{Front, Replay, Report, pick};
-use rowanglade_standin::{Fault, Site, Usage};
+use rowanglade_test_fleet::{Fault, Site, Usage};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use tokio::time::Instant;
--- a/crates/lab/src/routes.rs
+++ b/crates/lab/src/routes.rs
@@ -5,7 +5,7 @@
 use rowanglade_replay::Replay;
 use rowanglade_routing::check::Decision;
 use rowanglade_routing::{BoxInfo, Front, Request, Rules, Source, Terms, check, parse};
-use rowanglade_standin::{Site, Usage};
+use rowanglade_test_fleet::{Site, Usage};
 use std::fmt::Write;
 use std::time::{Duration, Instant};
 
@@ -167,7 +167,7 @@
         let trace = folder.path().join("made.trace");
         let traffic = Traffic { rate: 500.0, seconds: 12.0, volumes: 40, shards: 0, hosts: 1, seed: 9 };
         let due = world::make(&trace, traffic)?;
-        let plan = rowanglade_standin::BoxPlan { remember: true, ..world::plan(3, 4, 6) };
+        let plan = rowanglade_test_fleet::BoxPlan { remember: true, ..world::plan(3, 4, 6) };
         let site = Site::start(&vec![plan; 4], ZONE, 5).await?;
         let daemons = world::daemons(&site, &world::header(), 1, |_| Some(version(0)))?;
         let file = daemons[0].folder().join("operator.toml");
@@ -189,7 +189,7 @@
                 std::fs::rename(&beside, &file)?;
                 let before = in_force();
                 let asked = tokio::time::Instant::now();
-                daemons[0].signal(rowanglade_standin::Signal::SIGHUP)?;
+                daemons[0].signal(rowanglade_test_fleet::Signal::SIGHUP)?;
                 if number != 3 && number != 7 {
                     while in_force() == before && asked.elapsed() < Duration::from_millis(800) {
                         tokio::time::sleep(Duration::from_millis(2)).await;
--- a/crates/lab/src/scale/connections.rs
+++ b/crates/lab/src/scale/connections.rs
@@ -3,7 +3,7 @@
 use super::curve::Curve;
 use crate::outcome::{Experiment, Failure, Outcome, Run};
 use crate::world::{self, ZONE, block_on};
-use rowanglade_standin::{BoxPlan, Daemon, Entry, Site, State};
+use rowanglade_test_fleet::{BoxPlan, Daemon, Entry, Site, State};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -26,7 +26,7 @@
 const BOXES: usize = 40;
 
 async fn daemon(site: &Site) -> Result<Daemon, Failure> {
-    let shape = |_: usize, start: &mut rowanglade_standin::Start| start.sockets = DESCRIPTORS;
+    let shape = |_: usize, start: &mut rowanglade_test_fleet::Start| start.sockets = DESCRIPTORS;
     let daemon = world::shaped(site, &world::header(), 1, shape)?.pop().ok_or("one daemon")?;
     while !up(&daemon).await? {
         sleep(Duration::from_millis(20)).await;
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -7,7 +7,7 @@
 use crate::world::{self, ZONE};
 use rowanglade::config::Config;
 use rowanglade::initiator::Initiator;
-use rowanglade_standin::{Daemon, Discovery, Entry, Site, Start, State, Usage, settings};
+use rowanglade_test_fleet::{Daemon, Discovery, Entry, Site, Start, State, Usage, settings};
 use serde_json::json;
 use std::io::Read;
 use std::process::{Child, Command, ExitCode, Stdio};
--- a/crates/lab/src/scale/lists.rs
+++ b/crates/lab/src/scale/lists.rs
@@ -65,7 +65,7 @@
 /// The decision module that has heard the whole list.
 fn listed_module(size: Size) -> Result<(Scheduler, Vec<Action>), Failure> {
     let settings =
-        rowanglade_standin::settings(&world::header(), size.instances as usize, ZONE, size.targets);
+        rowanglade_test_fleet::settings(&world::header(), size.instances as usize, ZONE, size.targets);
     let settings: Settings = serde_json::from_value(settings)?;
     let settings = settings.translate(&mut Names::default()).map_err(|e| format!("{e:?}"))?;
     let mut scheduler = Scheduler::new(settings, SEED).map_err(|e| format!("{e:?}"))?;
@@ -192,7 +192,7 @@
 /// of one target each. The state is the list's, the processor time that of one change.
 fn core_changes(size: Size, subset: Option<Rule>) -> Result<Cost, Failure> {
     let settings =
-        rowanglade_standin::settings(&world::header(), size.instances as usize, ZONE, size.targets);
+        rowanglade_test_fleet::settings(&world::header(), size.instances as usize, ZONE, size.targets);
     let settings: Settings = serde_json::from_value(settings)?;
     let mut names = Names::default();
     let scheduler = Scheduler::new(settings.translate(&mut names).map_err(|e| format!("{e:?}"))?, SEED);
--- a/crates/lab/src/scale/reads.rs
+++ b/crates/lab/src/scale/reads.rs
@@ -20,7 +20,7 @@
 };
 
 const SEED: u64 = 33;
-/// Seconds that a call waits for its answer, as `rowanglade_discovery_schedule` has it for one that does not
+/// Seconds that a call waits for its answer, as `rowanglade_discovery_polling` has it for one that does not
 /// hold.
 const PATIENCE: f64 = 5.0;
 /// Each instance's first call, and the next after one that failed, come within this span, as the module has
--- a/crates/lab/src/scale/units.rs
+++ b/crates/lab/src/scale/units.rs
@@ -2,8 +2,8 @@
 
 use super::cost::{Cost, Size, measure};
 use crate::outcome::Failure;
-use rowanglade_fleet_state::exchange::Milli;
-use rowanglade_fleet_state::{Exchange, Key, Message, Peer, Store, decode, encode};
+use rowanglade_quota_exchange::exchange::Milli;
+use rowanglade_quota_exchange::{Exchange, Key, Message, Peer, Store, decode, encode};
 
 const KEY: Key = [0x5a; 32];
 const VOLUME: u64 = 7;
--- a/crates/lab/src/sites.rs
+++ b/crates/lab/src/sites.rs
@@ -3,7 +3,7 @@
 use crate::outcome::{Experiment, Failure, Outcome, Run};
 use crate::world::{self, Traffic, ZONE, block_on};
 use rowanglade_replay::Replay;
-use rowanglade_standin::{BoxPlan, DiskBox, Entry, Fault, Site, State};
+use rowanglade_test_fleet::{BoxPlan, DiskBox, Entry, Fault, Site, State};
 use std::path::Path;
 use std::time::Duration;
 use tokio::time::Instant;
--- a/crates/lab/src/soak.rs
+++ b/crates/lab/src/soak.rs
@@ -11,7 +11,7 @@
 use rand_pcg::Pcg64Mcg;
 use rowanglade_checker::{Breach, Rules, check};
 use rowanglade_fault_shim::{COUNTS, VARIABLE};
-use rowanglade_standin::{
+use rowanglade_test_fleet::{
     BoxPlan, Counts, Fault, Fleet, FleetPlan, LoadPlan, Patience, Signal, Start, Trouble, settings,
     usual_classes,
 };
--- a/crates/lab/src/subsets.rs
+++ b/crates/lab/src/subsets.rs
@@ -3,8 +3,8 @@
 use crate::outcome::{Experiment, Failure, Outcome, Run};
 use crate::world::{self, Traffic, ZONE, block_on};
 use rowanglade_replay::{Replay, pick};
-use rowanglade_standin::{BoxPlan, Site};
 use rowanglade_subset::{Rule, difference, table};
+use rowanglade_test_fleet::{BoxPlan, Site};
 use std::collections::BTreeSet;
 use std::path::Path;
 
--- a/crates/lab/src/upgrade.rs
+++ b/crates/lab/src/upgrade.rs
@@ -4,7 +4,7 @@
 use crate::world::{self, ZONE, block_on};
 use rowanglade_capture::{Record, TraceWriter};
 use rowanglade_replay::Replay;
-use rowanglade_standin::{BoxPlan, Daemon, Meeting, Signal, Site, Start, settings};
+use rowanglade_test_fleet::{BoxPlan, Daemon, Meeting, Signal, Site, Start, settings};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::path::Path;
@@ -20,7 +20,7 @@
 }
 
 const SECONDS: f64 = 12.0;
-/// Units a second and the slack of the plan `basic` in [`rowanglade_standin::settings`].
+/// Units a second and the slack of the plan `basic` in [`rowanglade_test_fleet::settings`].
 const LIMIT: f64 = 32.0;
 const SLACK: f64 = 3.2;
 const SOCKETS: usize = 256;
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -9,7 +9,7 @@
     import,
 };
 use rowanglade_replay::{Replay, Report, replay};
-use rowanglade_standin::{BoxPlan, Daemon, DiskBox, Rack, Site, Start, settings};
+use rowanglade_test_fleet::{BoxPlan, Daemon, DiskBox, Rack, Site, Start, settings};
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read};
 use std::net::SocketAddr;
--- a/crates/placement/tests/places.rs
+++ b/crates/object-locations/tests/places.rs
@@ -1,6 +1,6 @@
 //! Tests of where objects are found, by what targets answered.
 
-use rowanglade_placement::{Object, Places, Seen};
+use rowanglade_object_locations::{Object, Places, Seen};
 
 const OBJECT: Object = (7, 9);
 
--- a/crates/fleet-state/tests/compatibility.rs
+++ b/crates/quota-exchange/tests/compatibility.rs
@@ -2,7 +2,7 @@
 //! drop what it tells them: a change of order, width or code that a round trip within one build does not
 //! show.
 
-use rowanglade_fleet_state::{Message, Nonce, Peer, decode, encode};
+use rowanglade_quota_exchange::{Message, Nonce, Peer, decode, encode};
 
 /// A kind and the bytes of its datagram in hex.
 const SAMPLES: &str = include_str!("samples/datagrams.txt");
--- a/crates/fleet-state/tests/model.rs
+++ b/crates/quota-exchange/tests/model.rs
@@ -1,8 +1,8 @@
 //! The exchange itself, checked over every order of events of a small fleet: three instances and one volume,
 //! where datagrams are lost, doubled, late, and instances start anew from nothing.
 
-use rowanglade_fleet_state::exchange::Milli;
-use rowanglade_fleet_state::{Exchange, Message, Peer, Store};
+use rowanglade_quota_exchange::exchange::Milli;
+use rowanglade_quota_exchange::{Exchange, Message, Peer, Store};
 use stateright::{Checker, Model, Property};
 
 const VOLUME: u64 = 1;
--- a/crates/fleet-state/tests/wire.rs
+++ b/crates/quota-exchange/tests/wire.rs
@@ -1,8 +1,8 @@
 //! Tests of the datagram format.
 
-use rowanglade_fleet_state::exchange::MOST_VOLUMES;
-use rowanglade_fleet_state::wire::{Key, LONGEST, Malformed, decode, encode};
-use rowanglade_fleet_state::{Message, Nonce, Peer};
+use rowanglade_quota_exchange::exchange::MOST_VOLUMES;
+use rowanglade_quota_exchange::wire::{Key, LONGEST, Malformed, decode, encode};
+use rowanglade_quota_exchange::{Message, Nonce, Peer};
 
 const KEY: Key = [7; 32];
 
--- a/crates/replay/src/http.rs
+++ b/crates/replay/src/http.rs
@@ -7,7 +7,7 @@
 use actix_http::{Method, RequestHead, StatusCode, Uri};
 use bytes::Bytes;
 use futures_util::future::LocalBoxFuture;
-use rowanglade_link::{Answered, Fault, Links};
+use rowanglade_http_exchange::{Answered, Fault, Links};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
--- a/crates/warmup/tests/fleet.rs
+++ b/crates/slow-start/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! A fleet of initiators, each acting alone, in front of one target that has just started.
 
-use rowanglade_warmup::{Micros, Pace, Rule, Target};
+use rowanglade_slow_start::{Micros, Pace, Rule, Target};
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
--- a/crates/warmup/tests/ramp.rs
+++ b/crates/slow-start/tests/ramp.rs
@@ -6,7 +6,7 @@
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use rowanglade_warmup::{Micros, Pace, Rule, Taken, Target};
+use rowanglade_slow_start::{Micros, Pace, Rule, Taken, Target};
 use std::collections::VecDeque;
 
 const MS: Micros = 1_000;
--- a/crates/standin/tests/boxes.rs
+++ b/crates/test-fleet/tests/boxes.rs
@@ -1,6 +1,6 @@
 //! Boxes do what they are told, and say what they saw.
 
-use rowanglade_standin::{BoxPlan, Fault, Site};
+use rowanglade_test_fleet::{BoxPlan, Fault, Site};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/standin/tests/keys.rs
+++ b/crates/test-fleet/tests/keys.rs
@@ -1,6 +1,6 @@
 //! Tests of the memory of idempotency keys.
 
-use rowanglade_standin::{Effect, Rack};
+use rowanglade_test_fleet::{Effect, Rack};
 use std::time::Duration;
 use tokio::time::Instant;
 
--- a/src/bin/rowanglade-benchlink/discovery.rs
+++ b/src/bin/simulator-adapter/discovery.rs
@@ -4,7 +4,7 @@
 use crate::wire::Sent;
 use rowanglade::interface::Micros;
 use rowanglade::settings::Settings;
-use rowanglade_discovery_schedule::{CallId, Command, Delivery, End, Schedule, Watch};
+use rowanglade_discovery_polling::{CallId, Command, Delivery, End, Schedule, Watch};
 use std::collections::VecDeque;
 
 /// The token of the schedule's timers. The module's tokens are times, which stay far below it.
--- a/src/cli/replay.rs
+++ b/src/cli/replay.rs
@@ -5,7 +5,7 @@
 use rowanglade_capture::{Import, Mapping, TraceReader, import};
 use rowanglade_replay::compare::compare;
 use rowanglade_replay::{Front, Replay, Report, page, replay};
-use rowanglade_standin::{BoxPlan, Daemon, Site, Start, settings};
+use rowanglade_test_fleet::{BoxPlan, Daemon, Site, Start, settings};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
--- a/src/config/fleet.rs
+++ b/src/config/fleet.rs
@@ -2,8 +2,8 @@
 
 use super::ConfigError;
 use crate::net::fleet::Peers;
-use rowanglade_fleet_state::Peer;
-use rowanglade_fleet_state::wire::{Key, key};
+use rowanglade_quota_exchange::Peer;
+use rowanglade_quota_exchange::wire::{Key, key};
 use serde::Deserialize;
 use std::collections::HashSet;
 use std::fmt;
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -4,7 +4,7 @@
 use crate::net::http::Page;
 use crate::net::peers::PeerAddresses;
 use crate::settings::Settings;
-use rowanglade_discovery_schedule::Delivery;
+use rowanglade_discovery_polling::Delivery;
 use serde::Deserialize;
 use std::hash::{BuildHasher, Hasher, RandomState};
 use std::net::SocketAddr;
--- a/src/config/sites.rs
+++ b/src/config/sites.rs
@@ -3,7 +3,7 @@
 use super::ConfigError;
 use crate::core::Watch;
 use crate::settings::Settings;
-use rowanglade_sites::Rules;
+use rowanglade_site_failover::Rules;
 use serde::Deserialize;
 
 /// The longest span, in milliseconds: far above any use, and well inside the range of times.
--- a/src/core/actor.rs
+++ b/src/core/actor.rs
@@ -14,7 +14,7 @@
 use crate::names::Names;
 use crate::scheduler::Scheduler;
 use rowanglade_maintenance::Maintenance;
-use rowanglade_placement::{Object, Places, Seen};
+use rowanglade_object_locations::{Object, Places, Seen};
 use rowanglade_subset::Subset;
 use std::cell::Cell;
 use std::cmp::Reverse;
--- a/src/core/fleet.rs
+++ b/src/core/fleet.rs
@@ -2,8 +2,8 @@
 
 use crate::core::actor::Core;
 use crate::interface::{Event, VolumeId};
-use rowanglade_fleet_state::exchange::Milli;
-use rowanglade_fleet_state::{Exchange, Message, Peer, Store};
+use rowanglade_quota_exchange::exchange::Milli;
+use rowanglade_quota_exchange::{Exchange, Message, Peer, Store};
 use std::collections::HashMap;
 use tokio::sync::mpsc;
 
--- a/src/core/message.rs
+++ b/src/core/message.rs
@@ -7,8 +7,8 @@
 };
 use crate::upgrade::Given;
 use bytes::Bytes;
-use rowanglade_fleet_state::Peer;
-use rowanglade_placement::{Object, Seen};
+use rowanglade_object_locations::{Object, Seen};
+use rowanglade_quota_exchange::Peer;
 use rowanglade_routing::BoxInfo;
 use serde::{Deserialize, Serialize};
 use std::net::{IpAddr, SocketAddr};
@@ -207,7 +207,7 @@
     /// Which boxes are listed.
     Boxes(oneshot::Sender<Vec<BoxInfo>>),
     /// Another instance said something.
-    Peer(Peer, rowanglade_fleet_state::Message),
+    Peer(Peer, rowanglade_quota_exchange::Message),
     /// An attempt takes the rest of a long body: it cannot be made again, and lasts as long as its client
     /// takes.
     Begun {
--- a/src/core/sites.rs
+++ b/src/core/sites.rs
@@ -2,7 +2,7 @@
 
 use crate::core::message::Listed;
 use crate::interface::{Micros, Outcome, TargetState};
-use rowanglade_sites::{Change, Order, Rules, Sites, State};
+use rowanglade_site_failover::{Change, Order, Rules, Sites, State};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 use std::time::Duration;
--- a/src/initiator.rs
+++ b/src/initiator.rs
@@ -12,7 +12,7 @@
 use crate::net::{Budget, Parts, Phase, Reservations, admin, fleet, http};
 use crate::upgrade::{Controls, Keeper, Listeners, Told};
 use handover::{Handover, bind_admin, bind_fleet, listen};
-use rowanglade_discovery_schedule::Watch;
+use rowanglade_discovery_polling::Watch;
 use rowanglade_routing::BoxInfo;
 use rowanglade_routing::check::Decision;
 use std::net::SocketAddr;
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -153,9 +153,9 @@
 
 impl Settings {
     /// The rule on targets that have just started.
-    pub fn slow_start(&self) -> rowanglade_warmup::Rule {
+    pub fn slow_start(&self) -> rowanglade_slow_start::Rule {
         let r = &self.rules;
-        rowanglade_warmup::Rule {
+        rowanglade_slow_start::Rule {
             from: r.slow_start_capacity,
             warm_within: r.slow_start_duration,
             units: r.slow_start_units,
--- a/src/net/fleet.rs
+++ b/src/net/fleet.rs
@@ -3,7 +3,7 @@
 
 use crate::core::{Handle, Message, Outgoing};
 use crate::net::Phase;
-use rowanglade_fleet_state::{Key, Peer, decode, encode, wire};
+use rowanglade_quota_exchange::{Key, Peer, decode, encode, wire};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/src/net/http/clients.rs
+++ b/src/net/http/clients.rs
@@ -421,7 +421,7 @@
     /// Reads what has come. None: nothing has, and the task is woken once something does.
     fn read(&self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
-        ready!(rowanglade_link::stream::poll_read(&self.stream, cx, buf))?;
+        ready!(rowanglade_http_exchange::stream::poll_read(&self.stream, cx, buf))?;
         if buf.filled().len() == before {
             self.seat.read_closed.set(true);
         }
@@ -458,7 +458,7 @@
         if self.seat.ended.get() || gone {
             return Poll::Ready(Err(io::ErrorKind::BrokenPipe.into()));
         }
-        rowanglade_link::stream::poll_write(&self.stream, cx, bytes)
+        rowanglade_http_exchange::stream::poll_write(&self.stream, cx, bytes)
     }
 }
 
--- a/src/net/http/dial.rs
+++ b/src/net/http/dial.rs
@@ -5,7 +5,7 @@
 use actix_tls::connect::{ConnectError, ConnectInfo, Connection};
 use awc::{Client, Connector};
 use futures_util::future::LocalBoxFuture;
-use rowanglade_link::stream;
+use rowanglade_http_exchange::stream;
 use std::io;
 use std::net::SocketAddr;
 use std::pin::Pin;
--- a/src/net/http/discovery.rs
+++ b/src/net/http/discovery.rs
@@ -9,7 +9,7 @@
 use futures_util::StreamExt;
 use futures_util::future::{AbortHandle, Abortable, Aborted, LocalBoxFuture};
 use futures_util::stream::FuturesUnordered;
-use rowanglade_discovery_schedule::{Call, CallId, Command, End, Schedule};
+use rowanglade_discovery_polling::{Call, CallId, Command, End, Schedule};
 use rowanglade_routing::BoxInfo;
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
--- a/src/net/http/mod.rs
+++ b/src/net/http/mod.rs
@@ -9,6 +9,6 @@
 
 pub use clients::Clients;
 pub use discovery::{Address, Directory, Page, remember};
-pub use rowanglade_link::Links;
+pub use rowanglade_http_exchange::Links;
 pub use server::{Front, serve};
 pub use target::{Pool, connect};
--- a/src/net/http/target.rs
+++ b/src/net/http/target.rs
@@ -9,7 +9,7 @@
 use actix_http::header::CONTENT_LENGTH;
 use actix_http::{RequestHead, ResponseHead, StatusCode};
 use bytes::{Bytes, BytesMut};
-use rowanglade_link::{Body, Fault, Link, Links, NoRest, Rest};
+use rowanglade_http_exchange::{Body, Fault, Link, Links, NoRest, Rest};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::sync::mpsc;
@@ -86,8 +86,8 @@
 }
 
 impl Rest for Passing<'_> {
-    async fn next(&mut self) -> Result<Option<Bytes>, rowanglade_link::Lost> {
-        let piece = self.rest.next().await.map_err(|Lost| rowanglade_link::Lost);
+    async fn next(&mut self) -> Result<Option<Bytes>, rowanglade_http_exchange::Lost> {
+        let piece = self.rest.next().await.map_err(|Lost| rowanglade_http_exchange::Lost);
         if self.upload.begun() {
             self.report.begun();
         }
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -3,7 +3,7 @@
 
 use crate::core::Clock;
 use crate::interface::Micros;
-use rowanglade_departures::{Exchange, LONGEST, Message, Outgoing, TargetKey};
+use rowanglade_drain_gossip::{Exchange, LONGEST, Message, Outgoing, TargetKey};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 use tokio::net::UdpSocket;
@@ -101,7 +101,7 @@
 
     /// Writes what was counted to the log.
     fn tell(&self) {
-        let rowanglade_departures::Counters { told, heard, over_budget, gaps, not_asked } =
+        let rowanglade_drain_gossip::Counters { told, heard, over_budget, gaps, not_asked } =
             self.exchange.counters();
         let malformed = self.malformed;
         tracing::info!(told, heard, over_budget, gaps, not_asked, malformed, "departures");
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -3,7 +3,7 @@
 //! Per target: held requests in earliest-deadline order with capped push-backs, refusal on arrival by
 //! predicted completion, background work always accepted, a bound on units out that follows the speed.
 use crate::interface::*;
-use rowanglade_warmup as warmup;
+use rowanglade_slow_start::{Pace, Rule};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 mod admission;
@@ -110,7 +110,7 @@
     asked: Rate,
     elsewhere: Rate,
     lately: LongRate,
-    pace: Option<warmup::Pace>, // of the reserve, while its target is cold
+    pace: Option<Pace>, // of the reserve, while its target is cold
     credit: f64,
     filled: Micros,
 }
@@ -138,7 +138,7 @@
 #[derive(Default)]
 pub struct Scheduler {
     settings: Settings,
-    cold: warmup::Rule,
+    cold: Rule,
     random: u64,
     /// When the first event came: what was sent before is not known here.
     born: Option<Micros>,
--- a/src/scheduler/endpoint_updates.rs
+++ b/src/scheduler/endpoint_updates.rs
@@ -2,7 +2,7 @@
 
 use super::Scheduler;
 use crate::interface::{Action, EndpointEntry, EndpointUpdateKind, Micros};
-use rowanglade_warmup as warmup;
+use rowanglade_slow_start as slow_start;
 
 impl Scheduler {
     pub(super) fn list(
@@ -20,7 +20,7 @@
             let known = self.targets.get(&entry.target);
             if !known.is_some_and(|target| target.started == started || started.is_none()) {
                 let phase = self.rand();
-                let warming = warmup::Target::new(started.unwrap_or(0), now, phase);
+                let warming = slow_start::Target::new(started.unwrap_or(0), now, phase);
                 self.targets.replace(entry, now, warming);
             }
             self.targets.update(entry);
--- a/src/scheduler/slow_start.rs
+++ b/src/scheduler/slow_start.rs
@@ -3,7 +3,7 @@
 
 use super::{RequestState, Scheduler};
 use crate::interface::{Micros, RequestId, TargetId};
-use rowanglade_warmup::{Pace, Taken};
+use rowanglade_slow_start::{Pace, Taken};
 
 impl Scheduler {
     /// The pace of a request's volume at a cold target, and this initiator's share of the volume's reserve
--- a/src/scheduler/snapshot.rs
+++ b/src/scheduler/snapshot.rs
@@ -5,7 +5,7 @@
 use super::token_bucket::Store;
 use super::{Scheduler, Volume};
 use crate::interface::{Micros, ShardId, TargetId, VolumeId};
-use rowanglade_warmup as warmup;
+use rowanglade_slow_start as slow_start;
 use serde::{Deserialize, Serialize};
 
 /// What is owned and what was learned, with targets and volumes called by `N` and `V`.
@@ -37,7 +37,7 @@
     learned: Learned,
     rest_until: Micros,
     failing: u32,
-    warming: warmup::Target,
+    warming: slow_start::Target,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -46,7 +46,7 @@
     /// Units left of the limit, and when that was so.
     left: Option<(f64, Micros)>,
     /// At each shard whose target is cold, or was.
-    paces: Vec<(u32, warmup::Pace)>,
+    paces: Vec<(u32, slow_start::Pace)>,
 }
 
 impl<N, V> SchedulerSnapshot<N, V> {
@@ -72,7 +72,7 @@
     }
 }
 
-fn paces(volume: &Volume) -> Vec<(u32, warmup::Pace)> {
+fn paces(volume: &Volume) -> Vec<(u32, slow_start::Pace)> {
     volume.parts.iter().filter_map(|(shard, p)| Some((shard.0, p.pace?))).collect()
 }
 
@@ -136,7 +136,7 @@
         let parts = self.volumes.values_mut().flat_map(|v| v.parts.values_mut());
         parts.for_each(|p| p.pace = None);
         for n in self.targets.values_mut() {
-            n.warming = warmup::Target::new(n.started.unwrap_or(0), now, 1.0);
+            n.warming = slow_start::Target::new(n.started.unwrap_or(0), now, 1.0);
         }
     }
 }
--- a/src/scheduler/targets.rs
+++ b/src/scheduler/targets.rs
@@ -5,7 +5,7 @@
 
 use crate::interface::{EndpointEntry, Micros, RequestId, ShardId, TargetId, TargetState, ZoneId};
 use indexmap::IndexSet;
-use rowanglade_warmup as warmup;
+use rowanglade_slow_start as slow_start;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::ops::Index;
 
@@ -21,7 +21,7 @@
     pub started: Option<Micros>,
     /// When that start was told.
     pub since: Micros,
-    pub warming: warmup::Target,
+    pub warming: slow_start::Target,
     /// Microseconds.
     pub latency: f64,
     /// Units a second.
@@ -145,7 +145,7 @@
 
     /// The target of this entry is new, or has started again: what was learned of it is void. What is out
     /// there stays.
-    pub fn replace(&mut self, entry: &EndpointEntry, since: Micros, warming: warmup::Target) {
+    pub fn replace(&mut self, entry: &EndpointEntry, since: Micros, warming: slow_start::Target) {
         self.heard(entry.target, None);
         let old = self.all.remove(&entry.target);
         let (out, out_units, shard) =
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -4,8 +4,8 @@
 use crate::interface as api;
 use crate::interface::{Micros, SettingsError};
 use crate::names::Names;
-use rowanglade_discovery_schedule as discovery;
-use rowanglade_discovery_schedule::{Delivery, Schedule, Watch};
+use rowanglade_discovery_polling as discovery;
+use rowanglade_discovery_polling::{Delivery, Schedule, Watch};
 use serde::Deserialize;
 use std::time::Duration;
 
--- a/src/upgrade/keeper.rs
+++ b/src/upgrade/keeper.rs
@@ -7,7 +7,7 @@
 use crate::upgrade::Meeting;
 use crate::upgrade::wire::{self, Given, Message, Reader, Share, Welcome};
 use rowanglade_handover::{Action, Event, Link, Machine, Word};
-use rowanglade_placement::{Object, Seen};
+use rowanglade_object_locations::{Object, Seen};
 use std::collections::{HashMap, VecDeque};
 use std::fs::{File, TryLockError};
 use std::io;
--- a/src/upgrade/wire.rs
+++ b/src/upgrade/wire.rs
@@ -7,7 +7,7 @@
 use bytes::{Buf, BufMut, BytesMut};
 use rowanglade_handover::Word;
 use rowanglade_maintenance::Maintenance;
-use rowanglade_placement::{Object, Seen};
+use rowanglade_object_locations::{Object, Seen};
 use rustix::net::{
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
     SendFlags, recvmsg, sendmsg,
--- a/tests/compatibility/configuration.rs
+++ b/tests/compatibility/configuration.rs
@@ -5,7 +5,7 @@
 use rowanglade::config::Config;
 use rowanglade::interface::{DeduplicationScope, Idempotency};
 use rowanglade::names::Names;
-use rowanglade_discovery_schedule::Delivery;
+use rowanglade_discovery_polling::Delivery;
 use rowanglade_subset::{Rule, Subset};
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/tests/compatibility/handover.rs
+++ b/tests/compatibility/handover.rs
@@ -4,7 +4,7 @@
 use rowanglade::core::Call;
 use rowanglade::upgrade::{Message, Share, send};
 use rowanglade_handover::Word;
-use rowanglade_placement::Seen;
+use rowanglade_object_locations::Seen;
 use tokio::io::AsyncReadExt;
 use tokio::net::UnixStream;
 
--- a/tests/fleets/faults.rs
+++ b/tests/fleets/faults.rs
@@ -4,7 +4,7 @@
 use crate::many_targets::{by_kind, plan};
 use rowanglade_checker::{Rules, check};
 use rowanglade_fault_shim::{COUNTS, VARIABLE};
-use rowanglade_standin::{Counts, Fleet, FleetPlan};
+use rowanglade_test_fleet::{Counts, Fleet, FleetPlan};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use std::time::Duration;
--- a/tests/fleets/many_targets.rs
+++ b/tests/fleets/many_targets.rs
@@ -2,7 +2,7 @@
 //! hold, and as much is served (incident 278639).
 
 use rowanglade_checker::{Breach, Rules, check};
-use rowanglade_standin::{
+use rowanglade_test_fleet::{
     BoxPlan, Counts, Fleet, FleetPlan, LoadPlan, Patience, Start, standard_settings, usual_classes,
 };
 use std::collections::BTreeMap;
--- a/tests/network/discovery.rs
+++ b/tests/network/discovery.rs
@@ -3,7 +3,7 @@
 
 use crate::processes::told;
 use crate::site::{ask, ok, peer, request, story};
-use rowanglade_standin::{Daemon, Discovery, Entry, Start, State, Trouble};
+use rowanglade_test_fleet::{Daemon, Discovery, Entry, Start, State, Trouble};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
--- a/tests/network/fleet.rs
+++ b/tests/network/fleet.rs
@@ -1,7 +1,7 @@
 //! Stories on instances that talk to each other.
 
 use crate::site::*;
-use rowanglade_fleet_state::{Message, Nonce, Peer, decode, encode};
+use rowanglade_quota_exchange::{Message, Nonce, Peer, decode, encode};
 use tokio::net::UdpSocket;
 
 const KEY: [u8; 32] = [0x5a; 32];
--- a/tests/network/lost_site.rs
+++ b/tests/network/lost_site.rs
@@ -2,7 +2,7 @@
 
 use crate::processes::{boxes, program};
 use crate::site::{header, read_message, request, story};
-use rowanglade_standin::{BoxPlan, Daemon, DiskBox, Entry, Fault, Site, State};
+use rowanglade_test_fleet::{BoxPlan, Daemon, DiskBox, Entry, Fault, Site, State};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -232,7 +232,7 @@
             let silent = round % 2 == 0;
             FAR.for_each(|place| site.boxes[place].misbehave(Fault { silent, ..Fault::default() }));
             if round == 1 {
-                third.signal(rowanglade_standin::Signal::SIGKILL).expect("it runs");
+                third.signal(rowanglade_test_fleet::Signal::SIGKILL).expect("it runs");
             }
             tokio::time::sleep(Duration::from_secs(2)).await;
         }
--- a/tests/network/peers.rs
+++ b/tests/network/peers.rs
@@ -2,7 +2,7 @@
 
 use crate::late::*;
 use crate::site::*;
-use rowanglade_departures::{Message, Position, Report, TargetKey};
+use rowanglade_drain_gossip::{Message, Position, Report, TargetKey};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 use tokio::net::UdpSocket;
--- a/tests/network/processes.rs
+++ b/tests/network/processes.rs
@@ -2,7 +2,7 @@
 //! signals and clients come, bodies get stuck on both sides, descriptors run out.
 
 use crate::site::{ask, ask_on, line, ok, peer, read_message, request, story};
-use rowanglade_standin::{BoxPlan, Daemon, Fault, Meeting, Signal, Site, Start, standard_settings};
+use rowanglade_test_fleet::{BoxPlan, Daemon, Fault, Meeting, Signal, Site, Start, standard_settings};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -160,11 +160,11 @@
         // Another target, whose answers are long: for requests of shard 1, and stopped half way for those
         // named so.
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
-        site.discovery.put(rowanglade_standin::Entry {
+        site.discovery.put(rowanglade_test_fleet::Entry {
             id: "long".into(),
             addr: listener.local_addr().expect("bound"),
             shard: 1,
-            ..rowanglade_standin::Entry::of(&site.boxes[0], rowanglade_standin::State::Active)
+            ..rowanglade_test_fleet::Entry::of(&site.boxes[0], rowanglade_test_fleet::State::Active)
         });
         actix_rt::spawn(async move {
             while let Ok((mut stream, _)) = listener.accept().await {
--- a/tests/network/replay.rs
+++ b/tests/network/replay.rs
@@ -6,7 +6,7 @@
     ClassTerms, Format, Header, Import, Mapping, PlanTerms, Record, Repeat, TraceReader, TraceWriter, import,
 };
 use rowanglade_replay::{Front, Replay, Report, replay};
-use rowanglade_standin::{BoxPlan, Fault, Site};
+use rowanglade_test_fleet::{BoxPlan, Fault, Site};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 use tokio::sync::oneshot;
--- a/tests/network/routes.rs
+++ b/tests/network/routes.rs
@@ -3,7 +3,7 @@
 use crate::processes::told;
 use crate::site::*;
 use rowanglade_routing::{Source, Table, Terms, parse};
-use rowanglade_standin::{BoxPlan, Daemon, Entry, Signal, Site, Start, State};
+use rowanglade_test_fleet::{BoxPlan, Daemon, Entry, Signal, Site, Start, State};
 use std::time::Duration;
 
 fn operator(pool: &str) -> String {
--- a/tests/network/scale.rs
+++ b/tests/network/scale.rs
@@ -3,7 +3,7 @@
 
 use crate::processes::told;
 use crate::site::{Nobody, Peer, Step, ask, ask_on, ok, peer, read_message, request, story};
-use rowanglade_standin::{Daemon, Entry, Start, State};
+use rowanglade_test_fleet::{Daemon, Entry, Start, State};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -263,7 +263,7 @@
 fn one_that_remembers_nothing_is_ready_once_discovery_serves() {
     story(async {
         let target = peer(vec![ok("served")]).await;
-        let discovery = rowanglade_standin::Discovery::start("kingston").await.expect("started");
+        let discovery = rowanglade_test_fleet::Discovery::start("kingston").await.expect("started");
         discovery.away(true);
         let daemon = Daemon::start(&start("n0", 1, discovery.addr())).expect("it serves");
         tokio::time::sleep(Duration::from_millis(500)).await;
--- a/tests/network/subset.rs
+++ b/tests/network/subset.rs
@@ -2,8 +2,8 @@
 
 use crate::processes::{boxes, program};
 use crate::site::{ask_on, request, story};
-use rowanglade_standin::{BoxPlan, Daemon, Fault, Site};
 use rowanglade_subset::{Rule, table};
+use rowanglade_test_fleet::{BoxPlan, Daemon, Fault, Site};
 use std::collections::BTreeSet;
 use std::time::Duration;
 use tokio::net::TcpStream;
