--- a/crates/lab/src/routes.rs
+++ b/crates/lab/src/routes.rs
@@ -4,7 +4,7 @@
 use crate::world::{self, Traffic, ZONE, block_on};
 use rowanglade_replay::Replay;
 use rowanglade_routing::check::Decision;
-use rowanglade_routing::{BoxInfo, Front, Request, Rules, Source, Terms, check, parse};
+use rowanglade_routing::{Front, RouteRequest, Rules, Source, TargetInfo, Terms, check, parse};
 use rowanglade_test_fleet::{Site, Usage};
 use std::fmt::Write;
 use std::time::{Duration, Instant};
@@ -34,8 +34,8 @@
     }
 }
 
-fn boxes(count: u32) -> Vec<BoxInfo> {
-    let one = |i: u32| BoxInfo {
+fn boxes(count: u32) -> Vec<TargetInfo> {
+    let one = |i: u32| TargetInfo {
         name: format!("s-{i}"),
         zone: ZONE.into(),
         kind: "std".into(),
@@ -124,7 +124,7 @@
         let begun = Instant::now();
         let mut found = 0u64;
         for i in 0..looks {
-            let request = Request {
+            let request = RouteRequest {
                 front: Front::Http,
                 client: None,
                 class: "view",
--- a/crates/lab/src/scale/lists.rs
+++ b/crates/lab/src/scale/lists.rs
@@ -3,7 +3,7 @@
 use super::cost::{Cost, Size, measure, thread_time};
 use crate::outcome::Failure;
 use crate::world::{self, ZONE};
-use rowanglade::core::{Beside, Clock, Core, Listed, Message, Wire, mailbox};
+use rowanglade::core::{Clock, Core, CoreDependencies, Endpoint, Message, Protocol, mailbox};
 use rowanglade::interface::{
     Action, AttemptNumber, ClassId, EndpointEntry, EndpointUpdateKind, Event, KeyId, LoadReport, Micros,
     Outcome, PlanId, RequestId, RequestProfile, ShardId, TargetId, TargetState, VolumeId, ZoneId,
@@ -28,11 +28,11 @@
 const ZONES: usize = 9;
 
 /// A target as the list has it; its address is never connected to.
-pub fn line(place: usize) -> Listed {
+pub fn line(place: usize) -> Endpoint {
     let [.., high, low] = (place as u32).to_be_bytes();
-    Listed {
+    Endpoint {
         name: format!("s-{place:08x}"),
-        wire: Wire::Http,
+        protocol: Protocol::Http,
         addr: SocketAddr::from((Ipv4Addr::new(127, 1, high, low), 9)),
         zone: format!("{ZONE}-{}", place % ZONES),
         kind: "std-box".into(),
@@ -42,7 +42,7 @@
     }
 }
 
-pub fn lines(targets: usize) -> Vec<Listed> {
+pub fn lines(targets: usize) -> Vec<Endpoint> {
     (0..targets).map(line).collect()
 }
 
@@ -206,15 +206,16 @@
         let (calls, _calls) = mpsc::channel(1);
         let (seen, _seen) = mpsc::channel(1);
         let subset = subset.map(|rule| Subset::new(rule, 0, size.instances));
-        let beside = Beside { table, fleet: None, operations, upgrades, calls, seen, sites: None, subset };
-        let connect = Box::new(|_: &Listed| mpsc::channel(1).0);
+        let beside =
+            CoreDependencies { table, fleet: None, operations, upgrades, calls, seen, sites: None, subset };
+        let connect = Box::new(|_: &Endpoint| mpsc::channel(1).0);
         let core = Core::new(scheduler, names, Clock::start(), inbox, connect, beside);
         tokio::task::spawn_local(core.run());
-        let mut listed = handle.listed();
+        let mut listed = handle.endpoint_revision();
         let entries = lines(size.targets);
-        let whole = Message::list(Wire::Http, EndpointUpdateKind::Snapshot, entries);
+        let whole = Message::list(Protocol::Http, EndpointUpdateKind::Snapshot, entries);
         let memory = super::cost::allocated();
-        handle.tell(whole).await;
+        handle.send(whole).await;
         listed.changed().await?;
         tokio::task::yield_now().await;
         let state = (super::cost::allocated() - memory).max(0.0);
@@ -226,8 +227,8 @@
             entry.started = Some(1_000_000 * change as u64);
             // One that had left comes back: the subset hears of it too.
             entry.state = if change % 2 == 0 { TargetState::Draining } else { TargetState::Active };
-            let news = Message::list(Wire::Http, EndpointUpdateKind::Delta, vec![entry]);
-            handle.tell(news).await;
+            let news = Message::list(Protocol::Http, EndpointUpdateKind::Delta, vec![entry]);
+            handle.send(news).await;
             listed.changed().await?;
         }
         let processor = (thread_time() - begun) / CHANGES as f64;
--- a/crates/routing/src/check.rs
+++ b/crates/routing/src/check.rs
@@ -6,10 +6,10 @@
 //! that its pool takes; where only its attributes would decide, the verdict waits for the list to name it.
 
 use crate::expect::{Expectation, Must, Undecided};
-use crate::request::{Front, Request};
+use crate::request::{Front, RouteRequest};
 use crate::sets::{Addresses, Match, Ranges, Selector, in_ranges};
 use crate::table::{Origin, Table};
-use crate::target::{BoxInfo, BoxState};
+use crate::target::{BoxState, TargetInfo};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr};
@@ -191,13 +191,13 @@
         Points { fronts, clients, classes, plans, shards }
     }
 
-    pub(crate) fn requests(&self, volume: u64) -> impl Iterator<Item = Request<'a>> + '_ {
+    pub(crate) fn requests(&self, volume: u64) -> impl Iterator<Item = RouteRequest<'a>> + '_ {
         let plan = |p: &Option<&'a str>| *p;
         self.classes.iter().flat_map(move |(class, write)| {
             self.shards.iter().flat_map(move |shard| {
                 self.plans.iter().map(plan).flat_map(move |plan| {
                     self.fronts.iter().flat_map(move |front| {
-                        self.clients.iter().map(move |client| Request {
+                        self.clients.iter().map(move |client| RouteRequest {
                             front: *front,
                             client: *client,
                             class,
@@ -242,7 +242,7 @@
 struct Checker<'a> {
     table: &'a Table,
     terms: &'a Terms,
-    boxes: &'a [BoxInfo],
+    boxes: &'a [TargetInfo],
     listed: BTreeSet<&'a str>,
     shards: BTreeSet<u32>,
     everything: Selector,
@@ -310,7 +310,7 @@
 }
 
 impl<'a> Checker<'a> {
-    fn new(table: &'a Table, terms: &'a Terms, boxes: &'a [BoxInfo]) -> Checker<'a> {
+    fn new(table: &'a Table, terms: &'a Terms, boxes: &'a [TargetInfo]) -> Checker<'a> {
         Checker {
             table,
             terms,
@@ -336,7 +336,7 @@
         &self,
         s: &'s Selector,
         shard: Option<u32>,
-    ) -> impl Iterator<Item = &'a BoxInfo> + use<'s, 'a> {
+    ) -> impl Iterator<Item = &'a TargetInfo> + use<'s, 'a> {
         self.boxes.iter().filter(move |b| shard.is_none_or(|shard| shard == b.shard) && s.holds(b))
     }
 
@@ -448,7 +448,7 @@
         self.too_few(pools, Some(wanted), why)
     }
 
-    fn bearing(&self, must: &Must, request: &Request<'_>, route: Option<usize>) -> Bearing {
+    fn bearing(&self, must: &Must, request: &RouteRequest<'_>, route: Option<usize>) -> Bearing {
         let pools = self.pools(route);
         let shard = request.shard;
         match must {
@@ -641,7 +641,7 @@
 }
 
 /// Checks expectations against a table, the settings, and the boxes that are listed now.
-pub fn check(table: &Table, expectations: &[Expectation], terms: &Terms, boxes: &[BoxInfo]) -> Report {
+pub fn check(table: &Table, expectations: &[Expectation], terms: &Terms, boxes: &[TargetInfo]) -> Report {
     let checker = Checker::new(table, terms, boxes);
     let verdict = |(expectation, e)| Finding { expectation, verdict: checker.verdict(e) };
     Report {
--- a/crates/routing/src/diff.rs
+++ b/crates/routing/src/diff.rs
@@ -3,7 +3,7 @@
 use crate::check::{Points, Terms, volumes};
 use crate::sets::Match;
 use crate::table::Table;
-use crate::target::{BoxInfo, BoxState};
+use crate::target::{BoxState, TargetInfo};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Requests whose boxes change.
@@ -18,7 +18,7 @@
 }
 
 /// The changes from one table to another, with all these boxes active.
-pub fn diff(before: &Table, after: &Table, terms: &Terms, boxes: &[BoxInfo]) -> Vec<Change> {
+pub fn diff(before: &Table, after: &Table, terms: &Terms, boxes: &[TargetInfo]) -> Vec<Change> {
     let all = Match::default();
     let both: BTreeSet<u64> = volumes(before, &all).into_iter().chain(volumes(after, &all)).collect();
     let shards: BTreeSet<u32> = boxes.iter().map(|b| b.shard).collect();
--- a/crates/routing/src/request.rs
+++ b/crates/routing/src/request.rs
@@ -12,7 +12,7 @@
 
 /// The attributes of a request that routes match on.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Request<'a> {
+pub struct RouteRequest<'a> {
     pub front: Front,
     /// The client's address; none where the front does not know it.
     pub client: Option<IpAddr>,
@@ -24,7 +24,7 @@
     pub shard: Option<u32>,
 }
 
-impl fmt::Display for Request<'_> {
+impl fmt::Display for RouteRequest<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let front = if self.front == Front::Http { "http" } else { "iscsi" };
         write!(f, "class {} volume {:016x} front {front}", self.class, self.volume)?;
--- a/crates/routing/src/sets.rs
+++ b/crates/routing/src/sets.rs
@@ -1,7 +1,7 @@
 //! Sets of requests and sets of boxes, each a product of one set a field.
 
-use crate::request::{Front, Request};
-use crate::target::BoxInfo;
+use crate::request::{Front, RouteRequest};
+use crate::target::TargetInfo;
 use ipnet::{IpNet, Ipv4Net, Ipv6Net};
 use prefix_trie::PrefixSet;
 use std::collections::BTreeSet;
@@ -102,7 +102,7 @@
 
 impl Match {
     /// Whether the request is in the set, and by how long a prefix of its network: 0 where none is named.
-    pub fn holds(&self, r: &Request<'_>) -> Option<u8> {
+    pub fn holds(&self, r: &RouteRequest<'_>) -> Option<u8> {
         let plain = self.fronts.as_ref().is_none_or(|f| f.contains(&r.front))
             && self.volumes.as_ref().is_none_or(|v| in_ranges(v, r.volume))
             && self.classes.as_ref().is_none_or(|c| c.contains(r.class))
@@ -165,7 +165,7 @@
 }
 
 impl Selector {
-    pub fn holds(&self, b: &BoxInfo) -> bool {
+    pub fn holds(&self, b: &TargetInfo) -> bool {
         among(&self.names, &b.name)
             && among(&self.zones, &b.zone)
             && among(&self.kinds, &b.kind)
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -1,8 +1,8 @@
 //! The table: routes, pools, and the one place where a request's route is chosen.
 
-use crate::request::Request;
+use crate::request::RouteRequest;
 use crate::sets::{Match, Selector};
-use crate::target::{BoxInfo, BoxState};
+use crate::target::{BoxState, TargetInfo};
 use std::collections::HashMap;
 use std::fmt;
 
@@ -94,7 +94,7 @@
 
     /// The place of a request's route; none: it may reach every box. Precedence is decided here and nowhere
     /// else.
-    pub fn route(&self, request: &Request<'_>) -> Option<usize> {
+    pub fn route(&self, request: &RouteRequest<'_>) -> Option<usize> {
         let matching = self.candidates(request.volume).filter_map(|place| {
             let prefix = self.routes[place].requests.holds(request)?;
             Some((std::cmp::Reverse(prefix), place))
@@ -103,7 +103,7 @@
     }
 
     /// The routes that match a request, the one that is taken first, each with its prefix's length.
-    pub fn explain(&self, request: &Request<'_>) -> Vec<(usize, u8)> {
+    pub fn explain(&self, request: &RouteRequest<'_>) -> Vec<(usize, u8)> {
         let mut matching: Vec<_> = self
             .candidates(request.volume)
             .filter_map(|p| Some((std::cmp::Reverse(self.routes[p].requests.holds(request)?), p)))
@@ -118,9 +118,9 @@
         &self,
         route: Option<usize>,
         shard: Option<u32>,
-        boxes: impl Iterator<Item = (&'b BoxInfo, BoxState, B)> + Clone,
+        boxes: impl Iterator<Item = (&'b TargetInfo, BoxState, B)> + Clone,
     ) -> Vec<B> {
-        let fits = move |b: &BoxInfo, state: BoxState| {
+        let fits = move |b: &TargetInfo, state: BoxState| {
             state.takes_work() && shard.is_none_or(|shard| shard == b.shard)
         };
         let pool = |pool: Option<usize>| -> Vec<B> {
--- a/crates/routing/src/target.rs
+++ b/crates/routing/src/target.rs
@@ -4,7 +4,7 @@
 
 /// The attributes of a target that stay the same while discovery lists it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct BoxInfo {
+pub struct TargetInfo {
     pub name: String,
     pub zone: String,
     pub kind: String,
--- a/crates/routing/tests/agreement.rs
+++ b/crates/routing/tests/agreement.rs
@@ -6,8 +6,8 @@
 use rowanglade_routing::check::Terms;
 use rowanglade_routing::expect::Undecided;
 use rowanglade_routing::{
-    Addresses, BoxInfo, BoxState, Expectation, Front, Match, Must, Origin, Pool, Request, Route, Selector,
-    Table, Verdict, check,
+    Addresses, BoxState, Expectation, Front, Match, Must, Origin, Pool, Route, RouteRequest, Selector, Table,
+    TargetInfo, Verdict, check,
 };
 use std::collections::BTreeSet;
 use std::net::IpAddr;
@@ -66,9 +66,9 @@
     )
 }
 
-fn boxes() -> impl Strategy<Value = Vec<BoxInfo>> {
+fn boxes() -> impl Strategy<Value = Vec<TargetInfo>> {
     proptest::collection::vec((0..2usize, 0..2u32, 0..3usize), 0..3).prop_map(|boxes| {
-        let info = |(i, (zone, shard, addr)): (usize, (usize, u32, usize))| BoxInfo {
+        let info = |(i, (zone, shard, addr)): (usize, (usize, u32, usize))| TargetInfo {
             name: NAMES[i].into(),
             zone: ZONES[zone].into(),
             kind: "std".into(),
@@ -115,7 +115,7 @@
     }
 }
 
-fn all_requests() -> Vec<Request<'static>> {
+fn all_requests() -> Vec<RouteRequest<'static>> {
     let mut out = Vec::new();
     let clients: [Option<IpAddr>; 4] =
         [None, Some(ADDRESSES[0].into()), Some(ADDRESSES[1].into()), Some(ADDRESSES[2].into())];
@@ -125,7 +125,7 @@
                 for volume in 1..7 {
                     for shard in [None, Some(0), Some(1), Some(9)] {
                         let plan = Some("basic");
-                        out.push(Request { front, client, class, plan, write, volume, shard });
+                        out.push(RouteRequest { front, client, class, plan, write, volume, shard });
                     }
                 }
             }
@@ -136,9 +136,9 @@
 
 /// Whether it is broken by listed boxes or one that nobody names, and whether by one that is named and not
 /// listed.
-fn brute(table: &Table, e: &Expectation, listed: &[BoxInfo]) -> (bool, bool) {
+fn brute(table: &Table, e: &Expectation, listed: &[TargetInfo]) -> (bool, bool) {
     let (mut plainly, mut by_named) = (false, false);
-    let reach = |request: &Request<'_>, boxes: &[(&BoxInfo, BoxState)]| -> Vec<BoxInfo> {
+    let reach = |request: &RouteRequest<'_>, boxes: &[(&TargetInfo, BoxState)]| -> Vec<TargetInfo> {
         let boxes = boxes.iter().map(|(b, s)| (*b, *s, (*b).clone()));
         table.reach(table.route(request), request.shard, boxes)
     };
@@ -150,18 +150,18 @@
             for shard in SHARDS {
                 for addr in ADDRESSES {
                     let (name, zone, kind) = (name.to_string(), zone.into(), "std".into());
-                    newcomers.push(BoxInfo { name, zone, kind, shard, addr: addr.into() });
+                    newcomers.push(TargetInfo { name, zone, kind, shard, addr: addr.into() });
                 }
             }
         }
     }
     for request in all_requests().iter().filter(|r| e.requests.holds(r).is_some()) {
-        let wrong = |b: &BoxInfo| match &e.must {
+        let wrong = |b: &TargetInfo| match &e.must {
             Must::Only(wanted) => !wanted.holds(b),
             Must::Never(banned, _) => banned.holds(b),
             _ => false,
         };
-        let active: Vec<(&BoxInfo, BoxState)> = listed.iter().map(|b| (b, BoxState::Active)).collect();
+        let active: Vec<(&TargetInfo, BoxState)> = listed.iter().map(|b| (b, BoxState::Active)).collect();
         match &e.must {
             Must::Only(_) | Must::Never(..) => {
                 // Alone it is reached wherever it could be; beside all others the fallback does not count.
@@ -209,7 +209,7 @@
     })]
 
     #[test]
-    fn the_checker_agrees_with_brute_force(table in table(), requests in requests(), must in must(), listed in boxes()) {
+    fn the_checker_agrees_with_brute_force(table in table(), requests in requests(), must in must(), endpoint_revision in boxes()) {
         let e = Expectation {
             name: String::new(),
             requests,
@@ -217,9 +217,9 @@
             undecided: Undecided::Warn,
             origin: Origin::default(),
         };
-        let report = check(&table, std::slice::from_ref(&e), &terms(), &listed);
+        let report = check(&table, std::slice::from_ref(&e), &terms(), &endpoint_revision);
         let verdict = &report.findings[0].verdict;
-        let (plainly, by_named) = brute(&table, &e, &listed);
+        let (plainly, by_named) = brute(&table, &e, &endpoint_revision);
         match verdict {
             Verdict::Holds => prop_assert!(!plainly && !by_named, "held, and brute force breaks it"),
             Verdict::Broken { .. } => prop_assert!(plainly || by_named, "{verdict:?}, and brute force does not"),
--- a/crates/routing/tests/files.rs
+++ b/crates/routing/tests/files.rs
@@ -1,7 +1,9 @@
 //! Files of routes and expectations: what is refused and why, and what the checker finds in them.
 
 use rowanglade_routing::check::Decision;
-use rowanglade_routing::{BoxInfo, Front, Request, Rules, Source, Terms, Verdict, check, diff, parse};
+use rowanglade_routing::{
+    Front, RouteRequest, Rules, Source, TargetInfo, Terms, Verdict, check, diff, parse,
+};
 
 fn terms() -> Terms {
     Terms {
@@ -12,8 +14,8 @@
     }
 }
 
-fn boxes() -> Vec<BoxInfo> {
-    let one = |name: &str, zone: &str, shard| BoxInfo {
+fn boxes() -> Vec<TargetInfo> {
+    let one = |name: &str, zone: &str, shard| TargetInfo {
         name: name.into(),
         zone: zone.into(),
         kind: "std".into(),
@@ -115,7 +117,7 @@
     let rules = rules(&[&text("hold")]);
     for (zone, expected) in [("negril", Decision::Load), ("kingston", Decision::Refuse)] {
         let mut listed = boxes();
-        listed.push(BoxInfo { name: "s-9".into(), zone: zone.into(), ..listed[0].clone() });
+        listed.push(TargetInfo { name: "s-9".into(), zone: zone.into(), ..listed[0].clone() });
         let report = check(&rules.table, &rules.expectations, &terms(), &listed);
         assert_eq!(report.decision(&rules.expectations), expected, "{zone}");
     }
@@ -212,7 +214,7 @@
     );
     let rules = rules(&[&text]);
     let of = |client: &str| {
-        let request = Request {
+        let request = RouteRequest {
             front: Front::Http,
             client: Some(client.parse().expect("an address")),
             class: "view",
--- a/crates/routing/tests/model.rs
+++ b/crates/routing/tests/model.rs
@@ -5,7 +5,9 @@
 //! of the request's reach that it was told to be in, tries three times at most, and gives one final answer.
 //! Each mutation takes one of these promises away and must be caught.
 
-use rowanglade_routing::{BoxInfo, BoxState, Front, Match, Origin, Pool, Request, Route, Selector, Table};
+use rowanglade_routing::{
+    BoxState, Front, Match, Origin, Pool, Route, RouteRequest, Selector, Table, TargetInfo,
+};
 use stateright::{Checker, Model, Property};
 
 const BOXES: usize = 3;
@@ -71,7 +73,7 @@
 
 struct World {
     table: Table,
-    boxes: Vec<BoxInfo>,
+    boxes: Vec<TargetInfo>,
     mutation: Mutation,
 }
 
@@ -92,7 +94,7 @@
             fallback: Some(1),
             origin: Origin::default(),
         };
-        let info = |i: usize, shard| BoxInfo {
+        let info = |i: usize, shard| TargetInfo {
             name: format!("s-{i}"),
             zone: String::new(),
             kind: String::new(),
@@ -108,7 +110,7 @@
     }
 
     fn reach(&self, known: &[BoxState; BOXES]) -> Vec<usize> {
-        let request = Request {
+        let request = RouteRequest {
             front: Front::Http,
             client: None,
             class: "view",
--- a/src/cli/routes.rs
+++ b/src/cli/routes.rs
@@ -5,7 +5,7 @@
 use lexopt::prelude::*;
 use rowanglade_routing::check::Decision;
 use rowanglade_routing::diff::diff;
-use rowanglade_routing::{BoxInfo, BoxState, Front, Request};
+use rowanglade_routing::{BoxState, Front, RouteRequest, TargetInfo};
 use std::path::PathBuf;
 
 pub const HELP: &str = "\
@@ -39,7 +39,7 @@
 }
 
 /// The routes of these files, and the boxes that are listed.
-fn read(operator: &[PathBuf], list: Option<&PathBuf>) -> Result<(Routing, Vec<BoxInfo>), Failure> {
+fn read(operator: &[PathBuf], list: Option<&PathBuf>) -> Result<(Routing, Vec<TargetInfo>), Failure> {
     let config = Config::load(variable, operator).map_err(Failure::usage)?;
     let boxes = match list {
         None => config.known.as_ref().map(|k| k.boxes()).unwrap_or_default(),
@@ -115,7 +115,7 @@
     let known = terms.classes.iter().find(|(name, _)| *name == class);
     let (_, write) = known.ok_or_else(|| Failure::Usage(format!("the settings have no class {class:?}")))?;
     let request =
-        Request { front, client, class: &class, plan: plan.as_deref(), write: *write, volume, shard };
+        RouteRequest { front, client, class: &class, plan: plan.as_deref(), write: *write, volume, shard };
     println!("a request of {request}");
     let matching = table.explain(&request);
     if matching.is_empty() {
--- a/src/config/routing.rs
+++ b/src/config/routing.rs
@@ -2,7 +2,7 @@
 
 use super::ConfigError;
 use rowanglade_routing::check::Decision;
-use rowanglade_routing::{BoxInfo, Report, Rules, Source, Terms, Verdict};
+use rowanglade_routing::{Report, Rules, Source, TargetInfo, Terms, Verdict};
 
 /// Routes and expectations, and the part of the settings that they refer to.
 #[derive(Clone, Debug, Default)]
@@ -23,12 +23,12 @@
 
     /// Checks the expectations against the routes and these targets. With thousands of targets and
     /// expectations it takes up to a second, during which it blocks.
-    pub fn check(&self, boxes: &[BoxInfo]) -> Report {
+    pub fn check(&self, boxes: &[TargetInfo]) -> Report {
         rowanglade_routing::check(&self.rules.table, &self.rules.expectations, &self.terms, boxes)
     }
 
     /// Checks the expectations, and decides whether the routes may be put in force.
-    pub fn decide(&self, boxes: &[BoxInfo]) -> Decided {
+    pub fn decide(&self, boxes: &[TargetInfo]) -> Decided {
         let report = self.check(boxes);
         Decided {
             decision: report.decision(&self.rules.expectations),
--- a/src/core/access_log.rs
+++ b/src/core/access_log.rs
@@ -1,7 +1,7 @@
 //! The access log: one line a request, written by a thread of its own. The request path only puts a line into
 //! a bounded queue; what finds it full is dropped and counted.
 
-use crate::core::message::{Answer, Order, Wire};
+use crate::core::message::{Protocol, Request, Response};
 use rowanglade_capture::own_log::{AccessLine, End, VERSION};
 use std::borrow::Cow;
 use std::fs::{File, OpenOptions};
@@ -49,7 +49,7 @@
 #[derive(Debug)]
 struct Line {
     at_us: i64,
-    front: Wire,
+    front: Protocol,
     client: Option<IpAddr>,
     id: String,
     class: String,
@@ -93,24 +93,24 @@
     }
 
     /// Begins a request's line.
-    pub(super) fn begin(&self, order: &Order) -> Ticket {
+    pub(super) fn begin(&self, request: &Request) -> Ticket {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let line = Line {
             at_us: i64::try_from(unix.as_micros()).unwrap_or(i64::MAX),
-            front: order.origin.front,
-            client: order.origin.client,
-            id: order.id.clone(),
-            class: order.class.clone(),
-            plan: order.plan.clone(),
-            write: order.write,
-            volume: order.volume,
-            piece: order.piece,
-            units: order.units,
-            shard: order.shard,
-            hosts: order.hosts,
-            key: order.repeat_key.clone(),
-            left_ms: u64::try_from(order.time_left.as_millis()).unwrap_or(u64::MAX),
-            sent: order.more.as_ref().and_then(|m| m.length()).unwrap_or(order.body.len() as u64),
+            front: request.origin.front,
+            client: request.origin.client,
+            id: request.id.clone(),
+            class: request.class.clone(),
+            plan: request.plan.clone(),
+            write: request.write,
+            volume: request.volume,
+            piece: request.object,
+            units: request.units,
+            shard: request.shard,
+            hosts: request.initiators,
+            key: request.idempotency_key.clone(),
+            left_ms: u64::try_from(request.time_left.as_millis()).unwrap_or(u64::MAX),
+            sent: request.more.as_ref().and_then(|m| m.length()).unwrap_or(request.body.len() as u64),
             end: End::Gone,
             received: 0,
             took_us: 0,
@@ -149,14 +149,14 @@
 
 impl Ticket {
     /// The request has its answer.
-    pub(super) fn end(mut self, answer: &Answer) {
+    pub(super) fn end(mut self, answer: &Response) {
         if let Some(line) = &mut self.line {
             (line.end, line.received, line.wait_ms) = match answer {
-                Answer::Served(body) => (End::Served, body.length(), 0),
-                Answer::Refused { wait } | Answer::Away { wait, .. } => {
-                    (End::Refused, 0, wait.as_millis() as u64)
+                Response::Served(body) => (End::Served, body.length(), 0),
+                Response::Rejected { retry_after } | Response::SiteUnavailable { retry_after, .. } => {
+                    (End::Refused, 0, retry_after.as_millis() as u64)
                 }
-                Answer::Failed => (End::Failed, 0, 0),
+                Response::Failed => (End::Failed, 0, 0),
             };
         }
     }
@@ -231,8 +231,8 @@
             rowanglade: VERSION,
             at_us: line.at_us,
             front: Cow::Borrowed(match line.front {
-                Wire::Http => "http",
-                Wire::Iscsi => "iscsi",
+                Protocol::Http => "http",
+                Protocol::Iscsi => "iscsi",
             }),
             client: line.client,
             id: Cow::Borrowed(&line.id),
--- a/src/core/access_log/tests.rs
+++ b/src/core/access_log/tests.rs
@@ -1,23 +1,27 @@
 //! Tests of the access log: its lines, rotation and back-pressure.
 
 use super::*;
-use crate::core::Origin;
+use crate::core::RequestOrigin;
 use bytes::Bytes;
 
-fn order(id: &str) -> Order {
-    Order {
-        origin: Origin { front: Wire::Http, client: Some([127, 0, 0, 1].into()), connection: None },
+fn request(id: &str) -> Request {
+    Request {
+        origin: RequestOrigin {
+            front: Protocol::Http,
+            client: Some([127, 0, 0, 1].into()),
+            connection: None,
+        },
         id: id.into(),
         class: "deposit".into(),
         plan: Some("full".into()),
         write: true,
         volume: 7,
-        piece: 8,
+        object: 8,
         locator: String::new(),
-        repeat_key: Some("k\"1".into()),
+        idempotency_key: Some("k\"1".into()),
         units: 2.0,
         shard: None,
-        hosts: 1,
+        initiators: 1,
         length: 0,
         body: Bytes::from_static(b"four"),
         more: None,
@@ -48,10 +52,10 @@
 async fn lines_tell_how_requests_ended_and_are_read_again() {
     let path = file("ends");
     let log = AccessLog::open(&path, 10).expect("opened");
-    log.begin(&order("a")).end(&Answer::Served(Bytes::from_static(b"x").into()));
-    log.begin(&order("b")).end(&Answer::Refused { wait: Duration::from_millis(5) });
-    log.begin(&order("c")).end(&Answer::Failed);
-    drop(log.begin(&order("d")));
+    log.begin(&request("a")).end(&Response::Served(Bytes::from_static(b"x").into()));
+    log.begin(&request("b")).end(&Response::Rejected { retry_after: Duration::from_millis(5) });
+    log.begin(&request("c")).end(&Response::Failed);
+    drop(log.begin(&request("d")));
     log.settle(Duration::from_secs(5)).await;
     let key = "Some(\"k\\\"1\") None";
     assert_eq!(read(&path), [200, 503, 500, 0].map(|status| format!("deposit {status} {key}")));
@@ -62,11 +66,11 @@
 async fn a_log_moved_away_is_opened_anew() {
     let (path, moved) = (file("moved"), file("moved-away"));
     let log = AccessLog::open(&path, 10).expect("opened");
-    log.begin(&order("a")).end(&Answer::Failed);
+    log.begin(&request("a")).end(&Response::Failed);
     log.settle(Duration::from_secs(5)).await;
     std::fs::rename(&path, &moved).expect("moved");
     log.reopen();
-    log.begin(&order("b")).end(&Answer::Failed);
+    log.begin(&request("b")).end(&Response::Failed);
     log.settle(Duration::from_secs(5)).await;
     assert_eq!((read(&moved).len(), read(&path).len()), (1, 1));
 }
@@ -77,11 +81,11 @@
     let (queue, _stuck) = sync_channel(1);
     let log = AccessLog { queue, counts: Arc::default() };
     for id in ["a", "b", "c"] {
-        log.begin(&order(id)).end(&Answer::Failed);
+        log.begin(&request(id)).end(&Response::Failed);
     }
     assert_eq!(log.lost(), (2, 0));
     let full = AccessLog::open(Path::new("/dev/full"), 10).expect("opened");
-    full.begin(&order("a")).end(&Answer::Failed);
+    full.begin(&request("a")).end(&Response::Failed);
     full.settle(Duration::from_secs(5)).await;
     assert_eq!(full.lost(), (0, 1));
 }
--- a/src/core/actor.rs
+++ b/src/core/actor.rs
@@ -4,8 +4,10 @@
 use crate::core::clock::{Clock, micros};
 use crate::core::diagnostics::{Diagnostics, Step};
 use crate::core::fleet::Fleet;
-use crate::core::mailbox::{Ids, Inbox};
-use crate::core::message::{Answer, Call, Listed, Message, Operation, Upgrade, Wire};
+use crate::core::mailbox::{CoreMailbox, Ids};
+use crate::core::message::{
+    AdminCommand, AdminRequest, Endpoint, HandoverRequest, Message, Protocol, Response,
+};
 use crate::core::requests::Open;
 use crate::core::routes::{Loaded, Routes};
 use crate::core::sites::{Watch, Watched};
@@ -37,25 +39,25 @@
 
 pub(super) struct Target {
     /// As its list has it.
-    pub(super) told: Listed,
+    pub(super) told: Endpoint,
     /// As it holds, with operators' calls.
-    pub(super) line: Listed,
+    pub(super) line: Endpoint,
     /// Of its actor; absent until it is needed.
     pub(super) mailbox: Option<mpsc::Sender<TargetMessage>>,
 }
 
 /// What stands beside the module.
-pub struct Beside {
+pub struct CoreDependencies {
     /// The routes to be in force.
     pub table: watch::Receiver<Arc<Loaded>>,
     /// Absent where instances do not talk to each other.
     pub fleet: Option<Fleet>,
     /// Operators' calls. They do not wait behind the requests in the core's mailbox.
-    pub operations: mpsc::Receiver<Operation>,
+    pub operations: mpsc::Receiver<AdminRequest>,
     /// What replacing the process asks.
-    pub upgrades: mpsc::Receiver<Upgrade>,
+    pub upgrades: mpsc::Receiver<HandoverRequest>,
     /// Calls that hold here are told to the other process, if there is one.
-    pub calls: mpsc::Sender<Call>,
+    pub calls: mpsc::Sender<AdminCommand>,
     /// So is where objects are seen.
     pub seen: mpsc::Sender<(Object, Seen)>,
     /// Absent where sites are not judged.
@@ -77,7 +79,7 @@
     /// Targets that other instances say are leaving, while discovery itself has not been heard.
     pub(super) departed: BTreeSet<TargetId>,
     /// What the parts so far of a whole list have named; none: no part of one has come.
-    pub(super) named: Option<(Wire, HashSet<TargetId>)>,
+    pub(super) named: Option<(Protocol, HashSet<TargetId>)>,
     pub(super) requests: HashMap<RequestId, Open>,
     pub(super) backstops: BTreeSet<(Micros, RequestId)>,
     pub(super) timers: BinaryHeap<Reverse<(Micros, u64)>>,
@@ -95,9 +97,9 @@
     pub(super) revision: watch::Sender<u64>,
     /// Absent where no peer may be talked to.
     pub(super) fleet: Option<Fleet>,
-    pub(super) operations: mpsc::Receiver<Operation>,
-    pub(super) upgrades: mpsc::Receiver<Upgrade>,
-    pub(super) calls: mpsc::Sender<Call>,
+    pub(super) operations: mpsc::Receiver<AdminRequest>,
+    pub(super) upgrades: mpsc::Receiver<HandoverRequest>,
+    pub(super) calls: mpsc::Sender<AdminCommand>,
     pub(super) seen: mpsc::Sender<(Object, Seen)>,
     pub(super) maintenance: Maintenance,
     pub(super) places: Places,
@@ -118,12 +120,12 @@
         scheduler: Scheduler,
         names: Names,
         clock: Clock,
-        inbox: Inbox,
+        inbox: CoreMailbox,
         connect: Connect,
-        beside: Beside,
+        beside: CoreDependencies,
     ) -> Core {
-        let Beside { mut table, fleet, operations, upgrades, calls, seen, sites, subset } = beside;
-        let Inbox { rx, tx, ready, open, ids, revision } = inbox;
+        let CoreDependencies { mut table, fleet, operations, upgrades, calls, seen, sites, subset } = beside;
+        let CoreMailbox { rx, tx, ready, open, ids, revision } = inbox;
         let routes = Routes::new(Arc::clone(&table.borrow_and_update()));
         Core {
             scheduler,
@@ -228,16 +230,16 @@
 
     fn take(&mut self, message: Message) {
         match message {
-            Message::Submit { id, order, arrived, answer } => self.submit(id, order, arrived, answer),
-            Message::Gone(id) => {
+            Message::Submit { id, request, arrived, response } => self.submit(id, request, arrived, response),
+            Message::ClientGone(id) => {
                 if self.conclude(id, None) {
                     self.feed(Event::ClientGone { id });
                 }
             }
-            Message::End => {
+            Message::Shutdown => {
                 let open: Vec<RequestId> = self.requests.keys().copied().collect();
                 for id in open {
-                    if self.conclude(id, Some(Answer::Failed)) {
+                    if self.conclude(id, Some(Response::Failed)) {
                         self.feed(Event::ClientGone { id });
                     }
                 }
@@ -248,7 +250,7 @@
                 tracing::info!(open, targets, ?routes, ready = *self.ready.borrow(), "status");
                 self.diagnostics.counters.tell();
             }
-            Message::Begun { id, number } => {
+            Message::BodyStarted { id, number } => {
                 if let Some(open) = self.requests.get(&id) {
                     // Its deadline runs from the last byte on, which the attempt itself keeps.
                     self.backstops.remove(&(open.deadline + BACKSTOP, id));
@@ -259,7 +261,7 @@
                 // An attempt that ended meanwhile asks no more.
                 let _ = answer.send(self.may_start(id, number));
             }
-            Message::Heard { id, number } => {
+            Message::ResponseStarted { id, number } => {
                 let now = self.clock.now();
                 let open = self.requests.get_mut(&id);
                 let Some(open) = open else { return };
@@ -269,22 +271,22 @@
                     self.feed(Event::TransferStarted { id, attempt: number, deadline_applies: true });
                 }
             }
-            Message::Ended { id, number, reply } => self.ended(id, number, reply),
-            Message::Probed { node, outcome, took, load } => {
+            Message::AttemptEnded { id, number, result } => self.ended(id, number, result),
+            Message::ProbeEnded { target, outcome, took, load } => {
                 let now = self.clock.now();
-                if let (Some(sites), Some(target)) = (&mut self.sites, self.targets.get(&node)) {
+                if let (Some(sites), Some(target)) = (&mut self.sites, self.targets.get(&target)) {
                     sites.ended(now, &target.told.name, outcome, false, None);
                 }
-                self.feed(Event::ProbeEnded { target: node, outcome, elapsed: took, load });
+                self.feed(Event::ProbeEnded { target, outcome, elapsed: took, load });
             }
-            Message::Departed(names) => self.departed(&names),
-            Message::Boxes(answer) => {
+            Message::PeersReportDraining(names) => self.departed(&names),
+            Message::ListTargets(answer) => {
                 // Whoever asked and has ended needs no answer.
                 let _ = answer.send(self.routes.boxes().cloned().collect());
             }
-            Message::List { wire, kind, entries, more, received } => {
+            Message::EndpointsChanged { protocol, kind, entries, more, received } => {
                 let lines = entries.len();
-                self.list(wire, kind, entries, more);
+                self.list(protocol, kind, entries, more);
                 if !more {
                     self.diagnostics.list_in_force(received, lines);
                 }
@@ -327,10 +329,13 @@
         match action {
             Action::StartAttempt { id, target, timeout } => self.send(now, id, target, timeout),
             Action::Reject { id, retry_after } => {
-                self.conclude(id, Some(Answer::Refused { wait: Duration::from_micros(retry_after) }));
+                self.conclude(
+                    id,
+                    Some(Response::Rejected { retry_after: Duration::from_micros(retry_after) }),
+                );
             }
             Action::Fail { id } => {
-                self.conclude(id, Some(Answer::Failed));
+                self.conclude(id, Some(Response::Failed));
             }
             Action::CancelAttempt { id, attempt } => {
                 let out = self.requests.get_mut(&id).and_then(|o| o.attempts.get_mut(attempt.0 as usize));
--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -2,7 +2,7 @@
 //! ended.
 
 use crate::core::clock::Clock;
-use crate::core::message::{Listed, Message, Order, Reply};
+use crate::core::message::{AttemptResult, Endpoint, Message, Request};
 use crate::interface::{AttemptNumber, LoadReport, Micros, Outcome, RequestId, TargetId};
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -13,7 +13,7 @@
 /// An attempt, as its target's actor gets it.
 #[derive(Debug)]
 pub struct Attempt {
-    pub order: Rc<Order>,
+    pub request: Rc<Request>,
     /// When the initiator stops waiting.
     pub until: Instant,
     /// Resolves, or breaks, when the core gives the attempt up.
@@ -38,7 +38,7 @@
 }
 
 /// Makes the actor of a target, which lives as long as its mailbox is held.
-pub type Connect = Box<dyn Fn(&Listed) -> mpsc::Sender<TargetMessage>>;
+pub type Connect = Box<dyn Fn(&Endpoint) -> mpsc::Sender<TargetMessage>>;
 
 /// The duty to ask before an attempt's first byte, and to tell how it ended. Dropped untold, it counts as
 /// broken if it had started: it may have run.
@@ -82,18 +82,18 @@
     /// The head of an answer has come.
     pub fn heard(&self) {
         if let (Some((id, number, _)), Some(place)) = (&self.to, self.heard.take()) {
-            place.send(Message::Heard { id: *id, number: *number });
+            place.send(Message::ResponseStarted { id: *id, number: *number });
         }
     }
 
     /// The rest of a long body is being taken.
     pub fn begun(&self) {
         if let (Some((id, number, _)), Some(place)) = (&self.to, self.begun.take()) {
-            place.send(Message::Begun { id: *id, number: *number });
+            place.send(Message::BodyStarted { id: *id, number: *number });
         }
     }
 
-    pub fn tell(mut self, reply: Reply) {
+    pub fn tell(mut self, reply: AttemptResult) {
         self.send(reply);
     }
 
@@ -102,16 +102,16 @@
         self.to = None;
     }
 
-    fn send(&mut self, reply: Reply) {
+    fn send(&mut self, reply: AttemptResult) {
         if let Some((id, number, place)) = self.to.take() {
-            place.send(Message::Ended { id, number, reply });
+            place.send(Message::AttemptEnded { id, number, result: reply });
         }
     }
 }
 
 impl Drop for Report {
     fn drop(&mut self) {
-        self.send(Reply::bare(Outcome::Broken));
+        self.send(AttemptResult::without_response(Outcome::Broken));
     }
 }
 
@@ -141,7 +141,7 @@
     fn send(&mut self, outcome: Outcome, load: LoadReport) {
         if let Some(place) = self.place.take() {
             let took = self.clock.now().saturating_sub(self.sent);
-            place.send(Message::Probed { node: self.node, outcome, took, load });
+            place.send(Message::ProbeEnded { target: self.node, outcome, took, load });
         }
     }
 }
--- a/src/core/diagnostics.rs
+++ b/src/core/diagnostics.rs
@@ -143,9 +143,9 @@
         };
     }
     tracing::warn!(
-        id = open.order.id,
-        connection = open.order.origin.connection,
-        class = open.order.class,
+        id = open.request.id,
+        connection = open.request.origin.connection,
+        class = open.request.class,
         end,
         taken_us = since(open.taken),
         wait_us = open.deadline.saturating_sub(open.arrived),
--- a/src/core/listing.rs
+++ b/src/core/listing.rs
@@ -3,7 +3,7 @@
 
 use crate::core::actor::{Core, Target};
 use crate::core::attempt::TargetMessage;
-use crate::core::message::{Call, Listed, Operation, Wire};
+use crate::core::message::{AdminCommand, AdminRequest, Endpoint, Protocol};
 use crate::interface::{EndpointEntry, EndpointUpdateKind, Event, Micros, ShardId, TargetId, TargetState};
 use rowanglade_maintenance::State;
 use std::collections::HashSet;
@@ -14,15 +14,15 @@
     /// it costs goes with what has changed, beyond a look at each line that came.
     pub(super) fn list(
         &mut self,
-        wire: Wire,
+        wire: Protocol,
         kind: EndpointUpdateKind,
-        mut entries: Vec<Listed>,
+        mut entries: Vec<Endpoint>,
         more: bool,
     ) {
         if matches!(kind, EndpointUpdateKind::Snapshot | EndpointUpdateKind::Cached) {
             entries.extend(self.part_of_whole_list(wire, &entries, more));
         }
-        if wire == Wire::Http {
+        if wire == Protocol::Http {
             if kind == EndpointUpdateKind::Delta && !more {
                 entries.extend(self.not_departed(&entries));
             }
@@ -40,7 +40,7 @@
     }
 
     /// Notes whom a part of a whole list names. At its end, the targets of the source that no part has named.
-    fn part_of_whole_list(&mut self, wire: Wire, entries: &[Listed], more: bool) -> Vec<Listed> {
+    fn part_of_whole_list(&mut self, wire: Protocol, entries: &[Endpoint], more: bool) -> Vec<Endpoint> {
         let begun = self.named.take().filter(|(source, _)| *source == wire);
         let mut named = begun.map_or_else(HashSet::new, |(_, named)| named);
         named.extend(entries.iter().map(|told| self.names.listed(&told.name)));
@@ -48,15 +48,15 @@
             self.named = Some((wire, named));
             return Vec::new();
         }
-        let own = self.targets.iter().filter(|(_, target)| target.told.wire == wire);
+        let own = self.targets.iter().filter(|(_, target)| target.told.protocol == wire);
         let left_out = own.filter(|(node, _)| !named.contains(node));
-        left_out.map(|(_, target)| Listed { state: TargetState::Removed, ..target.told.clone() }).collect()
+        left_out.map(|(_, target)| Endpoint { state: TargetState::Removed, ..target.told.clone() }).collect()
     }
 
     /// Takes a line that a source told. None: it changes nothing.
-    fn take_line(&mut self, told: Listed) -> Option<TargetId> {
+    fn take_line(&mut self, told: Endpoint) -> Option<TargetId> {
         let node = self.names.listed(&told.name);
-        if told.wire == Wire::Http {
+        if told.protocol == Protocol::Http {
             // Discovery's own word holds again.
             self.departed.remove(&node);
         }
@@ -76,7 +76,8 @@
             Some(target) if target.told.addr == told.addr => {
                 // A start that lay in the future counts from when it was told first.
                 let again = target.told.started == told.started;
-                let line = Listed { started: if again { target.line.started } else { line.started }, ..line };
+                let line =
+                    Endpoint { started: if again { target.line.started } else { line.started }, ..line };
                 let changed = target.line != line;
                 (target.told, target.line) = (told, line);
                 changed.then_some(node)
@@ -84,7 +85,7 @@
             None if told.state == TargetState::Removed => None,
             _ => {
                 // Sessions are kept up whether or not they are used.
-                let mailbox = (told.wire == Wire::Iscsi).then(|| self.connected(&line));
+                let mailbox = (told.protocol == Protocol::Iscsi).then(|| self.connected(&line));
                 self.targets.insert(node, Target { told, line, mailbox });
                 Some(node)
             }
@@ -92,7 +93,7 @@
     }
 
     /// The mailbox of a new actor for a target.
-    fn connected(&self, line: &Listed) -> mpsc::Sender<TargetMessage> {
+    fn connected(&self, line: &Endpoint) -> mpsc::Sender<TargetMessage> {
         let mailbox = (self.connect)(line);
         if self.maintenance.is_out(&line.name) {
             // A new mailbox has room.
@@ -135,11 +136,11 @@
 
     /// The targets that other instances said were leaving, and of which discovery, which has been heard now,
     /// tells no change: as discovery had them.
-    fn not_departed(&self, changes: &[Listed]) -> Vec<Listed> {
+    fn not_departed(&self, changes: &[Endpoint]) -> Vec<Endpoint> {
         let told: HashSet<&str> = changes.iter().map(|change| change.name.as_str()).collect();
         let departed = self.departed.iter().filter_map(|node| self.targets.get(node));
         let kept = departed.filter(|target| !told.contains(target.told.name.as_str()));
-        kept.map(|target| Listed { state: TargetState::Active, ..target.told.clone() }).collect()
+        kept.map(|target| Endpoint { state: TargetState::Active, ..target.told.clone() }).collect()
     }
 
     /// Other instances say that these targets leave: nothing new goes to them until discovery is heard.
@@ -161,7 +162,7 @@
     }
 
     /// A line of the list as it holds with operators' calls.
-    pub(super) fn view(&self, told: &Listed) -> Listed {
+    pub(super) fn view(&self, told: &Endpoint) -> Endpoint {
         let started = told.started.map(|started| self.starts.on_clock(self.clock.now(), started));
         let (held, started) = self.maintenance.view(&told.name, state(told.state), started);
         let held = match held {
@@ -169,14 +170,14 @@
             State::Draining => TargetState::Draining,
             State::Gone => TargetState::Removed,
         };
-        let line = Listed { state: held, started, ..told.clone() };
+        let line = Endpoint { state: held, started, ..told.clone() };
         match &self.sites {
             Some(sites) => sites.view(line),
             None => line,
         }
     }
 
-    pub(super) fn entry(&self, node: TargetId, line: &Listed) -> EndpointEntry {
+    pub(super) fn entry(&self, node: TargetId, line: &Endpoint) -> EndpointEntry {
         EndpointEntry {
             target: node,
             shard: ShardId(line.shard),
@@ -186,7 +187,7 @@
         }
     }
 
-    pub(super) fn operate(&mut self, operation: Operation) {
+    pub(super) fn operate(&mut self, operation: AdminRequest) {
         let held = self.call(&operation.call);
         if held {
             // Without another process nobody takes it.
@@ -197,8 +198,8 @@
     }
 
     /// Does what an operator's call asks. False: nobody has such a target.
-    pub(super) fn call(&mut self, call: &Call) -> bool {
-        let (Call::Maint(name) | Call::Ready(name)) = call;
+    pub(super) fn call(&mut self, call: &AdminCommand) -> bool {
+        let (AdminCommand::Maint(name) | AdminCommand::Ready(name)) = call;
         let node = self.names.target(name);
         let listed = node.filter(|node| self.targets.contains_key(node));
         let used = node.is_some_and(|node| {
@@ -207,7 +208,7 @@
         if listed.is_none() && !used && !self.maintenance.is_out(name) {
             return false;
         }
-        let (now, out) = (self.clock.now(), matches!(call, Call::Maint(_)));
+        let (now, out) = (self.clock.now(), matches!(call, AdminCommand::Maint(_)));
         let changed = match out {
             true => self.maintenance.call_out(now, name),
             false => self.maintenance.call_back(now, name),
--- a/src/core/mailbox.rs
+++ b/src/core/mailbox.rs
@@ -1,10 +1,10 @@
 //! The way to the core, and the promises that it will hear how everything ended.
 
 use crate::core::access_log::{AccessLog, Ticket};
-use crate::core::message::{Answer, Listed, Message, Order, Wire};
+use crate::core::message::{Endpoint, Message, Protocol, Request, Response};
 use crate::interface::{EndpointUpdateKind, RequestId};
 use crate::settings::Settings;
-use rowanglade_routing::BoxInfo;
+use rowanglade_routing::TargetInfo;
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
 use std::rc::Rc;
@@ -17,11 +17,11 @@
 const MAILBOX: usize = 8_192;
 
 /// Lines of a list that the core, or whoever reads a list, takes in one step: a fraction of a millisecond.
-pub const LINES_AT_ONCE: usize = 128;
+pub const MAX_ENTRIES_PER_STEP: usize = 128;
 
 /// The core's end of its mailbox.
 #[derive(Debug)]
-pub struct Inbox {
+pub struct CoreMailbox {
     pub(super) rx: mpsc::Receiver<Message>,
     /// Weak, so that the core ends when all others have let go of its mailbox.
     pub(super) tx: mpsc::WeakSender<Message>,
@@ -46,7 +46,7 @@
 
 /// Why a request is none that the settings have, or not to be told from another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unfit {
+pub enum InvalidRequest {
     Class,
     Plan,
     Shard,
@@ -57,21 +57,21 @@
     Id,
 }
 
-impl std::fmt::Display for Unfit {
+impl std::fmt::Display for InvalidRequest {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            Unfit::Class => "an unknown class",
-            Unfit::Plan => "an unknown plan",
-            Unfit::Shard => "an unknown shard",
-            Unfit::Method => "not what its class does",
-            Unfit::NoKey => "no key",
-            Unfit::Id => "the id of an open request",
+            InvalidRequest::Class => "an unknown class",
+            InvalidRequest::Plan => "an unknown plan",
+            InvalidRequest::Shard => "an unknown shard",
+            InvalidRequest::Method => "not what its class does",
+            InvalidRequest::NoKey => "no key",
+            InvalidRequest::Id => "the id of an open request",
         })
     }
 }
 
 /// Makes the core's mailbox, for requests as the settings have them, which `log` tells of.
-pub fn mailbox(settings: &Settings, log: Option<AccessLog>) -> (Inbox, Handle) {
+pub fn mailbox(settings: &Settings, log: Option<AccessLog>) -> (CoreMailbox, CoreHandle) {
     let terms = Terms {
         classes: settings.terms().map(|(name, write, keyed)| (name.to_string(), write, keyed)).collect(),
         plans: settings.plans().map(str::to_string).collect(),
@@ -83,14 +83,14 @@
     let open = Rc::new(Cell::new(0));
     let (revision, listed) = watch::channel(0);
     let inbox =
-        Inbox { rx, tx: tx.downgrade(), ready, open: Rc::clone(&open), ids: Rc::clone(&ids), revision };
+        CoreMailbox { rx, tx: tx.downgrade(), ready, open: Rc::clone(&open), ids: Rc::clone(&ids), revision };
     let (next, terms) = (Rc::new(Cell::new(1)), Rc::new(terms));
-    (inbox, Handle { tx, next, ready: readiness, open, ids, terms, log, listed })
+    (inbox, CoreHandle { tx, next, ready: readiness, open, ids, terms, log, listed })
 }
 
 /// The core's mailbox, as fronts and the list hold it.
 #[derive(Clone, Debug)]
-pub struct Handle {
+pub struct CoreHandle {
     pub(super) tx: mpsc::Sender<Message>,
     pub(super) next: Rc<Cell<u64>>,
     pub(super) ready: watch::Receiver<bool>,
@@ -101,42 +101,42 @@
     listed: watch::Receiver<u64>,
 }
 
-impl Handle {
+impl CoreHandle {
     /// Whether the settings have such a request, and no other goes by its id. Served, it would be an answer
     /// made for something else.
-    pub fn fit(&self, order: &Order) -> Result<(), Unfit> {
-        let class = self.terms.classes.iter().find(|(name, ..)| *name == order.class);
-        let (_, write, keyed) = class.ok_or(Unfit::Class)?;
-        if order.write != *write {
-            return Err(Unfit::Method);
+    pub fn validate(&self, request: &Request) -> Result<(), InvalidRequest> {
+        let class = self.terms.classes.iter().find(|(name, ..)| *name == request.class);
+        let (_, write, keyed) = class.ok_or(InvalidRequest::Class)?;
+        if request.write != *write {
+            return Err(InvalidRequest::Method);
         }
-        if *keyed && order.repeat_key.as_ref().is_none_or(String::is_empty) {
-            return Err(Unfit::NoKey);
+        if *keyed && request.idempotency_key.as_ref().is_none_or(String::is_empty) {
+            return Err(InvalidRequest::NoKey);
         }
-        if order.plan.as_ref().is_some_and(|plan| !self.terms.plans.contains(plan)) {
-            return Err(Unfit::Plan);
+        if request.plan.as_ref().is_some_and(|plan| !self.terms.plans.contains(plan)) {
+            return Err(InvalidRequest::Plan);
         }
-        if order.shard.is_some_and(|shard| self.terms.shards.is_some_and(|shards| shard >= shards)) {
-            return Err(Unfit::Shard);
+        if request.shard.is_some_and(|shard| self.terms.shards.is_some_and(|shards| shard >= shards)) {
+            return Err(InvalidRequest::Shard);
         }
-        if self.ids.borrow().contains(&order.id) { Err(Unfit::Id) } else { Ok(()) }
+        if self.ids.borrow().contains(&request.id) { Err(InvalidRequest::Id) } else { Ok(()) }
     }
 
     /// Hands a fit request over. The place for the news that its client has gone is taken beforehand, so that
     /// a full mailbox cannot lose it. Cancelled while it waits for places, it leaves nothing behind.
-    pub async fn submit(&self, order: Order) -> Result<Pending, Unfit> {
+    pub async fn submit(&self, request: Request) -> Result<Pending, InvalidRequest> {
         let arrived = Instant::now();
         let places = self.two_places().await;
         // Another request of its id may have come meanwhile.
-        self.fit(&order)?;
-        self.ids.borrow_mut().insert(order.id.clone());
+        self.validate(&request)?;
+        self.ids.borrow_mut().insert(request.id.clone());
         let (answer, rx) = oneshot::channel();
         let id = RequestId(self.next.get());
         self.next.set(id.0 + 1);
-        let log = self.log.as_ref().map(|log| log.begin(&order));
+        let log = self.log.as_ref().map(|log| log.begin(&request));
         let mut pending = Pending { rx, gone: None, log };
         if let Some((submit, gone)) = places {
-            submit.send(Message::Submit { id, order, arrived, answer });
+            submit.send(Message::Submit { id, request, arrived, response: answer });
             pending.gone = Some((id, gone));
         }
         Ok(pending)
@@ -148,24 +148,25 @@
         Some((first, self.tx.clone().reserve_owned().await.ok()?))
     }
 
-    pub async fn tell(&self, message: Message) {
+    pub async fn send(&self, message: Message) {
         // A core that has ended needs no news.
         let _ = self.tx.send(message).await;
     }
 
     /// Tells the core of a list that came at `received`, in parts: between two of them requests have their
     /// turn.
-    pub async fn tell_list(
+    pub async fn send_endpoints(
         &self,
-        wire: Wire,
+        wire: Protocol,
         kind: EndpointUpdateKind,
-        mut lines: Vec<Listed>,
+        mut lines: Vec<Endpoint>,
         received: Instant,
     ) {
         loop {
-            let rest = lines.split_off(lines.len().min(LINES_AT_ONCE));
+            let rest = lines.split_off(lines.len().min(MAX_ENTRIES_PER_STEP));
             let more = !rest.is_empty();
-            self.tell(Message::List { wire, kind, entries: lines, more, received }).await;
+            self.send(Message::EndpointsChanged { protocol: wire, kind, entries: lines, more, received })
+                .await;
             if !more {
                 return;
             }
@@ -184,19 +185,19 @@
     }
 
     /// A number that grows with every change of the list that is in force.
-    pub fn listed(&self) -> watch::Receiver<u64> {
+    pub fn endpoint_revision(&self) -> watch::Receiver<u64> {
         self.listed.clone()
     }
 
     /// The boxes that are listed; none where the core has ended.
-    pub async fn boxes(&self) -> Vec<BoxInfo> {
+    pub async fn targets(&self) -> Vec<TargetInfo> {
         let (answer, boxes) = oneshot::channel();
-        self.tell(Message::Boxes(answer)).await;
+        self.send(Message::ListTargets(answer)).await;
         boxes.await.unwrap_or_default()
     }
 
     /// Requests that have no final answer yet.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.open.get()
     }
 }
@@ -204,14 +205,14 @@
 /// A request handed over. Dropped before its answer, it tells the core that the client has gone.
 #[derive(Debug)]
 pub struct Pending {
-    rx: oneshot::Receiver<Answer>,
+    rx: oneshot::Receiver<Response>,
     gone: Option<(RequestId, OwnedPermit<Message>)>,
     log: Option<Ticket>,
 }
 
 impl Pending {
-    pub async fn answer(mut self) -> Answer {
-        let answer = (&mut self.rx).await.unwrap_or(Answer::Failed);
+    pub async fn response(mut self) -> Response {
+        let answer = (&mut self.rx).await.unwrap_or(Response::Failed);
         self.gone = None;
         if let Some(log) = self.log.take() {
             log.end(&answer);
@@ -223,7 +224,7 @@
 impl Drop for Pending {
     fn drop(&mut self) {
         if let Some((id, gone)) = self.gone.take() {
-            gone.send(Message::Gone(id));
+            gone.send(Message::ClientGone(id));
         }
     }
 }
--- a/src/core/message.rs
+++ b/src/core/message.rs
@@ -5,11 +5,11 @@
 use crate::interface::{
     AttemptNumber, EndpointUpdateKind, LoadReport, Micros, Outcome, RequestId, TargetId, TargetState,
 };
-use crate::upgrade::Given;
+use crate::upgrade::HandoverState;
 use bytes::Bytes;
 use rowanglade_object_locations::{Object, Seen};
 use rowanglade_quota_exchange::Peer;
-use rowanglade_routing::BoxInfo;
+use rowanglade_routing::TargetInfo;
 use serde::{Deserialize, Serialize};
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
@@ -19,8 +19,8 @@
 
 /// Through which front a request came, and from where.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Origin {
-    pub front: Wire,
+pub struct RequestOrigin {
+    pub front: Protocol,
     /// Absent: not told.
     pub client: Option<IpAddr>,
     /// The client's port, which tells its connections apart in the log.
@@ -29,8 +29,8 @@
 
 /// A client's request. A front decodes it once; a target encodes it once.
 #[derive(Clone, Debug)]
-pub struct Order {
-    pub origin: Origin,
+pub struct Request {
+    pub origin: RequestOrigin,
     /// The client's own name for it.
     pub id: String,
     pub class: String,
@@ -38,16 +38,16 @@
     pub write: bool,
     pub volume: u64,
     /// The piece of data.
-    pub piece: u64,
+    pub object: u64,
     /// What a client of a hierarchical wire called the piece; it reaches a target unchanged.
     pub locator: String,
     /// The key by which targets drop a repeat.
-    pub repeat_key: Option<String>,
+    pub idempotency_key: Option<String>,
     pub units: f64,
     /// Absent: a new object.
     pub shard: Option<u32>,
     /// Through how many initiators the volume's requests come. 0: not told.
-    pub hosts: u32,
+    pub initiators: u32,
     /// The bytes that a read asks for. 0: not told.
     pub length: u32,
     /// All of its body, or the first bytes of a long one.
@@ -60,59 +60,61 @@
 
 /// The one final answer.
 #[derive(Debug, PartialEq)]
-pub enum Answer {
+pub enum Response {
     /// What a target made for it.
     Served(Content),
     /// A new try does no harm, after `wait`.
-    Refused {
-        wait: Duration,
+    Rejected {
+        retry_after: Duration,
     },
     /// The same, since the site that has its data is lost.
-    Away {
+    SiteUnavailable {
         site: Rc<str>,
-        wait: Duration,
+        retry_after: Duration,
     },
     Failed,
 }
 
 impl Message {
     /// A short list that has come just now.
-    pub fn list(wire: Wire, kind: EndpointUpdateKind, entries: Vec<Listed>) -> Message {
-        Message::List { wire, kind, entries, more: false, received: Instant::now() }
+    pub fn list(protocol: Protocol, kind: EndpointUpdateKind, entries: Vec<Endpoint>) -> Message {
+        Message::EndpointsChanged { protocol, kind, entries, more: false, received: Instant::now() }
     }
 
     /// What a step that takes it is for.
     pub fn step(&self) -> Step {
         match self {
             Message::Submit { .. } => Step::Submit,
-            Message::Gone(_) => Step::ClientGone,
-            Message::End => Step::End,
-            Message::Status | Message::Boxes(_) => Step::Status,
+            Message::ClientGone(_) => Step::ClientGone,
+            Message::Shutdown => Step::End,
+            Message::Status | Message::ListTargets(_) => Step::Status,
             Message::Peer(..) => Step::Peer,
-            Message::Begun { .. } | Message::MayStart { .. } | Message::Heard { .. } => Step::AttemptStarts,
-            Message::Ended { .. } => Step::AttemptEnds,
-            Message::Probed { .. } => Step::Probe,
-            Message::Departed(_) => Step::Departures,
-            Message::List { .. } => Step::List,
+            Message::BodyStarted { .. } | Message::MayStart { .. } | Message::ResponseStarted { .. } => {
+                Step::AttemptStarts
+            }
+            Message::AttemptEnded { .. } => Step::AttemptEnds,
+            Message::ProbeEnded { .. } => Step::Probe,
+            Message::PeersReportDraining(_) => Step::Departures,
+            Message::EndpointsChanged { .. } => Step::List,
         }
     }
 }
 
-impl Answer {
+impl Response {
     /// Its kind, for the log.
     pub fn kind(&self) -> &'static str {
         match self {
-            Answer::Served(_) => "served",
-            Answer::Refused { .. } => "refused",
-            Answer::Away { .. } => "away",
-            Answer::Failed => "failed",
+            Response::Served(_) => "served",
+            Response::Rejected { .. } => "refused",
+            Response::SiteUnavailable { .. } => "away",
+            Response::Failed => "failed",
         }
     }
 }
 
 /// How an attempt ended, and what the target's answer told.
 #[derive(Debug, PartialEq)]
-pub struct Reply {
+pub struct AttemptResult {
     pub outcome: Outcome,
     /// Of a served attempt.
     pub body: Content,
@@ -123,25 +125,31 @@
     pub load: LoadReport,
 }
 
-impl Reply {
+impl AttemptResult {
     /// An end without an answer of the target's.
-    pub fn bare(outcome: Outcome) -> Reply {
-        Reply { outcome, body: Bytes::new().into(), used: None, elsewhere: 0.0, load: LoadReport::default() }
+    pub fn without_response(outcome: Outcome) -> AttemptResult {
+        AttemptResult {
+            outcome,
+            body: Bytes::new().into(),
+            used: None,
+            elsewhere: 0.0,
+            load: LoadReport::default(),
+        }
     }
 }
 
 /// Which protocol a front or a target speaks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wire {
+pub enum Protocol {
     Http,
     Iscsi,
 }
 
 /// A line of the list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct Endpoint {
     pub name: String,
-    pub wire: Wire,
+    pub protocol: Protocol,
     pub addr: SocketAddr,
     pub zone: String,
     /// The kind of machine; empty: not told.
@@ -155,7 +163,7 @@
 /// What operators ask of one target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Call {
+pub enum AdminCommand {
     /// It is to be left out.
     Maint(String),
     /// It may serve again.
@@ -164,26 +172,26 @@
 
 /// An operator's call. Its answer comes once what it asks for holds; false: nobody has such a target.
 #[derive(Debug)]
-pub struct Operation {
-    pub call: Call,
+pub struct AdminRequest {
+    pub call: AdminCommand,
     pub done: oneshot::Sender<bool>,
 }
 
 /// What replacing the process asks of the core.
 #[derive(Debug)]
-pub enum Upgrade {
+pub enum HandoverRequest {
     /// The time, and the list as discovery told it.
-    Describe(oneshot::Sender<(Micros, Vec<Listed>)>),
+    Describe(oneshot::Sender<(Micros, Vec<Endpoint>)>),
     /// To spend nothing that is owned from now on, and to tell all of it.
-    Freeze(oneshot::Sender<Box<Given>>),
+    Freeze(oneshot::Sender<Box<HandoverState>>),
     /// To spend it again.
     Resume(oneshot::Sender<()>),
     /// To go on from nothing: another had what is owned.
     Restart(oneshot::Sender<()>),
     /// To go on with what another process owned.
-    Take(Box<Given>, oneshot::Sender<()>),
+    Take(Box<HandoverState>, oneshot::Sender<()>),
     /// An operator's call came to the other process.
-    Call(Call),
+    AdminCommand(AdminCommand),
     /// The other process saw where an object is, or is not.
     Seen(Object, Seen),
 }
@@ -193,24 +201,24 @@
 pub enum Message {
     Submit {
         id: RequestId,
-        order: Order,
+        request: Request,
         /// When the front had the request whole.
         arrived: Instant,
-        answer: oneshot::Sender<Answer>,
+        response: oneshot::Sender<Response>,
     },
     /// The client has gone.
-    Gone(RequestId),
+    ClientGone(RequestId),
     /// The program is about to end: whatever is open fails.
-    End,
+    Shutdown,
     /// What the core is at goes to the log.
     Status,
     /// Which boxes are listed.
-    Boxes(oneshot::Sender<Vec<BoxInfo>>),
+    ListTargets(oneshot::Sender<Vec<TargetInfo>>),
     /// Another instance said something.
     Peer(Peer, rowanglade_quota_exchange::Message),
     /// An attempt takes the rest of a long body: it cannot be made again, and lasts as long as its client
     /// takes.
-    Begun {
+    BodyStarted {
         id: RequestId,
         number: AttemptNumber,
     },
@@ -221,27 +229,27 @@
         answer: oneshot::Sender<bool>,
     },
     /// The head of an attempt's answer has come.
-    Heard {
+    ResponseStarted {
         id: RequestId,
         number: AttemptNumber,
     },
-    Ended {
+    AttemptEnded {
         id: RequestId,
         number: AttemptNumber,
-        reply: Reply,
+        result: AttemptResult,
     },
-    Probed {
-        node: TargetId,
+    ProbeEnded {
+        target: TargetId,
         outcome: Outcome,
         took: Micros,
         load: LoadReport,
     },
     /// Other instances say that these targets leave. Discovery's next word on them holds again.
-    Departed(Vec<String>),
-    List {
-        wire: Wire,
+    PeersReportDraining(Vec<String>),
+    EndpointsChanged {
+        protocol: Protocol,
         kind: EndpointUpdateKind,
-        entries: Vec<Listed>,
+        entries: Vec<Endpoint>,
         /// More of the same list follows.
         more: bool,
         /// When its last byte had come.
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -19,13 +19,13 @@
 mod starts;
 
 pub use access_log::AccessLog;
-pub use actor::{Beside, Core};
+pub use actor::{Core, CoreDependencies};
 pub use attempt::{Attempt, Connect, Probe, ProbeReport, Report, TargetMessage};
 pub use body::{Content, Download, HELD, Lost, PIECES, Taken, Upload};
 pub use clock::{Clock, micros};
 pub use diagnostics::{Counters, LONG_STEP, Step};
 pub use fleet::{Fleet, Outgoing};
-pub use mailbox::{Handle, Inbox, LINES_AT_ONCE, Pending, Unfit, mailbox};
+pub use mailbox::{CoreHandle, CoreMailbox, InvalidRequest, MAX_ENTRIES_PER_STEP, Pending, mailbox};
 pub use message::*;
 pub use routes::{Loaded, Routes};
 pub use sites::Watch;
--- a/src/core/replacing.rs
+++ b/src/core/replacing.rs
@@ -1,40 +1,41 @@
 //! What replacing the process asks of the core.
 
 use crate::core::actor::Core;
-use crate::core::message::{Upgrade, Wire};
+use crate::core::message::{HandoverRequest, Protocol};
 use crate::interface::{Event, TargetId};
-use crate::upgrade::Given;
+use crate::upgrade::HandoverState;
 use std::collections::HashMap;
 
 impl Core {
     /// Does what replacing the process asks. Whoever asks and has ended needs no answer.
-    pub(super) fn upgrade(&mut self, upgrade: Upgrade) {
+    pub(super) fn upgrade(&mut self, upgrade: HandoverRequest) {
         match upgrade {
-            Upgrade::Describe(answer) => {
-                let list = self.targets.values().map(|t| t.told.clone()).filter(|t| t.wire == Wire::Http);
+            HandoverRequest::Describe(answer) => {
+                let list =
+                    self.targets.values().map(|t| t.told.clone()).filter(|t| t.protocol == Protocol::Http);
                 let _ = answer.send((self.clock.now(), list.collect()));
             }
-            Upgrade::Freeze(answer) => {
+            HandoverRequest::Freeze(answer) => {
                 let module = self.scheduler.handed(self.clock.now()).named(
                     |node| self.names.target_name(node).map(str::to_string),
                     |volume| self.names.volume_name(volume).map(str::to_string),
                 );
                 let places = self.places.all().collect();
-                let given = Given { maintenance: self.maintenance.clone(), module, places };
+                let given = HandoverState { maintenance: self.maintenance.clone(), module, places };
                 let _ = answer.send(Box::new(given));
                 self.hand(true);
             }
-            Upgrade::Resume(answer) => {
+            HandoverRequest::Resume(answer) => {
                 self.hand(false);
                 let _ = answer.send(());
             }
-            Upgrade::Restart(answer) => {
+            HandoverRequest::Restart(answer) => {
                 self.scheduler.forget_owned(self.clock.now());
                 self.hand(false);
                 let _ = answer.send(());
             }
-            Upgrade::Take(given, answer) => {
-                let Given { maintenance, module, places } = *given;
+            HandoverRequest::Take(given, answer) => {
+                let HandoverState { maintenance, module, places } = *given;
                 self.maintenance = maintenance;
                 self.places.learn(places);
                 // What they change of the list is told before what was learned, which is void for another
@@ -52,10 +53,10 @@
                 self.scheduler.take(module);
                 let _ = answer.send(());
             }
-            Upgrade::Call(call) => {
+            HandoverRequest::AdminCommand(call) => {
                 self.call(&call);
             }
-            Upgrade::Seen(object, seen) => self.places.learn([(object, seen)]),
+            HandoverRequest::Seen(object, seen) => self.places.learn([(object, seen)]),
         }
     }
 
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -3,7 +3,7 @@
 use crate::core::actor::{BACKSTOP, Core};
 use crate::core::clock::micros;
 use crate::core::diagnostics::{AttemptTrace, tell_late};
-use crate::core::message::{Answer, Order, Reply};
+use crate::core::message::{AttemptResult, Request, Response};
 use crate::interface::{
     AttemptNumber, Event, KeyId, Micros, Outcome, RequestId, RequestProfile, ShardId, TargetId, TargetSetId,
 };
@@ -32,14 +32,14 @@
 
 /// A request that is not over, or has an attempt without an end.
 pub(super) struct Open {
-    pub(super) order: Rc<Order>,
+    pub(super) request: Rc<Request>,
     /// When its front had it whole; the client's time runs from then.
     pub(super) arrived: Micros,
     /// When the core took it.
     pub(super) taken: Micros,
     pub(super) deadline: Micros,
     /// Taken when the final answer is given.
-    pub(super) answer: Option<oneshot::Sender<Answer>>,
+    pub(super) answer: Option<oneshot::Sender<Response>>,
     pub(super) attempts: Vec<Option<Out>>,
     /// Of all attempts, for the log.
     pub(super) traces: Vec<AttemptTrace>,
@@ -59,34 +59,34 @@
     pub(super) fn submit(
         &mut self,
         id: RequestId,
-        order: Order,
+        request: Request,
         arrived: Instant,
-        answer: oneshot::Sender<Answer>,
+        answer: oneshot::Sender<Response>,
     ) {
         self.diagnostics.submitted(arrived);
         let (arrived, taken) = (self.clock.at(arrived), self.clock.now());
         // The client's time runs while the request waits for the core's turn.
-        let deadline = arrived + micros(order.time_left.min(LONGEST_WAIT));
-        let reach = self.routes.take(&order);
+        let deadline = arrived + micros(request.time_left.min(LONGEST_WAIT));
+        let reach = self.routes.take(&request);
         self.tell_reach();
-        let request = RequestProfile {
+        let profile = RequestProfile {
             id,
-            class: self.names.class(&order.class),
-            plan: order.plan.as_deref().and_then(|p| self.names.plan(p)),
-            volume: self.names.volume(&format!("{:016x}", order.volume)),
-            key: Some(KeyId(order.piece)),
-            units: order.units,
-            shard: self.places.find((order.volume, order.piece), order.shard).map(ShardId),
-            initiators: order.hosts,
+            class: self.names.class(&request.class),
+            plan: request.plan.as_deref().and_then(|p| self.names.plan(p)),
+            volume: self.names.volume(&format!("{:016x}", request.volume)),
+            key: Some(KeyId(request.object)),
+            units: request.units,
+            shard: self.places.find((request.volume, request.object), request.shard).map(ShardId),
+            initiators: request.initiators,
             deadline,
             target_set: reach,
         };
-        let away = self.sites.as_ref().and_then(|s| s.refused(taken, request.shard.map(|s| s.0)));
+        let away = self.sites.as_ref().and_then(|s| s.refused(taken, profile.shard.map(|s| s.0)));
         if let Some(fleet) = &mut self.fleet {
-            fleet.seen(order.volume, request.volume);
+            fleet.seen(request.volume, profile.volume);
         }
         let open = Open {
-            order: Rc::new(order),
+            request: Rc::new(request),
             arrived,
             taken,
             deadline,
@@ -100,24 +100,24 @@
         self.backstops.insert((deadline + BACKSTOP, id));
         if let Some((site, wait)) = away {
             // Nobody could take it: the module need not find that out.
-            self.conclude(id, Some(Answer::Away { site, wait }));
+            self.conclude(id, Some(Response::SiteUnavailable { site, retry_after: wait }));
             return;
         }
-        self.feed(Event::RequestArrived(request));
+        self.feed(Event::RequestArrived(profile));
     }
 
     /// An attempt's end. The first served one is the client's answer.
-    pub(super) fn ended(&mut self, id: RequestId, number: AttemptNumber, reply: Reply) {
+    pub(super) fn ended(&mut self, id: RequestId, number: AttemptNumber, reply: AttemptResult) {
         let Some(open) = self.requests.get_mut(&id) else { return };
         let Some(out) = open.attempts.get_mut(number.0 as usize).and_then(Option::take) else { return };
         // Whatever its target's actor took it for: before its start nothing of it was sent.
         let reply = match out.started || reply.outcome.proves_not_executed() {
             true => reply,
-            false => Reply::bare(Outcome::NotSent),
+            false => AttemptResult::without_response(Outcome::NotSent),
         };
         let now = self.clock.now();
         open.trace(number, |trace| trace.ended = Some((now, reply.outcome)));
-        let (object, told) = ((open.order.volume, open.order.piece), open.order.shard);
+        let (object, told) = ((open.request.volume, open.request.object), open.request.shard);
         let seen = match (self.targets.get(&out.node).map(|t| t.told.shard), reply.outcome) {
             (Some(shard), Outcome::Served) => self.places.served(object, told, shard),
             (Some(shard), Outcome::DeadlineExceeded) => self.places.turned_away(object, shard),
@@ -127,20 +127,20 @@
             // Without another process nobody takes it; what finds no room is learned there by asking.
             let _ = self.seen.try_send(news);
         }
-        let upload = open.order.more.clone();
+        let upload = open.request.more.clone();
         let begun = upload.as_ref().is_some_and(|u| u.begun());
         // A long body counts from its last byte.
         let whole = upload.and_then(|u| u.whole()).map_or(0, |at| self.clock.at(at));
         match reply.outcome {
             Outcome::Served => {
-                self.conclude(id, Some(Answer::Served(reply.body)));
+                self.conclude(id, Some(Response::Served(reply.body)));
             }
             // What was taken of a long body is not there for another attempt.
             outcome if begun && outcome.proves_not_executed() => {
-                self.conclude(id, Some(Answer::Refused { wait: Duration::ZERO }));
+                self.conclude(id, Some(Response::Rejected { retry_after: Duration::ZERO }));
             }
             _ if begun => {
-                self.conclude(id, Some(Answer::Failed));
+                self.conclude(id, Some(Response::Failed));
             }
             _ => {}
         }
@@ -170,7 +170,7 @@
     }
 
     /// Ends a request, with an answer unless its client has gone. False: it had ended before.
-    pub(super) fn conclude(&mut self, id: RequestId, answer: Option<Answer>) -> bool {
+    pub(super) fn conclude(&mut self, id: RequestId, answer: Option<Response>) -> bool {
         let Some(open) = self.requests.get_mut(&id) else { return false };
         let Some(client) = open.answer.take() else { return false };
         self.backstops.remove(&(open.deadline + BACKSTOP, id));
@@ -179,14 +179,14 @@
         match &answer {
             None => self.diagnostics.counters.clients_gone += 1,
             // The time of a long body's answer runs from its last byte.
-            Some(answer) if now > open.deadline && open.order.more.is_none() => {
+            Some(answer) if now > open.deadline && open.request.more.is_none() => {
                 self.diagnostics.counters.late_answers += 1;
                 tell_late(open, answer.kind(), now, &self.names);
             }
             Some(_) => {}
         }
         // What has not begun for it never will. The attempts of a long body may last beyond its deadline.
-        let long = open.order.more.is_some();
+        let long = open.request.more.is_some();
         let idle = open.attempts.iter_mut().flatten().filter(|out| long || !out.started);
         idle.for_each(|out| out.cancel = None);
         if let Some(answer) = answer {
@@ -204,7 +204,7 @@
             .is_some_and(|o| o.answer.is_none() && o.attempts.iter().all(Option::is_none))
         {
             let Some(open) = self.requests.remove(&id) else { return };
-            self.ids.borrow_mut().remove(&open.order.id);
+            self.ids.borrow_mut().remove(&open.request.id);
             if let Some(reach) = open.reach {
                 self.routes.release(reach);
                 // The module learns of it with the next event.
@@ -220,7 +220,7 @@
         {
             // The module's own answers come before this; whatever keeps one back, the client gets its own.
             self.diagnostics.counters.backstops += 1;
-            self.conclude(id, Some(Answer::Failed));
+            self.conclude(id, Some(Response::Failed));
             self.feed(Event::ClientGone { id });
         }
     }
--- a/src/core/routes.rs
+++ b/src/core/routes.rs
@@ -1,9 +1,9 @@
 //! The table in force, and whom each open request may reach under the table it began with. Without I/O: it
 //! takes requests and news of the list, and gives the module's [`Event::Reach`]s.
 
-use crate::core::message::{Listed, Order, Wire};
+use crate::core::message::{Endpoint, Protocol, Request};
 use crate::interface::{Event, TargetId, TargetSetId, TargetState};
-use rowanglade_routing::{BoxInfo, BoxState, Front, Request, Table};
+use rowanglade_routing::{BoxState, Front, RouteRequest, Table, TargetInfo};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
@@ -74,29 +74,29 @@
     }
 
     /// The boxes that are listed.
-    pub fn boxes(&self) -> impl Iterator<Item = &BoxInfo> {
+    pub fn boxes(&self) -> impl Iterator<Item = &TargetInfo> {
         self.boxes.all.values().map(|(info, _)| info)
     }
 
     /// What a request that begins now may reach; none: every node. It is to be released once.
-    pub fn take(&mut self, order: &Order) -> Option<TargetSetId> {
+    pub fn take(&mut self, request: &Request) -> Option<TargetSetId> {
         if self.current.table.is_empty() {
             return None;
         }
-        let request = Request {
-            front: match order.origin.front {
-                Wire::Http => Front::Http,
-                Wire::Iscsi => Front::Iscsi,
+        let route_request = RouteRequest {
+            front: match request.origin.front {
+                Protocol::Http => Front::Http,
+                Protocol::Iscsi => Front::Iscsi,
             },
-            client: order.origin.client,
-            class: &order.class,
-            plan: order.plan.as_deref(),
-            write: order.write,
-            volume: order.volume,
-            shard: order.shard,
+            client: request.origin.client,
+            class: &request.class,
+            plan: request.plan.as_deref(),
+            write: request.write,
+            volume: request.volume,
+            shard: request.shard,
         };
-        let route = self.current.table.route(&request)?;
-        let key = Key { version: self.current.version, route, shard: order.shard };
+        let route = self.current.table.route(&route_request)?;
+        let key = Key { version: self.current.version, route, shard: request.shard };
         if let Some(id) = self.by_key.get(&key)
             && let Some(set) = self.sets.get_mut(id)
         {
@@ -142,7 +142,7 @@
 
     /// Lines of the list that have changed. Sets change where a pool has got somebody, or has nobody any
     /// more.
-    pub fn changed<'a>(&mut self, lines: impl Iterator<Item = (TargetId, &'a Listed)>) {
+    pub fn changed<'a>(&mut self, lines: impl Iterator<Item = (TargetId, &'a Endpoint)>) {
         let mut shards = BTreeSet::new();
         for (node, line) in lines {
             shards.extend(self.boxes.take_out(node));
@@ -172,7 +172,7 @@
 /// The boxes that are listed, also by their shards.
 #[derive(Debug, Default)]
 struct Boxes {
-    all: BTreeMap<TargetId, (BoxInfo, BoxState)>,
+    all: BTreeMap<TargetId, (TargetInfo, BoxState)>,
     by_shard: BTreeMap<u32, BTreeSet<TargetId>>,
 }
 
@@ -189,8 +189,8 @@
         Some(info.shard)
     }
 
-    fn put(&mut self, node: TargetId, line: &Listed) {
-        let info = BoxInfo {
+    fn put(&mut self, node: TargetId, line: &Endpoint) {
+        let info = TargetInfo {
             name: line.name.clone(),
             zone: line.zone.clone(),
             kind: line.kind.clone(),
--- a/src/core/routes/tests.rs
+++ b/src/core/routes/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the reach sets that requests take from a routing table.
 
 use super::*;
-use crate::core::message::Origin;
+use crate::core::message::RequestOrigin;
 use bytes::Bytes;
 use rowanglade_routing::{Source, Terms, parse};
 use std::time::Duration;
@@ -26,20 +26,20 @@
     Arc::new(Loaded { version, table: parse(&[source], &terms).expect("usable").table })
 }
 
-fn order(volume: u64, shard: Option<u32>) -> Order {
-    Order {
-        origin: Origin { front: Wire::Http, client: None, connection: None },
+fn request(volume: u64, shard: Option<u32>) -> Request {
+    Request {
+        origin: RequestOrigin { front: Protocol::Http, client: None, connection: None },
         id: "a".into(),
         class: "view".into(),
         plan: None,
         write: false,
         volume,
-        piece: 0,
+        object: 0,
         locator: String::new(),
-        repeat_key: None,
+        idempotency_key: None,
         units: 1.0,
         shard,
-        hosts: 1,
+        initiators: 1,
         length: 0,
         body: Bytes::new(),
         more: None,
@@ -47,10 +47,10 @@
     }
 }
 
-fn line(i: u32, state: TargetState) -> (TargetId, Listed) {
-    let listed = Listed {
+fn line(i: u32, state: TargetState) -> (TargetId, Endpoint) {
+    let listed = Endpoint {
         name: format!("s-{i}"),
-        wire: Wire::Http,
+        protocol: Protocol::Http,
         addr: ([127, 0, 0, 1], 9).into(),
         zone: String::new(),
         kind: String::new(),
@@ -80,15 +80,15 @@
 fn a_set_follows_the_list_and_falls_back_where_its_pool_has_nobody() {
     let mut routes = Routes::new(loaded(1, TABLE));
     list(&mut routes, TargetState::Active);
-    assert_eq!(routes.take(&order(8, Some(0))), None, "no route");
-    let reach = routes.take(&order(7, Some(0)));
-    assert_eq!(routes.take(&order(7, Some(0))), reach, "one set for the same");
+    assert_eq!(routes.take(&request(8, Some(0))), None, "no route");
+    let reach = routes.take(&request(7, Some(0)));
+    assert_eq!(routes.take(&request(7, Some(0))), reach, "one set for the same");
     assert_eq!(told(&mut routes), [(0, Some(vec![0]))]);
     list(&mut routes, TargetState::Draining);
     assert_eq!(told(&mut routes), [(0, Some(vec![1]))]);
     list(&mut routes, TargetState::Draining);
     assert_eq!(told(&mut routes), [], "nothing has changed");
-    assert!(routes.take(&order(7, Some(5))).is_some());
+    assert!(routes.take(&request(7, Some(5))).is_some());
     assert_eq!(told(&mut routes), [(1, Some(vec![]))], "no box holds that shard");
 }
 
@@ -97,9 +97,9 @@
 fn an_old_table_lasts_as_long_as_its_requests() {
     let mut routes = Routes::new(loaded(1, TABLE));
     list(&mut routes, TargetState::Active);
-    let old = routes.take(&order(7, Some(0))).expect("a set");
+    let old = routes.take(&request(7, Some(0))).expect("a set");
     routes.swap(loaded(2, &TABLE.replace("pool = \"first\"", "pool = \"second\"")));
-    let new = routes.take(&order(7, Some(0))).expect("a set");
+    let new = routes.take(&request(7, Some(0))).expect("a set");
     assert!(new != old && routes.versions() == [1, 2]);
     assert_eq!(told(&mut routes), [(0, Some(vec![0])), (1, Some(vec![1]))]);
     list(&mut routes, TargetState::Removed);
--- a/src/core/sending.rs
+++ b/src/core/sending.rs
@@ -39,9 +39,9 @@
             && mailbox.is_some_and(|mailbox| {
                 let reserve = || self.tx.upgrade().and_then(|tx| tx.try_reserve_owned().ok());
                 reserve().zip(reserve()).is_some_and(|(start, place)| {
-                    let begun = open.order.more.as_ref().and_then(|_| reserve());
+                    let begun = open.request.more.as_ref().and_then(|_| reserve());
                     let attempt = Attempt {
-                        order: Rc::clone(&open.order),
+                        request: Rc::clone(&open.request),
                         until: self.clock.instant(until),
                         cancel: canceled,
                         report: Report::new(id, number, start, place, begun, reserve()),
@@ -90,11 +90,11 @@
         let (started, node) = (out.started, out.node);
         // A long body's last byte comes much later: the end of its attempt tells.
         let now = self.clock.now();
-        if started && open.order.more.is_none() {
+        if started && open.request.more.is_none() {
             self.scheduler.settle(now, id, true);
         }
         open.trace(number, |trace| trace.started = started.then_some(now));
-        let (id, target) = (&open.order.id, self.names.target_name(node));
+        let (id, target) = (&open.request.id, self.names.target_name(node));
         tracing::debug!(id, attempt = number.0, target, started, "a connection is up");
         started
     }
--- a/src/core/sites.rs
+++ b/src/core/sites.rs
@@ -1,6 +1,6 @@
 //! Sites as the core sees them: what attempts, probes and the list tell of them, in the core's words.
 
-use crate::core::message::Listed;
+use crate::core::message::Endpoint;
 use crate::interface::{Micros, Outcome, TargetState};
 use rowanglade_site_failover::{Change, Order, Rules, Sites, State};
 use std::collections::BTreeSet;
@@ -30,7 +30,7 @@
     }
 
     /// A line of the list, before anything else holds for it.
-    pub fn listed(&mut self, now: Micros, line: &Listed) {
+    pub fn listed(&mut self, now: Micros, line: &Endpoint) {
         if self.watch.names.is_empty() || self.watch.names.contains(&line.zone) {
             self.sites.listed(now, &line.name, &line.zone, line.shard, state(line.state));
         }
@@ -51,7 +51,7 @@
     }
 
     /// What holds for a line of which all others say this.
-    pub fn view(&self, mut line: Listed) -> Listed {
+    pub fn view(&self, mut line: Endpoint) -> Endpoint {
         let (held, started) = self.sites.view(&line.name, state(line.state), line.started);
         line.started = started;
         if held == State::Draining && line.state == TargetState::Active {
--- a/src/initiator.rs
+++ b/src/initiator.rs
@@ -7,13 +7,13 @@
 mod targets;
 
 use crate::config::{Config, ConfigError, Decided, Iscsi, Reload, Routing};
-use crate::core::{self, AccessLog, Beside, Clock, Core, Fleet, Handle, Loaded, Message};
+use crate::core::{self, AccessLog, Clock, Core, CoreDependencies, CoreHandle, Fleet, Loaded, Message};
 use crate::net::peers::PeerLink;
 use crate::net::{Budget, Parts, Phase, Reservations, admin, fleet, http};
 use crate::upgrade::{Controls, Keeper, Listeners, Told};
 use handover::{Handover, bind_admin, bind_fleet, listen};
 use rowanglade_discovery_polling::Watch;
-use rowanglade_routing::BoxInfo;
+use rowanglade_routing::TargetInfo;
 use rowanglade_routing::check::Decision;
 use std::net::SocketAddr;
 use std::os::fd::AsFd;
@@ -77,7 +77,7 @@
     let core = initiator.core.clone();
     actix_rt::spawn(async move {
         while status.recv().await.is_some() {
-            core.tell(Message::Status).await;
+            core.send(Message::Status).await;
         }
     });
     let requested = async move || hangup.recv().await.is_some();
@@ -87,7 +87,7 @@
 
 /// An initiator that listens.
 pub struct Initiator {
-    core: Handle,
+    core: CoreHandle,
     reloads: Reloads,
     http: TcpListener,
     iscsi: Option<(TcpListener, Iscsi)>,
@@ -169,7 +169,7 @@
         let (upgrades, asked_of_core) = mpsc::channel(OPERATIONS);
         let (tell_call, calls) = mpsc::channel(OPERATIONS);
         let (tell_seen, seen) = mpsc::channel(SEEN);
-        let beside = Beside {
+        let beside = CoreDependencies {
             table: in_force,
             fleet,
             operations,
@@ -186,7 +186,7 @@
         let known = welcome.map(|w| w.list).or(config.known).unwrap_or_default();
         http::remember(&core, known).await;
         if let Some((_, iscsi)) = &iscsi {
-            core.tell(portals(iscsi)).await;
+            core.send(portals(iscsi)).await;
         }
         let (discovery, addr) = watch::channel(config.discovery);
         let schedule = |now| config.settings.discovery_schedule(Watch::LongPoll, config.seed, now);
@@ -227,7 +227,7 @@
     /// Counts the requests that have no final answer yet and whose client is there.
     pub fn open_requests(&self) -> impl Fn() -> usize + use<> {
         let core = self.core.clone();
-        move || core.open()
+        move || core.open_requests()
     }
 
     /// Where clients connect.
@@ -251,7 +251,7 @@
 ///
 /// # Errors
 /// An expectation is broken.
-fn check_routes(routing: &Routing, known: &[BoxInfo]) -> Result<bool, Error> {
+fn check_routes(routing: &Routing, known: &[TargetInfo]) -> Result<bool, Error> {
     let Decided { decision, lines, open } = routing.decide(known);
     lines.iter().for_each(|line| tracing::warn!("{line}"));
     if decision == Decision::Refuse {
@@ -264,7 +264,7 @@
 fn exchange_with(
     peers: fleet::Peers,
     socket: UdpSocket,
-    core: &Handle,
+    core: &CoreHandle,
     phase: &watch::Sender<Phase>,
 ) -> Fleet {
     let (out, outgoing) = mpsc::channel(peers.queue());
--- a/src/initiator/reload.rs
+++ b/src/initiator/reload.rs
@@ -1,10 +1,10 @@
 //! Reloading of the configuration while an initiator runs, at SIGHUP and when the list of targets changes.
 
 use crate::config::{ConfigError, Decided, Reload, Routing};
-use crate::core::{AccessLog, Handle, Loaded};
+use crate::core::{AccessLog, CoreHandle, Loaded};
 use crate::net::http;
 use rowanglade_routing::check::Decision;
-use rowanglade_routing::{BoxInfo, Table};
+use rowanglade_routing::{Table, TargetInfo};
 use std::rc::Rc;
 use std::sync::Arc;
 use tokio::sync::{oneshot, watch};
@@ -84,7 +84,7 @@
 /// The configuration cannot be used, or the thread could not be started or panicked.
 async fn check(
     read: impl FnOnce() -> Result<Reload, ConfigError> + Send + 'static,
-    targets: Vec<BoxInfo>,
+    targets: Vec<TargetInfo>,
 ) -> Result<Checked, String> {
     let (result_tx, result) = oneshot::channel();
     let thread = std::thread::Builder::new().name("reload".into()).spawn(move || {
@@ -108,9 +108,9 @@
     mut requested: impl AsyncFnMut() -> bool,
     read: impl Fn() -> Result<Reload, ConfigError> + Send + Clone + 'static,
     reloads: Reloads,
-    core: Handle,
+    core: CoreHandle,
 ) {
-    let mut listed = core.listed();
+    let mut listed = core.endpoint_revision();
     let at_start = reloads.undecided.as_deref().cloned();
     let mut undecided =
         at_start.map(|routing| Undecided { reload: Reload { discovery: None, routing }, in_force: true });
@@ -120,7 +120,7 @@
             Ok(()) = listed.changed(), if undecided.is_some() => undecided.take(),
         };
         listed.mark_unchanged();
-        let targets = core.boxes().await;
+        let targets = core.targets().await;
         let in_force = recheck.as_ref().is_some_and(|undecided| undecided.in_force);
         let is_new = recheck.is_none();
         let checked = match recheck {
--- a/src/initiator/run.rs
+++ b/src/initiator/run.rs
@@ -1,7 +1,7 @@
 //! Serving until the initiator is told to stop, and the orderly shutdown after that.
 
 use super::Initiator;
-use crate::core::{Handle, Message};
+use crate::core::{CoreHandle, Message};
 use crate::net::{Phase, http, iscsi};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -99,7 +99,7 @@
 
 /// A shutdown under way.
 struct Shutdown {
-    core: Handle,
+    core: CoreHandle,
     clients: http::Clients,
     begun: Instant,
     /// When the program ends, whatever is left then.
@@ -107,9 +107,9 @@
 }
 
 impl Shutdown {
-    fn begin(core: Handle, clients: http::Clients, patience: Duration) -> Shutdown {
+    fn begin(core: CoreHandle, clients: http::Clients, patience: Duration) -> Shutdown {
         let begun = Instant::now();
-        tracing::info!(open = core.open(), "ending");
+        tracing::info!(open = core.open_requests(), "ending");
         Shutdown { core, clients, begun, end: begun + patience }
     }
 
@@ -131,20 +131,25 @@
     async fn finish_requests(&self) {
         // Sessions were asked to log out. One that stays without an open request does not hold the end up.
         if timeout_at(self.end - GIVE_UP, self.idle()).await.is_err() {
-            self.core.tell(Message::End).await;
+            self.core.send(Message::Shutdown).await;
             let _ = timeout_at(self.end, self.idle()).await;
         }
     }
 
     fn end(self, sessions: usize) {
         self.clients.end();
-        tracing::info!(open = self.core.open(), connections = self.clients.open(), sessions, "ended");
+        tracing::info!(
+            open = self.core.open_requests(),
+            connections = self.clients.open(),
+            sessions,
+            "ended"
+        );
     }
 
     /// Polls until no client is connected and no request is open: the end of a program is no time to have
     /// every owner report.
     async fn idle(&self) {
-        while self.clients.open() > 0 || self.core.open() > 0 {
+        while self.clients.open() > 0 || self.core.open_requests() > 0 {
             tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
--- a/src/initiator/targets.rs
+++ b/src/initiator/targets.rs
@@ -1,16 +1,16 @@
 //! How targets are reached, and those that the operator's file lists.
 
 use crate::config::{Iscsi, Portal};
-use crate::core::{Clock, Connect, Handle, Listed, Message, Wire};
+use crate::core::{Clock, Connect, CoreHandle, Endpoint, Message, Protocol};
 use crate::interface::{EndpointUpdateKind, TargetState};
 use crate::net::{http, iscsi};
 use crate::settings::Settings;
 use std::time::Duration;
 
 /// Connects each target over its own protocol. Without `figures` all are reached over HTTP.
-pub fn connect(pool: http::Pool, figures: Option<iscsi::Figures>, core: Handle) -> Connect {
-    Box::new(move |line| match (line.wire, &figures) {
-        (Wire::Iscsi, Some(figures)) => iscsi::connect(line, figures.clone(), core.clone()),
+pub fn connect(pool: http::Pool, figures: Option<iscsi::Figures>, core: CoreHandle) -> Connect {
+    Box::new(move |line| match (line.protocol, &figures) {
+        (Protocol::Iscsi, Some(figures)) => iscsi::connect(line, figures.clone(), core.clone()),
         _ => http::connect(line, pool.clone()),
     })
 }
@@ -35,9 +35,9 @@
 
 /// The targets that the operator's file lists.
 pub fn portals(iscsi: &Iscsi) -> Message {
-    let line = |portal: &Portal| Listed {
+    let line = |portal: &Portal| Endpoint {
         name: portal.name.clone(),
-        wire: Wire::Iscsi,
+        protocol: Protocol::Iscsi,
         addr: portal.addr,
         zone: portal.zone.clone(),
         kind: String::new(),
@@ -46,5 +46,5 @@
         started: None,
     };
     let entries = iscsi.targets.iter().map(line).collect();
-    Message::list(Wire::Iscsi, EndpointUpdateKind::Snapshot, entries)
+    Message::list(Protocol::Iscsi, EndpointUpdateKind::Snapshot, entries)
 }
--- a/src/net/admin/call.rs
+++ b/src/net/admin/call.rs
@@ -1,6 +1,6 @@
 //! What a call asks: the one place where its words are read.
 
-use crate::core::Call;
+use crate::core::AdminCommand;
 use actix_http::header::{ALLOW, HeaderValue};
 use actix_http::{Method, Response, StatusCode};
 
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Asked {
     Healthcheck,
-    Operation(Call),
+    Operation(AdminCommand),
 }
 
 /// Why a call is answered no before anybody is asked.
@@ -46,7 +46,7 @@
         ["healthcheck"] => only(&Method::GET, "GET", Asked::Healthcheck),
         ["targets", id, what @ ("maint" | "ready")] if !id.is_empty() => {
             let id = percent_encoding::percent_decode_str(id).decode_utf8().map_err(|_| No::Id)?.into_owned();
-            let call = if what == "maint" { Call::Maint(id) } else { Call::Ready(id) };
+            let call = if what == "maint" { AdminCommand::Maint(id) } else { AdminCommand::Ready(id) };
             only(&Method::PUT, "PUT", Asked::Operation(call))
         }
         _ => Err(No::Path),
--- a/src/net/admin/server.rs
+++ b/src/net/admin/server.rs
@@ -1,6 +1,6 @@
 //! The listener of operators' calls: one call to a connection, read within a time, so many at once.
 
-use crate::core::Operation;
+use crate::core::AdminRequest;
 use crate::net::Phase;
 use crate::net::accept::{AcceptFailures, AfterFailure};
 use crate::net::admin::call::{self, Asked};
@@ -36,7 +36,7 @@
 /// Whom calls are taken to.
 #[derive(Clone, Debug)]
 pub struct Service {
-    pub operations: mpsc::Sender<Operation>,
+    pub operations: mpsc::Sender<AdminRequest>,
     /// Whether there is a list that requests can be served by.
     pub ready: watch::Receiver<bool>,
     pub phase: watch::Receiver<Phase>,
@@ -180,7 +180,7 @@
         Ok(Asked::Operation(call)) => {
             let (done, held) = oneshot::channel();
             let asked = async {
-                service.operations.send(Operation { call, done }).await.ok()?;
+                service.operations.send(AdminRequest { call, done }).await.ok()?;
                 held.await.ok()
             };
             match tokio::time::timeout(OWNER, asked).await {
--- a/src/net/fleet.rs
+++ b/src/net/fleet.rs
@@ -1,7 +1,7 @@
 //! Datagrams between instances: UDP, each with the fleet's code. What is not the fleet's is dropped and
 //! counted.
 
-use crate::core::{Handle, Message, Outgoing};
+use crate::core::{CoreHandle, Message, Outgoing};
 use crate::net::Phase;
 use rowanglade_quota_exchange::{Key, Peer, decode, encode, wire};
 use std::collections::HashMap;
@@ -54,7 +54,7 @@
 pub async fn run(
     socket: UdpSocket,
     peers: Peers,
-    core: Handle,
+    core: CoreHandle,
     mut out: mpsc::Receiver<Outgoing>,
     mut phase: watch::Receiver<Phase>,
 ) {
@@ -72,7 +72,7 @@
                 let number = numbers.get(&from).copied().filter(|number| *number != peers.me);
                 let heard = number.map(|n| (n, decode(&peers.key, n, &buffer[..length])));
                 if let Some((peer, Ok(message))) = heard {
-                    core.tell(Message::Peer(peer, message)).await;
+                    core.send(Message::Peer(peer, message)).await;
                 } else {
                     strange += 1;
                     if told.elapsed() >= TELL_EVERY {
--- a/src/net/http/discovery.rs
+++ b/src/net/http/discovery.rs
@@ -1,7 +1,7 @@
 //! The discovery client: makes the calls for the list that its schedule asks for, and tells the core what
 //! they bring. When to call is decided by [`Schedule`] alone.
 
-use crate::core::{Clock, Handle, LINES_AT_ONCE, Listed, Message, Wire};
+use crate::core::{Clock, CoreHandle, Endpoint, MAX_ENTRIES_PER_STEP, Message, Protocol};
 use crate::interface::{EndpointUpdateKind, Micros, TargetState};
 use crate::net::http::dial;
 use crate::net::peers::PeerLink;
@@ -10,7 +10,7 @@
 use futures_util::future::{AbortHandle, Abortable, Aborted, LocalBoxFuture};
 use futures_util::stream::FuturesUnordered;
 use rowanglade_discovery_polling::{Call, CallId, Command, End, Schedule};
-use rowanglade_routing::BoxInfo;
+use rowanglade_routing::TargetInfo;
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 use std::collections::{BTreeMap, HashSet};
@@ -58,11 +58,11 @@
     Left,
 }
 
-impl From<Line> for Listed {
-    fn from(line: Line) -> Listed {
-        Listed {
+impl From<Line> for Endpoint {
+    fn from(line: Line) -> Endpoint {
+        Endpoint {
             name: line.id,
-            wire: Wire::Http,
+            protocol: Protocol::Http,
             addr: line.addr,
             zone: line.zone,
             kind: line.kind,
@@ -77,8 +77,8 @@
     }
 }
 
-impl From<Listed> for Line {
-    fn from(listed: Listed) -> Line {
+impl From<Endpoint> for Line {
+    fn from(listed: Endpoint) -> Line {
         Line {
             id: listed.name,
             addr: listed.addr,
@@ -96,9 +96,9 @@
 }
 
 /// Tells the core of the list as this initiator last held it: perhaps stale.
-pub async fn remember(core: &Handle, page: Page) {
-    let lines = page.servers.into_iter().map(Listed::from).collect();
-    core.tell_list(Wire::Http, EndpointUpdateKind::Cached, lines, Instant::now()).await;
+pub async fn remember(core: &CoreHandle, page: Page) {
+    let lines = page.servers.into_iter().map(Endpoint::from).collect();
+    core.send_endpoints(Protocol::Http, EndpointUpdateKind::Cached, lines, Instant::now()).await;
 }
 
 /// A list as it is written, its lines not read yet.
@@ -117,7 +117,7 @@
 async fn read_page(text: &[u8]) -> Result<Page, serde_json::Error> {
     let unread: UnreadPage<'_> = serde_json::from_slice(text)?;
     let mut servers = Vec::with_capacity(unread.servers.len());
-    for part in unread.servers.chunks(LINES_AT_ONCE) {
+    for part in unread.servers.chunks(MAX_ENTRIES_PER_STEP) {
         for line in part {
             match serde_json::from_str(line.get()) {
                 Ok(line) => servers.push(line),
@@ -132,14 +132,14 @@
 
 impl Page {
     /// The whole list, as another process of this initiator holds it. Its version is not known.
-    pub fn of(list: Vec<Listed>) -> Page {
+    pub fn of(list: Vec<Endpoint>) -> Page {
         Page { version: 0, full: true, servers: list.into_iter().map(Line::from).collect() }
     }
 
     /// The boxes in it that have not left, as routes see them.
-    pub fn boxes(&self) -> Vec<BoxInfo> {
+    pub fn boxes(&self) -> Vec<TargetInfo> {
         let here = self.servers.iter().filter(|l| l.state != State::Left);
-        here.map(|l| BoxInfo {
+        here.map(|l| TargetInfo {
             name: l.id.clone(),
             zone: l.zone.clone(),
             kind: l.kind.clone(),
@@ -231,7 +231,7 @@
     /// Of the present address.
     client: Option<(SocketAddr, Client)>,
     connect_timeout: Duration,
-    core: Handle,
+    core: CoreHandle,
     clock: Clock,
     schedule: Schedule,
     /// The newest version held; absent: none, so the whole list is asked for.
@@ -247,7 +247,7 @@
     pub fn new(
         addr: watch::Receiver<Address>,
         connect_timeout: Duration,
-        core: Handle,
+        core: CoreHandle,
         clock: Clock,
         schedule: impl FnOnce(Micros) -> Schedule,
         known: Option<&Page>,
@@ -382,7 +382,7 @@
             peers.listed(self.clock.now(), page.version, page.full, page.uses());
         }
         let kind = if page.full { EndpointUpdateKind::Snapshot } else { EndpointUpdateKind::Delta };
-        self.tell(kind, page.servers.into_iter().map(Listed::from).collect(), received).await;
+        self.tell(kind, page.servers.into_iter().map(Endpoint::from).collect(), received).await;
         End::Answered
     }
 
@@ -390,7 +390,7 @@
     async fn departed(&mut self, names: Vec<String>) {
         if !names.is_empty() {
             tracing::info!(targets = names.len(), "peers tell of targets that leave");
-            self.core.tell(Message::Departed(names)).await;
+            self.core.send(Message::PeersReportDraining(names)).await;
         }
     }
 
@@ -407,8 +407,8 @@
         tracing::info!(addr = ?self.client.as_ref().map(|(addr, _)| addr), "discovery is asked anew");
     }
 
-    async fn tell(&self, kind: EndpointUpdateKind, entries: Vec<Listed>, received: Instant) {
-        self.core.tell_list(Wire::Http, kind, entries, received).await;
+    async fn tell(&self, kind: EndpointUpdateKind, entries: Vec<Endpoint>, received: Instant) {
+        self.core.send_endpoints(Protocol::Http, kind, entries, received).await;
     }
 }
 
--- a/src/net/http/message.rs
+++ b/src/net/http/message.rs
@@ -1,9 +1,9 @@
 //! The platform's messages: each is decoded once into a value of the core's and encoded once.
 
-use crate::core::{Answer, Content, Order, Origin, Reply, Wire};
+use crate::core::{AttemptResult, Content, Protocol, Request, RequestOrigin, Response};
 use crate::interface::{LoadReport, Outcome};
 use actix_http::header::{HOST, HeaderMap, HeaderName, HeaderValue, RETRY_AFTER};
-use actix_http::{Method, RequestHead, Response, StatusCode, Uri};
+use actix_http::{Method, RequestHead, Response as HttpResponse, StatusCode, Uri};
 use bytes::Bytes;
 use std::net::SocketAddr;
 use std::str::FromStr;
@@ -59,7 +59,7 @@
     uri: &Uri,
     headers: &HeaderMap,
     client: Option<SocketAddr>,
-) -> Result<Order, Malformed> {
+) -> Result<Request, Malformed> {
     let write = match *method {
         Method::GET => false,
         Method::PUT => true,
@@ -80,9 +80,9 @@
     let (units, shard, hosts) = placement(text(headers, &PLACEMENT).ok_or(Malformed("x-placement"))?)?;
     let id = text(headers, &ID).filter(|id| !id.is_empty()).ok_or(Malformed("x-correlation-id"))?;
     let time_left = number(headers, &TIME_LEFT).ok_or(Malformed("x-time-left-ms"))?;
-    Ok(Order {
-        origin: Origin {
-            front: Wire::Http,
+    Ok(Request {
+        origin: RequestOrigin {
+            front: Protocol::Http,
             client: client.map(|client| client.ip()),
             connection: client.map(|client| client.port()),
         },
@@ -91,12 +91,12 @@
         plan: Some(text(headers, &PLAN).ok_or(Malformed("x-qos-policy"))?.to_string()),
         write,
         volume: hex(volume, "volume")?,
-        piece: hex(piece, "piece")?,
+        object: hex(piece, "piece")?,
         locator: uri.path_and_query().map_or(uri.path(), |p| p.as_str()).to_string(),
-        repeat_key: text(headers, &REPEAT_KEY).map(str::to_string),
+        idempotency_key: text(headers, &REPEAT_KEY).map(str::to_string),
         units,
         shard,
-        hosts,
+        initiators: hosts,
         length: 0,
         body: Bytes::new(),
         more: None,
@@ -129,22 +129,22 @@
 }
 
 /// The final answer to a client.
-pub fn encode(answer: Answer) -> Response<Content> {
+pub fn encode(answer: Response) -> HttpResponse<Content> {
     match answer {
-        Answer::Served(content) => Response::with_body(StatusCode::OK, content),
-        Answer::Refused { wait } => refused(wait),
-        Answer::Away { site, wait } => {
-            let mut response = refused(wait);
+        Response::Served(content) => HttpResponse::with_body(StatusCode::OK, content),
+        Response::Rejected { retry_after } => refused(retry_after),
+        Response::SiteUnavailable { site, retry_after } => {
+            let mut response = refused(retry_after);
             if let Ok(value) = HeaderValue::from_str(&format!("site {site} is lost")) {
                 response.headers_mut().insert(REASON, value);
             }
             response
         }
-        Answer::Failed => status(StatusCode::INTERNAL_SERVER_ERROR),
+        Response::Failed => status(StatusCode::INTERNAL_SERVER_ERROR),
     }
 }
 
-fn refused(wait: Duration) -> Response<Content> {
+fn refused(wait: Duration) -> HttpResponse<Content> {
     let mut response = status(StatusCode::SERVICE_UNAVAILABLE);
     if !wait.is_zero() {
         let seconds = format!("{:.3}", wait.as_secs_f64());
@@ -156,17 +156,18 @@
 }
 
 /// An answer without a body.
-pub fn status(code: StatusCode) -> Response<Content> {
-    Response::with_body(code, Bytes::new().into())
+pub fn status(code: StatusCode) -> HttpResponse<Content> {
+    HttpResponse::with_body(code, Bytes::new().into())
 }
 
 /// A request to a target.
-pub fn request(order: &Order, addr: SocketAddr, until: Instant) -> RequestHead {
+pub fn request_head(request: &Request, addr: SocketAddr, until: Instant) -> RequestHead {
     let left = until.saturating_duration_since(Instant::now()).as_millis().to_string();
-    let mut head = head(&order.locator, addr);
-    head.method = if order.write { Method::PUT } else { Method::GET };
+    let mut head = head(&request.locator, addr);
+    head.method = if request.write { Method::PUT } else { Method::GET };
     // What came as a header's text, or is made of digits, is fit for a header.
-    let told = [(ID, Some(&order.id)), (REPEAT_KEY, order.repeat_key.as_ref()), (TIME_LEFT, Some(&left))];
+    let told =
+        [(ID, Some(&request.id)), (REPEAT_KEY, request.idempotency_key.as_ref()), (TIME_LEFT, Some(&left))];
     for (name, value) in told {
         if let Some(Ok(value)) = value.map(|v| HeaderValue::from_str(v)) {
             head.headers.insert(name, value);
@@ -190,7 +191,7 @@
 }
 
 /// What a target's answer says of the outcome, and tells beside it.
-pub fn reply(code: StatusCode, headers: &HeaderMap, body: Content) -> Reply {
+pub fn reply(code: StatusCode, headers: &HeaderMap, body: Content) -> AttemptResult {
     let unseen = matches!(code, StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT)
         && text(headers, &NOT_RUN) == Some("1");
     let outcome = match code {
@@ -199,7 +200,7 @@
         _ if unseen => Outcome::QueueFull,
         _ => Outcome::Error,
     };
-    Reply {
+    AttemptResult {
         outcome,
         body: if outcome == Outcome::Served { body } else { Bytes::new().into() },
         used: number::<f64>(headers, &USED).filter(likely).map(|u| u / 100.0),
--- a/src/net/http/server.rs
+++ b/src/net/http/server.rs
@@ -1,6 +1,6 @@
 //! The front for the platform's clients.
 
-use crate::core::{Answer, Content, HELD, Handle, Lost, Upload};
+use crate::core::{Content, CoreHandle, HELD, Lost, Response, Upload};
 use crate::net::Phase;
 use crate::net::accept::{AcceptFailures, AfterFailure};
 use crate::net::http::clients::{Busy, Clients, Guarded, Seat};
@@ -8,7 +8,7 @@
 use actix_http::body::{BodySize, MessageBody};
 use actix_http::{
     BoxedPayloadStream, ConnectionType, HttpMessage, HttpService, KeepAlive, Method, Payload, Request,
-    Response, StatusCode, Version,
+    Response as HttpResponse, StatusCode, Version,
 };
 use actix_service::{Service, ServiceFactory, fn_service};
 use bytes::{Bytes, BytesMut};
@@ -43,7 +43,7 @@
 /// What a connection's handler has at hand.
 #[derive(Clone)]
 pub struct Front {
-    pub core: Handle,
+    pub core: CoreHandle,
     /// Turns true when connections are to be closed: idle ones at once, the others with their answers.
     pub closing: watch::Receiver<bool>,
     /// Clients are accepted while this process serves. Once it leaves, connections close with their next
@@ -129,7 +129,7 @@
     }
 }
 
-async fn respond(front: Front, mut request: Request) -> Response<Sending> {
+async fn respond(front: Front, mut request: Request) -> HttpResponse<Sending> {
     let seat = request.conn_data::<Rc<Seat>>().cloned();
     let busy = seat.as_ref().map(Seat::busy);
     let mut response = if seat.as_ref().is_some_and(|seat| seat.closes()) {
@@ -229,10 +229,10 @@
 
 async fn serve_one(
     front: &Front,
-    request: &mut Request,
+    http_request: &mut Request,
     seat: Option<&Seat>,
-) -> Result<Response<Content>, Response<Content>> {
-    let declared = request.headers().get(actix_http::header::CONTENT_LENGTH);
+) -> Result<HttpResponse<Content>, HttpResponse<Content>> {
+    let declared = http_request.headers().get(actix_http::header::CONTENT_LENGTH);
     let declared = declared.and_then(|l| l.to_str().ok()).and_then(|l| l.parse::<u64>().ok());
     if declared.is_some_and(|length| length > LARGEST_BODY) {
         return Err(message::status(StatusCode::PAYLOAD_TOO_LARGE));
@@ -241,28 +241,29 @@
         tracing::debug!(%part, "a request is turned away");
         message::status(StatusCode::BAD_REQUEST)
     };
-    let client = request.peer_addr();
-    let mut order = message::decode(request.method(), request.uri(), request.headers(), client)
-        .map_err(|part| unfit(&part))?;
-    front.core.fit(&order).map_err(|part| unfit(&part))?;
+    let client = http_request.peer_addr();
+    let mut request =
+        message::decode(http_request.method(), http_request.uri(), http_request.headers(), client)
+            .map_err(|part| unfit(&part))?;
+    front.core.validate(&request).map_err(|part| unfit(&part))?;
     let mut room = Room { left: Rc::clone(&front.body_bytes), taken: 0 };
-    let mut coming = Coming { payload: request.take_payload(), begun: Instant::now(), read: 0 };
+    let mut coming = Coming { payload: http_request.take_payload(), begun: Instant::now(), read: 0 };
     let whole;
-    (order.body, whole) = coming.first(&mut room).await?;
-    if !whole && order.write {
+    (request.body, whole) = coming.first(&mut room).await?;
+    if !whole && request.write {
         if !room.take(PASSING) {
-            return Err(message::encode(Answer::Refused { wait: NO_ROOM_ADVICE }));
+            return Err(message::encode(Response::Rejected { retry_after: NO_ROOM_ADVICE }));
         }
-        order.more = Some(Rc::new(Upload::new(declared, Box::pin(coming.rest(room)))));
+        request.more = Some(Rc::new(Upload::new(declared, Box::pin(coming.rest(room)))));
     }
-    if !order.write && !order.body.is_empty() {
+    if !request.write && !request.body.is_empty() {
         return Err(unfit(&"a read with a body"));
     }
     if let (true, Some(seat)) = (whole, seat) {
         seat.whole();
     }
-    let pending = front.core.submit(order).await.map_err(|part| unfit(&part))?;
-    Ok(message::encode(pending.answer().await))
+    let pending = front.core.submit(request).await.map_err(|part| unfit(&part))?;
+    Ok(message::encode(pending.response().await))
 }
 
 /// What a body has taken of the room for all bodies.
@@ -295,7 +296,7 @@
 
 impl Coming {
     /// The next piece, unless its client is slower than a client may be.
-    async fn next(&mut self) -> Result<Option<Bytes>, Response<Content>> {
+    async fn next(&mut self) -> Result<Option<Bytes>, HttpResponse<Content>> {
         let until = self.begun + BODY + Duration::from_secs_f64(self.read as f64 / BYTES_A_SECOND as f64);
         let piece = tokio::time::timeout_at(until, self.payload.next()).await;
         let piece = piece.map_err(|_| message::status(StatusCode::REQUEST_TIMEOUT))?;
@@ -308,11 +309,11 @@
     }
 
     /// The body, or the first bytes of a long one; false: there is more.
-    async fn first(&mut self, room: &mut Room) -> Result<(Bytes, bool), Response<Content>> {
+    async fn first(&mut self, room: &mut Room) -> Result<(Bytes, bool), HttpResponse<Content>> {
         let mut body = BytesMut::new();
         while let Some(piece) = self.next().await? {
             if !room.take(piece.len()) {
-                return Err(message::encode(Answer::Refused { wait: NO_ROOM_ADVICE }));
+                return Err(message::encode(Response::Rejected { retry_after: NO_ROOM_ADVICE }));
             }
             body.extend_from_slice(&piece);
             if body.len() > HELD {
--- a/src/net/http/target.rs
+++ b/src/net/http/target.rs
@@ -1,7 +1,7 @@
 //! The actor of an HTTP target: every attempt is one exchange on a connection of its own.
 
 use crate::core::{
-    Attempt, Content, Download, HELD, Listed, Lost, Order, PIECES, Probe, Reply, Report, Taken,
+    Attempt, AttemptResult, Content, Download, Endpoint, HELD, Lost, PIECES, Probe, Report, Request, Taken,
     TargetMessage, Upload,
 };
 use crate::interface::Outcome;
@@ -32,7 +32,7 @@
 }
 
 /// Starts the actor, which lives as long as its mailbox is held.
-pub fn connect(line: &Listed, pool: Pool) -> mpsc::Sender<TargetMessage> {
+pub fn connect(line: &Endpoint, pool: Pool) -> mpsc::Sender<TargetMessage> {
     let (tx, mut rx) = mpsc::channel(MAILBOX);
     let addr = line.addr;
     actix_rt::spawn(async move {
@@ -56,25 +56,25 @@
 
 /// Dropping the exchange closes its connection, which is how an attempt is given up.
 async fn run(pool: Pool, addr: SocketAddr, attempt: Attempt) {
-    let Attempt { order, until, cancel, report } = attempt;
+    let Attempt { request, until, cancel, report } = attempt;
     let reply = tokio::select! {
         biased;
-        reply = exchange(&pool, addr, &order, until, &report) => reply,
-        _ = cancel => Reply::bare(Outcome::Cancelled),
-        () = over(&order, until) => {
+        reply = exchange(&pool, addr, &request, until, &report) => reply,
+        _ = cancel => AttemptResult::without_response(Outcome::Cancelled),
+        () = over(&request, until) => {
             // A machine that was cut off leaves its connections open and silent, for good.
             pool.links.forget(addr);
-            Reply::bare(Outcome::TimedOut)
+            AttemptResult::without_response(Outcome::TimedOut)
         }
     };
     report.tell(reply);
 }
 
 /// Resolves when an attempt's time is over: once it is, or so long after a long body's last byte.
-async fn over(order: &Order, until: Instant) {
-    match &order.more {
+async fn over(request: &Request, until: Instant) {
+    match &request.more {
         None => tokio::time::sleep_until(until).await,
-        Some(upload) => tokio::time::sleep_until(upload.until_whole().await + order.time_left).await,
+        Some(upload) => tokio::time::sleep_until(upload.until_whole().await + request.time_left).await,
     }
 }
 
@@ -95,15 +95,21 @@
     }
 }
 
-async fn exchange(pool: &Pool, addr: SocketAddr, order: &Order, until: Instant, report: &Report) -> Reply {
+async fn exchange(
+    pool: &Pool,
+    addr: SocketAddr,
+    request: &Request,
+    until: Instant,
+    report: &Report,
+) -> AttemptResult {
     let mut passing = None;
-    if let Some(upload) = &order.more {
+    if let Some(upload) = &request.more {
         // Another attempt has had some of it, which is gone.
-        let Some(rest) = upload.take() else { return Reply::bare(Outcome::NotSent) };
+        let Some(rest) = upload.take() else { return AttemptResult::without_response(Outcome::NotSent) };
         passing = Some(Passing { rest, upload, report });
     }
-    let body = order.write.then(|| Body {
-        held: order.body.clone(),
+    let body = request.write.then(|| Body {
+        held: request.body.clone(),
         rest: passing.as_mut().map(|p| {
             let length = p.upload.length();
             (p, length)
@@ -115,13 +121,15 @@
             pool.links.keep(link);
             return Err(Outcome::NotSent);
         }
-        let head =
-            link.ask(message::request(order, addr, until), body, LARGEST_BODY).await.map_err(outcome)?;
+        let head = link
+            .ask(message::request_head(request, addr, until), body, LARGEST_BODY)
+            .await
+            .map_err(outcome)?;
         report.heard();
         let content = content(pool, link, &head).await?;
         Ok(message::reply(head.status, &head.headers, content))
     };
-    answer.await.unwrap_or_else(Reply::bare)
+    answer.await.unwrap_or_else(AttemptResult::without_response)
 }
 
 async fn take(pool: &Pool, addr: SocketAddr) -> Result<Link, Outcome> {
@@ -200,8 +208,8 @@
         Ok(message::reply(head.status, &head.headers, content))
     };
     let reply = match tokio::time::timeout_at(probe.until, asked).await {
-        Ok(reply) => reply.unwrap_or_else(Reply::bare),
-        Err(_) => Reply::bare(Outcome::TimedOut),
+        Ok(reply) => reply.unwrap_or_else(AttemptResult::without_response),
+        Err(_) => AttemptResult::without_response(Outcome::TimedOut),
     };
     probe.report.tell(reply.outcome, reply.load);
 }
--- a/src/net/iscsi/front.rs
+++ b/src/net/iscsi/front.rs
@@ -1,6 +1,6 @@
 //! Sessions that come in: this side is the target.
 
-use crate::core::{Answer, Content, Handle, Order, Origin, Unfit, Wire};
+use crate::core::{Content, CoreHandle, InvalidRequest, Protocol, Request, RequestOrigin, Response};
 use crate::net::Phase;
 use crate::net::accept::{AcceptFailures, AfterFailure};
 use crate::net::close::{LINGER, close, read_closed};
@@ -54,7 +54,7 @@
 /// What all sessions share.
 #[derive(Debug)]
 pub struct Front {
-    pub core: Handle,
+    pub core: CoreHandle,
     /// The target's name, which a login must give.
     pub name: String,
     pub luns: HashMap<u64, Lun>,
@@ -159,7 +159,7 @@
 }
 
 /// A task's end: its tag, the bytes that a read expects, and the answer.
-type Ended = (u32, Option<u32>, Result<Answer, Unfit>);
+type Ended = (u32, Option<u32>, Result<Response, InvalidRequest>);
 
 struct Session<'a> {
     front: &'a Front,
@@ -486,9 +486,9 @@
         };
         self.taken += 1;
         let id = format!("{}.{}.{}", self.settled.initiator, self.number, self.taken);
-        let order = Order {
-            origin: Origin {
-                front: Wire::Iscsi,
+        let request = Request {
+            origin: RequestOrigin {
+                front: Protocol::Iscsi,
                 client: self.client.map(|client| client.ip()),
                 connection: self.client.map(|client| client.port()),
             },
@@ -496,22 +496,22 @@
             plan: volume.plan.clone(),
             write: command.write,
             volume: lun,
-            piece: command.address,
+            object: command.address,
             more: None,
             locator: format!("/{class}/{lun:016x}/{:016x}", command.address),
-            repeat_key: command.write.then(|| id.clone()),
+            idempotency_key: command.write.then(|| id.clone()),
             id,
             units: f64::from(command.blocks.div_ceil(self.front.blocks_per_unit)),
             shard: volume.shard,
-            hosts: volume.hosts,
+            initiators: volume.hosts,
             length: command.blocks * scsi::BLOCK,
             body,
             time_left: *deadline,
         };
         let core = self.front.core.clone();
         let answer: LocalBoxFuture<'static, Ended> = Box::pin(async move {
-            let answer = match core.submit(order).await {
-                Ok(pending) => Ok(pending.answer().await),
+            let answer = match core.submit(request).await {
+                Ok(pending) => Ok(pending.response().await),
                 Err(unfit) => Err(unfit),
             };
             (itt, expected, answer)
@@ -521,12 +521,14 @@
         self.answers.push(Abortable::new(answer, registration));
     }
 
-    fn answer(&mut self, itt: u32, expected: Option<u32>, answer: Answer) {
+    fn answer(&mut self, itt: u32, expected: Option<u32>, answer: Response) {
         match answer {
-            Answer::Refused { wait } | Answer::Away { wait, .. } => self.status(itt, scsi::BUSY, wait, None),
-            Answer::Failed => self.check(itt, scsi::NO_ANSWER),
-            Answer::Served(Content::Streamed(_)) => self.check(itt, scsi::NO_ANSWER),
-            Answer::Served(Content::Whole(body)) => {
+            Response::Rejected { retry_after } | Response::SiteUnavailable { retry_after, .. } => {
+                self.status(itt, scsi::BUSY, retry_after, None)
+            }
+            Response::Failed => self.check(itt, scsi::NO_ANSWER),
+            Response::Served(Content::Streamed(_)) => self.check(itt, scsi::NO_ANSWER),
+            Response::Served(Content::Whole(body)) => {
                 let Some(expected) = expected else {
                     return self.status(itt, scsi::GOOD, Duration::ZERO, None);
                 };
--- a/src/net/iscsi/session.rs
+++ b/src/net/iscsi/session.rs
@@ -1,6 +1,8 @@
 //! Sessions that go out: the actor of an iSCSI-style target. This side is the initiator.
 
-use crate::core::{Attempt, Clock, Handle, Listed, Message, Probe, Reply, Report, TargetMessage, Wire};
+use crate::core::{
+    Attempt, AttemptResult, Clock, CoreHandle, Endpoint, Message, Probe, Protocol, Report, TargetMessage,
+};
 use crate::interface::{EndpointUpdateKind, LoadReport, Outcome, TargetState};
 use crate::net::close::{LINGER, close};
 use bytes::{Bytes, BytesMut};
@@ -48,16 +50,16 @@
 }
 
 /// Starts the actor, which lives as long as its mailbox is held.
-pub fn connect(line: &Listed, figures: Figures, core: Handle) -> mpsc::Sender<TargetMessage> {
+pub fn connect(line: &Endpoint, figures: Figures, core: CoreHandle) -> mpsc::Sender<TargetMessage> {
     let (tx, rx) = mpsc::channel(MAILBOX);
     actix_rt::spawn(Target { line: line.clone(), figures, core, rx }.run());
     tx
 }
 
 struct Target {
-    line: Listed,
+    line: Endpoint,
     figures: Figures,
-    core: Handle,
+    core: CoreHandle,
     rx: mpsc::Receiver<TargetMessage>,
 }
 
@@ -138,7 +140,7 @@
             self.line.started = Some(self.figures.clock.now());
         }
         let entries = vec![self.line.clone()];
-        self.core.tell(Message::list(Wire::Iscsi, EndpointUpdateKind::Delta, entries)).await;
+        self.core.send(Message::list(Protocol::Iscsi, EndpointUpdateKind::Delta, entries)).await;
     }
 }
 
@@ -174,7 +176,7 @@
 
 fn tell_unsent(message: TargetMessage, outcome: Outcome) {
     match message {
-        TargetMessage::Attempt(attempt) => attempt.report.tell(Reply::bare(outcome)),
+        TargetMessage::Attempt(attempt) => attempt.report.tell(AttemptResult::without_response(outcome)),
         TargetMessage::Probe(probe) => probe.report.tell(outcome, LoadReport::default()),
         TargetMessage::Rest(_) => {}
     }
@@ -222,7 +224,7 @@
 
 impl Session {
     /// Connects and logs in.
-    async fn open(line: &Listed, figures: &Figures) -> io::Result<Session> {
+    async fn open(line: &Endpoint, figures: &Figures) -> io::Result<Session> {
         let timeouts = Timeouts { connect: figures.connect_timeout, login: figures.login_timeout };
         let connection = Connection::open(line.addr, &figures.initiator, &line.name, timeouts).await?;
         let Connection { frames, out, session: settled, sequence } = connection;
@@ -260,7 +262,11 @@
         // What was written whole may have run; the rest never did.
         for task in self.tasks.into_values() {
             if let Some(report) = task.report {
-                report.tell(Reply::bare(if task.written { Outcome::Broken } else { Outcome::Unreachable }));
+                report.tell(AttemptResult::without_response(if task.written {
+                    Outcome::Broken
+                } else {
+                    Outcome::Unreachable
+                }));
             }
         }
         if self.leaving { End::Left } else { end }
@@ -351,16 +357,16 @@
     }
 
     async fn command(&mut self, attempt: Attempt) -> io::Result<()> {
-        let Attempt { order, until, cancel, report } = attempt;
-        if order.more.is_some() {
+        let Attempt { request, until, cancel, report } = attempt;
+        if request.more.is_some() {
             // A write of blocks holds all its data.
-            report.tell(Reply::bare(Outcome::NotSent));
+            report.tell(AttemptResult::without_response(Outcome::NotSent));
             return Ok(());
         }
-        let group = self.figures.classes.iter().position(|c| *c == order.class);
+        let group = self.figures.classes.iter().position(|c| *c == request.class);
         let in_window = self.max_cmd_sn.wrapping_sub(self.cmd_sn) as i32 >= 0;
         let (Some(group), true, false) = (group, in_window && until > Instant::now(), self.leaving) else {
-            report.tell(Reply::bare(if self.leaving || !in_window {
+            report.tell(AttemptResult::without_response(if self.leaving || !in_window {
                 Outcome::QueueFull
             } else {
                 Outcome::NotSent
@@ -368,33 +374,33 @@
             return Ok(());
         };
         if !report.may_start().await {
-            report.tell(Reply::bare(Outcome::NotSent));
+            report.tell(AttemptResult::without_response(Outcome::NotSent));
             return Ok(());
         }
         // A request of a wire that tells no length asks for its units' blocks.
-        let told = if order.write { order.body.len() as u32 } else { order.length };
+        let told = if request.write { request.body.len() as u32 } else { request.length };
         let blocks = match told {
-            0 => (order.units.ceil() as u32).saturating_mul(self.figures.blocks_per_unit),
+            0 => (request.units.ceil() as u32).saturating_mul(self.figures.blocks_per_unit),
             bytes => bytes.div_ceil(scsi::BLOCK),
         };
         let blocks = blocks.clamp(1, LARGEST_SEGMENT as u32 / scsi::BLOCK);
-        let length = if order.write { order.body.len() as u32 } else { blocks * scsi::BLOCK };
-        let command = Command { write: order.write, address: order.piece, blocks, group: group as u8 };
+        let length = if request.write { request.body.len() as u32 } else { blocks * scsi::BLOCK };
+        let command = Command { write: request.write, address: request.object, blocks, group: group as u8 };
         let most = self.settled.segment.min(self.settled.first_burst);
-        let immediate = if self.settled.immediate_data { order.body.len().min(most) } else { 0 };
+        let immediate = if self.settled.immediate_data { request.body.len().min(most) } else { 0 };
         let itt = self.tag();
         let pdu = Pdu::ScsiCommand {
             immediate: false,
             last: true,
-            read: !order.write,
-            write: order.write,
-            lun: order.volume,
+            read: !request.write,
+            write: request.write,
+            lun: request.volume,
             itt,
             length,
             cmd_sn: self.cmd_sn,
             exp_stat_sn: self.exp_stat_sn,
             cdb: command.encode(),
-            data: order.body.slice(..immediate),
+            data: request.body.slice(..immediate),
         };
         self.cmd_sn = self.cmd_sn.wrapping_add(1);
         if self.tasks.is_empty() {
@@ -403,10 +409,10 @@
         }
         let task = Task {
             report: Some(report),
-            lun: order.volume,
-            write: order.body.clone(),
+            lun: request.volume,
+            write: request.body.clone(),
             written: false,
-            expected: if order.write { 0 } else { length },
+            expected: if request.write { 0 } else { length },
             read: BytesMut::new(),
         };
         self.tasks.insert(itt, task);
@@ -417,7 +423,7 @@
             }
         }));
         self.send(&pdu).await?;
-        if immediate == order.body.len()
+        if immediate == request.body.len()
             && let Some(task) = self.tasks.get_mut(&itt)
         {
             task.written = true;
@@ -429,7 +435,7 @@
     async fn give_up(&mut self, itt: u32, outcome: Outcome) -> io::Result<()> {
         let Some(task) = self.tasks.get_mut(&itt) else { return Ok(()) };
         let Some(report) = task.report.take() else { return Ok(()) };
-        report.tell(Reply::bare(outcome));
+        report.tell(AttemptResult::without_response(outcome));
         let lun = task.lun;
         let abort = Pdu::TaskRequest {
             immediate: true,
@@ -522,7 +528,7 @@
             _ => Outcome::Error,
         };
         let body = if outcome == Outcome::Served { task.read.freeze() } else { Bytes::new() };
-        report.tell(Reply { body: body.into(), ..Reply::bare(outcome) });
+        report.tell(AttemptResult { body: body.into(), ..AttemptResult::without_response(outcome) });
     }
 }
 
--- a/src/upgrade/keeper.rs
+++ b/src/upgrade/keeper.rs
@@ -1,11 +1,11 @@
 //! The actor that owns the handover's machine, the lock and the links.
 
-use crate::core::{Call, Upgrade};
+use crate::core::{AdminCommand, HandoverRequest};
 use crate::net::accept::{AcceptFailures, AfterFailure};
 use crate::net::http::Page;
 use crate::net::{Budget, Phase};
 use crate::upgrade::Meeting;
-use crate::upgrade::wire::{self, Given, Message, Reader, Share, Welcome};
+use crate::upgrade::wire::{self, HandoverState, Message, Reader, Share, Welcome};
 use rowanglade_handover::{Action, Event, Link, Machine, Word};
 use rowanglade_object_locations::{Object, Seen};
 use std::collections::{HashMap, VecDeque};
@@ -52,7 +52,7 @@
 /// What a handover turns.
 #[derive(Debug)]
 pub struct Controls {
-    pub core: mpsc::Sender<Upgrade>,
+    pub core: mpsc::Sender<HandoverRequest>,
     /// Whether there is a list that requests can be served by.
     pub ready: watch::Receiver<bool>,
     pub phase: Rc<watch::Sender<Phase>>,
@@ -73,7 +73,7 @@
 #[derive(Debug)]
 pub struct Told {
     /// Operators' calls that it has taken.
-    pub calls: mpsc::Receiver<Call>,
+    pub calls: mpsc::Receiver<AdminCommand>,
     /// Where it saw objects.
     pub seen: mpsc::Receiver<(Object, Seen)>,
 }
@@ -94,11 +94,11 @@
     todo: VecDeque<Action>,
     /// What came with a predecessor's words.
     welcome: Option<(Box<Welcome>, Listeners)>,
-    given: Option<Box<Given>>,
+    given: Option<Box<HandoverState>>,
     /// All that is owned here, on its way to the successor.
-    frozen: Option<Box<Given>>,
+    frozen: Option<Box<HandoverState>>,
     /// What the core is told of the other process's calls and objects.
-    news: VecDeque<Upgrade>,
+    news: VecDeque<HandoverRequest>,
     /// Absent until this process has all that it needs to serve.
     controls: Option<Controls>,
     accept_failures: AcceptFailures,
@@ -222,8 +222,8 @@
             Input::Lost(link) => return self.lost(link),
         };
         let Message { word, welcome, given, call, seen, share } = *message;
-        self.news.extend(call.map(Upgrade::Call));
-        self.news.extend(seen.map(|(object, seen)| Upgrade::Seen(object, seen)));
+        self.news.extend(call.map(HandoverRequest::AdminCommand));
+        self.news.extend(seen.map(|(object, seen)| HandoverRequest::Seen(object, seen)));
         if let (Some(share), Some(controls)) = (share, &self.controls) {
             controls.budget.share(share.descriptors);
         }
@@ -277,16 +277,16 @@
             Action::Prepare => {}
             Action::Serve { given } => {
                 if let Some(given) = self.given.take().filter(|_| given) {
-                    self.ask(|done| Upgrade::Take(given, done)).await;
+                    self.ask(|done| HandoverRequest::Take(given, done)).await;
                 }
                 self.open(Phase::Serving)?;
             }
             Action::Freeze => {
                 self.turn(Phase::Preparing);
-                self.frozen = self.ask(Upgrade::Freeze).await;
+                self.frozen = self.ask(HandoverRequest::Freeze).await;
             }
             Action::Resume => {
-                self.ask(Upgrade::Resume).await;
+                self.ask(HandoverRequest::Resume).await;
                 self.turn(Phase::Serving);
                 if let Some(controls) = &self.controls {
                     controls.budget.share(0);
@@ -303,7 +303,7 @@
             }
             Action::Restart => {
                 tracing::warn!("the successor is gone; serving again");
-                self.ask(Upgrade::Restart).await;
+                self.ask(HandoverRequest::Restart).await;
                 self.open(Phase::Serving)?;
                 if let Some(controls) = &self.controls {
                     controls.budget.share(0);
@@ -328,7 +328,7 @@
     }
 
     /// Asks the core. None: it has ended.
-    async fn ask<T>(&self, question: impl FnOnce(oneshot::Sender<T>) -> Upgrade) -> Option<T> {
+    async fn ask<T>(&self, question: impl FnOnce(oneshot::Sender<T>) -> HandoverRequest) -> Option<T> {
         let core = &self.controls.as_ref()?.core;
         let (answer, answered) = oneshot::channel();
         core.send(question(answer)).await.ok()?;
@@ -340,7 +340,7 @@
         let mut fds = Vec::new();
         match word {
             Word::Welcome => {
-                let described = self.ask(Upgrade::Describe).await;
+                let described = self.ask(HandoverRequest::Describe).await;
                 let (Some((now, list)), Some(controls)) = (described, &self.controls) else { return Ok(()) };
                 controls.budget.share(FIRST);
                 let share = Share { descriptors: controls.budget.all().saturating_sub(FIRST) };
--- a/src/upgrade/mod.rs
+++ b/src/upgrade/mod.rs
@@ -6,7 +6,7 @@
 mod wire;
 
 pub use keeper::{Begun, Controls, Keeper, Listeners, Told};
-pub use wire::{Given, Message, Share, Welcome, send};
+pub use wire::{HandoverState, Message, Share, Welcome, send};
 
 use std::fs::File;
 use std::io;
--- a/src/upgrade/wire.rs
+++ b/src/upgrade/wire.rs
@@ -1,6 +1,6 @@
 //! What goes over a link: a length, and a message as JSON. Descriptors go with a message's first byte.
 
-use crate::core::Call;
+use crate::core::AdminCommand;
 use crate::interface::Micros;
 use crate::net::http::Page;
 use crate::scheduler::snapshot::SchedulerSnapshot;
@@ -46,7 +46,7 @@
 
 /// All that is owned.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Given {
+pub struct HandoverState {
     pub maintenance: Maintenance,
     pub module: SchedulerSnapshot<String, String>,
     /// Where objects were seen, the oldest first. A build that does not know of it learns that again.
@@ -60,9 +60,9 @@
 pub struct Message {
     pub word: Option<Word>,
     pub welcome: Option<Box<Welcome>>,
-    pub given: Option<Box<Given>>,
+    pub given: Option<Box<HandoverState>>,
     /// An operator's call that came to the other process.
-    pub call: Option<Call>,
+    pub call: Option<AdminCommand>,
     /// Where an object was seen by the other process.
     pub seen: Option<(Object, Seen)>,
     /// The predecessor has let go of some of its part.
--- a/tests/compatibility/admin.rs
+++ b/tests/compatibility/admin.rs
@@ -1,7 +1,7 @@
 //! Operators' calls and the bytes of their answers. Guards against scripts of operators that find a path
 //! gone, or an answer that they cannot read.
 
-use rowanglade::core::{Call, Operation};
+use rowanglade::core::{AdminCommand, AdminRequest};
 use rowanglade::net::Phase;
 use rowanglade::net::admin::{Service, open};
 use std::io::{Read, Write};
@@ -33,14 +33,14 @@
 
 #[test]
 fn answers_to_operators_are_as_recorded() {
-    let (operations, mut asked) = mpsc::channel::<Operation>(1);
+    let (operations, mut asked) = mpsc::channel::<AdminRequest>(1);
     let ((_ready, ready), (_phase, phase)) = (watch::channel(true), watch::channel(Phase::Serving));
     let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
     let admin = open(listener, Service { operations, ready, phase }).expect("opened");
     let owner = std::thread::spawn(move || {
         let mut calls = Vec::new();
-        while let Some(Operation { call, done }) = asked.blocking_recv() {
-            let known = !matches!(&call, Call::Maint(id) if id == "box-9");
+        while let Some(AdminRequest { call, done }) = asked.blocking_recv() {
+            let known = !matches!(&call, AdminCommand::Maint(id) if id == "box-9");
             calls.push(call);
             done.send(known).expect("it waits");
         }
@@ -50,6 +50,6 @@
     assert_eq!(answers, SAMPLES);
     drop(admin);
     let calls = owner.join().expect("the owner ends with the listener");
-    let maint = |id: &str| Call::Maint(id.into());
-    assert_eq!(calls, [maint("box-1"), Call::Ready("box 1".into()), maint("box-9")]);
+    let maint = |id: &str| AdminCommand::Maint(id.into());
+    assert_eq!(calls, [maint("box-1"), AdminCommand::Ready("box 1".into()), maint("box-9")]);
 }
--- a/tests/compatibility/handover.rs
+++ b/tests/compatibility/handover.rs
@@ -1,7 +1,7 @@
 //! The messages between a process and its successor. Guards against a build that no longer understands the
 //! one it replaces: a lost field name would silently start the successor with an empty list, limit or pace.
 
-use rowanglade::core::Call;
+use rowanglade::core::AdminCommand;
 use rowanglade::upgrade::{Message, Share, send};
 use rowanglade_handover::Word;
 use rowanglade_object_locations::Seen;
@@ -33,7 +33,7 @@
         Word::Taken,
         Word::Yours,
     ];
-    let calls = [Call::Maint("box-1".into()), Call::Ready("box-2".into())];
+    let calls = [AdminCommand::Maint("box-1".into()), AdminCommand::Ready("box-2".into())];
     let seen = [((11, 12), Seen::At(3)), ((13, 14), Seen::NotAt(4))];
     let mut all: Vec<Message> =
         words.into_iter().map(|word| Message { word: Some(word), ..Message::default() }).collect();
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -3,8 +3,8 @@
 
 use bytes::Bytes;
 use rowanglade::core::{
-    Answer, Beside, Clock, Connect, Core, Handle, Listed, Message, Order, Origin, TargetMessage, Wire,
-    mailbox,
+    Clock, Connect, Core, CoreDependencies, CoreHandle, Endpoint, Message, Protocol, Request, RequestOrigin,
+    Response, TargetMessage, mailbox,
 };
 use rowanglade::interface::{EndpointUpdateKind, TargetState};
 use rowanglade::names::Names;
@@ -21,7 +21,7 @@
 /// nothing is left to do, so a core that spins hangs, which the watchdog tells.
 fn story<F: Future<Output = ()>>(
     connect: impl FnOnce() -> Connect + Send + 'static,
-    with: impl FnOnce(Handle) -> F + Send + 'static,
+    with: impl FnOnce(CoreHandle) -> F + Send + 'static,
 ) {
     let (done, finished) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
@@ -44,7 +44,16 @@
                 Clock::start(),
                 inbox,
                 connect(),
-                Beside { table, fleet: None, operations, upgrades, calls, seen, sites: None, subset: None },
+                CoreDependencies {
+                    table,
+                    fleet: None,
+                    operations,
+                    upgrades,
+                    calls,
+                    seen,
+                    sites: None,
+                    subset: None,
+                },
             );
             tokio::select! {
                 () = core.run() => panic!("the core ended"),
@@ -56,20 +65,20 @@
     finished.recv_timeout(Duration::from_secs(10)).expect("the story ends");
 }
 
-fn order() -> Order {
-    Order {
-        origin: Origin { front: Wire::Http, client: None, connection: None },
+fn request() -> Request {
+    Request {
+        origin: RequestOrigin { front: Protocol::Http, client: None, connection: None },
         id: "a".into(),
         class: "view".into(),
         plan: Some("full".into()),
         write: false,
         volume: 1,
-        piece: 2,
+        object: 2,
         locator: "/view/1/2".into(),
-        repeat_key: None,
+        idempotency_key: None,
         units: 1.0,
         shard: Some(0),
-        hosts: 1,
+        initiators: 1,
         length: 0,
         body: Bytes::new(),
         more: None,
@@ -77,18 +86,18 @@
     }
 }
 
-async fn list(core: &Handle) {
-    let entries = vec![Listed {
+async fn list(core: &CoreHandle) {
+    let entries = vec![Endpoint {
         kind: String::new(),
         name: "s".into(),
-        wire: Wire::Http,
+        protocol: Protocol::Http,
         addr: SocketAddr::from((Ipv4Addr::LOCALHOST, 1)),
         zone: "kingston".into(),
         shard: 0,
         state: TargetState::Active,
         started: None,
     }];
-    core.tell(Message::list(Wire::Http, EndpointUpdateKind::Cached, entries)).await;
+    core.send(Message::list(Protocol::Http, EndpointUpdateKind::Cached, entries)).await;
 }
 
 /// Targets whose actors have ended.
@@ -123,9 +132,9 @@
 fn a_target_that_takes_nothing_leaves_no_request_without_its_answer() {
     story(dead, async |core| {
         list(&core).await;
-        let answer = core.submit(order()).await.expect("fit").answer().await;
-        assert!(matches!(answer, Answer::Refused { wait } if !wait.is_zero()), "{answer:?}");
-        assert_eq!(core.open(), 0);
+        let answer = core.submit(request()).await.expect("fit").response().await;
+        assert!(matches!(answer, Response::Rejected { retry_after } if !retry_after.is_zero()), "{answer:?}");
+        assert_eq!(core.open_requests(), 0);
     });
 }
 
@@ -146,20 +155,21 @@
             tx
         })
     };
-    let write = || Order { class: "deposit".into(), write: true, repeat_key: Some("k".into()), ..order() };
+    let write =
+        || Request { class: "deposit".into(), write: true, idempotency_key: Some("k".into()), ..request() };
     story(
         move || drops(true),
         async move |core| {
             list(&core).await;
-            assert_eq!(core.submit(write()).await.expect("fit").answer().await, Answer::Failed);
+            assert_eq!(core.submit(write()).await.expect("fit").response().await, Response::Failed);
         },
     );
     story(
         move || drops(false),
         async move |core| {
             list(&core).await;
-            let answer = core.submit(write()).await.expect("fit").answer().await;
-            assert!(matches!(answer, Answer::Refused { .. }), "{answer:?}");
+            let answer = core.submit(write()).await.expect("fit").response().await;
+            assert!(matches!(answer, Response::Rejected { .. }), "{answer:?}");
         },
     );
 }
@@ -181,9 +191,9 @@
     };
     story(holds, async |core| {
         list(&core).await;
-        let pending = core.submit(order()).await.expect("fit");
-        core.tell(Message::End).await;
-        assert_eq!(pending.answer().await, Answer::Failed);
-        assert_eq!(core.open(), 0);
+        let pending = core.submit(request()).await.expect("fit");
+        core.send(Message::Shutdown).await;
+        assert_eq!(pending.response().await, Response::Failed);
+        assert_eq!(core.open_requests(), 0);
     });
 }
