--- a/src/initiator.rs
+++ b/src/initiator.rs
@@ -137,7 +137,7 @@
         let stall = stall.clamp(SHORTEST_STALL, LONGEST_STALL);
         let links = http::Links::new(shares.targets, idle, stall, REST);
         actix_rt::spawn(links.clone().sweep());
-        let clients = http::Clients::new(shares.clients, shares.idle_clients);
+        let clients = http::ConnectionTable::new(shares.clients, shares.idle_clients);
         let budget = Budget::new(config.limits, parts, clients, links.clone());
         if let Some(welcome) = &welcome {
             budget.share(welcome.share.descriptors);
--- a/src/initiator/run.rs
+++ b/src/initiator/run.rs
@@ -100,14 +100,14 @@
 /// A shutdown under way.
 struct Shutdown {
     core: CoreHandle,
-    clients: http::Clients,
+    clients: http::ConnectionTable,
     begun: Instant,
     /// When the program ends, whatever is left then.
     end: Instant,
 }
 
 impl Shutdown {
-    fn begin(core: CoreHandle, clients: http::Clients, patience: Duration) -> Shutdown {
+    fn begin(core: CoreHandle, clients: http::ConnectionTable, patience: Duration) -> Shutdown {
         let begun = Instant::now();
         tracing::info!(open = core.open_requests(), "ending");
         Shutdown { core, clients, begun, end: begun + patience }
@@ -115,7 +115,7 @@
 
     /// Goes on serving clients until they have left, or until the time for the last answers has come.
     async fn serve_on(&self, mut front: impl Future<Output = std::io::Result<()>> + Unpin) {
-        self.clients.keep();
+        self.clients.keep_idle();
         let _ = timeout_at(self.begun + STILL_COME, &mut front).await;
         let _ = timeout_at(self.end - LAST_ANSWERS, async {
             tokio::select! {
@@ -137,10 +137,10 @@
     }
 
     fn end(self, sessions: usize) {
-        self.clients.end();
+        self.clients.close_at_once();
         tracing::info!(
             open = self.core.open_requests(),
-            connections = self.clients.open(),
+            connections = self.clients.open_connections(),
             sessions,
             "ended"
         );
@@ -149,7 +149,7 @@
     /// Polls until no client is connected and no request is open: the end of a program is no time to have
     /// every owner report.
     async fn idle(&self) {
-        while self.clients.open() > 0 || self.core.open_requests() > 0 {
+        while self.clients.open_connections() > 0 || self.core.open_requests() > 0 {
             tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
--- a/src/net/budget.rs
+++ b/src/net/budget.rs
@@ -5,8 +5,8 @@
 
 use crate::config::Limits;
 use crate::net::admin;
-use crate::net::http::clients::MOST_PASSING;
-use crate::net::http::{Clients, Links};
+use crate::net::http::clients::MAX_UNREGISTERED;
+use crate::net::http::{ConnectionTable, Links};
 use std::cell::Cell;
 use std::rc::Rc;
 
@@ -25,7 +25,7 @@
 const PEERS: usize = 1;
 const SECOND_LISTENER: usize = 2;
 /// Connections of clients that have no place: evicted, being turned away, or just accepted.
-const PASSING: usize = MOST_PASSING + 1;
+const PASSING: usize = MAX_UNREGISTERED + 1;
 /// However few descriptors there are, so many are left for targets, sessions and clients.
 const LEAST_SHARED: usize = 15;
 /// Clients and sessions get five eighths of what so many, and the operators', leave. The rest of the
@@ -129,12 +129,12 @@
     parts: Parts,
     /// Sessions of the second front that may be open.
     pub sessions: Rc<Cell<usize>>,
-    pub clients: Clients,
+    pub clients: ConnectionTable,
     pub links: Links,
 }
 
 impl Budget {
-    pub fn new(limits: Limits, parts: Parts, clients: Clients, links: Links) -> Budget {
+    pub fn new(limits: Limits, parts: Parts, clients: ConnectionTable, links: Links) -> Budget {
         let budget = Budget { limits, parts, sessions: Rc::default(), clients, links };
         budget.share(0);
         budget
@@ -163,6 +163,6 @@
     pub fn open(&self) -> usize {
         // The listing itself has one. Where the system tells nothing, what is counted here must do.
         let listed = std::fs::read_dir("/proc/self/fd").map(|all| all.count().saturating_sub(1));
-        listed.unwrap_or_else(|_| self.clients.open() + self.links.open() + PROCESS)
+        listed.unwrap_or_else(|_| self.clients.open_connections() + self.links.open() + PROCESS)
     }
 }
--- /dev/null
+++ b/src/net/http/clients/stream.rs
@@ -0,0 +1,204 @@
+//! A client's stream as the HTTP service reads and writes it, and its ordered close.
+
+use super::connection::{ClientConnection, Phase};
+use super::limits::MAX_PIPELINED_BYTES;
+use super::open_streams::CountedStream;
+use super::table::Registration;
+use crate::net::close::{LINGER, close};
+use rowanglade_http_exchange::stream::{poll_read, poll_write};
+use std::io;
+use std::net::Shutdown;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll, ready};
+use std::time::Duration;
+use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
+use tokio::net::TcpStream;
+use tokio::time::Instant;
+
+/// How much is read at once of what is dropped.
+const DISCARD_BUFFER_BYTES: usize = 4096;
+
+/// A client's stream. Once its connection is ended it reads as closed, and takes nothing more. Dropped, it is
+/// closed in order, and stays in the table meanwhile.
+#[derive(Debug)]
+pub struct ClientStream {
+    stream: Rc<CountedStream>,
+    connection: Rc<ClientConnection>,
+    /// Absent once the connection is being closed.
+    registration: Option<Registration>,
+    /// Bytes that arrived behind the request that is with its handler.
+    pipelined_bytes: usize,
+}
+
+impl ClientStream {
+    pub(super) fn new(connection: Rc<ClientConnection>, registration: Registration) -> ClientStream {
+        let stream = Rc::clone(&connection.stream);
+        ClientStream { stream, connection, registration: Some(registration), pipelined_bytes: 0 }
+    }
+
+    /// The connection's state.
+    pub fn connection(&self) -> &Rc<ClientConnection> {
+        &self.connection
+    }
+
+    /// The socket.
+    pub fn tcp(&self) -> &TcpStream {
+        &self.stream
+    }
+
+    /// Reads what has arrived, and notes the end of what the client sends.
+    fn read(&self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+        let filled_before = buf.filled().len();
+        ready!(poll_read(&self.stream, cx, buf))?;
+        if buf.filled().len() == filled_before {
+            self.connection.read_closed.set(true);
+        }
+        Poll::Ready(Ok(()))
+    }
+
+    /// Reads behind a request that is with its handler: more than a client may send is dropped.
+    fn read_pipelined(&mut self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+        if self.pipelined_bytes >= MAX_PIPELINED_BYTES {
+            return self.discard(cx);
+        }
+        let filled_before = buf.filled().len();
+        let read = self.read(cx, buf);
+        self.pipelined_bytes += buf.filled().len() - filled_before;
+        read
+    }
+
+    /// Reads and drops what arrives, so that the client's close is seen while memory stays bounded.
+    fn discard(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        // Nothing of it is served, so the connection cannot go on behind the present response.
+        self.connection.close_after_response();
+        let mut scratch = [0; DISCARD_BUFFER_BYTES];
+        for _ in 0..MAX_PIPELINED_BYTES / DISCARD_BUFFER_BYTES {
+            let mut discarded = ReadBuf::new(&mut scratch);
+            ready!(self.read(cx, &mut discarded))?;
+            if discarded.filled().is_empty() {
+                return Poll::Ready(Ok(()));
+            }
+        }
+        // Other tasks get their turn.
+        cx.waker().wake_by_ref();
+        Poll::Pending
+    }
+
+    /// Whether what was just read is served although the connection was ended meanwhile: closed on it, the
+    /// client could not tell whether its request had run.
+    fn serves_last_read(&self, received: bool) -> bool {
+        let registered = self.registration.as_ref().is_some_and(Registration::is_held);
+        received && registered && self.connection.phase() == Phase::Idle
+    }
+
+    fn write(&self, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+        // The HTTP service writes all that it has before it drops a handler: a response that a departed client
+        // does not take would hold up the end of its next request.
+        if self.connection.is_ended() || self.connection.is_abandoned() {
+            return Poll::Ready(Err(io::ErrorKind::BrokenPipe.into()));
+        }
+        poll_write(&self.stream, cx, bytes)
+    }
+
+    /// Shuts writing down; one that the client has closed meanwhile is shut already.
+    fn shut_down_writing(&self) {
+        let _ = socket2::SockRef::from(self.tcp()).shutdown(Shutdown::Write);
+    }
+
+    /// Has the close reset the connection, and drop what the system has buffered.
+    fn reset_on_close(&self) {
+        let _ = socket2::SockRef::from(self.tcp()).set_linger(Some(Duration::ZERO));
+    }
+}
+
+impl AsyncRead for ClientStream {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
+        let filled_before = buf.filled().len();
+        let busy = self.connection.phase() == Phase::Busy;
+        if !busy {
+            if self.pipelined_bytes >= MAX_PIPELINED_BYTES {
+                // What was dropped leaves a gap: the connection reads as closed.
+                return Poll::Ready(Ok(()));
+            }
+            self.pipelined_bytes = 0;
+        }
+        let read = match busy && self.connection.is_complete() {
+            true => self.read_pipelined(cx, buf),
+            false => self.read(cx, buf),
+        };
+        let received = buf.filled().len() > filled_before;
+        if self.connection.is_ended() {
+            if !self.serves_last_read(received) {
+                buf.set_filled(filled_before);
+                return Poll::Ready(Ok(()));
+            }
+            self.connection.resume();
+        }
+        if read.is_pending() {
+            self.connection.wake_on_end(cx.waker());
+        } else if received && matches!(self.connection.phase(), Phase::Silent | Phase::Idle) {
+            self.connection.set_phase(Phase::Head);
+        }
+        read
+    }
+}
+
+impl AsyncWrite for ClientStream {
+    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+        let written = self.write(cx, buf);
+        match written.is_pending() {
+            true => self.connection.write_blocked(),
+            false => self.connection.write_progressed(),
+        }
+        written
+    }
+
+    fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
+        // Nothing is buffered here.
+        Poll::Ready(Ok(()))
+    }
+
+    fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
+        self.shut_down_writing();
+        Poll::Ready(Ok(()))
+    }
+}
+
+impl Drop for ClientStream {
+    fn drop(&mut self) {
+        let registration = self.registration.take();
+        if self.connection.is_truncated() {
+            // A close without a reset would deliver the buffered part as if it were the complete response.
+            self.reset_on_close();
+            return;
+        }
+        match registration.filter(|registration| !registration.table().closes_at_once()) {
+            Some(registration) => close_in_order(&self.connection, registration),
+            None => self.shut_down_writing(),
+        }
+    }
+}
+
+/// Closes a connection in order on a task of its own. It stays in the table until it is closed or evicted; one
+/// that was evicted before waits for nothing.
+fn close_in_order(connection: &Rc<ClientConnection>, registration: Registration) {
+    let connection = Rc::clone(connection);
+    let registered = registration.is_held();
+    let linger = if registered { LINGER } else { Duration::ZERO };
+    let until = Instant::now() + linger;
+    connection.set_phase(Phase::Closing);
+    actix_rt::spawn(async move {
+        tokio::select! {
+            biased;
+            () = close(&connection.stream) => {}
+            () = connection.evicted.notified(), if registered => {}
+            () = tokio::time::sleep_until(until) => {}
+        }
+        drop(registration);
+    });
+}
--- /dev/null
+++ b/src/net/http/clients/table.rs
@@ -0,0 +1,233 @@
+//! The table of clients' connections: its capacity, which connection makes room for a new one, and which are
+//! closed because they have taken too long.
+
+use super::connection::{ClientConnection, Phase};
+use super::limits::{
+    EVICTION_MIN_AGE, HEAD_TIMEOUT, IDLE_TIMEOUT, MAX_REJECTING, MAX_UNREGISTERED, REJECT_LINGER,
+    REJECT_RESPONSE, SURPLUS_IDLE_TIMEOUT, UNCROWDED_DIVISOR, UNCROWDED_IDLE_TIMEOUT, WRITE_TIMEOUT,
+};
+use super::open_streams::{CountedStream, OpenStreams};
+use super::stream::ClientStream;
+use crate::net::close::close;
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::TcpStream;
+use tokio::time::Instant;
+
+/// All connections of clients. Clones share one table.
+#[derive(Clone, Debug)]
+pub struct ConnectionTable(Rc<State>);
+
+#[derive(Debug)]
+struct State {
+    capacity: Cell<usize>,
+    max_idle: Cell<usize>,
+    /// Idle connections stay open.
+    keep_idle: Cell<bool>,
+    /// The program ends, and closes wait for nothing.
+    close_at_once: Cell<bool>,
+    /// Connections that found no capacity and are being answered so.
+    rejecting: Cell<usize>,
+    next_id: Cell<u64>,
+    open_streams: Rc<OpenStreams>,
+    connections: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
+}
+
+impl ConnectionTable {
+    /// A table for `capacity` connections, of which `max_idle` may stay idle for long.
+    pub fn new(capacity: usize, max_idle: usize) -> ConnectionTable {
+        ConnectionTable(Rc::new(State {
+            capacity: Cell::new(capacity),
+            max_idle: Cell::new(max_idle),
+            keep_idle: Cell::new(false),
+            close_at_once: Cell::new(false),
+            rejecting: Cell::new(0),
+            next_id: Cell::new(0),
+            open_streams: Rc::default(),
+            connections: RefCell::default(),
+        }))
+    }
+
+    /// The number of connections in the table.
+    pub fn open_connections(&self) -> usize {
+        self.0.connections.borrow().len()
+    }
+
+    /// Whether a new connection may be accepted: not while too many outside the table are still open.
+    pub fn may_accept(&self) -> bool {
+        let unregistered = self.0.open_streams.count().saturating_sub(self.open_connections());
+        unregistered < MAX_UNREGISTERED
+    }
+
+    /// Resolves once a connection has been closed, perhaps one that was closed before the call. Cancel safe.
+    pub async fn connection_closed(&self) {
+        self.0.open_streams.closed().await;
+    }
+
+    /// Ends a connection that waits for nothing. False: there is none.
+    pub fn evict_one(&self) -> bool {
+        let mut connections = self.0.connections.borrow_mut();
+        let evicted = eviction_candidate(&connections).and_then(|id| connections.remove(&id));
+        evicted.is_some_and(|connection| {
+            connection.evicted.notify_one();
+            connection.end();
+            true
+        })
+    }
+
+    /// Changes the capacity. Connections beyond it make way as others arrive.
+    pub fn resize(&self, capacity: usize, max_idle: usize) {
+        self.0.capacity.set(capacity);
+        self.0.max_idle.set(max_idle);
+    }
+
+    /// Keeps idle connections open from now on: when the program is told to end, no new ones replace them.
+    pub fn keep_idle(&self) {
+        self.0.keep_idle.set(true);
+    }
+
+    /// Has connections closed from now on without a wait for their clients: the program ends.
+    pub fn close_at_once(&self) {
+        self.0.close_at_once.set(true);
+    }
+
+    /// Whether the program ends and closes wait for nothing.
+    pub(super) fn closes_at_once(&self) -> bool {
+        self.0.close_at_once.get()
+    }
+
+    /// Takes a new connection in; where the table is full, one that waits for nothing is evicted. None: all of
+    /// them have a request open, and the new one is rejected and closed.
+    pub fn register(&self, stream: TcpStream) -> Option<ClientStream> {
+        if self.open_connections() >= self.0.capacity.get() && !self.evict_one() {
+            self.reject(stream);
+            return None;
+        }
+        let stream = Rc::new(CountedStream::new(stream, &self.0.open_streams));
+        let connection = Rc::new(ClientConnection::new(stream));
+        let registration = self.insert(&connection);
+        Some(ClientStream::new(connection, registration))
+    }
+
+    fn insert(&self, connection: &Rc<ClientConnection>) -> Registration {
+        let id = self.0.next_id.get();
+        self.0.next_id.set(id + 1);
+        self.0.connections.borrow_mut().insert(id, Rc::clone(connection));
+        Registration { table: self.clone(), id }
+    }
+
+    /// Answers 503 to a connection that found no capacity; while many are being answered it is just closed.
+    fn reject(&self, stream: TcpStream) {
+        if self.0.rejecting.get() >= MAX_REJECTING {
+            return;
+        }
+        self.0.rejecting.set(self.0.rejecting.get() + 1);
+        let table = self.clone();
+        let stream = CountedStream::new(stream, &self.0.open_streams);
+        actix_rt::spawn(async move {
+            // The send buffer of a new connection holds so little at once.
+            let _ = stream.try_write(REJECT_RESPONSE);
+            let _ = tokio::time::timeout(REJECT_LINGER, close(&stream)).await;
+            table.0.rejecting.set(table.0.rejecting.get() - 1);
+        });
+    }
+
+    /// Ends connections that have been silent, received a head, stayed idle or taken nothing for too long. Of
+    /// idle connections beyond their number the oldest go first: clients may hold only so many, and new clients
+    /// find none while others keep theirs without a use.
+    pub fn end_overdue(&self) {
+        let now = Instant::now();
+        let connections = self.0.connections.borrow();
+        let live = || connections.values().filter(|connection| !connection.is_ended());
+        let idle_timeout = self.idle_timeout(connections.len());
+        for connection in live() {
+            if is_overdue(connection, idle_timeout, now) {
+                connection.end();
+            }
+        }
+        let idle = live().filter(|connection| connection.phase_for_eviction() == Phase::Idle);
+        self.end_surplus_idle(idle.collect(), now);
+    }
+
+    /// How long a connection may stay idle; none: for ever.
+    fn idle_timeout(&self, open: usize) -> Option<Duration> {
+        let crowded = open > self.0.capacity.get() / UNCROWDED_DIVISOR;
+        match (self.0.keep_idle.get(), crowded) {
+            (true, _) => None,
+            (false, true) => Some(IDLE_TIMEOUT),
+            (false, false) => Some(UNCROWDED_IDLE_TIMEOUT),
+        }
+    }
+
+    fn end_surplus_idle(&self, mut idle: Vec<&Rc<ClientConnection>>, now: Instant) {
+        if self.0.keep_idle.get() {
+            return;
+        }
+        idle.sort_by_key(|connection| connection.phase_since());
+        let surplus = idle.len().saturating_sub(self.0.max_idle.get());
+        let oldest = idle.into_iter().take(surplus);
+        oldest
+            .filter(|connection| connection.phase_age(now) >= SURPLUS_IDLE_TIMEOUT)
+            .for_each(|connection| connection.end());
+    }
+}
+
+/// Whether a connection has been in its phase, or its client has taken nothing, for too long.
+fn is_overdue(connection: &ClientConnection, idle_timeout: Option<Duration>, now: Instant) -> bool {
+    let phase_timeout = match connection.phase_for_eviction() {
+        Phase::Silent | Phase::Head => Some(HEAD_TIMEOUT),
+        Phase::Idle => idle_timeout,
+        Phase::Busy | Phase::Closing => None,
+    };
+    let write_timed_out = connection.write_blocked_for(now).is_some_and(|blocked| blocked >= WRITE_TIMEOUT);
+    write_timed_out || phase_timeout.is_some_and(|timeout| connection.phase_age(now) >= timeout)
+}
+
+/// The connection to end for a new one: the one that has been closing for longest, else the one silent for
+/// longest, else the one idle for longest, else the one whose head has taken longest.
+fn eviction_candidate(connections: &BTreeMap<u64, Rc<ClientConnection>>) -> Option<u64> {
+    let now = Instant::now();
+    let settled = connections.iter().filter(|(_, connection)| connection.phase_age(now) >= EVICTION_MIN_AGE);
+    let ranked = settled.filter_map(|(id, connection)| {
+        let rank = eviction_rank(connection.phase_for_eviction())?;
+        Some((rank, connection.phase_since(), *id))
+    });
+    ranked.min().map(|(.., id)| id)
+}
+
+/// Connections of a lower rank are evicted first; none: a request is open.
+fn eviction_rank(phase: Phase) -> Option<u8> {
+    match phase {
+        Phase::Closing => Some(0),
+        Phase::Silent => Some(1),
+        Phase::Idle => Some(2),
+        Phase::Head => Some(3),
+        Phase::Busy => None,
+    }
+}
+
+/// Keeps a connection in the table until it is dropped.
+#[derive(Debug)]
+pub(super) struct Registration {
+    table: ConnectionTable,
+    id: u64,
+}
+
+impl Registration {
+    /// Whether the connection was not evicted.
+    pub(super) fn is_held(&self) -> bool {
+        self.table.0.connections.borrow().contains_key(&self.id)
+    }
+
+    pub(super) fn table(&self) -> &ConnectionTable {
+        &self.table
+    }
+}
+
+impl Drop for Registration {
+    fn drop(&mut self) {
+        self.table.0.connections.borrow_mut().remove(&self.id);
+    }
+}
--- a/src/net/http/message.rs
+++ b/src/net/http/message.rs
@@ -33,15 +33,10 @@
 const MOST_TOLD: f64 = 1e5;
 
 /// What is wrong with a request, by its part.
-#[derive(Debug, PartialEq, Eq)]
+#[derive(Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{0}")]
 pub struct Malformed(pub &'static str);
 
-impl std::fmt::Display for Malformed {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str(self.0)
-    }
-}
-
 /// The one value of a header; what comes twice says nothing.
 fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     let mut values = headers.get_all(name);
--- a/src/net/http/mod.rs
+++ b/src/net/http/mod.rs
@@ -3,11 +3,14 @@
 pub mod clients;
 mod dial;
 mod discovery;
+mod handler;
 mod message;
+mod request_body;
+mod response_body;
 mod server;
 mod target;
 
-pub use clients::Clients;
+pub use clients::ConnectionTable;
 pub use discovery::{Address, Directory, Page, remember};
 pub use rowanglade_http_exchange::Links;
 pub use server::{Front, serve};
--- /dev/null
+++ b/src/net/http/response_body.rs
@@ -0,0 +1,70 @@
+//! A response's body on its way to its client.
+
+use super::clients::{ActiveRequest, ClientConnection};
+use crate::core::{Content, Lost};
+use actix_http::body::{BodySize, MessageBody};
+use bytes::Bytes;
+use std::io;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll};
+
+/// A body that is being sent; its connection stays busy until it is dropped.
+pub(super) struct ResponseBody {
+    content: Content,
+    #[expect(dead_code, reason = "held for its drop")]
+    active_request: Option<ActiveRequest>,
+    /// The connection of a body that ends with it: without a reset, one that breaks off would look complete.
+    ends_connection: Option<Rc<ClientConnection>>,
+}
+
+impl ResponseBody {
+    pub(super) fn new(
+        content: Content,
+        active_request: Option<ActiveRequest>,
+        ends_connection: Option<Rc<ClientConnection>>,
+    ) -> ResponseBody {
+        ResponseBody { content, active_request, ends_connection }
+    }
+}
+
+impl MessageBody for ResponseBody {
+    type Error = io::Error;
+
+    fn size(&self) -> BodySize {
+        self.content.size()
+    }
+
+    fn poll_next(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<io::Result<Bytes>>> {
+        let body = self.get_mut();
+        let piece = Pin::new(&mut body.content).poll_next(cx);
+        if let (Poll::Ready(Some(Err(_))), Some(connection)) = (&piece, &body.ends_connection) {
+            connection.truncate();
+        }
+        piece
+    }
+}
+
+impl MessageBody for Content {
+    type Error = io::Error;
+
+    fn size(&self) -> BodySize {
+        match self {
+            Content::Whole(body) => BodySize::Sized(body.len() as u64),
+            Content::Streamed(body) => body.length.map_or(BodySize::Stream, BodySize::Sized),
+        }
+    }
+
+    fn poll_next(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<io::Result<Bytes>>> {
+        match self.get_mut() {
+            Content::Whole(body) if body.is_empty() => Poll::Ready(None),
+            Content::Whole(body) => Poll::Ready(Some(Ok(std::mem::take(body)))),
+            Content::Streamed(body) => {
+                let piece = body.pieces.poll_recv(cx);
+                piece.map(|piece| {
+                    Some(piece?.map_err(|Lost| io::Error::other("the target's answer broke off")))
+                })
+            }
+        }
+    }
+}
