--- /dev/null
+++ b/crates/http-exchange/src/connection.rs
@@ -0,0 +1,314 @@
+//! One connection to a server, and the exchange that it carries.
+
+use crate::body::{BodyStream, NoStream, RequestBody};
+use crate::error::ExchangeError;
+use crate::pool::OpenSlot;
+use crate::response::{CompleteResponse, Unread, count_piece};
+use crate::stream;
+use actix_codec::{Decoder, Encoder};
+use actix_http::body::BodySize;
+use actix_http::h1::{ClientCodec, Message};
+use actix_http::{RequestHead, RequestHeadType, ResponseHead, StatusCode};
+use bytes::{Buf, Bytes, BytesMut};
+use std::io;
+use std::mem::MaybeUninit;
+use std::net::SocketAddr;
+use std::time::Duration;
+use tokio::net::TcpStream;
+
+/// The most that the head of a response may take up, and a line between two chunks.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// How many 1xx responses may come before the final one: more is no answer in time for anybody.
+const MAX_INFORMATIONAL_RESPONSES: usize = 16;
+/// What is read at once, at most: no more of a response is held than that and what its reader holds.
+const READ_BYTES: usize = 16 * 1024;
+
+/// One connection. Dropped, it is closed.
+#[derive(Debug)]
+pub struct Connection {
+    stream: TcpStream,
+    addr: SocketAddr,
+    buffer: BytesMut,
+    stall_timeout: Duration,
+    unused: bool,
+    /// The last response ended where it said, and another request may be written.
+    response_complete: bool,
+    unread: Unread,
+    #[expect(dead_code, reason = "held for its drop")]
+    slot: OpenSlot,
+}
+
+impl Connection {
+    /// A new connection. A response that has begun goes on within `stall_timeout`.
+    pub(crate) fn new(
+        stream: TcpStream,
+        addr: SocketAddr,
+        stall_timeout: Duration,
+        slot: OpenSlot,
+    ) -> Connection {
+        Connection {
+            stream,
+            addr,
+            buffer: BytesMut::new(),
+            stall_timeout,
+            unused: true,
+            response_complete: false,
+            unread: Unread::Nothing { reusable: false },
+            slot,
+        }
+    }
+
+    /// The server's address.
+    pub(crate) fn addr(&self) -> SocketAddr {
+        self.addr
+    }
+
+    /// Whether no request was ever written to it.
+    pub fn is_unused(&self) -> bool {
+        self.unused
+    }
+
+    /// Whether the connection may be kept for another request.
+    pub(crate) fn is_reusable(&self) -> bool {
+        self.response_complete || self.unused
+    }
+
+    /// Whether the peer has neither closed nor sent what nobody asked for.
+    pub(crate) fn is_quiet(&self) -> bool {
+        let peeked = socket2::SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit(); 1]);
+        self.buffer.is_empty() && matches!(peeked, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
+    }
+
+    /// One exchange, whose response is held whole and has at most `max_bytes` of body. Not cancel safe:
+    /// dropped half way, or after an error, the connection is of no further use.
+    ///
+    /// # Errors
+    /// There is no response, or it cannot be read.
+    pub async fn exchange(
+        &mut self,
+        head: RequestHead,
+        body: Option<&Bytes>,
+        max_bytes: usize,
+    ) -> Result<CompleteResponse, ExchangeError> {
+        let body = body.map(|body| RequestBody::<NoStream> { held: body.clone(), rest: None });
+        let head = self.send(head, body, max_bytes as u64).await?;
+        let mut content = BytesMut::new();
+        while let Some(piece) = self.next_piece(Some(self.stall_timeout)).await? {
+            content.extend_from_slice(&piece);
+        }
+        Ok(CompleteResponse { status: head.status, headers: head.headers, body: content.freeze() })
+    }
+
+    /// Sends a request and reads the head of its response, whose body is at most `max_bytes` long. The
+    /// response may begin before the request is complete; then no more of the request is sent. Not cancel safe.
+    ///
+    /// # Errors
+    /// There is no response, or its head cannot be read.
+    pub async fn send<S: BodyStream>(
+        &mut self,
+        head: RequestHead,
+        body: Option<RequestBody<'_, S>>,
+        max_bytes: u64,
+    ) -> Result<ResponseHead, ExchangeError> {
+        self.response_complete = false;
+        self.unused = false;
+        let mut codec = ClientCodec::default();
+        let out = encode_request(&mut codec, head, body.as_ref())?;
+        let early_response = match body.and_then(|body| body.rest) {
+            None => {
+                stream::write_all(&self.stream, &out).await.map_err(not_written)?;
+                None
+            }
+            Some((rest, _)) => self.send_stream(&mut codec, out, rest).await?,
+        };
+        let request_sent = early_response.is_none();
+        let head = match early_response {
+            Some(head) => head,
+            None => self.read_head(&mut codec).await?,
+        };
+        self.unread = Unread::behind_head(&head, codec, max_bytes, request_sent)?;
+        Ok(head)
+    }
+
+    /// Writes a long request, and reads meanwhile. None: it is written whole.
+    async fn send_stream<S: BodyStream>(
+        &mut self,
+        codec: &mut ClientCodec,
+        mut out: BytesMut,
+        rest: &mut S,
+    ) -> Result<Option<ResponseHead>, ExchangeError> {
+        let mut ended = false;
+        let mut informational_responses = 0;
+        while !(out.is_empty() && ended) {
+            tokio::select! {
+                piece = rest.next(), if out.is_empty() && !ended => {
+                    let piece = piece.map_err(not_written)?;
+                    ended = piece.is_none();
+                    codec.encode(Message::Chunk(piece), &mut out).map_err(not_written)?;
+                }
+                writable = self.stream.writable(), if !out.is_empty() => {
+                    writable.map_err(not_written)?;
+                    self.write_some(&mut out)?;
+                }
+                readable = self.stream.readable() => {
+                    readable.map_err(not_written)?;
+                    let early = self.read_early_head(codec, &mut informational_responses)?;
+                    if early.is_some() {
+                        return Ok(early);
+                    }
+                }
+            }
+        }
+        Ok(None)
+    }
+
+    /// Writes what the system takes now, and removes it from `out`.
+    fn write_some(&self, out: &mut BytesMut) -> Result<(), ExchangeError> {
+        match self.stream.try_write(out) {
+            Ok(written) => out.advance(written),
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
+            Err(error) => return Err(not_written(error)),
+        }
+        Ok(())
+    }
+
+    /// Reads what has come while a request is being written: the head of a final response, if it is complete.
+    fn read_early_head(
+        &mut self,
+        codec: &mut ClientCodec,
+        informational_responses: &mut usize,
+    ) -> Result<Option<ResponseHead>, ExchangeError> {
+        match self.stream.try_read_buf(&mut self.buffer) {
+            Ok(0) => return Err(ExchangeError::NotWritten),
+            Ok(_) => {}
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(None),
+            Err(error) => return Err(not_written(error)),
+        }
+        while let Some(head) = codec.decode(&mut self.buffer).map_err(not_written)? {
+            if !head.status.is_informational() {
+                return Ok(Some(head));
+            }
+            *informational_responses += 1;
+            if *informational_responses > MAX_INFORMATIONAL_RESPONSES {
+                return Err(ExchangeError::NotWritten);
+            }
+        }
+        if self.buffer.len() > MAX_HEAD_BYTES {
+            return Err(ExchangeError::NotWritten);
+        }
+        Ok(None)
+    }
+
+    /// Reads the head of the final response to a request that has been written whole.
+    async fn read_head(&mut self, codec: &mut ClientCodec) -> Result<ResponseHead, ExchangeError> {
+        let mut informational_responses = 0;
+        loop {
+            match codec.decode(&mut self.buffer).map_err(broken)? {
+                Some(head)
+                    if head.status.is_informational()
+                        && head.status != StatusCode::SWITCHING_PROTOCOLS
+                        && informational_responses < MAX_INFORMATIONAL_RESPONSES =>
+                {
+                    informational_responses += 1;
+                }
+                Some(head) => return Ok(head),
+                None if self.buffer.len() > MAX_HEAD_BYTES => return Err(ExchangeError::Broken),
+                None if self.buffer.is_empty() && informational_responses == 0 => {
+                    // An end without a byte, or a reset: nothing of a response has come.
+                    if !self.read_more(None).await.map_err(|_| ExchangeError::NoResponse)? {
+                        return Err(ExchangeError::NoResponse);
+                    }
+                }
+                None => {
+                    let stall_timeout = (!self.buffer.is_empty()).then_some(self.stall_timeout);
+                    self.read_required(stall_timeout).await?;
+                }
+            }
+        }
+    }
+
+    /// The next piece of the response's body, which comes within `stall_timeout` of the last. None: the
+    /// response is complete. Cancel safe: dropped before it resolves, it has lost nothing.
+    ///
+    /// # Errors
+    /// The body breaks off, stalls, cannot be read or is larger than it may be.
+    pub async fn next_piece(
+        &mut self,
+        stall_timeout: Option<Duration>,
+    ) -> Result<Option<Bytes>, ExchangeError> {
+        loop {
+            match &mut self.unread {
+                Unread::Nothing { reusable } => {
+                    self.response_complete = *reusable && self.buffer.is_empty();
+                    return Ok(None);
+                }
+                Unread::Framed { codec, max_bytes, reusable } => {
+                    match codec.decode(&mut self.buffer).map_err(broken)? {
+                        Some(Some(piece)) => {
+                            count_piece(max_bytes, &piece)?;
+                            return Ok(Some(piece));
+                        }
+                        Some(None) => {
+                            let reusable = *reusable && codec.keep_alive();
+                            self.unread = Unread::Nothing { reusable };
+                        }
+                        None if self.buffer.len() > MAX_HEAD_BYTES => return Err(ExchangeError::Broken),
+                        None => self.read_required(stall_timeout).await?,
+                    }
+                }
+                Unread::UntilClose { max_bytes } => {
+                    if !self.buffer.is_empty() {
+                        let piece = self.buffer.split().freeze();
+                        count_piece(max_bytes, &piece)?;
+                        return Ok(Some(piece));
+                    }
+                    if !self.read_more(stall_timeout).await? {
+                        self.unread = Unread::Nothing { reusable: false };
+                    }
+                }
+            }
+        }
+    }
+
+    /// Reads more of what must not end yet.
+    async fn read_required(&mut self, stall_timeout: Option<Duration>) -> Result<(), ExchangeError> {
+        match self.read_more(stall_timeout).await? {
+            true => Ok(()),
+            false => Err(ExchangeError::Broken),
+        }
+    }
+
+    /// Reads more, within `stall_timeout`. False: the stream has ended.
+    async fn read_more(&mut self, stall_timeout: Option<Duration>) -> Result<bool, ExchangeError> {
+        self.buffer.reserve(READ_BYTES);
+        let read = stream::read_buf(&self.stream, &mut self.buffer);
+        let read = match stall_timeout {
+            Some(stall_timeout) => tokio::time::timeout(stall_timeout, read).await.map_err(broken)?,
+            None => read.await,
+        };
+        read.map(|read| read > 0).map_err(broken)
+    }
+}
+
+/// The head of a request and the part of its body that is held.
+fn encode_request<S>(
+    codec: &mut ClientCodec,
+    head: RequestHead,
+    body: Option<&RequestBody<'_, S>>,
+) -> Result<BytesMut, ExchangeError> {
+    let mut out = BytesMut::new();
+    let size = body.map_or(BodySize::None, RequestBody::size);
+    codec.encode(Message::Item((RequestHeadType::from(head), size)), &mut out).map_err(not_written)?;
+    if let Some(body) = body.filter(|body| !body.held.is_empty()) {
+        codec.encode(Message::Chunk(Some(body.held.clone())), &mut out).map_err(not_written)?;
+    }
+    Ok(out)
+}
+
+fn not_written<E>(_: E) -> ExchangeError {
+    ExchangeError::NotWritten
+}
+
+fn broken<E>(_: E) -> ExchangeError {
+    ExchangeError::Broken
+}
--- a/crates/http-exchange/src/stream.rs
+++ b/crates/http-exchange/src/stream.rs
@@ -16,7 +16,8 @@
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
 }
 
-/// Reads what has come into a buffer; nothing read: the end.
+/// Reads what has come into a buffer; nothing read: the end of the stream. Pending: the task is woken once
+/// something has come.
 ///
 /// # Errors
 /// The connection is broken.
--- a/crates/replay/src/http.rs
+++ b/crates/replay/src/http.rs
@@ -7,7 +7,7 @@
 use actix_http::{Method, RequestHead, StatusCode, Uri};
 use bytes::Bytes;
 use futures_util::future::LocalBoxFuture;
-use rowanglade_http_exchange::{Answered, Fault, Links};
+use rowanglade_http_exchange::{CompleteResponse, ConnectionPool, ExchangeError};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
@@ -23,15 +23,15 @@
 #[derive(Clone, Debug)]
 pub struct Http {
     initiators: Vec<SocketAddr>,
-    links: Links,
+    connections: ConnectionPool,
     body: Bytes,
 }
 
 impl Http {
     /// Clients that hold `most` connections together at most.
     pub fn new(initiators: Vec<SocketAddr>, most: usize) -> Http {
-        let links = Links::new(most, IDLE, Duration::from_secs(60), Duration::ZERO);
-        Http { initiators, links, body: Bytes::from(vec![b'*'; LARGEST_BODY]) }
+        let connections = ConnectionPool::new(most, IDLE, Duration::from_secs(60), Duration::ZERO);
+        Http { initiators, connections, body: Bytes::from(vec![b'*'; LARGEST_BODY]) }
     }
 
     /// Asks an initiator whether it can serve, until it can or the time is over.
@@ -39,8 +39,8 @@
         let Some(addr) = self.initiators.get(initiator).copied() else { return false };
         let ask = async {
             loop {
-                if let Ok(mut link) = self.links.take(addr, CONNECT).await {
-                    let answered = link.exchange(head("/up", addr), None, LARGEST_BODY).await;
+                if let Ok(mut connection) = self.connections.check_out(addr, CONNECT).await {
+                    let answered = connection.exchange(head("/up", addr), None, LARGEST_BODY).await;
                     if answered.is_ok_and(|a| a.status == StatusCode::OK) {
                         return;
                     }
@@ -88,7 +88,7 @@
 }
 
 /// What an answer says (the protocol's table of answers).
-fn end(answered: &Answered) -> End {
+fn end(answered: &CompleteResponse) -> End {
     match answered.status {
         StatusCode::OK => End::Served,
         StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
@@ -112,17 +112,19 @@
                 .then(|| this.body.slice(..(outgoing.record.bytes as usize).clamp(1, LARGEST_BODY)));
             let exchange = async {
                 loop {
-                    let Ok(mut link) = this.links.take(addr, CONNECT).await else { return End::Unreachable };
-                    let fresh = link.fresh();
-                    match link.exchange(encode(&outgoing, addr), body.as_ref(), LARGEST_BODY).await {
+                    let Ok(mut connection) = this.connections.check_out(addr, CONNECT).await else {
+                        return End::Unreachable;
+                    };
+                    let fresh = connection.is_unused();
+                    match connection.exchange(encode(&outgoing, addr), body.as_ref(), LARGEST_BODY).await {
                         Ok(answered) => {
-                            this.links.keep(link);
+                            this.connections.check_in(connection);
                             return end(&answered);
                         }
                         // Closed for its idleness just as the request went: it goes again on another.
-                        Err(Fault::NotWritten | Fault::Unheard) if !fresh => {}
-                        Err(Fault::NotWritten) => return End::Unreachable,
-                        Err(Fault::Unheard | Fault::Broken) => return End::Lost,
+                        Err(ExchangeError::NotWritten | ExchangeError::NoResponse) if !fresh => {}
+                        Err(ExchangeError::NotWritten) => return End::Unreachable,
+                        Err(ExchangeError::NoResponse | ExchangeError::Broken) => return End::Lost,
                     }
                 }
             };
--- a/src/initiator.rs
+++ b/src/initiator.rs
@@ -9,7 +9,7 @@
 use crate::config::{Config, ConfigError, Decided, Iscsi, Reload, Routing};
 use crate::core::{self, AccessLog, Clock, Core, CoreDependencies, CoreHandle, Fleet, Loaded, Message};
 use crate::net::peers::PeerLink;
-use crate::net::{Budget, Parts, Phase, Reservations, admin, fleet, http};
+use crate::net::{DescriptorBudget, OptionalParts, Phase, Reservations, admin, fleet, http};
 use crate::upgrade::{Controls, Keeper, Listeners, Told};
 use handover::{Handover, bind_admin, bind_fleet, listen};
 use rowanglade_discovery_polling::Watch;
@@ -48,7 +48,7 @@
 const REST: Duration = Duration::from_millis(10);
 
 /// Operators' calls that may wait for the core.
-const OPERATIONS: usize = admin::MOST_CALLS;
+const OPERATIONS: usize = admin::MAX_CALLS;
 
 /// News of places that may wait for the other process: more than a handover's second brings.
 const SEEN: usize = 1_024;
@@ -92,9 +92,9 @@
     http: TcpListener,
     iscsi: Option<(TcpListener, Iscsi)>,
     /// None where operators' calls are off.
-    admin: Option<admin::Admin>,
+    admin: Option<admin::AdminListener>,
     phase: Rc<watch::Sender<Phase>>,
-    budget: Budget,
+    budget: DescriptorBudget,
     /// None where no process can replace this one.
     keeper: Option<(Keeper, Controls, Told)>,
     classes: Vec<(String, Duration)>,
@@ -114,12 +114,12 @@
         let clock = welcome.as_ref().map_or_else(Clock::start, |w| Clock::at_present(w.now));
         let http = listen(&mut listeners, "http", "listen", config.listen).await?;
         let admin = config.admin.map(bind_admin).transpose()?;
-        let parts = Parts {
-            operators: admin.is_some(),
+        let parts = OptionalParts {
+            admin: admin.is_some(),
             fleet: config.fleet.is_some(),
             peers: config.peers.is_some(),
-            sessions: config.iscsi.is_some(),
-            pushed: config.settings.list_is_pushed(),
+            iscsi: config.iscsi.is_some(),
+            pushed_list: config.settings.list_is_pushed(),
         };
         let shares = Reservations::of(config.limits.sockets, parts);
         let iscsi = match config.iscsi {
@@ -135,20 +135,25 @@
         }
         let (idle, stall) = (config.settings.conn_idle() / 2, config.settings.tightest_aim() / 2);
         let stall = stall.clamp(SHORTEST_STALL, LONGEST_STALL);
-        let links = http::Links::new(shares.targets, idle, stall, REST);
-        actix_rt::spawn(links.clone().sweep());
+        let links = http::ConnectionPool::new(shares.targets, idle, stall, REST);
+        actix_rt::spawn(links.clone().close_expired());
         let clients = http::ConnectionTable::new(shares.clients, shares.idle_clients);
-        let budget = Budget::new(config.limits, parts, clients, links.clone());
+        let budget = DescriptorBudget::new(config.limits, parts, clients, links.clone());
         if let Some(welcome) = &welcome {
             budget.share(welcome.share.descriptors);
         }
         let connect_timeout = config.settings.connect_timeout();
         let hold = (config.settings.tightest_aim() / 8).clamp(SHORTEST_HOLD, LONGEST_HOLD);
-        let pool = http::Pool { connect_timeout, stall, hold, links };
+        let transport = http::TargetTransport {
+            connect_timeout,
+            stall_timeout: stall,
+            hold_time: hold,
+            connections: links,
+        };
         let access_log = config.access_log.as_ref().map(|c| AccessLog::open(&c.path, c.queue)).transpose()?;
         let (inbox, core) = core::mailbox(&config.settings, access_log.clone());
         let figures = iscsi.as_ref().map(|(_, iscsi)| figures(iscsi, &config.settings, clock));
-        let connect = connect(pool, figures, core.clone());
+        let connect = connect(transport, figures, core.clone());
         let routing = config.routing;
         let known = config.known.as_ref().map(http::Page::boxes).unwrap_or_default();
         let routes_open = check_routes(&routing, &known)?;
@@ -164,7 +169,7 @@
         };
         let (operator, operations) = mpsc::channel(OPERATIONS);
         let service =
-            admin::Service { operations: operator, ready: core.readiness(), phase: phase.subscribe() };
+            admin::AdminService { commands: operator, ready: core.readiness(), phase: phase.subscribe() };
         let admin = admin.map(|listener| admin::open(listener, service)).transpose()?;
         let (upgrades, asked_of_core) = mpsc::channel(OPERATIONS);
         let (tell_call, calls) = mpsc::channel(OPERATIONS);
@@ -237,7 +242,7 @@
 
     /// Where operators call, if anywhere.
     pub fn admin_addr(&self) -> Option<SocketAddr> {
-        self.admin.as_ref().map(admin::Admin::addr)
+        self.admin.as_ref().map(admin::AdminListener::addr)
     }
 
     /// Where sessions connect, if that front is on.
--- a/src/initiator/targets.rs
+++ b/src/initiator/targets.rs
@@ -8,10 +8,14 @@
 use std::time::Duration;
 
 /// Connects each target over its own protocol. Without `figures` all are reached over HTTP.
-pub fn connect(pool: http::Pool, figures: Option<iscsi::Figures>, core: CoreHandle) -> Connect {
+pub fn connect(
+    transport: http::TargetTransport,
+    figures: Option<iscsi::Figures>,
+    core: CoreHandle,
+) -> Connect {
     Box::new(move |line| match (line.protocol, &figures) {
         (Protocol::Iscsi, Some(figures)) => iscsi::connect(line, figures.clone(), core.clone()),
-        _ => http::connect(line, pool.clone()),
+        _ => http::connect(line, transport.clone()),
     })
 }
 
--- a/src/net/accept.rs
+++ b/src/net/accept.rs
@@ -9,59 +9,77 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Wait where descriptors or memory are short.
-const SHORT_WAIT: Duration = Duration::from_millis(20);
-/// Failures in a row that are not waited for: each has taken a broken connection out of the queue, as far as
-/// is known.
-const MOST_AT_ONCE: u32 = 64;
-/// How often failures are told of.
-const TELL_EVERY: Duration = Duration::from_secs(1);
+/// Pause where descriptors or memory are short, or the listener fails again and again: clients' requests wait
+/// meanwhile, and their shortest latency objectives are some tens of milliseconds.
+const PAUSE: Duration = Duration::from_millis(20);
+/// Consecutive failures without a pause: each has taken a broken connection out of the queue, as far as is
+/// known.
+const MAX_FAILURES_WITHOUT_PAUSE: u32 = 64;
+/// How often failures are logged.
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What to do before the next accept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AfterFailure {
     /// Nothing: that connection was broken.
-    GoOn,
+    Continue,
     /// Descriptors or memory are short: something should be closed, and the next accept is to wait this long.
-    MakeRoom(Duration),
-    /// The listener fails again and again: the next accept is to wait.
-    Wait(Duration),
+    FreeDescriptors(Duration),
+    /// The listener fails again and again: the next accept is to wait this long.
+    Pause(Duration),
+}
+
+/// Waits for as long as the next accept is to wait. Cancel safe.
+pub async fn pause(next: AfterFailure) {
+    match next {
+        AfterFailure::Continue => {}
+        AfterFailure::FreeDescriptors(pause) | AfterFailure::Pause(pause) => tokio::time::sleep(pause).await,
+    }
 }
 
 /// The failures of one listener.
 #[derive(Debug, Default)]
 pub struct AcceptFailures {
-    in_a_row: u32,
-    told_at: Option<Instant>,
-    untold: u64,
+    consecutive: u32,
+    logged_at: Option<Instant>,
+    suppressed: u64,
 }
 
 impl AcceptFailures {
-    /// A connection was accepted.
+    /// Records that a connection was accepted.
     pub fn succeeded(&mut self) {
-        self.in_a_row = 0;
+        self.consecutive = 0;
+    }
+
+    /// Records that an accept failed, and says what to do next. Failures are logged once a second; `listener`
+    /// names the listener there.
+    pub fn failed(&mut self, error: &io::Error, listener: &'static str) -> AfterFailure {
+        self.consecutive = self.consecutive.saturating_add(1);
+        let next = self.after(error);
+        self.log(error, listener, next);
+        next
     }
 
-    /// An accept failed. It is told once a second.
-    pub fn failed(&mut self, error: &io::Error, what: &'static str) -> AfterFailure {
+    fn after(&self, error: &io::Error) -> AfterFailure {
         let errno = error.raw_os_error().map(Errno::from_raw_os_error);
         let short = matches!(errno, Some(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM));
-        self.in_a_row = self.in_a_row.saturating_add(1);
-        let next = match short {
-            // A lack may be over in a moment: only one that shows again is waited for.
-            true if self.in_a_row == 1 => AfterFailure::MakeRoom(Duration::ZERO),
-            true => AfterFailure::MakeRoom(SHORT_WAIT),
-            false if self.in_a_row < MOST_AT_ONCE => AfterFailure::GoOn,
-            false => AfterFailure::Wait(SHORT_WAIT),
-        };
+        match short {
+            // A shortage may be over in a moment: only one that shows again is waited for.
+            true if self.consecutive == 1 => AfterFailure::FreeDescriptors(Duration::ZERO),
+            true => AfterFailure::FreeDescriptors(PAUSE),
+            false if self.consecutive < MAX_FAILURES_WITHOUT_PAUSE => AfterFailure::Continue,
+            false => AfterFailure::Pause(PAUSE),
+        }
+    }
+
+    fn log(&mut self, error: &io::Error, listener: &'static str, next: AfterFailure) {
         let now = Instant::now();
-        if self.told_at.is_none_or(|at| now.saturating_duration_since(at) >= TELL_EVERY) {
-            let untold = std::mem::take(&mut self.untold);
-            self.told_at = Some(now);
-            tracing::warn!(%error, ?next, untold, "{what}: accept failed");
-        } else {
-            self.untold += 1;
+        if self.logged_at.is_some_and(|at| now.saturating_duration_since(at) < LOG_INTERVAL) {
+            self.suppressed += 1;
+            return;
         }
-        next
+        let suppressed = std::mem::take(&mut self.suppressed);
+        self.logged_at = Some(now);
+        tracing::warn!(listener, %error, ?next, suppressed, "accept failed");
     }
 }
--- a/src/net/admin/call.rs
+++ b/src/net/admin/call.rs
@@ -1,4 +1,4 @@
-//! What a call asks: the one place where its words are read.
+//! What an admin call asks for: the one place where its path and method are read.
 
 use crate::core::AdminCommand;
 use actix_http::header::{ALLOW, HeaderValue};
@@ -6,52 +6,74 @@
 
 /// What a call is about.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Asked {
+pub enum AdminCall {
+    /// Whether this process serves.
     Healthcheck,
-    Operation(AdminCommand),
+    /// A command for the core.
+    Command(AdminCommand),
 }
 
-/// Why a call is answered no before anybody is asked.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum No {
+/// Why a call is rejected before anybody handles it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum CallError {
     /// Nothing goes by this path.
-    Path,
-    /// What goes by this path is asked with this method.
-    Method(&'static str),
-    /// The id is no text.
-    Id,
+    #[error("unknown path")]
+    UnknownPath,
+    /// What goes by this path takes only this method.
+    #[error("the path takes {0} only")]
+    MethodNotAllowed(&'static str),
+    /// The target's name is not UTF-8 once it is decoded.
+    #[error("the target's name is not UTF-8")]
+    InvalidTargetName,
 }
 
-impl No {
+impl CallError {
+    /// The response to such a call.
     pub fn response(self) -> Response<()> {
         let code = match self {
-            No::Path => StatusCode::NOT_FOUND,
-            No::Method(_) => StatusCode::METHOD_NOT_ALLOWED,
-            No::Id => StatusCode::BAD_REQUEST,
+            CallError::UnknownPath => StatusCode::NOT_FOUND,
+            CallError::MethodNotAllowed(_) => StatusCode::METHOD_NOT_ALLOWED,
+            CallError::InvalidTargetName => StatusCode::BAD_REQUEST,
         };
         let mut response = Response::with_body(code, ());
-        if let No::Method(allowed) = self {
+        if let CallError::MethodNotAllowed(allowed) = self {
             response.headers_mut().insert(ALLOW, HeaderValue::from_static(allowed));
         }
         response
     }
 }
 
-/// Reads a call's method and path. Ids are percent-decoded once.
-pub fn read(method: &Method, path: &str) -> Result<Asked, No> {
-    let only =
-        |allowed: &Method, name, asked| if method == allowed { Ok(asked) } else { Err(No::Method(name)) };
+/// Reads a call's method and path. A target's name is percent-decoded once.
+///
+/// # Errors
+/// The path is unknown, takes another method, or names a target that is not UTF-8.
+pub fn parse(method: &Method, path: &str) -> Result<AdminCall, CallError> {
     let parts: Vec<&str> = path.split('/').skip(1).collect();
     match parts[..] {
-        ["healthcheck"] => only(&Method::GET, "GET", Asked::Healthcheck),
-        ["targets", id, what @ ("maint" | "ready")] if !id.is_empty() => {
-            let id = percent_encoding::percent_decode_str(id).decode_utf8().map_err(|_| No::Id)?.into_owned();
-            let call = if what == "maint" { AdminCommand::Maint(id) } else { AdminCommand::Ready(id) };
-            only(&Method::PUT, "PUT", Asked::Operation(call))
+        ["healthcheck"] => {
+            require(method, &Method::GET, "GET")?;
+            Ok(AdminCall::Healthcheck)
         }
-        _ => Err(No::Path),
+        ["targets", name, action @ ("maint" | "ready")] if !name.is_empty() => {
+            let name = decode_target_name(name)?;
+            require(method, &Method::PUT, "PUT")?;
+            Ok(AdminCall::Command(match action {
+                "maint" => AdminCommand::Maint(name),
+                _ => AdminCommand::Ready(name),
+            }))
+        }
+        _ => Err(CallError::UnknownPath),
     }
 }
 
+fn require(method: &Method, allowed: &Method, name: &'static str) -> Result<(), CallError> {
+    if method == allowed { Ok(()) } else { Err(CallError::MethodNotAllowed(name)) }
+}
+
+fn decode_target_name(name: &str) -> Result<String, CallError> {
+    let decoded = percent_encoding::percent_decode_str(name).decode_utf8();
+    decoded.map(|name| name.into_owned()).map_err(|_| CallError::InvalidTargetName)
+}
+
 #[cfg(test)]
 mod tests;
--- a/src/net/admin/call/tests.rs
+++ b/src/net/admin/call/tests.rs
@@ -1,25 +1,25 @@
-//! Tests of how an operators' call is parsed.
+//! How admin calls are read.
 
 use super::*;
 
 #[test]
-fn calls_are_read_and_others_are_told_why_not() {
-    let maint = |id: &str| Ok(Asked::Operation(AdminCommand::Maint(id.into())));
+fn calls_are_read_and_others_are_rejected_with_a_reason() {
+    let maint = |id: &str| Ok(AdminCall::Command(AdminCommand::Maint(id.into())));
     let cases = [
-        (Method::GET, "/healthcheck", Ok(Asked::Healthcheck)),
-        (Method::HEAD, "/healthcheck", Err(No::Method("GET"))),
+        (Method::GET, "/healthcheck", Ok(AdminCall::Healthcheck)),
+        (Method::HEAD, "/healthcheck", Err(CallError::MethodNotAllowed("GET"))),
         (Method::PUT, "/targets/s-1/maint", maint("s-1")),
-        (Method::PUT, "/targets/s-1/ready", Ok(Asked::Operation(AdminCommand::Ready("s-1".into())))),
+        (Method::PUT, "/targets/s-1/ready", Ok(AdminCall::Command(AdminCommand::Ready("s-1".into())))),
         // Once: what is decoded is not read again.
         (Method::PUT, "/targets/a%2Fb%2525/maint", maint("a/b%25")),
-        (Method::PUT, "/targets/%ff/maint", Err(No::Id)),
-        (Method::POST, "/targets/s-1/maint", Err(No::Method("PUT"))),
-        (Method::PUT, "/targets//maint", Err(No::Path)),
-        (Method::PUT, "/targets/s-1/maint/", Err(No::Path)),
-        (Method::PUT, "/targets/s-1/drain", Err(No::Path)),
-        (Method::GET, "/", Err(No::Path)),
+        (Method::PUT, "/targets/%ff/maint", Err(CallError::InvalidTargetName)),
+        (Method::POST, "/targets/s-1/maint", Err(CallError::MethodNotAllowed("PUT"))),
+        (Method::PUT, "/targets//maint", Err(CallError::UnknownPath)),
+        (Method::PUT, "/targets/s-1/maint/", Err(CallError::UnknownPath)),
+        (Method::PUT, "/targets/s-1/drain", Err(CallError::UnknownPath)),
+        (Method::GET, "/", Err(CallError::UnknownPath)),
     ];
-    for (method, path, asked) in cases {
-        assert_eq!(read(&method, path), asked, "{method} {path}");
+    for (method, path, expected) in cases {
+        assert_eq!(parse(&method, path), expected, "{method} {path}");
     }
 }
--- a/src/net/admin/server.rs
+++ b/src/net/admin/server.rs
@@ -1,195 +1,140 @@
-//! The listener of operators' calls: one call to a connection, read within a time, so many at once.
+//! The listener of admin calls, on a thread of its own: one call to a connection, a bounded number at once.
 
+use super::connection;
 use crate::core::AdminRequest;
 use crate::net::Phase;
-use crate::net::accept::{AcceptFailures, AfterFailure};
-use crate::net::admin::call::{self, Asked};
-use crate::net::close::close;
-use actix_codec::{Decoder, Encoder};
-use actix_http::body::BodySize;
-use actix_http::h1::{Codec, Message};
-use actix_http::{ConnectionType, KeepAlive, Request, Response, ServiceConfig, StatusCode};
-use bytes::BytesMut;
+use crate::net::accept::{AcceptFailures, pause};
+use actix_http::{KeepAlive, ServiceConfig};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::io;
-use std::net::{SocketAddr, TcpListener as Bound};
+use std::net::{SocketAddr, TcpListener as StdTcpListener};
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::AbortHandle;
 
-/// Calls that may be open at once. At that number the oldest that is not read whole makes room.
-pub const MOST_CALLS: usize = 16;
+/// Calls that may be open at once: operators' scripts make a few. At that number the oldest whose request is
+/// not complete is aborted for a new one.
+pub const MAX_CALLS: usize = 16;
 /// Descriptors of the listener's own: its calls, its runtime, and the listener.
-pub const OWN_SOCKETS: usize = MOST_CALLS + 6;
-/// How long a call's head may take, and how large it may be.
-const HEAD: Duration = Duration::from_secs(2);
-const LARGEST_HEAD: usize = 8 * 1024;
-/// A caller waits for a second; the state's owner has this much of it.
-const OWNER: Duration = Duration::from_millis(800);
-/// After its answer a connection is read away this long: a reset would take the answer with it.
-const LINGER: Duration = Duration::from_millis(500);
+pub const OWN_DESCRIPTORS: usize = MAX_CALLS + 6;
 
-/// Whom calls are taken to.
+/// What handles calls.
 #[derive(Clone, Debug)]
-pub struct Service {
-    pub operations: mpsc::Sender<AdminRequest>,
-    /// Whether there is a list that requests can be served by.
+pub struct AdminService {
+    /// Where commands go.
+    pub commands: mpsc::Sender<AdminRequest>,
+    /// Whether there is an endpoint list that requests can be served by.
     pub ready: watch::Receiver<bool>,
+    /// What this process does for clients.
     pub phase: watch::Receiver<Phase>,
 }
 
 /// The listener, which lives as long as this is held.
 #[derive(Debug)]
-pub struct Admin {
+pub struct AdminListener {
     addr: SocketAddr,
     #[expect(dead_code, reason = "its drop ends the thread")]
-    held: oneshot::Sender<()>,
+    stop: oneshot::Sender<()>,
 }
 
-impl Admin {
+impl AdminListener {
+    /// Where it listens.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 }
 
 /// Starts the thread of a listener that is bound.
-pub fn open(listener: Bound, service: Service) -> io::Result<Admin> {
+///
+/// # Errors
+/// The listener cannot be used, or the system starts no thread.
+pub fn open(listener: StdTcpListener, service: AdminService) -> io::Result<AdminListener> {
     let addr = listener.local_addr()?;
     listener.set_nonblocking(true)?;
-    let (held, end) = oneshot::channel();
+    let (stop, stopped) = oneshot::channel();
     let thread = std::thread::Builder::new().name("admin".into());
-    thread.spawn(move || {
-        let runtime = match actix_rt::Runtime::new() {
-            Ok(runtime) => runtime,
-            Err(error) => return tracing::error!(%error, "nobody answers operators"),
-        };
-        runtime.block_on(async move {
-            tokio::select! {
-                Err(error) = listen(listener, service) => tracing::error!(%error, "nobody answers operators"),
-                _ = end => {}
-            }
-        });
-    })?;
-    Ok(Admin { addr, held })
+    thread.spawn(move || run(listener, service, stopped))?;
+    Ok(AdminListener { addr, stop })
 }
 
-/// A call that is open.
-struct Open {
-    number: u64,
-    task: AbortHandle,
-    /// Its head is read: it is answered soon.
-    whole: Rc<Cell<bool>>,
+/// Serves calls until the listener is stopped.
+fn run(listener: StdTcpListener, service: AdminService, stopped: oneshot::Receiver<()>) {
+    let runtime = match actix_rt::Runtime::new() {
+        Ok(runtime) => runtime,
+        Err(error) => return tracing::error!(%error, "admin listener failed"),
+    };
+    runtime.block_on(async move {
+        tokio::select! {
+            Err(error) = listen(listener, service) => tracing::error!(%error, "admin listener failed"),
+            _ = stopped => {}
+        }
+    });
 }
 
-type Calls = Rc<RefCell<VecDeque<Open>>>;
-
-async fn listen(listener: Bound, service: Service) -> io::Result<()> {
+async fn listen(listener: StdTcpListener, service: AdminService) -> io::Result<()> {
     let listener = TcpListener::from_std(listener)?;
     let config = ServiceConfig::new(KeepAlive::Disabled, Duration::ZERO, Duration::ZERO, false, None);
-    let calls = Calls::default();
+    let calls = OpenCalls::default();
     let mut failures = AcceptFailures::default();
-    for number in 0.. {
-        let stream = loop {
-            match listener.accept().await {
-                Ok((stream, _)) => break stream,
-                Err(error) => match failures.failed(&error, "operators' calls") {
-                    AfterFailure::GoOn => {}
-                    AfterFailure::MakeRoom(wait) | AfterFailure::Wait(wait) => tokio::time::sleep(wait).await,
-                },
-            }
-        };
-        failures.succeeded();
-        make_room(&calls);
-        let whole = Rc::new(Cell::new(false));
-        let (open, config, service) = (Rc::clone(&calls), config.clone(), service.clone());
-        let read = Rc::clone(&whole);
-        let task = actix_rt::spawn(async move {
-            if let Err(error) = answer(stream, config, &service, &read).await {
-                tracing::debug!(%error, "an operator's call ended");
+    loop {
+        match listener.accept().await {
+            Ok((stream, _)) => {
+                failures.succeeded();
+                calls.start(stream, config.clone(), service.clone());
             }
-            open.borrow_mut().retain(|c| c.number != number);
-        });
-        calls.borrow_mut().push_back(Open { number, task: task.abort_handle(), whole });
+            Err(error) => pause(failures.failed(&error, "admin")).await,
+        }
     }
-    Ok(())
 }
 
-/// At the limit the oldest call that is not read whole goes, else the oldest of all, which has its answer.
-fn make_room(calls: &Calls) {
-    let mut calls = calls.borrow_mut();
-    if calls.len() >= MOST_CALLS {
-        let at = calls.iter().position(|c| !c.whole.get()).unwrap_or(0);
-        if let Some(call) = calls.remove(at) {
-            call.task.abort();
-        }
-    }
+/// A call that is open.
+struct OpenCall {
+    id: u64,
+    task: AbortHandle,
+    /// Its request has been read: it is answered soon.
+    request_read: Rc<Cell<bool>>,
 }
 
-async fn answer(
-    mut stream: TcpStream,
-    config: ServiceConfig,
-    service: &Service,
-    whole: &Cell<bool>,
-) -> io::Result<()> {
-    stream.set_nodelay(true)?;
-    let mut codec = Codec::new(config);
-    let request = tokio::time::timeout(HEAD, head(&mut stream, &mut codec)).await;
-    whole.set(true);
-    let mut response = match request.unwrap_or(Ok(Err(StatusCode::REQUEST_TIMEOUT)))? {
-        Ok(request) => asked(&request, service).await,
-        Err(code) => Response::with_body(code, ()),
-    };
-    response.head_mut().set_connection_type(ConnectionType::Close);
-    let mut bytes = BytesMut::new();
-    codec.encode(Message::Item((response, BodySize::Sized(0))), &mut bytes)?;
-    stream.write_all(&bytes).await?;
-    let _ = tokio::time::timeout(LINGER, close(&stream)).await;
-    Ok(())
+/// The calls that are open, the oldest first. Clones share them.
+#[derive(Clone, Default)]
+struct OpenCalls {
+    calls: Rc<RefCell<VecDeque<OpenCall>>>,
+    next_id: Rc<Cell<u64>>,
 }
 
-/// Reads a call's head; one that is none is answered with a status.
-async fn head(stream: &mut TcpStream, codec: &mut Codec) -> io::Result<Result<Request, StatusCode>> {
-    let mut bytes = BytesMut::new();
-    loop {
-        match codec.decode(&mut bytes) {
-            Ok(Some(Message::Item(request))) => return Ok(Ok(request)),
-            Ok(Some(Message::Chunk(_))) | Err(_) => return Ok(Err(StatusCode::BAD_REQUEST)),
-            Ok(None) if bytes.len() > LARGEST_HEAD => {
-                return Ok(Err(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE));
+impl OpenCalls {
+    /// Answers a call on a task of its own.
+    fn start(&self, stream: TcpStream, config: ServiceConfig, service: AdminService) {
+        self.evict_beyond_limit();
+        let id = self.next_id.get();
+        self.next_id.set(id + 1);
+        let request_read = Rc::new(Cell::new(false));
+        let task = actix_rt::spawn({
+            let open_calls = self.clone();
+            let request_read = Rc::clone(&request_read);
+            async move {
+                if let Err(error) = connection::serve(stream, config, &service, &request_read).await {
+                    tracing::debug!(%error, "admin call failed");
+                }
+                open_calls.calls.borrow_mut().retain(|call| call.id != id);
             }
-            Ok(None) => {}
-        }
-        if stream.read_buf(&mut bytes).await? == 0 {
-            return Err(io::ErrorKind::UnexpectedEof.into());
-        }
+        });
+        self.calls.borrow_mut().push_back(OpenCall { id, task: task.abort_handle(), request_read });
     }
-}
 
-async fn asked(request: &Request, service: &Service) -> Response<()> {
-    let phase = *service.phase.borrow();
-    let code = match call::read(request.method(), request.path()) {
-        Err(no) => return no.response(),
-        Ok(Asked::Healthcheck) if *service.ready.borrow() && phase == Phase::Serving => StatusCode::OK,
-        Ok(Asked::Healthcheck) => StatusCode::SERVICE_UNAVAILABLE,
-        // What holds is another process's to say, and comes from there.
-        Ok(Asked::Operation(_)) if phase == Phase::Preparing => StatusCode::SERVICE_UNAVAILABLE,
-        Ok(Asked::Operation(call)) => {
-            let (done, held) = oneshot::channel();
-            let asked = async {
-                service.operations.send(AdminRequest { call, done }).await.ok()?;
-                held.await.ok()
-            };
-            match tokio::time::timeout(OWNER, asked).await {
-                Ok(Some(true)) => StatusCode::OK,
-                Ok(Some(false)) => StatusCode::NOT_FOUND,
-                // It may still come to hold: called again, the answer is the same.
-                Ok(None) | Err(_) => StatusCode::SERVICE_UNAVAILABLE,
-            }
+    /// At the limit aborts the oldest call whose request has not been read, else the oldest of all, which has
+    /// its response.
+    fn evict_beyond_limit(&self) {
+        let mut calls = self.calls.borrow_mut();
+        if calls.len() < MAX_CALLS {
+            return;
         }
-    };
-    Response::with_body(code, ())
+        let unread = calls.iter().position(|call| !call.request_read.get());
+        if let Some(call) = calls.remove(unread.unwrap_or(0)) {
+            call.task.abort();
+        }
+    }
 }
--- a/src/net/http/mod.rs
+++ b/src/net/http/mod.rs
@@ -7,11 +7,12 @@
 mod message;
 mod request_body;
 mod response_body;
+mod response_stream;
 mod server;
 mod target;
 
 pub use clients::ConnectionTable;
 pub use discovery::{Address, Directory, Page, remember};
-pub use rowanglade_http_exchange::Links;
+pub use rowanglade_http_exchange::ConnectionPool;
 pub use server::{Front, serve};
-pub use target::{Pool, connect};
+pub use target::{TargetTransport, connect};
--- a/src/net/http/server.rs
+++ b/src/net/http/server.rs
@@ -2,7 +2,7 @@
 
 use crate::core::CoreHandle;
 use crate::net::Phase;
-use crate::net::accept::{AcceptFailures, AfterFailure};
+use crate::net::accept::{AcceptFailures, AfterFailure, pause};
 use crate::net::http::clients::{ClientStream, ConnectionTable};
 use crate::net::http::handler::respond;
 use actix_http::error::DispatchError;
@@ -130,14 +130,11 @@
 
 /// Does what a failed accept asks for before the next one.
 async fn recover(failures: &mut AcceptFailures, error: &io::Error, clients: &ConnectionTable) {
-    match failures.failed(error, "clients") {
-        AfterFailure::GoOn => {}
-        AfterFailure::MakeRoom(wait) => {
-            // Something outside the budget has taken the descriptors: a connection that waits for nothing is
-            // closed for them.
-            clients.evict_one();
-            tokio::time::sleep(wait).await;
-        }
-        AfterFailure::Wait(wait) => tokio::time::sleep(wait).await,
+    let next = failures.failed(error, "clients");
+    if matches!(next, AfterFailure::FreeDescriptors(_)) {
+        // Something outside the budget has taken the descriptors: a connection that waits for nothing is closed
+        // for them.
+        clients.evict_one();
     }
+    pause(next).await;
 }
--- a/src/net/http/target.rs
+++ b/src/net/http/target.rs
@@ -1,77 +1,81 @@
 //! The actor of an HTTP target: every attempt is one exchange on a connection of its own.
 
 use crate::core::{
-    Attempt, AttemptResult, Content, Download, Endpoint, HELD, Lost, PIECES, Probe, Report, Request, Taken,
-    TargetMessage, Upload,
+    Attempt, AttemptResult, Endpoint, HELD, Lost, Probe, Report, Request, Taken, TargetMessage, Upload,
 };
 use crate::interface::Outcome;
 use crate::net::http::message::{self, LARGEST_BODY};
-use actix_http::header::CONTENT_LENGTH;
-use actix_http::{RequestHead, ResponseHead, StatusCode};
-use bytes::{Bytes, BytesMut};
-use rowanglade_http_exchange::{Body, Fault, Link, Links, NoRest, Rest};
+use crate::net::http::response_stream::read_content;
+use bytes::Bytes;
+use rowanglade_http_exchange::{
+    BodyLost, BodyStream, Connection, ConnectionPool, ExchangeError, NoStream, RequestBody,
+};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// Attempts that may wait for the actor's turn. The module's bound on units out keeps far below it.
-const MAILBOX: usize = 256;
-/// A long answer that has begun is its client's: it is given up only after this long without a byte.
-const SILENT: Duration = Duration::from_secs(30);
+/// Attempts that may wait for the actor's turn. The scheduler's concurrency limit keeps far below it.
+const MAILBOX_CAPACITY: usize = 256;
 
-/// What all targets share.
+/// What the actors of all targets share.
 #[derive(Clone, Debug)]
-pub struct Pool {
+pub struct TargetTransport {
+    /// How long a connection may take to come up.
     pub connect_timeout: Duration,
-    /// A short answer that has begun goes on within this time, or it will not be whole.
-    pub stall: Duration,
-    /// What of an answer comes later than this after its head is passed on as it comes, not held.
-    pub hold: Duration,
-    pub links: Links,
+    /// A short response that has begun goes on within this time, or it will not be complete.
+    pub stall_timeout: Duration,
+    /// What of a response comes later than this after its head is passed on as it comes, not held.
+    pub hold_time: Duration,
+    /// Connections to all targets.
+    pub connections: ConnectionPool,
+}
+
+/// Starts a target's actor, which lives as long as its mailbox is held.
+pub fn connect(endpoint: &Endpoint, transport: TargetTransport) -> mpsc::Sender<TargetMessage> {
+    let (mailbox, messages) = mpsc::channel(MAILBOX_CAPACITY);
+    actix_rt::spawn(run(endpoint.addr, transport, messages));
+    mailbox
 }
 
-/// Starts the actor, which lives as long as its mailbox is held.
-pub fn connect(line: &Endpoint, pool: Pool) -> mpsc::Sender<TargetMessage> {
-    let (tx, mut rx) = mpsc::channel(MAILBOX);
-    let addr = line.addr;
-    actix_rt::spawn(async move {
-        while let Some(message) = rx.recv().await {
-            match message {
-                TargetMessage::Attempt(attempt) => {
-                    actix_rt::spawn(run(pool.clone(), addr, *attempt));
-                }
-                TargetMessage::Probe(probe) => {
-                    actix_rt::spawn(check(pool.clone(), addr, probe));
-                }
-                TargetMessage::Rest(true) => pool.links.rest(addr),
-                TargetMessage::Rest(false) => pool.links.wake(addr),
+async fn run(addr: SocketAddr, transport: TargetTransport, mut messages: mpsc::Receiver<TargetMessage>) {
+    let connections = transport.connections.clone();
+    while let Some(message) = messages.recv().await {
+        match message {
+            TargetMessage::Attempt(attempt) => {
+                actix_rt::spawn(run_attempt(transport.clone(), addr, *attempt));
             }
+            TargetMessage::Probe(probe) => {
+                actix_rt::spawn(run_probe(transport.clone(), addr, probe));
+            }
+            TargetMessage::Rest(true) => connections.suspend(addr),
+            TargetMessage::Rest(false) => connections.resume(addr),
         }
-        pool.links.wake(addr);
-        pool.links.forget(addr);
-    });
-    tx
+    }
+    connections.resume(addr);
+    connections.close_idle_to(addr);
 }
 
-/// Dropping the exchange closes its connection, which is how an attempt is given up.
-async fn run(pool: Pool, addr: SocketAddr, attempt: Attempt) {
+/// Makes one attempt and reports its result. Dropping the exchange closes its connection, which is how an
+/// attempt is cancelled.
+async fn run_attempt(transport: TargetTransport, addr: SocketAddr, attempt: Attempt) {
     let Attempt { request, until, cancel, report } = attempt;
-    let reply = tokio::select! {
+    let result = tokio::select! {
         biased;
-        reply = exchange(&pool, addr, &request, until, &report) => reply,
+        result = exchange(&transport, addr, &request, until, &report) => result,
         _ = cancel => AttemptResult::without_response(Outcome::Cancelled),
-        () = over(&request, until) => {
+        () = timed_out(&request, until) => {
             // A machine that was cut off leaves its connections open and silent, for good.
-            pool.links.forget(addr);
+            transport.connections.close_idle_to(addr);
             AttemptResult::without_response(Outcome::TimedOut)
         }
     };
-    report.tell(reply);
+    report.tell(result);
 }
 
-/// Resolves when an attempt's time is over: once it is, or so long after a long body's last byte.
-async fn over(request: &Request, until: Instant) {
+/// Resolves when an attempt's time is over: at `until`, or so long after a long body's last byte as the request
+/// had left.
+async fn timed_out(request: &Request, until: Instant) {
     match &request.more {
         None => tokio::time::sleep_until(until).await,
         Some(upload) => tokio::time::sleep_until(upload.until_whole().await + request.time_left).await,
@@ -79,15 +83,15 @@
 }
 
 /// The rest of a long body, on its way to the target.
-struct Passing<'a> {
+struct UploadStream<'a> {
     rest: Taken<'a>,
     upload: &'a Upload,
     report: &'a Report,
 }
 
-impl Rest for Passing<'_> {
-    async fn next(&mut self) -> Result<Option<Bytes>, rowanglade_http_exchange::Lost> {
-        let piece = self.rest.next().await.map_err(|Lost| rowanglade_http_exchange::Lost);
+impl BodyStream for UploadStream<'_> {
+    async fn next(&mut self) -> Result<Option<Bytes>, BodyLost> {
+        let piece = self.rest.next().await.map_err(|Lost| BodyLost);
         if self.upload.begun() {
             self.report.begun();
         }
@@ -96,120 +100,67 @@
 }
 
 async fn exchange(
-    pool: &Pool,
+    transport: &TargetTransport,
     addr: SocketAddr,
     request: &Request,
     until: Instant,
     report: &Report,
 ) -> AttemptResult {
-    let mut passing = None;
+    let mut upload_stream = None;
     if let Some(upload) = &request.more {
         // Another attempt has had some of it, which is gone.
         let Some(rest) = upload.take() else { return AttemptResult::without_response(Outcome::NotSent) };
-        passing = Some(Passing { rest, upload, report });
+        upload_stream = Some(UploadStream { rest, upload, report });
     }
-    let body = request.write.then(|| Body {
+    let body = request.write.then(|| RequestBody {
         held: request.body.clone(),
-        rest: passing.as_mut().map(|p| {
-            let length = p.upload.length();
-            (p, length)
+        rest: upload_stream.as_mut().map(|stream| {
+            let length = stream.upload.length();
+            (stream, length)
         }),
     });
-    let answer = async {
-        let mut link = take(pool, addr).await?;
+    let result = async {
+        let mut connection = check_out(transport, addr).await?;
         if !report.may_start().await {
-            pool.links.keep(link);
+            transport.connections.check_in(connection);
             return Err(Outcome::NotSent);
         }
-        let head = link
-            .ask(message::request_head(request, addr, until), body, LARGEST_BODY)
-            .await
-            .map_err(outcome)?;
+        let head = message::request_head(request, addr, until);
+        let head = connection.send(head, body, LARGEST_BODY).await.map_err(outcome)?;
         report.heard();
-        let content = content(pool, link, &head).await?;
+        let content = read_content(transport, connection, &head).await.map_err(outcome)?;
         Ok(message::reply(head.status, &head.headers, content))
     };
-    answer.await.unwrap_or_else(AttemptResult::without_response)
+    result.await.unwrap_or_else(AttemptResult::without_response)
 }
 
-async fn take(pool: &Pool, addr: SocketAddr) -> Result<Link, Outcome> {
-    pool.links.take(addr, pool.connect_timeout).await.map_err(|error| {
-        tracing::debug!(%addr, %error, "no connection");
+async fn check_out(transport: &TargetTransport, addr: SocketAddr) -> Result<Connection, Outcome> {
+    let connection = transport.connections.check_out(addr, transport.connect_timeout).await;
+    connection.map_err(|error| {
+        tracing::debug!(%addr, %error, "connection to target failed");
         Outcome::Unreachable
     })
 }
 
-fn outcome(fault: Fault) -> Outcome {
-    match fault {
-        Fault::NotWritten => Outcome::Unreachable,
-        Fault::Unheard | Fault::Broken => Outcome::Broken,
-    }
-}
-
-/// An answer's body: whole, unless it is long.
-async fn content(pool: &Pool, mut link: Link, head: &ResponseHead) -> Result<Content, Outcome> {
-    let told =
-        head.headers.get(CONTENT_LENGTH).and_then(|l| l.to_str().ok()).and_then(|l| l.trim().parse().ok());
-    let long = told.is_some_and(|length: u64| length > HELD as u64);
-    let mut held = BytesMut::new();
-    let until = Instant::now() + pool.hold;
-    loop {
-        let Some(piece) = link.piece(Some(pool.stall)).await.map_err(outcome)? else {
-            pool.links.keep(link);
-            return Ok(Content::Whole(held.freeze()));
-        };
-        held.extend_from_slice(&piece);
-        let long = long || held.len() > HELD;
-        if long && head.status != StatusCode::OK {
-            // Nobody is served it.
-            return Ok(Content::Whole(Bytes::new()));
-        }
-        // One that is slow to come could not be tried for again in time, and is no use to its client held.
-        // One that stands still may be spoilt.
-        if long || (Instant::now() >= until && head.status == StatusCode::OK) {
-            return Ok(streamed(pool, link, held, told));
-        }
-    }
-}
-
-/// An answer that its client gets as it comes.
-fn streamed(pool: &Pool, link: Link, first: BytesMut, length: Option<u64>) -> Content {
-    let (tx, pieces) = mpsc::channel(PIECES);
-    actix_rt::spawn(pass(pool.links.clone(), link, first.freeze(), tx));
-    Content::Streamed(Download { length, pieces })
-}
-
-/// Passes a long answer on, no faster than its client takes it. A client that goes takes the connection
-/// along.
-async fn pass(links: Links, mut link: Link, first: Bytes, to: mpsc::Sender<Result<Bytes, Lost>>) {
-    let mut piece = Ok(Some(first));
-    while let Ok(Some(bytes)) = piece {
-        if to.send(Ok(bytes)).await.is_err() {
-            return;
-        }
-        piece = tokio::select! {
-            piece = link.piece(Some(SILENT)) => piece,
-            () = to.closed() => return,
-        };
-    }
-    match piece {
-        Ok(_) => links.keep(link),
-        Err(_) => drop(to.send(Err(Lost)).await),
+fn outcome(error: ExchangeError) -> Outcome {
+    match error {
+        ExchangeError::NotWritten => Outcome::Unreachable,
+        ExchangeError::NoResponse | ExchangeError::Broken => Outcome::Broken,
     }
 }
 
-/// A shallow probe.
-async fn check(pool: Pool, addr: SocketAddr, probe: Probe) {
-    let asked = async {
-        let mut link = take(&pool, addr).await?;
-        let head: RequestHead = message::probe(addr);
-        let head = link.ask(head, None::<Body<'_, NoRest>>, HELD as u64).await.map_err(outcome)?;
-        let content = content(&pool, link, &head).await?;
+/// Makes one probe and reports its result.
+async fn run_probe(transport: TargetTransport, addr: SocketAddr, probe: Probe) {
+    let exchange = async {
+        let mut connection = check_out(&transport, addr).await?;
+        let body = None::<RequestBody<'_, NoStream>>;
+        let head = connection.send(message::probe(addr), body, HELD as u64).await.map_err(outcome)?;
+        let content = read_content(&transport, connection, &head).await.map_err(outcome)?;
         Ok(message::reply(head.status, &head.headers, content))
     };
-    let reply = match tokio::time::timeout_at(probe.until, asked).await {
-        Ok(reply) => reply.unwrap_or_else(AttemptResult::without_response),
+    let result = match tokio::time::timeout_at(probe.until, exchange).await {
+        Ok(result) => result.unwrap_or_else(AttemptResult::without_response),
         Err(_) => AttemptResult::without_response(Outcome::TimedOut),
     };
-    probe.report.tell(reply.outcome, reply.load);
+    probe.report.tell(result.outcome, result.load);
 }
--- a/src/net/iscsi/front.rs
+++ b/src/net/iscsi/front.rs
@@ -2,7 +2,7 @@
 
 use crate::core::{Content, CoreHandle, InvalidRequest, Protocol, Request, RequestOrigin, Response};
 use crate::net::Phase;
-use crate::net::accept::{AcceptFailures, AfterFailure};
+use crate::net::accept::{AcceptFailures, pause};
 use crate::net::close::{LINGER, close, read_closed};
 use bytes::{Buf, Bytes, BytesMut};
 use futures_util::StreamExt;
@@ -96,10 +96,7 @@
                 });
             }
             Ok(_) => tracing::warn!("too many sessions; a connection is closed"),
-            Err(error) => match failures.failed(&error, "sessions") {
-                AfterFailure::GoOn => {}
-                AfterFailure::MakeRoom(wait) | AfterFailure::Wait(wait) => tokio::time::sleep(wait).await,
-            },
+            Err(error) => pause(failures.failed(&error, "iscsi")).await,
         }
     }
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! The fronts, the targets and the list on their wires.
+//! The fronts, the targets and discovery on their wires.
 
 pub mod accept;
 pub mod admin;
@@ -8,5 +8,7 @@
 pub mod http;
 pub mod iscsi;
 pub mod peers;
+mod phase;
 
-pub use budget::{Budget, Parts, Phase, Reservations};
+pub use budget::{DescriptorBudget, OptionalParts, Reservations};
+pub use phase::Phase;
--- a/src/upgrade/keeper.rs
+++ b/src/upgrade/keeper.rs
@@ -1,9 +1,9 @@
 //! The actor that owns the handover's machine, the lock and the links.
 
 use crate::core::{AdminCommand, HandoverRequest};
-use crate::net::accept::{AcceptFailures, AfterFailure};
+use crate::net::accept::{AcceptFailures, pause as pause_accept};
 use crate::net::http::Page;
-use crate::net::{Budget, Phase};
+use crate::net::{DescriptorBudget, Phase};
 use crate::upgrade::Meeting;
 use crate::upgrade::wire::{self, HandoverState, Message, Reader, Share, Welcome};
 use rowanglade_handover::{Action, Event, Link, Machine, Word};
@@ -56,7 +56,7 @@
     /// Whether there is a list that requests can be served by.
     pub ready: watch::Receiver<bool>,
     pub phase: Rc<watch::Sender<Phase>>,
-    pub budget: Budget,
+    pub budget: DescriptorBudget,
     pub listeners: Listeners,
 }
 
@@ -200,9 +200,7 @@
                 Err(error) => {
                     // Without a wait, one that goes on failing would take the whole thread.
                     let next = self.accept_failures.failed(&error, "a successor");
-                    if let AfterFailure::MakeRoom(wait) | AfterFailure::Wait(wait) = next {
-                        tokio::time::sleep(wait).await;
-                    }
+                    pause_accept(next).await;
                     None
                 }
             },
@@ -296,7 +294,7 @@
                 (self.listener, self.frozen) = (None, None);
                 self.turn(Phase::Leaving);
                 if let Some(controls) = &self.controls {
-                    controls.budget.leave(LAST);
+                    controls.budget.keep_in_use(LAST);
                 }
                 self.tell_share();
                 tracing::info!("all is handed over");
@@ -343,7 +341,7 @@
                 let described = self.ask(HandoverRequest::Describe).await;
                 let (Some((now, list)), Some(controls)) = (described, &self.controls) else { return Ok(()) };
                 controls.budget.share(FIRST);
-                let share = Share { descriptors: controls.budget.all().saturating_sub(FIRST) };
+                let share = Share { descriptors: controls.budget.total().saturating_sub(FIRST) };
                 let listeners = controls.listeners.0.iter().map(|(name, _)| name.clone()).collect();
                 for (_, fd) in &controls.listeners.0 {
                     fds.push(fd.try_clone()?);
@@ -363,7 +361,7 @@
     /// Tells the successor what this process still has of what both count together.
     fn tell_share(&self) {
         let Some(controls) = &self.controls else { return };
-        let share = Some(Share { descriptors: controls.budget.open() + LAST });
+        let share = Some(Share { descriptors: controls.budget.open_descriptors() + LAST });
         self.to_all(&Message { share, ..Message::default() });
     }
 
--- a/tests/accept.rs
+++ b/tests/accept.rs
@@ -26,10 +26,10 @@
 fn only_a_lack_of_descriptors_or_memory_ends_others() {
     for errno in [EMFILE, ENFILE, ENOBUFS, ENOMEM] {
         let next = after(&mut AcceptFailures::default(), errno);
-        assert!(matches!(next, AfterFailure::MakeRoom(_)), "{errno}: {next:?}");
+        assert!(matches!(next, AfterFailure::FreeDescriptors(_)), "{errno}: {next:?}");
     }
     for errno in [ECONNABORTED, ENETUNREACH, EHOSTUNREACH, ENETDOWN, EPROTO] {
-        assert_eq!(after(&mut AcceptFailures::default(), errno), AfterFailure::GoOn, "{errno}");
+        assert_eq!(after(&mut AcceptFailures::default(), errno), AfterFailure::Continue, "{errno}");
     }
 }
 
@@ -38,18 +38,18 @@
 #[test]
 fn a_lack_that_is_over_at_once_is_not_waited_for() {
     let mut failures = AcceptFailures::default();
-    assert_eq!(after(&mut failures, ENFILE), AfterFailure::MakeRoom(Duration::ZERO));
-    assert!(matches!(after(&mut failures, ENFILE), AfterFailure::MakeRoom(wait) if !wait.is_zero()));
+    assert_eq!(after(&mut failures, ENFILE), AfterFailure::FreeDescriptors(Duration::ZERO));
+    assert!(matches!(after(&mut failures, ENFILE), AfterFailure::FreeDescriptors(wait) if !wait.is_zero()));
     failures.succeeded();
-    assert_eq!(after(&mut failures, EMFILE), AfterFailure::MakeRoom(Duration::ZERO));
+    assert_eq!(after(&mut failures, EMFILE), AfterFailure::FreeDescriptors(Duration::ZERO));
 }
 
 #[test]
 fn a_listener_that_goes_on_failing_does_not_spin_and_is_used_again() {
     let mut failures = AcceptFailures::default();
     let next: Vec<AfterFailure> = (0..200).map(|_| after(&mut failures, ECONNABORTED)).collect();
-    assert!(next[..10].iter().all(|next| *next == AfterFailure::GoOn));
-    assert!(next[100..].iter().all(|next| matches!(next, AfterFailure::Wait(_))));
+    assert!(next[..10].iter().all(|next| *next == AfterFailure::Continue));
+    assert!(next[100..].iter().all(|next| matches!(next, AfterFailure::Pause(_))));
     failures.succeeded();
-    assert_eq!(after(&mut failures, ECONNABORTED), AfterFailure::GoOn);
+    assert_eq!(after(&mut failures, ECONNABORTED), AfterFailure::Continue);
 }
--- a/tests/budget.rs
+++ b/tests/budget.rs
@@ -1,15 +1,15 @@
 //! The descriptors of the process: what is reserved ahead of clients, and that all together stay within the
 //! limit.
 
-use rowanglade::net::budget::{DISCOVERY, DISCOVERY_PUSHED};
-use rowanglade::net::{Parts, Reservations};
+use rowanglade::net::budget::{DISCOVERY_DESCRIPTORS, PUSHED_DISCOVERY_DESCRIPTORS};
+use rowanglade::net::{OptionalParts, Reservations};
 
-fn all_parts() -> impl Iterator<Item = Parts> {
-    (0..32).map(|bits| Parts {
-        operators: bits & 1 > 0,
+fn all_parts() -> impl Iterator<Item = OptionalParts> {
+    (0..32).map(|bits| OptionalParts {
+        admin: bits & 1 > 0,
         fleet: bits & 2 > 0,
-        sessions: bits & 4 > 0,
-        pushed: bits & 8 > 0,
+        iscsi: bits & 4 > 0,
+        pushed_list: bits & 8 > 0,
         peers: bits & 16 > 0,
     })
 }
@@ -30,11 +30,12 @@
     for parts in all_parts() {
         for sockets in [0, 64, 96, 256, 512, 1_024, 65_536] {
             let shares = Reservations::of(sockets, parts);
-            let discovery = if parts.pushed { DISCOVERY_PUSHED } else { DISCOVERY };
+            let discovery =
+                if parts.pushed_list { PUSHED_DISCOVERY_DESCRIPTORS } else { DISCOVERY_DESCRIPTORS };
             assert_eq!(shares.discovery, discovery, "{sockets} {parts:?}");
             assert!(shares.clients > 0 && shares.targets > 0, "{sockets} {parts:?}: {shares:?}");
-            assert_eq!(shares.sessions > 0, parts.sessions, "{sockets} {parts:?}");
-            assert_eq!((shares.operators > 0, shares.fleet > 0), (parts.operators, parts.fleet));
+            assert_eq!(shares.sessions > 0, parts.iscsi, "{sockets} {parts:?}");
+            assert_eq!((shares.admin > 0, shares.fleet > 0), (parts.admin, parts.fleet));
             assert_eq!(shares.peers > 0, parts.peers);
         }
     }
@@ -42,9 +43,9 @@
 
 #[test]
 fn another_processs_share_is_taken_from_clients_and_targets_alone() {
-    let parts = Parts { operators: true, fleet: true, peers: true, sessions: true, pushed: false };
+    let parts = OptionalParts { admin: true, fleet: true, peers: true, iscsi: true, pushed_list: false };
     let (alone, beside) = (Reservations::of(512, parts), Reservations::of(512 - 200, parts));
-    let ahead = |s: &Reservations| (s.process, s.discovery, s.operators, s.fleet, s.passing);
+    let ahead = |s: &Reservations| (s.process, s.discovery, s.admin, s.fleet, s.unregistered);
     assert_eq!(ahead(&alone), ahead(&beside));
     let shared = |s: &Reservations| s.clients + s.targets + s.sessions;
     assert_eq!(shared(&alone) - shared(&beside), 200);
--- a/tests/compatibility/admin.rs
+++ b/tests/compatibility/admin.rs
@@ -3,7 +3,7 @@
 
 use rowanglade::core::{AdminCommand, AdminRequest};
 use rowanglade::net::Phase;
-use rowanglade::net::admin::{Service, open};
+use rowanglade::net::admin::{AdminService, open};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
@@ -33,13 +33,13 @@
 
 #[test]
 fn answers_to_operators_are_as_recorded() {
-    let (operations, mut asked) = mpsc::channel::<AdminRequest>(1);
+    let (commands, mut requests) = mpsc::channel::<AdminRequest>(1);
     let ((_ready, ready), (_phase, phase)) = (watch::channel(true), watch::channel(Phase::Serving));
     let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
-    let admin = open(listener, Service { operations, ready, phase }).expect("opened");
+    let admin = open(listener, AdminService { commands, ready, phase }).expect("opened");
     let owner = std::thread::spawn(move || {
         let mut calls = Vec::new();
-        while let Some(AdminRequest { call, done }) = asked.blocking_recv() {
+        while let Some(AdminRequest { call, done }) = requests.blocking_recv() {
             let known = !matches!(&call, AdminCommand::Maint(id) if id == "box-9");
             calls.push(call);
             done.send(known).expect("it waits");
--- a/tests/network/admin.rs
+++ b/tests/network/admin.rs
@@ -55,7 +55,7 @@
         let (_node, admin) = operated(&[line(target.addr, 0, "active")], None).await;
         healthy(admin).await;
         let mut half = Vec::new();
-        for _ in 0..3 * rowanglade::net::admin::MOST_CALLS {
+        for _ in 0..3 * rowanglade::net::admin::MAX_CALLS {
             let mut stream = TcpStream::connect(admin).await.expect("connected");
             stream.write_all(b"PUT /targets/s-0/ma").await.expect("written");
             half.push(stream);
