--- a/crates/lab/src/routes.rs
+++ b/crates/lab/src/routes.rs
@@ -3,8 +3,10 @@
 use crate::outcome::{Experiment, Failure, Outcome, Run};
 use crate::world::{self, Traffic, ZONE, block_on};
 use rowanglade_replay::Replay;
-use rowanglade_routing::check::Decision;
-use rowanglade_routing::{Front, RouteRequest, Rules, Source, TargetInfo, Terms, check, parse};
+use rowanglade_routing::{
+    ClassSettings, Decision, Front, PlanSettings, Requirement, RouteRequest, RoutingRules, ServiceSettings,
+    Source, TargetInfo, check, parse,
+};
 use rowanglade_test_fleet::{Site, Usage};
 use std::fmt::Write;
 use std::time::{Duration, Instant};
@@ -25,11 +27,18 @@
     ]
 }
 
-fn terms() -> Terms {
-    Terms {
-        classes: vec![("view".into(), false), ("deposit".into(), true), ("export".into(), false)],
-        plans: vec![("basic".into(), Some(32.0)), ("full".into(), None)],
-        attempts: 3,
+fn settings() -> ServiceSettings {
+    ServiceSettings {
+        classes: vec![
+            ClassSettings { name: "view".into(), writes: false },
+            ClassSettings { name: "deposit".into(), writes: true },
+            ClassSettings { name: "export".into(), writes: false },
+        ],
+        plans: vec![
+            PlanSettings { name: "basic".into(), max_units_per_second: Some(32.0) },
+            PlanSettings { name: "full".into(), max_units_per_second: None },
+        ],
+        max_attempts: 3,
         drain_grace_ms: 1_000,
     }
 }
@@ -74,8 +83,8 @@
     out
 }
 
-fn parsed(text: String) -> Result<Rules, Failure> {
-    Ok(parse(&[Source { name: "made".into(), text }], &terms())?)
+fn parsed(text: String) -> Result<RoutingRules, Failure> {
+    Ok(parse(&[Source { name: "made".into(), text }], &settings())?)
 }
 
 fn routes_check() -> Result<Outcome, Failure> {
@@ -87,7 +96,7 @@
         let begun = Instant::now();
         let rules = parsed(text)?;
         let read = begun.elapsed().as_secs_f64();
-        let report = check(&rules.table, &rules.expectations, &terms(), &boxes);
+        let report = check(&rules.table, &rules.expectations, &settings(), &boxes);
         let whole = begun.elapsed().as_secs_f64();
         let holds = report.decision(&rules.expectations) == Decision::Load
             && report.lines(&rules.expectations).is_empty();
@@ -97,9 +106,9 @@
         // One of them wrong must be found among the others.
         let mut broken = rules.expectations.clone();
         if let Some(e) = broken.iter_mut().find(|e| e.name == "e7") {
-            e.must = rowanglade_routing::Must::Refused;
+            e.requirement = Requirement::Rejected;
         }
-        let decision = check(&rules.table, &broken, &terms(), &boxes).decision(&broken);
+        let decision = check(&rules.table, &broken, &settings(), &boxes).decision(&broken);
         out.claim(
             format!("{collections} collections: one wrong expectation is found"),
             decision == Decision::Refuse,
--- a/crates/routing/src/diff.rs
+++ b/crates/routing/src/diff.rs
@@ -1,49 +1,50 @@
-//! What another table would change: which requests reach other boxes, by classes of requests.
+//! What another table would change: which requests reach other targets, by classes of equivalent requests.
 
-use crate::check::{Points, Terms, volumes};
-use crate::sets::Match;
-use crate::table::Table;
-use crate::target::{BoxState, TargetInfo};
+use crate::check::samples::{RequestSamples, sample_volumes};
+use crate::request::RouteRequest;
+use crate::request_match::RequestMatch;
+use crate::settings::ServiceSettings;
+use crate::table::RouteTable;
+use crate::target::{ListedState, TargetInfo};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Requests whose boxes change.
+/// Requests whose targets change in the same way.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
     /// One of them.
     pub request: String,
-    /// Classes of requests that change in this way.
+    /// How many classes of equivalent requests change in this way.
     pub classes: usize,
+    /// The names of the targets that they reach before.
     pub before: Vec<String>,
+    /// The names of the targets that they reach after.
     pub after: Vec<String>,
 }
 
-/// The changes from one table to another, with all these boxes active.
-pub fn diff(before: &Table, after: &Table, terms: &Terms, boxes: &[TargetInfo]) -> Vec<Change> {
-    let all = Match::default();
-    let both: BTreeSet<u64> = volumes(before, &all).into_iter().chain(volumes(after, &all)).collect();
-    let shards: BTreeSet<u32> = boxes.iter().map(|b| b.shard).collect();
+/// The changes from one table to another, with all these targets active.
+pub fn diff(
+    before: &RouteTable,
+    after: &RouteTable,
+    settings: &ServiceSettings,
+    targets: &[TargetInfo],
+) -> Vec<Change> {
+    let shards: BTreeSet<u32> = targets.iter().map(|target| target.shard).collect();
     let mut changes: BTreeMap<(Vec<String>, Vec<String>), Change> = BTreeMap::new();
-    let matches = |table: &'_ Table, volume| -> Vec<Match> {
-        table.candidates(volume).map(|p| table.routes()[p].requests.clone()).collect()
-    };
-    for volume in both {
-        let candidates: Vec<Match> =
-            matches(before, volume).into_iter().chain(matches(after, volume)).collect();
-        for request in Points::of(candidates.iter(), terms, &shards).requests(volume) {
-            if request.shard.is_some_and(|s| !shards.contains(&s)) {
+    for volume in volumes_of_both(before, after) {
+        let matches = before.candidate_matches(volume).chain(after.candidate_matches(volume));
+        for request in RequestSamples::of(matches, settings, &shards).requests(volume) {
+            if request.shard.is_some_and(|shard| !shards.contains(&shard)) {
                 continue;
             }
-            let reach = |table: &Table| {
-                let listed = boxes.iter().map(|b| (b, BoxState::Active, b.name.clone()));
-                table.reach(table.route(&request), request.shard, listed)
-            };
-            let (was, is) = (reach(before), reach(after));
-            if was != is {
-                let change = changes.entry((was.clone(), is.clone())).or_insert_with(|| Change {
+            let reached_before = reached(before, &request, targets);
+            let reached_after = reached(after, &request, targets);
+            if reached_before != reached_after {
+                let kind = (reached_before.clone(), reached_after.clone());
+                let change = changes.entry(kind).or_insert_with(|| Change {
                     request: request.to_string(),
                     classes: 0,
-                    before: was,
-                    after: is,
+                    before: reached_before,
+                    after: reached_after,
                 });
                 change.classes += 1;
             }
@@ -51,3 +52,14 @@
     }
     changes.into_values().collect()
 }
+
+fn volumes_of_both(before: &RouteTable, after: &RouteTable) -> BTreeSet<u64> {
+    let all = RequestMatch::default();
+    sample_volumes(before, &all).into_iter().chain(sample_volumes(after, &all)).collect()
+}
+
+/// The names of the targets that a request reaches.
+fn reached(table: &RouteTable, request: &RouteRequest<'_>, targets: &[TargetInfo]) -> Vec<String> {
+    let active = targets.iter().map(|target| (target, ListedState::Active, target.name.clone()));
+    table.reachable(table.route(request), request.shard, active)
+}
--- a/crates/routing/tests/agreement.rs
+++ b/crates/routing/tests/agreement.rs
@@ -3,11 +3,10 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use rowanglade_routing::check::Terms;
-use rowanglade_routing::expect::Undecided;
 use rowanglade_routing::{
-    Addresses, BoxState, Expectation, Front, Match, Must, Origin, Pool, Route, RouteRequest, Selector, Table,
-    TargetInfo, Verdict, check,
+    AddressSet, ClassSettings, Expectation, Front, ListedState, Origin, PlanSettings, Pool, RequestMatch,
+    Requirement, Route, RouteRequest, RouteTable, ServiceSettings, TargetInfo, TargetSelector, Verdict,
+    WhenUndecided, check,
 };
 use std::collections::BTreeSet;
 use std::net::IpAddr;
@@ -26,9 +25,9 @@
     prop_oneof![2 => Just(None), 1 => value.prop_map(Some)].boxed()
 }
 
-fn nets() -> impl Strategy<Value = Addresses> {
+fn nets() -> impl Strategy<Value = AddressSet> {
     (0..NETS.len()).prop_map(|i| {
-        let mut set = Addresses::default();
+        let mut set = AddressSet::default();
         set.insert(NETS[i].parse().expect("a network"));
         set
     })
@@ -42,32 +41,32 @@
     proptest::collection::btree_set(0..2u32, 1..3)
 }
 
-fn selector() -> impl Strategy<Value = Selector> {
+fn selector() -> impl Strategy<Value = TargetSelector> {
     let zones = (0..2usize).prop_map(|z| [ZONES[z].to_string()].into());
     (some(names()), some(zones), some(shards()), some(nets())).prop_map(
-        |(names, zones, shards, addresses)| Selector { names, zones, kinds: None, shards, addresses },
+        |(names, zones, shards, addresses)| TargetSelector { names, zones, kinds: None, shards, addresses },
     )
 }
 
-fn requests() -> impl Strategy<Value = Match> {
+fn requests() -> impl Strategy<Value = RequestMatch> {
     let classes = (0..2usize).prop_map(|c| [["view", "deposit"][c].to_string()].into());
     let volumes = (1..4u64, 0..2u64).prop_map(|(from, more)| vec![(from, from + more)]);
     let front = (0..2usize).prop_map(|f| vec![[Front::Http, Front::Iscsi][f]]);
     (some(front), some(nets()), some(classes), some(volumes), some(shards()), some(any::<bool>())).prop_map(
-        |(fronts, clients, classes, volumes, shards, write)| Match {
+        |(fronts, clients, classes, volumes, shards, write)| RequestMatch {
             fronts,
             clients,
             classes,
             volumes,
             shards,
             write,
-            ..Match::default()
+            ..RequestMatch::default()
         },
     )
 }
 
-fn boxes() -> impl Strategy<Value = Vec<TargetInfo>> {
-    proptest::collection::vec((0..2usize, 0..2u32, 0..3usize), 0..3).prop_map(|boxes| {
+fn targets() -> impl Strategy<Value = Vec<TargetInfo>> {
+    proptest::collection::vec((0..2usize, 0..2u32, 0..3usize), 0..3).prop_map(|targets| {
         let info = |(i, (zone, shard, addr)): (usize, (usize, u32, usize))| TargetInfo {
             name: NAMES[i].into(),
             zone: ZONES[zone].into(),
@@ -75,25 +74,25 @@
             shard,
             addr: ADDRESSES[addr].into(),
         };
-        boxes.into_iter().enumerate().map(info).collect()
+        targets.into_iter().enumerate().map(info).collect()
     })
 }
 
-fn must() -> impl Strategy<Value = Must> {
+fn requirement() -> impl Strategy<Value = Requirement> {
     prop_oneof![
-        selector().prop_map(Must::Only),
-        selector().prop_map(|s| Must::Never(s, BoxState::ALL.to_vec())),
-        (selector(), 0..3usize).prop_map(|(boxes, without)| Must::Some { boxes, without }),
-        Just(Must::Refused),
-        (0..4usize).prop_map(Must::Spread),
+        selector().prop_map(Requirement::Only),
+        selector().prop_map(|s| Requirement::Never { targets: s, states: ListedState::ALL.to_vec() }),
+        (selector(), 0..3usize).prop_map(|(targets, without)| Requirement::Some { targets, without }),
+        Just(Requirement::Rejected),
+        (0..4usize).prop_map(Requirement::MinNewObjectTargets),
     ]
 }
 
-fn table() -> impl Strategy<Value = Table> {
+fn table() -> impl Strategy<Value = RouteTable> {
     let route = (requests(), 0..2usize, some(0..2usize));
     (proptest::collection::vec(selector(), 2..=2), proptest::collection::vec(route, 0..4)).prop_map(
         |(pools, routes)| {
-            let pool = |boxes| Pool { name: String::new(), boxes, origin: Origin::default() };
+            let pool = |targets| Pool { name: String::new(), targets, origin: Origin::default() };
             let route = |(requests, pool, fallback)| Route {
                 name: String::new(),
                 requests,
@@ -101,16 +100,19 @@
                 fallback,
                 origin: Origin::default(),
             };
-            Table::new(routes.into_iter().map(route).collect(), pools.into_iter().map(pool).collect())
+            RouteTable::new(routes.into_iter().map(route).collect(), pools.into_iter().map(pool).collect())
         },
     )
 }
 
-fn terms() -> Terms {
-    Terms {
-        classes: vec![("view".into(), false), ("deposit".into(), true)],
-        plans: vec![("basic".into(), None)],
-        attempts: 3,
+fn settings() -> ServiceSettings {
+    ServiceSettings {
+        classes: vec![
+            ClassSettings { name: "view".into(), writes: false },
+            ClassSettings { name: "deposit".into(), writes: true },
+        ],
+        plans: vec![PlanSettings { name: "basic".into(), max_units_per_second: None }],
+        max_attempts: 3,
         drain_grace_ms: 1_000,
     }
 }
@@ -136,11 +138,11 @@
 
 /// Whether it is broken by listed boxes or one that nobody names, and whether by one that is named and not
 /// listed.
-fn brute(table: &Table, e: &Expectation, listed: &[TargetInfo]) -> (bool, bool) {
+fn brute(table: &RouteTable, e: &Expectation, listed: &[TargetInfo]) -> (bool, bool) {
     let (mut plainly, mut by_named) = (false, false);
-    let reach = |request: &RouteRequest<'_>, boxes: &[(&TargetInfo, BoxState)]| -> Vec<TargetInfo> {
-        let boxes = boxes.iter().map(|(b, s)| (*b, *s, (*b).clone()));
-        table.reach(table.route(request), request.shard, boxes)
+    let reach = |request: &RouteRequest<'_>, targets: &[(&TargetInfo, ListedState)]| -> Vec<TargetInfo> {
+        let targets = targets.iter().map(|(b, s)| (*b, *s, (*b).clone()));
+        table.reachable(table.route(request), request.shard, targets)
     };
     let named_shards: BTreeSet<u32> =
         listed.iter().map(|b| b.shard).chain(e.requests.shards.iter().flatten().copied()).collect();
@@ -155,20 +157,21 @@
             }
         }
     }
-    for request in all_requests().iter().filter(|r| e.requests.holds(r).is_some()) {
-        let wrong = |b: &TargetInfo| match &e.must {
-            Must::Only(wanted) => !wanted.holds(b),
-            Must::Never(banned, _) => banned.holds(b),
+    for request in all_requests().iter().filter(|r| e.requests.matches(r)) {
+        let wrong = |b: &TargetInfo| match &e.requirement {
+            Requirement::Only(wanted) => !wanted.selects(b),
+            Requirement::Never { targets: banned, .. } => banned.selects(b),
             _ => false,
         };
-        let active: Vec<(&TargetInfo, BoxState)> = listed.iter().map(|b| (b, BoxState::Active)).collect();
-        match &e.must {
-            Must::Only(_) | Must::Never(..) => {
+        let active: Vec<(&TargetInfo, ListedState)> =
+            listed.iter().map(|b| (b, ListedState::Active)).collect();
+        match &e.requirement {
+            Requirement::Only(_) | Requirement::Never { .. } => {
                 // Alone it is reached wherever it could be; beside all others the fallback does not count.
                 for b in listed.iter().chain(&newcomers) {
-                    let alone = reach(request, &[(b, BoxState::Cold)]);
+                    let alone = reach(request, &[(b, ListedState::WarmingUp)]);
                     let mut beside = active.clone();
-                    beside.push((b, BoxState::Active));
+                    beside.push((b, ListedState::Active));
                     if alone.iter().chain(&reach(request, &beside)).any(wrong) {
                         match listed.contains(b) || b.name == FRESH {
                             true => plainly = true,
@@ -178,20 +181,20 @@
                 }
             }
             _ if request.shard.is_some_and(|s| !named_shards.contains(&s)) => {}
-            Must::Some { boxes, without } => {
+            Requirement::Some { targets, without } => {
                 for gone in 0..1u32 << listed.len() {
                     if gone.count_ones() as usize <= *without {
                         let left = listed.iter().enumerate().map(|(i, b)| {
-                            (b, if gone >> i & 1 == 1 { BoxState::Gone } else { BoxState::Active })
+                            (b, if gone >> i & 1 == 1 { ListedState::Removed } else { ListedState::Active })
                         });
                         let reached = reach(request, &left.collect::<Vec<_>>());
-                        plainly |= !reached.iter().any(|b| boxes.holds(b));
+                        plainly |= !reached.iter().any(|b| targets.selects(b));
                     }
                 }
             }
             // Some of the first pool may go, and the second then serves.
-            Must::Refused => plainly |= active.iter().any(|b| !reach(request, &[*b]).is_empty()),
-            Must::Spread(least) => {
+            Requirement::Rejected => plainly |= active.iter().any(|b| !reach(request, &[*b]).is_empty()),
+            Requirement::MinNewObjectTargets(least) => {
                 plainly |= request.shard.is_none() && reach(request, &active).len() < *least;
             }
             _ => {}
@@ -209,23 +212,23 @@
     })]
 
     #[test]
-    fn the_checker_agrees_with_brute_force(table in table(), requests in requests(), must in must(), endpoint_revision in boxes()) {
+    fn the_checker_agrees_with_brute_force(table in table(), requests in requests(), requirement in requirement(), listed in targets()) {
         let e = Expectation {
             name: String::new(),
             requests,
-            must,
-            undecided: Undecided::Warn,
+            requirement,
+            when_undecided: WhenUndecided::Warn,
             origin: Origin::default(),
         };
-        let report = check(&table, std::slice::from_ref(&e), &terms(), &endpoint_revision);
+        let report = check(&table, std::slice::from_ref(&e), &settings(), &listed);
         let verdict = &report.findings[0].verdict;
-        let (plainly, by_named) = brute(&table, &e, &endpoint_revision);
+        let (plainly, by_named) = brute(&table, &e, &listed);
         match verdict {
             Verdict::Holds => prop_assert!(!plainly && !by_named, "held, and brute force breaks it"),
             Verdict::Broken { .. } => prop_assert!(plainly || by_named, "{verdict:?}, and brute force does not"),
-            Verdict::NotYet { .. } => {
+            Verdict::Undecided { .. } => {
                 // Boxes that may come can mend what is short, or break what is forbidden.
-                let short = matches!(e.must, Must::Some { .. } | Must::Spread(_) | Must::Refused);
+                let short = matches!(e.requirement, Requirement::Some { .. } | Requirement::MinNewObjectTargets(_) | Requirement::Rejected);
                 prop_assert!(short || by_named, "{verdict:?}, and no box that may come breaks it");
                 prop_assert!(short || !plainly, "{verdict:?}, and brute force breaks it as it is");
             }
--- a/crates/routing/tests/files.rs
+++ b/crates/routing/tests/files.rs
@@ -1,20 +1,26 @@
 //! Files of routes and expectations: what is refused and why, and what the checker finds in them.
 
-use rowanglade_routing::check::Decision;
 use rowanglade_routing::{
-    Front, RouteRequest, Rules, Source, TargetInfo, Terms, Verdict, check, diff, parse,
+    ClassSettings, Decision, Front, PlanSettings, RouteRequest, RoutingRules, ServiceSettings, Source,
+    TargetInfo, Verdict, check, diff, parse,
 };
 
-fn terms() -> Terms {
-    Terms {
-        classes: vec![("view".into(), false), ("deposit".into(), true)],
-        plans: vec![("basic".into(), Some(32.0)), ("full".into(), None)],
-        attempts: 3,
+fn settings() -> ServiceSettings {
+    ServiceSettings {
+        classes: vec![
+            ClassSettings { name: "view".into(), writes: false },
+            ClassSettings { name: "deposit".into(), writes: true },
+        ],
+        plans: vec![
+            PlanSettings { name: "basic".into(), max_units_per_second: Some(32.0) },
+            PlanSettings { name: "full".into(), max_units_per_second: None },
+        ],
+        max_attempts: 3,
         drain_grace_ms: 1_000,
     }
 }
 
-fn boxes() -> Vec<TargetInfo> {
+fn targets() -> Vec<TargetInfo> {
     let one = |name: &str, zone: &str, shard| TargetInfo {
         name: name.into(),
         zone: zone.into(),
@@ -25,14 +31,14 @@
     vec![one("s-1", "kingston", 1), one("s-2", "kingston", 2), one("s-3", "negril", 3)]
 }
 
-fn rules(texts: &[&str]) -> Rules {
+fn rules(texts: &[&str]) -> RoutingRules {
     let source = |(i, text): (usize, &&str)| Source { name: format!("{i}.toml"), text: text.to_string() };
-    parse(&texts.iter().enumerate().map(source).collect::<Vec<_>>(), &terms()).expect("usable")
+    parse(&texts.iter().enumerate().map(source).collect::<Vec<_>>(), &settings()).expect("usable")
 }
 
 fn verdicts(texts: &[&str]) -> (Vec<Verdict>, Decision, Vec<String>) {
     let rules = rules(texts);
-    let report = check(&rules.table, &rules.expectations, &terms(), &boxes());
+    let report = check(&rules.table, &rules.expectations, &settings(), &targets());
     let decision = report.decision(&rules.expectations);
     let lines = report.lines(&rules.expectations);
     (report.findings.into_iter().map(|f| f.verdict).collect(), decision, lines)
@@ -109,16 +115,16 @@
         ))
     };
     let (found, decision, lines) = verdicts(&[&text("warn")]);
-    assert!(matches!(&found[0], Verdict::NotYet { boxes } if boxes.contains("s-9")), "{found:?}");
+    assert!(matches!(&found[0], Verdict::Undecided { unlisted } if unlisted.contains("s-9")), "{found:?}");
     assert_eq!(decision, Decision::Load);
     assert!(lines[0].contains("before the list names s-9"));
     assert_eq!(verdicts(&[&text("hold")]).1, Decision::Hold);
     assert_eq!(verdicts(&[&text("refuse")]).1, Decision::Refuse);
     let rules = rules(&[&text("hold")]);
     for (zone, expected) in [("negril", Decision::Load), ("kingston", Decision::Refuse)] {
-        let mut listed = boxes();
+        let mut listed = targets();
         listed.push(TargetInfo { name: "s-9".into(), zone: zone.into(), ..listed[0].clone() });
-        let report = check(&rules.table, &rules.expectations, &terms(), &listed);
+        let report = check(&rules.table, &rules.expectations, &settings(), &listed);
         assert_eq!(report.decision(&rules.expectations), expected, "{zone}");
     }
 }
@@ -229,7 +235,7 @@
     assert_eq!(of("::ffff:10.20.1.1").as_deref(), Some("mapped"));
     assert_eq!(of("10.21.1.1").as_deref(), Some("wide"));
     assert_eq!(of("11.0.0.1"), None);
-    let report = check(&rules.table, &[], &terms(), &boxes());
+    let report = check(&rules.table, &[], &settings(), &targets());
     let warnings: Vec<&str> = report.warnings.iter().map(|w| w.problem.as_str()).collect();
     assert!(
         warnings.len() == 1 && warnings[0].contains("\"same again\" is never taken: \"mapped\""),
@@ -241,8 +247,8 @@
 fn a_diff_tells_which_classes_of_requests_change_their_boxes() {
     let old = rules(&[&file("[[route]]\nname = \"r\"\nvolume = \"a\"\npool = \"one\"\n")]);
     let new = rules(&[&file("[[route]]\nname = \"r\"\nvolume = \"a\"\nclass = \"view\"\npool = \"one\"\n")]);
-    assert!(diff::diff(&old.table, &old.table, &terms(), &boxes()).is_empty());
-    let changes = diff::diff(&old.table, &new.table, &terms(), &boxes());
+    assert!(diff::diff(&old.table, &old.table, &settings(), &targets()).is_empty());
+    let changes = diff::diff(&old.table, &new.table, &settings(), &targets());
     assert!(
         changes.iter().all(|c| c.request.contains("class deposit volume 000000000000000a")),
         "{changes:?}"
@@ -271,7 +277,7 @@
         ("[[route]]\nname = \"r\"\npool = ", "0.toml"),
     ] {
         let source = Source { name: "0.toml".into(), text: file(text) };
-        let error = parse(&[source], &terms()).expect_err(text).to_string();
+        let error = parse(&[source], &settings()).expect_err(text).to_string();
         assert!(error.contains(wanted) && error.contains("0.toml"), "{text}: {error}");
     }
 }
--- a/crates/routing/tests/model.rs
+++ b/crates/routing/tests/model.rs
@@ -1,16 +1,17 @@
 //! A model of the table, the list as it is told, and the module's side of a request, checked over every order
-//! of events of a small configuration: three boxes, one request, a list that changes up to three times.
+//! of events of a small configuration: three targets, one request, a list that changes up to three times.
 //!
 //! The table is the real one. The module is modelled by what its interface promises: it sends only to boxes
 //! of the request's reach that it was told to be in, tries three times at most, and gives one final answer.
 //! Each mutation takes one of these promises away and must be caught.
 
 use rowanglade_routing::{
-    BoxState, Front, Match, Origin, Pool, Route, RouteRequest, Selector, Table, TargetInfo,
+    Front, ListedState, Origin, Pool, RequestMatch, Route, RouteRequest, RouteTable, TargetInfo,
+    TargetSelector,
 };
 use stateright::{Checker, Model, Property};
 
-const BOXES: usize = 3;
+const TARGETS: usize = 3;
 const SHARD: u32 = 0;
 /// Ticks after being told within which a send may still go.
 const GRACE: u8 = 1;
@@ -32,20 +33,20 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Stage {
-    NotYet,
+    NotArrived,
     Waiting,
     /// At a box.
-    Out(usize),
-    Over,
+    InFlight(usize),
+    Answered,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     /// The list at discovery, and as this initiator was told.
-    truth: [BoxState; BOXES],
-    known: [BoxState; BOXES],
+    truth: [ListedState; TARGETS],
+    known: [ListedState; TARGETS],
     /// Ticks since it was told that a box drains or is gone.
-    told: [Option<u8>; BOXES],
+    drain_age: [Option<u8>; TARGETS],
     changes: u8,
     stage: Stage,
     /// An attempt that the client no longer waits for.
@@ -60,20 +61,20 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Event {
-    Change(usize, BoxState),
-    Told,
+    Change(usize, ListedState),
+    ListReceived,
     Tick,
     Arrive,
     Send(usize),
     Served,
-    TurnedAway,
-    GivenUp,
+    Rejected,
+    Abandoned,
     LateEnd,
 }
 
 struct World {
-    table: Table,
-    boxes: Vec<TargetInfo>,
+    table: RouteTable,
+    targets: Vec<TargetInfo>,
     mutation: Mutation,
 }
 
@@ -81,15 +82,15 @@
     fn new(mutation: Mutation) -> World {
         let pool = |names: &[&str]| Pool {
             name: names.join(" "),
-            boxes: Selector {
+            targets: TargetSelector {
                 names: Some(names.iter().map(|n| n.to_string()).collect()),
-                ..Selector::default()
+                ..TargetSelector::default()
             },
             origin: Origin::default(),
         };
         let route = Route {
             name: "r".into(),
-            requests: Match::default(),
+            requests: RequestMatch::default(),
             pool: 0,
             fallback: Some(1),
             origin: Origin::default(),
@@ -102,14 +103,14 @@
             addr: [10, 0, 0, i as u8].into(),
         };
         World {
-            table: Table::new(vec![route], vec![pool(&["s-0"]), pool(&["s-1", "s-2"])]),
+            table: RouteTable::new(vec![route], vec![pool(&["s-0"]), pool(&["s-1", "s-2"])]),
             // The third holds other data.
-            boxes: vec![info(0, SHARD), info(1, SHARD), info(2, SHARD + 1)],
+            targets: vec![info(0, SHARD), info(1, SHARD), info(2, SHARD + 1)],
             mutation,
         }
     }
 
-    fn reach(&self, known: &[BoxState; BOXES]) -> Vec<usize> {
+    fn reach(&self, known: &[ListedState; TARGETS]) -> Vec<usize> {
         let request = RouteRequest {
             front: Front::Http,
             client: None,
@@ -120,10 +121,10 @@
             shard: Some(SHARD),
         };
         let route = self.table.route(&request);
-        let boxes = self.boxes.iter().zip(known).enumerate().map(|(i, (b, s))| (b, *s, i));
-        let first = self.table.reach(route, Some(SHARD), boxes.clone());
+        let targets = self.targets.iter().zip(known).enumerate().map(|(i, (b, s))| (b, *s, i));
+        let first = self.table.reachable(route, Some(SHARD), targets.clone());
         if self.mutation == Mutation::FallbackIgnoresShard && !first.contains(&0) {
-            return self.table.reach(route, None, boxes);
+            return self.table.reachable(route, None, targets);
         }
         first
     }
@@ -135,11 +136,11 @@
 
     fn init_states(&self) -> Vec<State> {
         vec![State {
-            truth: [BoxState::Active; BOXES],
-            known: [BoxState::Active; BOXES],
-            told: [None; BOXES],
+            truth: [ListedState::Active; TARGETS],
+            known: [ListedState::Active; TARGETS],
+            drain_age: [None; TARGETS],
             changes: 0,
-            stage: Stage::NotYet,
+            stage: Stage::NotArrived,
             left_behind: None,
             reach: Vec::new(),
             attempts: 0,
@@ -152,32 +153,34 @@
 
     fn actions(&self, s: &State, out: &mut Vec<Event>) {
         if s.changes < CHANGES {
-            for i in 0..BOXES {
-                for state in [BoxState::Active, BoxState::Draining, BoxState::Gone, BoxState::Back] {
+            for i in 0..TARGETS {
+                for state in
+                    [ListedState::Active, ListedState::Draining, ListedState::Removed, ListedState::Relisted]
+                {
                     if s.truth[i] != state {
                         out.push(Event::Change(i, state));
                     }
                 }
             }
         }
-        if s.truth != s.known || s.told.iter().zip(s.truth).any(|(t, b)| t.is_none() != b.takes_work()) {
-            out.push(Event::Told);
+        if s.truth != s.known || s.drain_age.iter().zip(s.truth).any(|(t, b)| t.is_none() != b.takes_work()) {
+            out.push(Event::ListReceived);
         }
-        if s.told.iter().flatten().any(|t| *t <= GRACE) {
+        if s.drain_age.iter().flatten().any(|t| *t <= GRACE) {
             out.push(Event::Tick);
         }
         match s.stage {
-            Stage::NotYet => out.push(Event::Arrive),
+            Stage::NotArrived => out.push(Event::Arrive),
             Stage::Waiting => {
                 // The module's own rule: the box is in, as far as it was told.
                 let takes = |i: &usize| self.mutation == Mutation::GraceDropped || s.known[*i].takes_work();
                 if s.attempts < ATTEMPTS {
                     out.extend(s.reach.iter().filter(|i| takes(i)).map(|i| Event::Send(*i)));
                 }
-                out.push(Event::GivenUp);
+                out.push(Event::Abandoned);
             }
-            Stage::Out(_) => out.extend([Event::Served, Event::TurnedAway, Event::GivenUp]),
-            Stage::Over => {}
+            Stage::InFlight(_) => out.extend([Event::Served, Event::Rejected, Event::Abandoned]),
+            Stage::Answered => {}
         }
         if s.left_behind.is_some() {
             out.push(Event::LateEnd);
@@ -191,43 +194,43 @@
                 s.truth[i] = state;
                 s.changes += 1;
             }
-            Event::Told => {
-                for i in 0..BOXES {
+            Event::ListReceived => {
+                for i in 0..TARGETS {
                     let takes = s.truth[i].takes_work();
-                    s.told[i] = if takes { None } else { s.told[i].or(Some(0)) };
+                    s.drain_age[i] = if takes { None } else { s.drain_age[i].or(Some(0)) };
                     if takes || self.mutation != Mutation::StaleListTrusted {
                         s.known[i] = s.truth[i];
                     }
                 }
                 if self.mutation != Mutation::GraceDropped
-                    && matches!(s.stage, Stage::Waiting | Stage::Out(_))
+                    && matches!(s.stage, Stage::Waiting | Stage::InFlight(_))
                 {
                     s.reach = self.reach(&s.known);
                 }
             }
-            Event::Tick => s.told.iter_mut().flatten().for_each(|t| *t = (*t + 1).min(GRACE + 1)),
+            Event::Tick => s.drain_age.iter_mut().flatten().for_each(|t| *t = (*t + 1).min(GRACE + 1)),
             Event::Arrive => {
                 s.stage = Stage::Waiting;
                 s.reach = self.reach(&s.known);
             }
             Event::Send(i) => {
-                s.late_send |= s.told[i].is_some_and(|t| t > GRACE);
-                s.astray |= self.boxes[i].shard != SHARD;
+                s.late_send |= s.drain_age[i].is_some_and(|t| t > GRACE);
+                s.astray |= self.targets[i].shard != SHARD;
                 s.attempts += 1;
-                s.stage = Stage::Out(i);
+                s.stage = Stage::InFlight(i);
             }
             Event::Served => {
-                s.served_by_fallback |= s.stage == Stage::Out(1);
+                s.served_by_fallback |= s.stage == Stage::InFlight(1);
                 s.answers += 1;
-                s.stage = Stage::Over;
+                s.stage = Stage::Answered;
             }
-            Event::TurnedAway => s.stage = Stage::Waiting,
-            Event::GivenUp => {
-                if let Stage::Out(i) = s.stage {
+            Event::Rejected => s.stage = Stage::Waiting,
+            Event::Abandoned => {
+                if let Stage::InFlight(i) = s.stage {
                     s.left_behind = Some(i);
                 }
                 s.answers += 1;
-                s.stage = Stage::Over;
+                s.stage = Stage::Answered;
             }
             Event::LateEnd => {
                 s.left_behind = None;
@@ -242,7 +245,7 @@
             Property::always("nothing new after the grace", |_, s: &State| !s.late_send),
             Property::always("data on one box never routes elsewhere", |_, s: &State| !s.astray),
             Property::always("one answer", |_, s: &State| {
-                s.answers <= 1 && (s.stage == Stage::Over) == (s.answers == 1)
+                s.answers <= 1 && (s.stage == Stage::Answered) == (s.answers == 1)
             }),
             Property::sometimes("the fallback serves", |_, s: &State| s.served_by_fallback),
             Property::sometimes("all attempts are used", |_, s: &State| s.attempts == ATTEMPTS),
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -8,7 +8,7 @@
 use crate::config::{Config, Decided, Reload};
 use crate::initiator;
 use lexopt::prelude::*;
-use rowanglade_routing::check::Decision;
+use rowanglade_routing::Decision;
 use std::ffi::OsString;
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/src/cli/routes.rs
+++ b/src/cli/routes.rs
@@ -2,12 +2,15 @@
 
 use super::{Failure, variable};
 use crate::config::{Config, Decided, Routing};
+use crate::net::http::Page;
 use lexopt::prelude::*;
-use rowanglade_routing::check::Decision;
 use rowanglade_routing::diff::diff;
-use rowanglade_routing::{BoxState, Front, RouteRequest, TargetInfo};
-use std::path::PathBuf;
+use rowanglade_routing::{Decision, Front, ListedState, RouteRequest, TargetInfo};
+use std::fmt::Display;
+use std::net::IpAddr;
+use std::path::{Path, PathBuf};
 
+/// What `rowanglade help routes` prints.
 pub const HELP: &str = "\
 usage: rowanglade routes test --operator FILE... [--list LIST]
        rowanglade routes explain --operator FILE... --class CLASS --volume HEX [--plan PLAN] [--shard N]
@@ -21,6 +24,10 @@
 otherwise. diff tells which classes of requests reach other boxes by NEW than by OLD, with every box active.
 ";
 
+/// Runs the command that the arguments name.
+///
+/// # Errors
+/// The usage is wrong, a file cannot be used, or an expectation is broken.
 pub fn run(mut parser: lexopt::Parser) -> Result<(), Failure> {
     match parser.next()? {
         Some(Value(word)) if word == "test" => test(parser),
@@ -38,32 +45,42 @@
     }
 }
 
-/// The routes of these files, and the boxes that are listed.
-fn read(operator: &[PathBuf], list: Option<&PathBuf>) -> Result<(Routing, Vec<TargetInfo>), Failure> {
-    let config = Config::load(variable, operator).map_err(Failure::usage)?;
-    let boxes = match list {
-        None => config.known.as_ref().map(|k| k.boxes()).unwrap_or_default(),
-        Some(path) => {
-            let named = |e: &dyn std::fmt::Display| Failure::Usage(format!("{}: {e}", path.display()));
-            let text = std::fs::read_to_string(path).map_err(|e| named(&e))?;
-            let page: crate::net::http::Page = serde_json::from_str(&text).map_err(|e| named(&e))?;
-            page.boxes()
-        }
-    };
-    Ok((config.routing, boxes))
+/// The operator's files and the endpoint list that a command works on.
+#[derive(Default)]
+struct Files {
+    operator: Vec<PathBuf>,
+    list: Option<PathBuf>,
+}
+
+impl Files {
+    /// The routes of the files, and the targets that are listed.
+    fn read(&self) -> Result<(Routing, Vec<TargetInfo>), Failure> {
+        let config = Config::load(variable, &self.operator).map_err(Failure::usage)?;
+        let targets = match &self.list {
+            None => config.known.as_ref().map(|known| known.boxes()).unwrap_or_default(),
+            Some(path) => read_list(path)?.boxes(),
+        };
+        Ok((config.routing, targets))
+    }
+}
+
+fn read_list(path: &Path) -> Result<Page, Failure> {
+    let failure = |error: &dyn Display| Failure::Usage(format!("{}: {error}", path.display()));
+    let text = std::fs::read_to_string(path).map_err(|error| failure(&error))?;
+    serde_json::from_str(&text).map_err(|error| failure(&error))
 }
 
 fn test(mut parser: lexopt::Parser) -> Result<(), Failure> {
-    let (mut operator, mut list) = (Vec::new(), None);
+    let mut files = Files::default();
     while let Some(arg) = parser.next()? {
         match arg {
-            Long("operator") => operator.push(PathBuf::from(parser.value()?)),
-            Long("list") => list = Some(PathBuf::from(parser.value()?)),
+            Long("operator") => files.operator.push(PathBuf::from(parser.value()?)),
+            Long("list") => files.list = Some(PathBuf::from(parser.value()?)),
             other => return Err(other.unexpected().into()),
         }
     }
-    let (routing, boxes) = read(&operator, list.as_ref())?;
-    let Decided { decision, lines, .. } = routing.decide(&boxes);
+    let (routing, targets) = files.read()?;
+    let Decided { decision, lines, .. } = routing.decide(&targets);
     lines.iter().for_each(|line| println!("{line}"));
     let rules = &routing.rules;
     println!(
@@ -71,7 +88,7 @@
         rules.table.routes().len(),
         rules.table.pools().len(),
         rules.expectations.len(),
-        boxes.len()
+        targets.len()
     );
     match decision {
         Decision::Refuse => Err(Failure::usage("expectations are broken")),
@@ -79,89 +96,123 @@
     }
 }
 
-fn explain(mut parser: lexopt::Parser) -> Result<(), Failure> {
-    let (mut operator, mut list) = (Vec::new(), None);
-    let (mut class, mut volume, mut plan, mut shard) = (None, None, None, None);
-    let (mut client, mut front) = (None, Front::Http);
-    while let Some(arg) = parser.next()? {
-        match arg {
-            Long("operator") => operator.push(PathBuf::from(parser.value()?)),
-            Long("list") => list = Some(PathBuf::from(parser.value()?)),
-            Long("class") => class = Some(parser.value()?.string()?),
-            Long("volume") => {
-                let text = parser.value()?.string()?;
-                let parsed = u64::from_str_radix(&text, 16);
-                volume = Some(parsed.map_err(|e| Failure::Usage(format!("--volume {text:?}: {e}")))?);
-            }
-            Long("plan") => plan = Some(parser.value()?.string()?),
-            Long("shard") => shard = Some(parser.value()?.parse()?),
-            Long("client") => client = Some(parser.value()?.parse()?),
-            Long("front") => {
-                front = match parser.value()?.string()?.as_str() {
-                    "http" => Front::Http,
-                    "iscsi" => Front::Iscsi,
-                    other => {
-                        return Err(Failure::Usage(format!("--front {other:?} is neither http nor iscsi")));
-                    }
-                }
+/// What `routes explain` is asked about.
+struct ExplainArguments {
+    files: Files,
+    front: Front,
+    client: Option<IpAddr>,
+    class: String,
+    plan: Option<String>,
+    volume: u64,
+    shard: Option<u32>,
+}
+
+impl ExplainArguments {
+    fn parse(mut parser: lexopt::Parser) -> Result<ExplainArguments, Failure> {
+        let mut files = Files::default();
+        let mut front = Front::Http;
+        let mut client = None;
+        let mut class = None;
+        let mut plan = None;
+        let mut volume = None;
+        let mut shard = None;
+        while let Some(arg) = parser.next()? {
+            match arg {
+                Long("operator") => files.operator.push(PathBuf::from(parser.value()?)),
+                Long("list") => files.list = Some(PathBuf::from(parser.value()?)),
+                Long("class") => class = Some(parser.value()?.string()?),
+                Long("volume") => volume = Some(parse_volume(&parser.value()?.string()?)?),
+                Long("plan") => plan = Some(parser.value()?.string()?),
+                Long("shard") => shard = Some(parser.value()?.parse()?),
+                Long("client") => client = Some(parser.value()?.parse()?),
+                Long("front") => front = parse_front(&parser.value()?.string()?)?,
+                other => return Err(other.unexpected().into()),
             }
-            other => return Err(other.unexpected().into()),
         }
+        let class = class.ok_or_else(|| Failure::usage("routes explain needs --class"))?;
+        let volume = volume.ok_or_else(|| Failure::usage("routes explain needs --volume"))?;
+        Ok(ExplainArguments { files, front, client, class, plan, volume, shard })
+    }
+}
+
+fn parse_volume(text: &str) -> Result<u64, Failure> {
+    u64::from_str_radix(text, 16).map_err(|error| Failure::Usage(format!("--volume {text:?}: {error}")))
+}
+
+fn parse_front(word: &str) -> Result<Front, Failure> {
+    match word {
+        "http" => Ok(Front::Http),
+        "iscsi" => Ok(Front::Iscsi),
+        other => Err(Failure::Usage(format!("--front {other:?} is neither http nor iscsi"))),
     }
-    let class = class.ok_or_else(|| Failure::usage("routes explain needs --class"))?;
-    let volume = volume.ok_or_else(|| Failure::usage("routes explain needs --volume"))?;
-    let (routing, boxes) = read(&operator, list.as_ref())?;
-    let (table, terms) = (&routing.rules.table, &routing.terms);
-    let known = terms.classes.iter().find(|(name, _)| *name == class);
-    let (_, write) = known.ok_or_else(|| Failure::Usage(format!("the settings have no class {class:?}")))?;
-    let request =
-        RouteRequest { front, client, class: &class, plan: plan.as_deref(), write: *write, volume, shard };
+}
+
+fn explain(parser: lexopt::Parser) -> Result<(), Failure> {
+    let ExplainArguments { files, front, client, class, plan, volume, shard } =
+        ExplainArguments::parse(parser)?;
+    let (routing, targets) = files.read()?;
+    let table = &routing.rules.table;
+    let Some(class) = routing.settings.class(&class) else {
+        return Err(Failure::Usage(format!("the settings have no class {class:?}")));
+    };
+    let request = RouteRequest {
+        front,
+        client,
+        class: &class.name,
+        plan: plan.as_deref(),
+        write: class.writes,
+        volume,
+        shard,
+    };
     println!("a request of {request}");
     let matching = table.explain(&request);
     if matching.is_empty() {
         println!("no route matches it: it may reach every box");
     }
-    for (i, (place, prefix)) in matching.iter().enumerate() {
-        let route = &table.routes()[*place];
+    for (rank, (index, prefix)) in matching.iter().enumerate() {
+        let route = &table.routes()[*index];
         let pool = &table.pools()[route.pool];
-        let says = if i == 0 { "takes" } else { "then " };
+        let says = if rank == 0 { "takes" } else { "then " };
         println!("{says} route {:?} ({}), prefix /{prefix}, pool {:?}", route.name, route.origin, pool.name);
     }
-    let listed = boxes.iter().map(|b| (b, BoxState::Active, b.name.as_str()));
-    let reached = table.reach(table.route(&request), shard, listed);
-    println!("boxes, with all of {} active: {}", boxes.len(), names(&reached));
+    let active = targets.iter().map(|target| (target, ListedState::Active, target.name.as_str()));
+    let reached = table.reachable(table.route(&request), shard, active);
+    println!("boxes, with all of {} active: {}", targets.len(), join(&reached));
     Ok(())
 }
 
-fn names(boxes: &[impl AsRef<str>]) -> String {
-    match boxes.is_empty() {
+fn join(names: &[impl AsRef<str>]) -> String {
+    match names.is_empty() {
         true => "none".into(),
-        false => boxes.iter().map(AsRef::as_ref).collect::<Vec<_>>().join(" "),
+        false => names.iter().map(AsRef::as_ref).collect::<Vec<_>>().join(" "),
     }
 }
 
 fn run_diff(mut parser: lexopt::Parser) -> Result<(), Failure> {
-    let (mut files, mut list) = (Vec::new(), None);
+    let mut operator_files = Vec::new();
+    let mut list = None;
     while let Some(arg) = parser.next()? {
         match arg {
             Long("list") => list = Some(PathBuf::from(parser.value()?)),
-            Value(file) if files.len() < 2 => files.push(PathBuf::from(file)),
+            Value(file) if operator_files.len() < 2 => operator_files.push(PathBuf::from(file)),
             other => return Err(other.unexpected().into()),
         }
     }
-    let [old, new] = files.as_slice() else { return Err(Failure::usage("routes diff needs OLD and NEW")) };
-    let (before, boxes) = read(std::slice::from_ref(old), list.as_ref())?;
-    let (after, _) = read(std::slice::from_ref(new), list.as_ref())?;
-    let changes = diff(&before.rules.table, &after.rules.table, &before.terms, &boxes);
+    let [old, new] = operator_files.as_slice() else {
+        return Err(Failure::usage("routes diff needs OLD and NEW"));
+    };
+    let (before, targets) = Files { operator: vec![old.clone()], list: list.clone() }.read()?;
+    let (after, _) = Files { operator: vec![new.clone()], list }.read()?;
+    let changes = diff(&before.rules.table, &after.rules.table, &before.settings, &targets);
     for change in &changes {
         println!(
             "{} -> {}: {} classes of requests",
-            names(&change.before),
-            names(&change.after),
+            join(&change.before),
+            join(&change.after),
             change.classes
         );
         println!("  such as a request of {}", change.request);
     }
-    println!("{} kinds of change over {} boxes", changes.len(), boxes.len());
+    println!("{} kinds of change over {} boxes", changes.len(), targets.len());
     Ok(())
 }
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -3,7 +3,8 @@
 use std::fmt;
 
 /// A key that cannot be used, and why.
-#[derive(Debug, PartialEq, Eq)]
+#[derive(Debug, PartialEq, Eq, thiserror::Error)]
+#[error("configuration: {key}: {problem}")]
 pub struct ConfigError {
     /// The variable, the key or the file.
     pub key: String,
@@ -17,11 +18,3 @@
         ConfigError { key: key.into(), problem: problem.to_string() }
     }
 }
-
-impl fmt::Display for ConfigError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "configuration: {}: {}", self.key, self.problem)
-    }
-}
-
-impl std::error::Error for ConfigError {}
--- a/src/config/routing.rs
+++ b/src/config/routing.rs
@@ -1,39 +1,44 @@
 //! Routes, and the expectations that they must meet before they are put in force.
 
 use super::ConfigError;
-use rowanglade_routing::check::Decision;
-use rowanglade_routing::{Report, Rules, Source, TargetInfo, Terms, Verdict};
+use rowanglade_routing::{Decision, Report, RoutingRules, ServiceSettings, Source, TargetInfo, Verdict};
 
 /// Routes and expectations, and the part of the settings that they refer to.
 #[derive(Clone, Debug, Default)]
 pub struct Routing {
     /// The routes, pools and expectations.
-    pub rules: Rules,
-    /// The classes, plans and shards that exist.
-    pub terms: Terms,
+    pub rules: RoutingRules,
+    /// The classes, plans and limits that they refer to.
+    pub settings: ServiceSettings,
 }
 
 impl Routing {
     /// Reads the routes of the operator's files.
-    pub(super) fn parse(sources: &[Source], terms: Terms) -> Result<Routing, ConfigError> {
-        let rules = rowanglade_routing::parse(sources, &terms)
-            .map_err(|e| ConfigError::new(e.origin.trim_end_matches(": "), e.problem))?;
-        Ok(Routing { rules, terms })
+    ///
+    /// # Errors
+    /// A file cannot be used; the error names it, the line and the key.
+    pub(super) fn parse(sources: &[Source], settings: ServiceSettings) -> Result<Routing, ConfigError> {
+        let rules = rowanglade_routing::parse(sources, &settings)
+            .map_err(|error| ConfigError::new(error.origin.trim_end_matches(": "), error.problem))?;
+        Ok(Routing { rules, settings })
     }
 
     /// Checks the expectations against the routes and these targets. With thousands of targets and
     /// expectations it takes up to a second, during which it blocks.
-    pub fn check(&self, boxes: &[TargetInfo]) -> Report {
-        rowanglade_routing::check(&self.rules.table, &self.rules.expectations, &self.terms, boxes)
+    pub fn check(&self, targets: &[TargetInfo]) -> Report {
+        let RoutingRules { table, expectations } = &self.rules;
+        rowanglade_routing::check(table, expectations, &self.settings, targets)
     }
 
-    /// Checks the expectations, and decides whether the routes may be put in force.
-    pub fn decide(&self, boxes: &[TargetInfo]) -> Decided {
-        let report = self.check(boxes);
+    /// Checks the expectations, and decides whether the routes may be put in force. Blocks as
+    /// [`Routing::check`] does.
+    pub fn decide(&self, targets: &[TargetInfo]) -> Decided {
+        let report = self.check(targets);
+        let undecided = |verdict: &Verdict| matches!(verdict, Verdict::Undecided { .. });
         Decided {
             decision: report.decision(&self.rules.expectations),
             lines: report.lines(&self.rules.expectations),
-            open: report.findings.iter().any(|f| matches!(f.verdict, Verdict::NotYet { .. })),
+            open: report.findings.iter().any(|finding| undecided(&finding.verdict)),
         }
     }
 }
--- a/src/core/routes.rs
+++ b/src/core/routes.rs
@@ -3,7 +3,7 @@
 
 use crate::core::message::{Endpoint, Protocol, Request};
 use crate::interface::{Event, TargetId, TargetSetId, TargetState};
-use rowanglade_routing::{BoxState, Front, RouteRequest, Table, TargetInfo};
+use rowanglade_routing::{Front, ListedState, RouteRequest, RouteTable, TargetInfo};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
 #[derive(Debug, Default)]
 pub struct Loaded {
     pub version: u64,
-    pub table: Table,
+    pub table: RouteTable,
 }
 
 /// What a set of nodes is for: a table, a route in it, and the shard of the requests.
@@ -172,7 +172,7 @@
 /// The boxes that are listed, also by their shards.
 #[derive(Debug, Default)]
 struct Boxes {
-    all: BTreeMap<TargetId, (TargetInfo, BoxState)>,
+    all: BTreeMap<TargetId, (TargetInfo, ListedState)>,
     by_shard: BTreeMap<u32, BTreeSet<TargetId>>,
 }
 
@@ -198,16 +198,16 @@
             addr: line.addr.ip(),
         };
         let state = match line.state {
-            TargetState::Active => BoxState::Active,
-            TargetState::Draining => BoxState::Draining,
-            TargetState::Removed => BoxState::Gone,
+            TargetState::Active => ListedState::Active,
+            TargetState::Draining => ListedState::Draining,
+            TargetState::Removed => ListedState::Removed,
         };
         self.by_shard.entry(line.shard).or_default().insert(node);
         self.all.insert(node, (info, state));
     }
 
     /// The nodes that a set holds: of a shard's boxes where it is for one shard, else of all.
-    fn reach(&self, table: &Table, key: Key) -> Vec<TargetId> {
+    fn reach(&self, table: &RouteTable, key: Key) -> Vec<TargetId> {
         let known = |node: &TargetId| {
             let (info, state) = &self.all[node];
             (info, *state, *node)
@@ -215,9 +215,9 @@
         match key.shard {
             Some(shard) => {
                 let nodes = self.by_shard.get(&shard).into_iter().flatten();
-                table.reach(Some(key.route), key.shard, nodes.map(known))
+                table.reachable(Some(key.route), key.shard, nodes.map(known))
             }
-            None => table.reach(Some(key.route), None, self.all.keys().map(known)),
+            None => table.reachable(Some(key.route), None, self.all.keys().map(known)),
         }
     }
 }
--- a/src/core/routes/tests.rs
+++ b/src/core/routes/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::core::message::RequestOrigin;
 use bytes::Bytes;
-use rowanglade_routing::{Source, Terms, parse};
+use rowanglade_routing::{ClassSettings, ServiceSettings, Source, parse};
 use std::time::Duration;
 
 const TABLE: &str = r#"
@@ -21,9 +21,12 @@
 "#;
 
 fn loaded(version: u64, text: &str) -> Arc<Loaded> {
-    let terms = Terms { classes: vec![("view".into(), false)], ..Terms::default() };
+    let settings = ServiceSettings {
+        classes: vec![ClassSettings { name: "view".into(), writes: false }],
+        ..ServiceSettings::default()
+    };
     let source = Source { name: "t".into(), text: text.into() };
-    Arc::new(Loaded { version, table: parse(&[source], &terms).expect("usable").table })
+    Arc::new(Loaded { version, table: parse(&[source], &settings).expect("usable").table })
 }
 
 fn request(volume: u64, shard: Option<u32>) -> Request {
--- a/src/initiator.rs
+++ b/src/initiator.rs
@@ -13,8 +13,7 @@
 use crate::upgrade::{Controls, Keeper, Listeners, Told};
 use handover::{Handover, bind_admin, bind_fleet, listen};
 use rowanglade_discovery_polling::Watch;
-use rowanglade_routing::TargetInfo;
-use rowanglade_routing::check::Decision;
+use rowanglade_routing::{Decision, TargetInfo};
 use std::net::SocketAddr;
 use std::os::fd::AsFd;
 use std::rc::Rc;
--- a/src/initiator/reload.rs
+++ b/src/initiator/reload.rs
@@ -3,8 +3,7 @@
 use crate::config::{ConfigError, Decided, Reload, Routing};
 use crate::core::{AccessLog, CoreHandle, Loaded};
 use crate::net::http;
-use rowanglade_routing::check::Decision;
-use rowanglade_routing::{Table, TargetInfo};
+use rowanglade_routing::{Decision, RouteTable, TargetInfo};
 use std::rc::Rc;
 use std::sync::Arc;
 use tokio::sync::{oneshot, watch};
@@ -33,7 +32,7 @@
 
     /// Puts a table in force in one step, and returns its version. Open requests keep the table they began
     /// with.
-    pub fn load(&self, table: Table) -> u64 {
+    pub fn load(&self, table: RouteTable) -> u64 {
         let mut version = 0;
         self.table.send_modify(|loaded| {
             version = loaded.version + 1;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -6,6 +6,7 @@
 use crate::names::Names;
 use rowanglade_discovery_polling as discovery;
 use rowanglade_discovery_polling::{Delivery, Schedule, Watch};
+use rowanglade_routing::{ClassSettings, PlanSettings, ServiceSettings};
 use serde::Deserialize;
 use std::time::Duration;
 
@@ -99,6 +100,13 @@
     weight: Option<f64>,
 }
 
+impl Policy {
+    /// The units a second that no volume on the plan exceeds; zero in the settings stands for no limit.
+    fn max_rate(&self) -> Option<f64> {
+        self.never_over.filter(|rate| *rate != 0.0)
+    }
+}
+
 #[derive(Debug, Deserialize, Default)]
 struct Report {
     #[serde(default)]
@@ -224,13 +232,17 @@
         self.policies.iter().map(|p| p.name.as_str())
     }
 
-    /// What routes and expectations can be about.
-    pub fn routing(&self) -> rowanglade_routing::Terms {
-        let limit = |p: &Policy| p.never_over.filter(|r| *r != 0.0);
-        rowanglade_routing::Terms {
-            classes: self.terms().map(|(name, write, _)| (name.to_string(), write)).collect(),
-            plans: self.policies.iter().map(|p| (p.name.clone(), limit(p))).collect(),
-            attempts: self.ceilings.max_attempts,
+    /// What routes and expectations can refer to.
+    pub fn routing(&self) -> ServiceSettings {
+        let class = |(name, writes, _): (&str, bool, bool)| ClassSettings { name: name.to_string(), writes };
+        let plan = |policy: &Policy| PlanSettings {
+            name: policy.name.clone(),
+            max_units_per_second: policy.max_rate(),
+        };
+        ServiceSettings {
+            classes: self.terms().map(class).collect(),
+            plans: self.policies.iter().map(plan).collect(),
+            max_attempts: self.ceilings.max_attempts,
             drain_grace_ms: self.rules.drain_grace.unwrap_or(0) / 1_000,
         }
     }
@@ -275,7 +287,7 @@
             reserve: p.floor_rate.unwrap_or(0.0),
             weight: p.weight.unwrap_or(1.0),
             price: p.value_factor.unwrap_or(1.0),
-            limit: p.never_over.filter(|r| *r != 0.0).map(|rate| api::RateLimit {
+            limit: p.max_rate().map(|rate| api::RateLimit {
                 rate,
                 burst: p.burst.unwrap_or(0.0),
                 debt_limit: p.tolerance.unwrap_or(0.0),
--- a/tests/network/routes.rs
+++ b/tests/network/routes.rs
@@ -2,7 +2,7 @@
 
 use crate::processes::told;
 use crate::site::*;
-use rowanglade_routing::{Source, Table, Terms, parse};
+use rowanglade_routing::{RouteTable, ServiceSettings, Source, parse};
 use rowanglade_test_fleet::{BoxPlan, Daemon, Entry, Signal, Site, Start, State};
 use std::time::Duration;
 
@@ -14,9 +14,9 @@
     )
 }
 
-fn table(pool: &str) -> Table {
+fn table(pool: &str) -> RouteTable {
     let source = Source { name: "t".into(), text: operator(pool) };
-    parse(&[source], &Terms::default()).expect("usable").table
+    parse(&[source], &ServiceSettings::default()).expect("usable").table
 }
 
 // New objects may go anywhere; the route lets them go to one box, and a new table to another.
