--- a/src/bin/simulator-adapter/discovery.rs
+++ b/src/bin/simulator-adapter/discovery.rs
@@ -1,5 +1,5 @@
-//! Drives the schedule of one instance's calls for the list on the simulator's wire, where a subscription
-//! stays open by itself and a failure does not say which call it belongs to.
+//! Drives the schedule of one initiator's polls for the endpoint list on the simulator's wire, where a
+//! subscription stays open by itself and a failure does not say which poll it belongs to.
 
 use crate::wire::Sent;
 use rowanglade::interface::Micros;
@@ -7,39 +7,39 @@
 use rowanglade_discovery_polling::{CallId, Command, Delivery, End, Schedule, Watch};
 use std::collections::VecDeque;
 
-/// The token of the schedule's timers. The module's tokens are times, which stay far below it.
+/// The token of the schedule's timers. The scheduler's tokens are times, which stay far below it.
 pub const TIMER_TOKEN: u64 = 1 << 52;
 
-/// The discovery client of one instance.
+/// The discovery client of one initiator.
 pub struct DiscoveryClient {
-    instance: u64,
+    initiator: u64,
     schedule: Schedule,
-    /// Calls without an answer, in the order made.
+    /// Polls without an answer, in the order made.
     in_flight: VecDeque<CallId>,
-    /// When the earliest timer that was asked for is due.
+    /// When the earliest timer that was requested is due.
     timer_at: Option<Micros>,
 }
 
 impl DiscoveryClient {
-    /// None where the list comes without being asked for.
-    pub fn new(instance: u64, settings: &Settings, seed: u64, now: Micros) -> Option<DiscoveryClient> {
-        let asked = matches!(settings.delivery(), Delivery::OnRequest { .. });
-        asked.then(|| DiscoveryClient {
-            instance,
+    /// None where the list comes without being polled for.
+    pub fn new(initiator: u64, settings: &Settings, seed: u64, now: Micros) -> Option<DiscoveryClient> {
+        let polled = matches!(settings.delivery(), Delivery::OnRequest { .. });
+        polled.then(|| DiscoveryClient {
+            initiator,
             schedule: settings.discovery_schedule(Watch::Subscription, seed, now),
             in_flight: VecDeque::new(),
             timer_at: None,
         })
     }
 
-    /// News of the list came.
-    pub fn heard(&mut self, now: Micros) {
+    /// Records that the list or a change of it came.
+    pub fn list_received(&mut self, now: Micros) {
         if let Some(id) = self.in_flight.pop_front() {
             self.schedule.ended(now, id, End::Answered);
         }
     }
 
-    /// A call failed, or the subscription broke.
+    /// Records that a poll failed, or the subscription broke.
     pub fn failed(&mut self, now: Micros) {
         match self.in_flight.pop_front() {
             Some(id) => self.schedule.ended(now, id, End::Refused),
@@ -47,18 +47,18 @@
         }
     }
 
-    /// A timer of [`TIMER_TOKEN`] is due.
-    pub fn timer(&mut self, now: Micros) {
+    /// Records that a timer of [`TIMER_TOKEN`] is due.
+    pub fn timer_fired(&mut self, now: Micros) {
         self.timer_at = self.timer_at.filter(|at| *at > now);
     }
 
-    /// Carries out what the schedule asks for by now.
+    /// Carries out what the schedule commands by now.
     pub fn poll(&mut self, now: Micros, out: &mut Vec<Sent>) {
         while let Some(command) = self.schedule.poll(now) {
             match command {
                 Command::Start(call) => {
                     self.in_flight.push_back(call.id);
-                    out.push(Sent::subscribe(self.instance));
+                    out.push(Sent::subscribe(self.initiator));
                 }
                 Command::Abandon(id) => self.in_flight.retain(|call| *call != id),
             }
@@ -66,7 +66,7 @@
         let due = self.schedule.next_poll().map(|at| at.max(now));
         if let Some(at) = due.filter(|at| self.timer_at.is_none_or(|timer| *at < timer)) {
             self.timer_at = Some(at);
-            out.push(Sent::wake(self.instance, TIMER_TOKEN, at - now));
+            out.push(Sent::wake(self.initiator, TIMER_TOKEN, at - now));
         }
     }
 }
--- /dev/null
+++ b/src/bin/simulator-adapter/wire/action.rs
@@ -0,0 +1,122 @@
+//! The replies to the simulator, and the translation of the scheduler's actions to them.
+
+use rowanglade::interface::{Action, Micros};
+use rowanglade::names::Names;
+use serde::Serialize;
+
+/// What follows from a batch of events.
+#[derive(Serialize)]
+pub struct Reply {
+    /// The actions, in their order.
+    #[serde(rename = "do")]
+    pub actions: Vec<Sent>,
+}
+
+/// An action of an initiator.
+#[derive(Serialize)]
+pub struct Sent {
+    #[serde(rename = "gateway-id")]
+    initiator: u64,
+    #[serde(flatten)]
+    command: Command,
+}
+
+/// An action as the simulator reads it.
+#[derive(Serialize)]
+#[serde(tag = "verb")]
+enum Command {
+    #[serde(rename = "Issue")]
+    StartAttempt {
+        #[serde(rename = "xid")]
+        request: String,
+        #[serde(rename = "try-for", skip_serializing_if = "Option::is_none")]
+        timeout: Option<Micros>,
+        #[serde(rename = "store")]
+        target: String,
+    },
+    #[serde(rename = "Deny")]
+    Reject {
+        #[serde(rename = "xid")]
+        request: String,
+        #[serde(rename = "wait")]
+        retry_after: Micros,
+    },
+    #[serde(rename = "RespondError")]
+    Fail {
+        #[serde(rename = "xid")]
+        request: String,
+    },
+    #[serde(rename = "DropAttempt")]
+    CancelAttempt {
+        #[serde(rename = "xid")]
+        request: String,
+        #[serde(rename = "go")]
+        attempt: u32,
+    },
+    #[serde(rename = "WakeAt")]
+    SetTimer {
+        token: u64,
+        #[serde(rename = "offset")]
+        after: Micros,
+    },
+    Subscribe {
+        active: bool,
+    },
+    #[serde(rename = "Check")]
+    Probe {
+        #[serde(rename = "store")]
+        target: String,
+    },
+    Panic {
+        line: String,
+    },
+}
+
+impl Sent {
+    /// Reports that an initiator cannot start.
+    pub fn panic(initiator: u64, line: String) -> Sent {
+        Sent { initiator, command: Command::Panic { line } }
+    }
+
+    /// Subscribes to the changes of the endpoint list.
+    pub fn subscribe(initiator: u64) -> Sent {
+        Sent { initiator, command: Command::Subscribe { active: true } }
+    }
+
+    /// Requests a timer that is due `after` microseconds from now.
+    pub fn wake(initiator: u64, token: u64, after: Micros) -> Sent {
+        Sent { initiator, command: Command::SetTimer { token, after } }
+    }
+
+    /// None: the action names what the wire no longer knows.
+    pub fn from(initiator: u64, action: &Action, names: &mut Names) -> Option<Sent> {
+        let command = match *action {
+            Action::StartAttempt { id, target, timeout } => {
+                names.sent(id);
+                Command::StartAttempt {
+                    request: names.request_name(id)?.to_string(),
+                    timeout,
+                    target: names.target_name(target)?.to_string(),
+                }
+            }
+            Action::Reject { id, retry_after } => {
+                let request = names.request_name(id)?.to_string();
+                names.ended(id);
+                Command::Reject { request, retry_after }
+            }
+            Action::Fail { id } => {
+                let request = names.request_name(id)?.to_string();
+                names.ended(id);
+                Command::Fail { request }
+            }
+            Action::CancelAttempt { id, attempt } => {
+                Command::CancelAttempt { request: names.request_name(id)?.to_string(), attempt: attempt.0 }
+            }
+            Action::SetTimer { token, after } => Command::SetTimer { token, after },
+            // The simulator's initiators exchange no quota.
+            Action::QuotaNeeded { .. } | Action::QuotaOffered { .. } => return None,
+            Action::Probe { target } => Command::Probe { target: names.target_name(target)?.to_string() },
+        };
+        Some(Sent { initiator, command })
+    }
+}
--- a/src/bin/simulator-adapter/wire/tests.rs
+++ b/src/bin/simulator-adapter/wire/tests.rs
@@ -1,11 +1,14 @@
 //! The simulator's messages against recorded samples. Guards against a field whose name is lost: most are
-//! optional, so that without them the module would decide by less than it was told. `tests/adapter.rs` has
+//! optional, so that without them the scheduler would decide by less than it was told. `tests/adapter.rs` has
 //! those that begin and end an instance.
 
 use super::*;
+use rowanglade::interface as api;
 use rowanglade::interface::{
-    EndpointEntry, EndpointUpdateKind, KeyId, LoadReport, Outcome, TargetState, VolumeId, ZoneId,
+    Action, AttemptNumber, EndpointEntry, EndpointUpdateKind, KeyId, LoadReport, Outcome, ShardId,
+    TargetState, VolumeId, ZoneId,
 };
+use rowanglade::names::Names;
 
 const EVENTS: &str = include_str!("../../../../tests/compatibility/samples/simulator-events.json");
 const ACTIONS: &str = include_str!("../../../../tests/compatibility/samples/simulator-actions.json");
@@ -29,8 +32,10 @@
     let read: Vec<String> = batch
         .events
         .into_iter()
-        .map(|event| match event.open() {
-            Ok((3, Opened::Other(event))) => format!("{:?}", event.translate(&mut names).expect("known")),
+        .map(|event| match event.classify() {
+            Ok((3, InitiatorEvent::Other(event))) => {
+                format!("{:?}", event.translate(&mut names).expect("known"))
+            }
             _ => panic!("none of instance 3"),
         })
         .collect();
@@ -39,9 +44,9 @@
     assert_eq!(names.volume_name(VolumeId(1)), Some("p:v"), "a volume without a name has a number too");
 }
 
-/// The sample's events, as the module has them.
+/// The sample's events, as the scheduler has them.
 fn expected(names: &Names) -> Vec<api::Event> {
-    let (id, node) = (names.request("a-1").expect("open"), names.target(STORE).expect("listed"));
+    let (id, target) = (names.request("a-1").expect("open"), names.target(STORE).expect("listed"));
     let entry = |shard, state| EndpointEntry {
         target: api::TargetId(shard - 1),
         shard: ShardId(shard),
@@ -59,7 +64,7 @@
     let resolved = |outcome| api::Event::AttemptEnded {
         id,
         attempt: AttemptNumber(6),
-        target: node,
+        target,
         outcome,
         elapsed: 900,
         request_over: true,
@@ -102,7 +107,7 @@
         api::Event::TransferStarted { id, attempt: AttemptNumber(6), deadline_applies: false },
         api::Event::TimerFired { token: 77 },
         api::Event::ClientGone { id },
-        api::Event::ProbeEnded { target: node, outcome: Outcome::Served, elapsed: 800, load },
+        api::Event::ProbeEnded { target, outcome: Outcome::Served, elapsed: 800, load },
     ]);
     events
 }
@@ -110,13 +115,13 @@
 #[test]
 fn every_action_is_written_as_recorded() {
     let mut names = names();
-    let (node, id, other) = (names.listed(STORE), names.taken("a-1"), names.taken("a-2"));
+    let (target, id, other) = (names.listed(STORE), names.taken("a-1"), names.taken("a-2"));
     let actions = [
-        Action::StartAttempt { id, target: node, timeout: Some(500) },
-        Action::StartAttempt { id, target: node, timeout: None },
+        Action::StartAttempt { id, target, timeout: Some(500) },
+        Action::StartAttempt { id, target, timeout: None },
         Action::CancelAttempt { id, attempt: AttemptNumber(6) },
         Action::SetTimer { token: 7, after: 8 },
-        Action::Probe { target: node },
+        Action::Probe { target },
         Action::Reject { id, retry_after: 9 },
         Action::Fail { id: other },
     ];
@@ -128,10 +133,13 @@
 }
 
 #[test]
-fn events_that_carry_nothing_for_the_module_are_told_apart() {
-    let open = |text: &str| serde_json::from_str::<Event>(text).expect("an event").open();
-    let failed = open(r#"{"verb":"Membership","gateway-id":4,"mode":"X"}"#);
-    assert!(matches!(failed, Ok((4, Opened::DiscoveryFailed))));
-    assert!(matches!(open(r#"{"verb":"Destroy","gateway-id":4}"#), Ok((4, Opened::Destroy))));
-    assert!(matches!(open(r#"{"verb":"Mail","gateway-id":4}"#), Ok((4, Opened::Other(Event::Mail(_))))));
+fn events_that_carry_nothing_for_the_scheduler_are_classified() {
+    let classify = |text: &str| serde_json::from_str::<Event>(text).expect("an event").classify();
+    let failed = classify(r#"{"verb":"Membership","gateway-id":4,"mode":"X"}"#);
+    assert!(matches!(failed, Ok((4, InitiatorEvent::DiscoveryFailed))));
+    assert!(matches!(classify(r#"{"verb":"Destroy","gateway-id":4}"#), Ok((4, InitiatorEvent::Destroyed))));
+    assert!(matches!(
+        classify(r#"{"verb":"Mail","gateway-id":4}"#),
+        Ok((4, InitiatorEvent::Other(Event::PeerMessage(_))))
+    ));
 }
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -49,10 +49,10 @@
     /// This instance's number is no place in `peers`.
     pub fn peer_addresses(&self) -> Result<Option<PeerAddresses>, ConfigError> {
         let asked = matches!(self.settings.delivery(), Delivery::OnRequest { .. });
-        let (Some(listen), Some(number)) = (self.peer_listen, self.settings.number()) else {
+        let (Some(listen), Some(number)) = (self.peer_listen, self.settings.initiator_number()) else {
             return Ok(None);
         };
-        if !asked || !self.settings.may_tell_peers() || self.peers.is_empty() {
+        if !asked || !self.settings.peer_messages_allowed() || self.peers.is_empty() {
             return Ok(None);
         }
         let me = number as usize;
--- a/src/config/sites.rs
+++ b/src/config/sites.rs
@@ -46,24 +46,24 @@
         self.check_spans()?;
         self.check_shares()?;
         self.check_names(settings)?;
-        if settings.warm_within() == 0 {
+        if settings.slow_start_duration() == 0 {
             let problem = "what returns has no ramp: settings.rules.warm-within is zero";
             return Err(ConfigError::new("sites", problem));
         }
-        let (me, instances) = settings.instances();
+        let (me, instances) = settings.number_of_initiators();
         let rules = Rules {
             window: micros(self.window_ms),
             part: self.part,
             hold: micros(self.hold_ms),
             longest_hold: micros(self.longest_hold_ms),
             probe_every: micros(self.probe_every_ms),
-            ramp: settings.warm_within(),
+            ramp: settings.slow_start_duration(),
             slow_times: self.slow_times,
             me,
             instances,
         };
         let names = self.names.into_iter().collect();
-        Ok(Watch { names, rules, longest_advice: settings.longest_advice() })
+        Ok(Watch { names, rules, longest_advice: settings.max_retry_after() })
     }
 
     fn check_spans(&self) -> Result<(), ConfigError> {
--- a/src/config/subset.rs
+++ b/src/config/subset.rs
@@ -35,7 +35,7 @@
         if !(1.0..=100.0).contains(&self.spread) {
             return Err(ConfigError::new("subset.spread", format!("{} is not from 1 to 100", self.spread)));
         }
-        let (me, instances) = settings.instances();
+        let (me, instances) = settings.number_of_initiators();
         if !(1..=MOST_INSTANCES).contains(&instances) {
             let problem = format!("settings.siblings is {instances}, not from 1 to {MOST_INSTANCES}");
             return Err(ConfigError::new("subset", problem));
--- a/src/config/summary.rs
+++ b/src/config/summary.rs
@@ -14,7 +14,7 @@
 
 impl Config {
     fn write_head(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let classes: Vec<&str> = self.settings.classes().map(|(name, _)| name).collect();
+        let classes: Vec<&str> = self.settings.classes().map(|class| class.name).collect();
         let plans: Vec<&str> = self.settings.plans().collect();
         let discovery = self.discovery.map_or("none".to_string(), |address| address.to_string());
         writeln!(f, "name {}  listen {}  discovery {discovery}", self.name, self.listen)?;
--- a/src/core/mailbox.rs
+++ b/src/core/mailbox.rs
@@ -73,9 +73,12 @@
 /// Makes the core's mailbox, for requests as the settings have them, which `log` tells of.
 pub fn mailbox(settings: &Settings, log: Option<AccessLog>) -> (CoreMailbox, CoreHandle) {
     let terms = Terms {
-        classes: settings.terms().map(|(name, write, keyed)| (name.to_string(), write, keyed)).collect(),
+        classes: settings
+            .classes()
+            .map(|class| (class.name.to_string(), class.writes, class.keyed))
+            .collect(),
         plans: settings.plans().map(str::to_string).collect(),
-        shards: settings.shards(),
+        shards: settings.shard_count(),
     };
     let ids = Ids::default();
     let (tx, rx) = mpsc::channel(MAILBOX);
--- a/src/initiator.rs
+++ b/src/initiator.rs
@@ -132,7 +132,8 @@
         if let Some((listener, _)) = &iscsi {
             passed.push(("iscsi".to_string(), listener.as_fd().try_clone_to_owned()?));
         }
-        let (idle, stall) = (config.settings.conn_idle() / 2, config.settings.tightest_aim() / 2);
+        let (idle, stall) =
+            (config.settings.connection_idle_timeout() / 2, config.settings.tightest_objective() / 2);
         let stall = stall.clamp(SHORTEST_STALL, LONGEST_STALL);
         let links = http::ConnectionPool::new(shares.targets, idle, stall, REST);
         actix_rt::spawn(links.clone().close_expired());
@@ -142,7 +143,7 @@
             budget.share(welcome.share.descriptors);
         }
         let connect_timeout = config.settings.connect_timeout();
-        let hold = (config.settings.tightest_aim() / 8).clamp(SHORTEST_HOLD, LONGEST_HOLD);
+        let hold = (config.settings.tightest_objective() / 8).clamp(SHORTEST_HOLD, LONGEST_HOLD);
         let transport = http::TargetTransport {
             connect_timeout,
             stall_timeout: stall,
--- a/src/initiator/targets.rs
+++ b/src/initiator/targets.rs
@@ -21,7 +21,7 @@
 
 /// The classes with their deadlines.
 pub fn classes(settings: &Settings) -> Vec<(String, Duration)> {
-    settings.classes().map(|(name, deadline)| (name.to_string(), deadline)).collect()
+    settings.classes().map(|class| (class.name.to_string(), class.deadline)).collect()
 }
 
 /// What sessions to targets keep to.
--- a/tests/compatibility/configuration.rs
+++ b/tests/compatibility/configuration.rs
@@ -47,15 +47,15 @@
 #[test]
 fn every_key_of_the_settings_that_the_program_itself_uses_is_read() {
     let settings = load().settings;
-    assert_eq!(settings.conn_idle(), Duration::from_secs(31));
+    assert_eq!(settings.connection_idle_timeout(), Duration::from_secs(31));
     assert_eq!(settings.connect_timeout(), Duration::from_millis(260));
     assert_eq!(settings.zones(), ["kingston", "negril"]);
     assert_eq!(settings.delivery(), Delivery::OnRequest { ask_within: 10_000_000 });
-    assert!(settings.may_tell_peers());
-    assert_eq!((settings.instances(), settings.number()), ((1, 3), Some(1)));
-    assert_eq!((settings.shards(), settings.longest_advice()), (Some(8), Duration::from_millis(500)));
+    assert!(settings.peer_messages_allowed());
+    assert_eq!((settings.number_of_initiators(), settings.initiator_number()), ((1, 3), Some(1)));
+    assert_eq!((settings.shard_count(), settings.max_retry_after()), (Some(8), Duration::from_millis(500)));
     assert_eq!(settings.plans().collect::<Vec<_>>(), ["basic"]);
-    let classes: Vec<_> = settings.terms().collect();
+    let classes: Vec<_> = settings.classes().map(|class| (class.name, class.writes, class.keyed)).collect();
     assert_eq!(
         classes,
         [
