--- a/crates/iscsi/src/connection.rs
+++ b/crates/iscsi/src/connection.rs
@@ -1,8 +1,8 @@
 //! Connections of an initiator to a target: TCP, then the login phase.
 
-use crate::frame::Frames;
-use crate::login::{self, Session};
+use crate::login::{self, SessionParameters};
 use crate::pdu::Sequence;
+use crate::reader::PduReader;
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -23,11 +23,11 @@
 #[derive(Debug)]
 pub struct Connection {
     /// PDUs from the target.
-    pub frames: Frames<OwnedReadHalf>,
+    pub reader: PduReader<OwnedReadHalf>,
     /// Where PDUs to the target are written.
-    pub out: OwnedWriteHalf,
+    pub writer: OwnedWriteHalf,
     /// What the login negotiated.
-    pub session: Session,
+    pub parameters: SessionParameters,
     /// The sequence numbers of the login response.
     pub sequence: Sequence,
 }
@@ -46,10 +46,10 @@
     ) -> io::Result<Connection> {
         let stream = timeout(timeouts.connect, TcpStream::connect(addr)).await??;
         stream.set_nodelay(true)?;
-        let (from, mut out) = stream.into_split();
-        let mut frames = Frames::new(from);
-        let login = login::log_in(&mut frames, &mut out, initiator, target);
-        let (session, sequence) = timeout(timeouts.login, login).await??;
-        Ok(Connection { frames, out, session, sequence })
+        let (read_half, mut writer) = stream.into_split();
+        let mut reader = PduReader::new(read_half);
+        let login = login::log_in(&mut reader, &mut writer, initiator, target);
+        let (parameters, sequence) = timeout(timeouts.login, login).await??;
+        Ok(Connection { reader, writer, parameters, sequence })
     }
 }
--- a/crates/iscsi/src/lib.rs
+++ b/crates/iscsi/src/lib.rs
@@ -4,11 +4,12 @@
 #![forbid(unsafe_code)]
 
 pub mod connection;
-pub mod frame;
 pub mod login;
 pub mod pdu;
+pub mod reader;
 pub mod scsi;
 
 pub use connection::{Connection, Timeouts};
-pub use frame::{Frames, Unreadable};
-pub use pdu::{Header, Login, NO_TAG, Pdu, RejectReason, Residual, Sequence};
+pub use login::SessionParameters;
+pub use pdu::{Header, Login, Pdu, RESERVED_TAG, RejectReason, Residual, Sequence};
+pub use reader::{MAX_SEGMENT_BYTES, PduReader, ReadError};
--- /dev/null
+++ b/crates/iscsi/src/reader.rs
@@ -0,0 +1,83 @@
+//! PDUs out of a stream of bytes.
+
+use crate::pdu::{self, HEADER_BYTES, Header, Pdu, RejectReason};
+use bytes::{Buf, BytesMut};
+use std::io;
+use tokio::io::{AsyncRead, AsyncReadExt};
+
+/// The largest data segment in bytes that is taken: what this side declares as its MaxRecvDataSegmentLength.
+pub const MAX_SEGMENT_BYTES: usize = 64 * 1024;
+
+/// Why there is no next PDU.
+#[derive(Debug, thiserror::Error)]
+pub enum ReadError {
+    /// The stream broke, or ended inside a PDU.
+    #[error(transparent)]
+    Io(io::Error),
+    /// The stream ended between PDUs.
+    #[error("the stream ended")]
+    End,
+    /// A PDU that this side does not take. The stream can go on behind it.
+    #[error("rejected: {0}")]
+    Rejected(RejectReason, Box<Header>),
+    /// A header whose lengths cannot be followed: nothing behind it can be read.
+    #[error("a data segment that is too long")]
+    TooLong(Box<Header>),
+}
+
+/// Reads PDUs from a stream.
+#[derive(Debug)]
+pub struct PduReader<R> {
+    stream: R,
+    buffer: BytesMut,
+}
+
+impl<R: AsyncRead + Unpin> PduReader<R> {
+    /// A reader of this stream.
+    pub fn new(stream: R) -> PduReader<R> {
+        PduReader { stream, buffer: BytesMut::new() }
+    }
+
+    /// The stream, without what was read of it and not taken.
+    pub fn into_inner(self) -> R {
+        self.stream
+    }
+
+    /// The next PDU. Cancel safe: dropped before it resolves, it has lost nothing.
+    ///
+    /// # Errors
+    /// The stream broke or ended, or what came is not taken.
+    pub async fn next(&mut self) -> Result<Pdu, ReadError> {
+        loop {
+            if let Some(pdu) = self.take_buffered() {
+                return pdu;
+            }
+            let read = self.stream.read_buf(&mut self.buffer).await.map_err(ReadError::Io)?;
+            if read == 0 {
+                return Err(match self.buffer.is_empty() {
+                    true => ReadError::End,
+                    false => ReadError::Io(io::ErrorKind::UnexpectedEof.into()),
+                });
+            }
+        }
+    }
+
+    /// The next PDU, if all of it has been read.
+    fn take_buffered(&mut self) -> Option<Result<Pdu, ReadError>> {
+        let header: Header = self.buffer.get(..HEADER_BYTES)?.try_into().ok()?;
+        let (additional, data) = pdu::lengths(&header);
+        if data > MAX_SEGMENT_BYTES {
+            return Some(Err(ReadError::TooLong(Box::new(header))));
+        }
+        let pdu_bytes = HEADER_BYTES + additional + data.next_multiple_of(4);
+        if self.buffer.len() < pdu_bytes {
+            self.buffer.reserve(pdu_bytes - self.buffer.len());
+            return None;
+        }
+        let mut bytes = self.buffer.split_to(pdu_bytes);
+        bytes.advance(HEADER_BYTES + additional);
+        bytes.truncate(data);
+        let pdu = Pdu::decode(&header, bytes.freeze());
+        Some(pdu.map_err(|reason| ReadError::Rejected(reason, Box::new(header))))
+    }
+}
--- a/crates/iscsi/src/scsi.rs
+++ b/crates/iscsi/src/scsi.rs
@@ -3,33 +3,65 @@
 use bytes::{BufMut, Bytes, BytesMut};
 use std::time::Duration;
 
+/// Status GOOD.
 pub const GOOD: u8 = 0x00;
+/// Status CHECK CONDITION: sense data says what is wrong.
 pub const CHECK_CONDITION: u8 = 0x02;
+/// Status BUSY.
 pub const BUSY: u8 = 0x08;
+/// Status TASK SET FULL.
 pub const TASK_SET_FULL: u8 = 0x28;
 
+/// Bytes of a logical block.
+pub const BLOCK_BYTES: u32 = 512;
+
 const READ_16: u8 = 0x88;
 const WRITE_16: u8 = 0x8a;
-pub const BLOCK: u32 = 512;
+/// The bits of a group number.
+const GROUP_MASK: u8 = 0x3f;
+
+/// Length of fixed format sense data.
+const SENSE_BYTES: u16 = 18;
+/// Response code of current errors in fixed format.
+const CURRENT_FIXED: u8 = 0x70;
+/// Length of what comes behind the first eight bytes of fixed format sense data.
+const ADDITIONAL_SENSE_BYTES: u8 = 10;
 
-/// Sense key, additional sense code and its qualifier.
+/// A status qualifier's unit of time.
+const QUALIFIER_UNIT_MILLIS: u128 = 100;
+/// The longest time that a status qualifier can hold, in its unit.
+const MAX_QUALIFIER: u128 = 0x3fef;
+
+/// Sense data.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Sense(pub u8, pub u8, pub u8);
+pub struct Sense {
+    /// The sense key.
+    pub key: u8,
+    /// The additional sense code.
+    pub code: u8,
+    /// The additional sense code's qualifier.
+    pub qualifier: u8,
+}
 
-pub const INVALID_OPCODE: Sense = Sense(0x05, 0x20, 0x00);
-pub const INVALID_FIELD: Sense = Sense(0x05, 0x24, 0x00);
-pub const NO_SUCH_LUN: Sense = Sense(0x05, 0x25, 0x00);
+/// ILLEGAL REQUEST, INVALID COMMAND OPERATION CODE.
+pub const INVALID_OPCODE: Sense = Sense { key: 0x05, code: 0x20, qualifier: 0x00 };
+/// ILLEGAL REQUEST, INVALID FIELD IN CDB.
+pub const INVALID_FIELD: Sense = Sense { key: 0x05, code: 0x24, qualifier: 0x00 };
+/// ILLEGAL REQUEST, LOGICAL UNIT NOT SUPPORTED.
+pub const NO_SUCH_LUN: Sense = Sense { key: 0x05, code: 0x25, qualifier: 0x00 };
 /// ABORTED COMMAND, LOGICAL UNIT COMMUNICATION TIME-OUT: nothing is promised of the effect.
-pub const NO_ANSWER: Sense = Sense(0x0b, 0x08, 0x01);
+pub const NO_RESPONSE: Sense = Sense { key: 0x0b, code: 0x08, qualifier: 0x01 };
 /// ABORTED COMMAND, DATA PHASE ERROR: the data of a write never came whole.
-pub const DATA_PHASE: Sense = Sense(0x0b, 0x4b, 0x00);
+pub const DATA_PHASE_ERROR: Sense = Sense { key: 0x0b, code: 0x4b, qualifier: 0x00 };
 
 impl Sense {
     /// Fixed format, behind the length that the data segment of a SCSI Response begins with.
     pub fn encode(self) -> Bytes {
-        let mut out = BytesMut::with_capacity(20);
-        out.put_u16(18);
-        out.put_slice(&[0x70, 0, self.0, 0, 0, 0, 0, 10, 0, 0, 0, 0, self.1, self.2, 0, 0, 0, 0]);
+        let Sense { key, code, qualifier } = self;
+        let mut out = BytesMut::with_capacity(2 + usize::from(SENSE_BYTES));
+        out.put_u16(SENSE_BYTES);
+        out.put_slice(&[CURRENT_FIXED, 0, key, 0, 0, 0, 0, ADDITIONAL_SENSE_BYTES]);
+        out.put_slice(&[0, 0, 0, 0, code, qualifier, 0, 0, 0, 0]);
         out.freeze()
     }
 }
@@ -37,14 +69,21 @@
 /// READ(16) or WRITE(16).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Command {
+    /// Whether it writes.
     pub write: bool,
+    /// The first logical block.
     pub address: u64,
+    /// How many logical blocks.
     pub blocks: u32,
-    /// The group number: the place of the class in the settings.
+    /// The group number: the index of the request class in the settings.
     pub group: u8,
 }
 
 impl Command {
+    /// Decodes a command descriptor block.
+    ///
+    /// # Errors
+    /// It is neither READ(16) nor WRITE(16).
     pub fn decode(cdb: &[u8; 16]) -> Result<Command, Sense> {
         let write = match cdb[0] {
             READ_16 => false,
@@ -56,21 +95,22 @@
             write,
             address: u64::from_be_bytes(address),
             blocks: u32::from_be_bytes([b0, b1, b2, b3]),
-            group: group & 0x3f,
+            group: group & GROUP_MASK,
         })
     }
 
+    /// The command descriptor block.
     pub fn encode(&self) -> [u8; 16] {
         let mut cdb = [0; 16];
         cdb[0] = if self.write { WRITE_16 } else { READ_16 };
         cdb[2..10].copy_from_slice(&self.address.to_be_bytes());
         cdb[10..14].copy_from_slice(&self.blocks.to_be_bytes());
-        cdb[14] = self.group & 0x3f;
+        cdb[14] = self.group & GROUP_MASK;
         cdb
     }
 }
 
-/// Advice to stay away as a status qualifier: tenths of a second, rounded up.
-pub fn qualifier(wait: Duration) -> u16 {
-    wait.as_millis().div_ceil(100).min(0x3fef) as u16
+/// How long a client should stay away as a status qualifier: tenths of a second, rounded up.
+pub fn retry_after_qualifier(retry_after: Duration) -> u16 {
+    retry_after.as_millis().div_ceil(QUALIFIER_UNIT_MILLIS).min(MAX_QUALIFIER) as u16
 }
--- a/crates/iscsi/tests/pdu.rs
+++ b/crates/iscsi/tests/pdu.rs
@@ -1,7 +1,7 @@
 //! Tests of the PDU layouts against RFC 7143.
 
 use bytes::Bytes;
-use rowanglade_iscsi::pdu::{HEADER, Header, Login, Pdu, Residual, Sequence, lengths};
+use rowanglade_iscsi::pdu::{HEADER_BYTES, Header, Login, Pdu, Residual, Sequence, lengths};
 
 // The two directions share one definition of each PDU; a field put at another place by one of them would
 // pass the stories, in which both sides are ours.
@@ -33,10 +33,10 @@
     ];
     for pdu in pdus {
         let bytes = pdu.encode();
-        let header: Header = bytes[..HEADER].try_into().expect("a header");
+        let header: Header = bytes[..HEADER_BYTES].try_into().expect("a header");
         let (additional, length) = lengths(&header);
         assert_eq!((additional, bytes.len() % 4), (0, 0));
-        assert_eq!(Pdu::decode(&header, bytes.slice(HEADER..HEADER + length)), Ok(pdu));
+        assert_eq!(Pdu::decode(&header, bytes.slice(HEADER_BYTES..HEADER_BYTES + length)), Ok(pdu));
     }
 
     let (cdb, length, data) = ([0x88; 16], 512, Bytes::new());
--- a/crates/replay/src/iscsi.rs
+++ b/crates/replay/src/iscsi.rs
@@ -6,8 +6,8 @@
 use crate::plan::End;
 use bytes::Bytes;
 use futures_util::future::LocalBoxFuture;
-use rowanglade_iscsi::scsi::{BLOCK, BUSY, Command, GOOD, TASK_SET_FULL};
-use rowanglade_iscsi::{Connection, Frames, NO_TAG, Pdu, Timeouts, login};
+use rowanglade_iscsi::scsi::{BLOCK_BYTES, BUSY, Command, GOOD, TASK_SET_FULL};
+use rowanglade_iscsi::{Connection, Pdu, PduReader, RESERVED_TAG, SessionParameters, Timeouts};
 use std::collections::{HashMap, VecDeque};
 use std::io;
 use std::net::SocketAddr;
@@ -113,9 +113,9 @@
 }
 
 struct Session {
-    frames: Frames<OwnedReadHalf>,
+    reader: PduReader<OwnedReadHalf>,
     out: OwnedWriteHalf,
-    settled: login::Session,
+    parameters: SessionParameters,
     cmd_sn: u32,
     max_cmd_sn: u32,
     exp_stat_sn: u32,
@@ -128,14 +128,14 @@
     async fn open(addr: SocketAddr, initiator: &str, target: &str) -> io::Result<Session> {
         let timeouts = Timeouts { connect: CONNECT, login: CONNECT };
         let connection = Connection::open(addr, initiator, target, timeouts).await?;
-        let Connection { frames, out, session: settled, sequence } = connection;
+        let Connection { reader, writer: out, parameters, sequence } = connection;
         Ok(Session {
-            frames,
+            reader,
             out,
-            cmd_sn: settled.cmd_sn,
+            cmd_sn: parameters.cmd_sn,
             max_cmd_sn: sequence.max_cmd_sn,
-            exp_stat_sn: settled.stat_sn,
-            settled,
+            exp_stat_sn: parameters.stat_sn,
+            parameters,
             next_itt: 1,
             tasks: HashMap::new(),
             waiting: VecDeque::new(),
@@ -149,7 +149,7 @@
             let overdue = self.tasks.values().filter(|t| t.end.is_some()).map(|t| t.until).min();
             let overdue = overdue.unwrap_or_else(|| Instant::now() + Duration::from_secs(60));
             tokio::select! {
-                pdu = self.frames.next() => match pdu {
+                pdu = self.reader.next() => match pdu {
                     Ok(pdu) => self.hear(pdu).await?,
                     Err(_) => return Err(io::ErrorKind::ConnectionReset.into()),
                 },
@@ -171,11 +171,11 @@
                 continue;
             }
             let itt = self.tag();
-            let length = task.command.blocks * BLOCK;
+            let length = task.command.blocks * BLOCK_BYTES;
             let write = task.command.write;
             let body = if write { Bytes::from(vec![b'*'; length as usize]) } else { Bytes::new() };
-            let room = self.settled.segment.min(self.settled.first_burst);
-            let first = match self.settled.immediate_data {
+            let room = self.parameters.max_segment_bytes.min(self.parameters.first_burst_bytes);
+            let first = match self.parameters.immediate_data {
                 true => body.slice(..body.len().min(room)),
                 false => Bytes::new(),
             };
@@ -203,7 +203,7 @@
     fn tag(&mut self) -> u32 {
         let itt = self.next_itt;
         self.next_itt = match itt.wrapping_add(1) {
-            NO_TAG => 1,
+            RESERVED_TAG => 1,
             next => next,
         };
         itt
@@ -256,7 +256,7 @@
                 }
                 let (data, mut at, mut data_sn) = (task.data.clone(), from, 0);
                 while at < end {
-                    let until = end.min(at + self.settled.segment);
+                    let until = end.min(at + self.parameters.max_segment_bytes);
                     let last = until == end;
                     let (exp_stat_sn, offset) = (self.exp_stat_sn, at as u32);
                     let data = data.slice(at..until);
@@ -277,12 +277,12 @@
                 self.end(itt, if status == GOOD { End::Served } else { End::Failed });
             }
             // A ping that wants its answer (RFC 7143, section 11.19).
-            Pdu::NopIn { ttt, lun, .. } if ttt != NO_TAG => {
+            Pdu::NopIn { ttt, lun, .. } if ttt != RESERVED_TAG => {
                 let (cmd_sn, exp_stat_sn) = (self.cmd_sn, self.exp_stat_sn);
                 let pong = Pdu::NopOut {
                     immediate: true,
                     lun,
-                    itt: NO_TAG,
+                    itt: RESERVED_TAG,
                     ttt,
                     cmd_sn,
                     exp_stat_sn,
--- a/src/config/iscsi.rs
+++ b/src/config/iscsi.rs
@@ -21,7 +21,7 @@
     pub login_timeout: Duration,
     /// How long a session that owes answers may be silent before it is asked with a NOP-Out; after as long
     /// again it counts as broken.
-    pub silence: Duration,
+    pub silence_timeout: Duration,
     /// Volumes by their LUN.
     pub luns: HashMap<u64, Lun>,
     /// Targets that discovery does not list.
@@ -70,8 +70,8 @@
     plan: Option<String>,
     /// None: its writes are new objects, which any target can take.
     shard: Option<u32>,
-    #[serde(default)]
-    hosts: u32,
+    #[serde(rename = "hosts", default)]
+    initiators: u32,
 }
 
 fn default_blocks_per_unit() -> u32 {
@@ -100,7 +100,7 @@
             name: self.name,
             blocks_per_unit: self.blocks_per_unit,
             login_timeout: Duration::from_millis(above_zero("login_timeout_ms", self.login_timeout_ms)?),
-            silence: Duration::from_millis(above_zero("silence_ms", self.silence_ms)?),
+            silence_timeout: Duration::from_millis(above_zero("silence_ms", self.silence_ms)?),
             luns,
             targets: self.target,
         })
@@ -123,7 +123,7 @@
         if let Some(plan) = volume.plan.as_deref().filter(|plan| !settings.plans().any(|p| p == *plan)) {
             return Err(ConfigError::new(key("plan"), format!("the settings have no plan {plan:?}")));
         }
-        let lun = Lun { plan: volume.plan, shard: volume.shard, hosts: volume.hosts };
+        let lun = Lun { plan: volume.plan, shard: volume.shard, initiators: volume.initiators };
         if luns.insert(number, lun).is_some() {
             return Err(ConfigError::new(key("lun"), format!("{:?} is there twice", volume.lun)));
         }
--- a/src/initiator/run.rs
+++ b/src/initiator/run.rs
@@ -41,8 +41,8 @@
                 blocks_per_unit: iscsi.blocks_per_unit,
                 ending: ending.subscribe(),
                 phase: self.phase.subscribe(),
-                most_sessions: Rc::clone(&self.budget.max_sessions),
-                sessions: Rc::clone(&sessions),
+                max_sessions: Rc::clone(&self.budget.max_sessions),
+                open_sessions: Rc::clone(&sessions),
             };
             actix_rt::spawn(iscsi::serve(listener, Rc::new(front)));
         }
--- a/src/initiator/targets.rs
+++ b/src/initiator/targets.rs
@@ -10,7 +10,7 @@
 /// Connects each target over its own protocol. Without `figures` all are reached over HTTP.
 pub fn connect(
     transport: http::TargetTransport,
-    figures: Option<iscsi::Figures>,
+    figures: Option<iscsi::SessionSettings>,
     core: CoreHandle,
 ) -> Connect {
     Box::new(move |line| match (line.protocol, &figures) {
@@ -25,13 +25,13 @@
 }
 
 /// What sessions to targets keep to.
-pub fn figures(iscsi: &Iscsi, settings: &Settings, clock: Clock) -> iscsi::Figures {
-    iscsi::Figures {
+pub fn figures(iscsi: &Iscsi, settings: &Settings, clock: Clock) -> iscsi::SessionSettings {
+    iscsi::SessionSettings {
         initiator: iscsi.name.clone(),
         classes: classes(settings).into_iter().map(|(name, _)| name).collect(),
         connect_timeout: settings.connect_timeout(),
         login_timeout: iscsi.login_timeout,
-        silence: iscsi.silence,
+        silence_timeout: iscsi.silence_timeout,
         blocks_per_unit: iscsi.blocks_per_unit,
         clock,
     }
--- a/src/net/http/dial.rs
+++ b/src/net/http/dial.rs
@@ -1,4 +1,4 @@
-//! Connections of the HTTP client.
+//! Connections of the HTTP client that polls discovery.
 
 use actix_rt::net::{ActixStream, Ready, TcpStream};
 use actix_service::Service;
@@ -13,19 +13,23 @@
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// A client of one peer, behind whose back nothing acts: no redirect, no time-out but the connect's, no limit
-/// that queues, no name look-up.
-pub fn client(addr: SocketAddr, connect_timeout: Duration, idle: Duration) -> Client {
-    let connector =
-        Connector::new().connector(Dial(addr)).timeout(connect_timeout).conn_keep_alive(idle).limit(0);
+/// A client of one peer that does nothing by itself: no redirect, no timeout but that of a connect, no limit
+/// that queues, no name lookup. A connection that was idle for `idle_timeout` is not used again.
+pub fn client(addr: SocketAddr, connect_timeout: Duration, idle_timeout: Duration) -> Client {
+    let connector = Connector::new()
+        .connector(FixedAddress(addr))
+        .timeout(connect_timeout)
+        .conn_keep_alive(idle_timeout)
+        .limit(0);
     Client::builder().connector(connector).disable_timeout().disable_redirects().no_default_headers().finish()
 }
 
+/// Connects to one address, whatever a request names.
 #[derive(Clone)]
-struct Dial(SocketAddr);
+struct FixedAddress(SocketAddr);
 
-impl Service<ConnectInfo<actix_http::Uri>> for Dial {
-    type Response = Connection<actix_http::Uri, Stream>;
+impl Service<ConnectInfo<actix_http::Uri>> for FixedAddress {
+    type Response = Connection<actix_http::Uri, StrictStream>;
     type Error = ConnectError;
     type Future = LocalBoxFuture<'static, Result<Self::Response, ConnectError>>;
 
@@ -36,28 +40,28 @@
         Box::pin(async move {
             let stream = TcpStream::connect(addr).await.map_err(ConnectError::Io)?;
             stream.set_nodelay(true).map_err(ConnectError::Io)?;
-            Ok(Connection::new(info.request().clone(), Stream(stream)))
+            Ok(Connection::new(info.request().clone(), StrictStream(stream)))
         })
     }
 }
 
 /// A stream whose end is an error. The client library takes an end inside a body for the body's end, and
-/// would hand on half an answer as a whole one.
+/// would pass half a response on as a complete one.
 #[derive(Debug)]
-struct Stream(TcpStream);
+struct StrictStream(TcpStream);
 
-impl AsyncRead for Stream {
+impl AsyncRead for StrictStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        let before = buf.filled().len();
+        let filled_before = buf.filled().len();
         ready!(stream::poll_read(&self.0, cx, buf))?;
-        if buf.filled().len() == before && buf.remaining() > 0 {
+        if buf.filled().len() == filled_before && buf.remaining() > 0 {
             return Poll::Ready(Err(io::ErrorKind::UnexpectedEof.into()));
         }
         Poll::Ready(Ok(()))
     }
 }
 
-impl AsyncWrite for Stream {
+impl AsyncWrite for StrictStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         stream::poll_write(&self.0, cx, buf)
     }
@@ -71,7 +75,7 @@
     }
 }
 
-impl ActixStream for Stream {
+impl ActixStream for StrictStream {
     fn poll_read_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<Ready>> {
         ActixStream::poll_read_ready(&self.0, cx)
     }
--- a/src/net/http/handler.rs
+++ b/src/net/http/handler.rs
@@ -1,7 +1,7 @@
 //! The handler of one request of a platform's client.
 
 use super::clients::ClientConnection;
-use super::message::{self, LARGEST_BODY};
+use super::message::{self, MAX_BODY_BYTES};
 use super::request_body::{BodyBudget, RequestBody};
 use super::response_body::ResponseBody;
 use super::server::Front;
@@ -103,7 +103,7 @@
     connection: Option<&ClientConnection>,
 ) -> Result<ContentResponse, ContentResponse> {
     let declared_length = declared_length(http_request);
-    if declared_length.is_some_and(|length| length > LARGEST_BODY) {
+    if declared_length.is_some_and(|length| length > MAX_BODY_BYTES) {
         return Err(message::status(StatusCode::PAYLOAD_TOO_LARGE));
     }
     let client = http_request.peer_addr();
--- /dev/null
+++ b/src/net/http/message/request.rs
@@ -0,0 +1,124 @@
+//! A client's request.
+
+use super::{CLASS, IDEMPOTENCY_KEY, PLACEMENT, PLAN, REQUEST_ID, TIME_LEFT_MS, header_number, header_text};
+use crate::core::{Protocol, Request, RequestOrigin};
+use actix_http::header::HeaderMap;
+use actix_http::{Method, Uri};
+use bytes::Bytes;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// Far above any request's size: a larger one would leave the range of the scheduler's times.
+const MAX_UNITS: f64 = 1e6;
+/// Far above the number of initiators of any fleet.
+const MAX_INITIATORS: u32 = 65_536;
+/// Volumes and objects are written in so many hex digits.
+const HEX_DIGITS: usize = 16;
+/// The shard of an object that does not exist yet.
+const NO_SHARD: i64 = -1;
+
+/// A request that cannot be decoded, by the part that is wrong: the name of a header or of a part of the path.
+#[derive(Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{0}")]
+pub struct Malformed(pub &'static str);
+
+/// Decodes a client's request, without its body.
+///
+/// # Errors
+/// A part of the request is missing or cannot be read.
+pub fn decode(
+    method: &Method,
+    uri: &Uri,
+    headers: &HeaderMap,
+    client: Option<SocketAddr>,
+) -> Result<Request, Malformed> {
+    let write = match *method {
+        Method::GET => false,
+        Method::PUT => true,
+        _ => return Err(Malformed("method")),
+    };
+    let (class, volume, object) = path_parts(uri.path())?;
+    if header_text(headers, &CLASS) != Some(class) {
+        return Err(Malformed("x-service-class"));
+    }
+    let placement = header_text(headers, &PLACEMENT).ok_or(Malformed("x-placement"))?;
+    let placement = Placement::parse(placement)?;
+    let id = header_text(headers, &REQUEST_ID).filter(|id| !id.is_empty());
+    let id = id.ok_or(Malformed("x-correlation-id"))?;
+    let time_left = header_number(headers, &TIME_LEFT_MS).ok_or(Malformed("x-time-left-ms"))?;
+    let plan = header_text(headers, &PLAN).ok_or(Malformed("x-qos-policy"))?;
+    Ok(Request {
+        origin: RequestOrigin {
+            front: Protocol::Http,
+            client: client.map(|client| client.ip()),
+            connection: client.map(|client| client.port()),
+        },
+        id: id.to_string(),
+        class: class.to_string(),
+        plan: Some(plan.to_string()),
+        write,
+        volume: hex(volume, "volume")?,
+        object: hex(object, "piece")?,
+        locator: uri.path_and_query().map_or(uri.path(), |path| path.as_str()).to_string(),
+        idempotency_key: header_text(headers, &IDEMPOTENCY_KEY).map(str::to_string),
+        units: placement.units,
+        shard: placement.shard,
+        initiators: placement.initiators,
+        length: 0,
+        body: Bytes::new(),
+        more: None,
+        time_left: Duration::from_millis(time_left),
+    })
+}
+
+/// The class, volume and object of `/CLASS/VOLUME/OBJECT`.
+fn path_parts(path: &str) -> Result<(&str, &str, &str), Malformed> {
+    let mut parts = path.split('/').skip(1);
+    match (parts.next(), parts.next(), parts.next(), parts.next()) {
+        (Some(class), Some(volume), Some(object), None) if !class.is_empty() => Ok((class, volume, object)),
+        _ => Err(Malformed("path")),
+    }
+}
+
+fn hex(digits: &str, part: &'static str) -> Result<u64, Malformed> {
+    if digits.len() != HEX_DIGITS || !digits.bytes().all(|byte| byte.is_ascii_hexdigit()) {
+        return Err(Malformed(part));
+    }
+    u64::from_str_radix(digits, 16).map_err(|_| Malformed(part))
+}
+
+/// A request's size, where its object lies, and how many initiators share its volume.
+struct Placement {
+    units: f64,
+    /// None: a new object.
+    shard: Option<u32>,
+    initiators: u32,
+}
+
+impl Placement {
+    /// `units=2,shard=5,hosts=3`. A part of another name is passed over.
+    fn parse(text: &str) -> Result<Placement, Malformed> {
+        const MALFORMED: Malformed = Malformed("x-placement");
+        let mut units = None;
+        let mut shard = None;
+        let mut initiators = 0;
+        for (name, value) in text.split(',').filter_map(|part| part.split_once('=')) {
+            let value = value.trim();
+            match name.trim() {
+                "units" => units = value.parse().ok().filter(|units| *units > 0.0 && *units <= MAX_UNITS),
+                "shard" => shard = value.parse::<i64>().ok(),
+                "hosts" => {
+                    let count = value.parse().ok().filter(|count| *count <= MAX_INITIATORS);
+                    initiators = count.ok_or(MALFORMED)?;
+                }
+                _ => {}
+            }
+        }
+        let units = units.ok_or(MALFORMED)?;
+        let shard = match shard.ok_or(MALFORMED)? {
+            NO_SHARD => None,
+            shard => Some(u32::try_from(shard).map_err(|_| MALFORMED)?),
+        };
+        Ok(Placement { units, shard, initiators })
+    }
+}
--- /dev/null
+++ b/src/net/http/message/response.rs
@@ -0,0 +1,42 @@
+//! The final response to a client.
+
+use super::REJECTION_REASON;
+use crate::core::{Content, Response};
+use actix_http::header::{HeaderValue, RETRY_AFTER};
+use actix_http::{Response as HttpResponse, StatusCode};
+use bytes::Bytes;
+use std::time::Duration;
+
+/// Encodes the final response to a client.
+pub fn encode(response: Response) -> HttpResponse<Content> {
+    match response {
+        Response::Served(content) => HttpResponse::with_body(StatusCode::OK, content),
+        Response::Rejected { retry_after } => rejected(retry_after),
+        Response::SiteUnavailable { site, retry_after } => {
+            let mut response = rejected(retry_after);
+            if let Ok(reason) = HeaderValue::from_str(&format!("site {site} is lost")) {
+                response.headers_mut().insert(REJECTION_REASON, reason);
+            }
+            response
+        }
+        Response::Failed => status(StatusCode::INTERNAL_SERVER_ERROR),
+    }
+}
+
+/// A response with the promise that the request had no effect; a client that is to stay away for no time gets
+/// no Retry-After.
+fn rejected(retry_after: Duration) -> HttpResponse<Content> {
+    let mut response = status(StatusCode::SERVICE_UNAVAILABLE);
+    if !retry_after.is_zero() {
+        let seconds = format!("{:.3}", retry_after.as_secs_f64());
+        if let Ok(value) = HeaderValue::from_str(&seconds) {
+            response.headers_mut().insert(RETRY_AFTER, value);
+        }
+    }
+    response
+}
+
+/// A response without a body.
+pub fn status(code: StatusCode) -> HttpResponse<Content> {
+    HttpResponse::with_body(code, Bytes::new().into())
+}
--- a/src/net/http/request_body.rs
+++ b/src/net/http/request_body.rs
@@ -1,7 +1,7 @@
 //! A request's body as its client sends it, within the memory for all bodies.
 
 use super::handler::no_capacity;
-use super::message::{self, LARGEST_BODY};
+use super::message::{self, MAX_BODY_BYTES};
 use crate::core::{Content, HELD, Lost};
 use actix_http::{BoxedPayloadStream, Payload, Response as HttpResponse, StatusCode};
 use bytes::{Bytes, BytesMut};
@@ -70,7 +70,7 @@
         let piece = piece.map_err(|_| message::status(StatusCode::REQUEST_TIMEOUT))?;
         let piece = piece.transpose().map_err(|_| message::status(StatusCode::BAD_REQUEST))?;
         self.bytes_read += piece.as_ref().map_or(0, |piece| piece.len() as u64);
-        if self.bytes_read > LARGEST_BODY {
+        if self.bytes_read > MAX_BODY_BYTES {
             return Err(message::status(StatusCode::PAYLOAD_TOO_LARGE));
         }
         Ok(piece)
--- a/src/net/http/target.rs
+++ b/src/net/http/target.rs
@@ -4,7 +4,7 @@
     Attempt, AttemptResult, Endpoint, HELD, Lost, Probe, Report, Request, Taken, TargetMessage, Upload,
 };
 use crate::interface::Outcome;
-use crate::net::http::message::{self, LARGEST_BODY};
+use crate::net::http::message::{self, MAX_BODY_BYTES};
 use crate::net::http::response_stream::read_content;
 use bytes::Bytes;
 use rowanglade_http_exchange::{
@@ -126,10 +126,10 @@
             return Err(Outcome::NotSent);
         }
         let head = message::request_head(request, addr, until);
-        let head = connection.send(head, body, LARGEST_BODY).await.map_err(outcome)?;
+        let head = connection.send(head, body, MAX_BODY_BYTES).await.map_err(outcome)?;
         report.heard();
         let content = read_content(transport, connection, &head).await.map_err(outcome)?;
-        Ok(message::reply(head.status, &head.headers, content))
+        Ok(message::result(head.status, &head.headers, content))
     };
     result.await.unwrap_or_else(AttemptResult::without_response)
 }
@@ -154,9 +154,9 @@
     let exchange = async {
         let mut connection = check_out(&transport, addr).await?;
         let body = None::<RequestBody<'_, NoStream>>;
-        let head = connection.send(message::probe(addr), body, HELD as u64).await.map_err(outcome)?;
+        let head = connection.send(message::probe_head(addr), body, HELD as u64).await.map_err(outcome)?;
         let content = read_content(&transport, connection, &head).await.map_err(outcome)?;
-        Ok(message::reply(head.status, &head.headers, content))
+        Ok(message::result(head.status, &head.headers, content))
     };
     let result = match tokio::time::timeout_at(probe.until, exchange).await {
         Ok(result) => result.unwrap_or_else(AttemptResult::without_response),
--- /dev/null
+++ b/src/net/iscsi/front/commands.rs
@@ -0,0 +1,230 @@
+//! What a client's PDUs ask for: commands, their data, and task management.
+
+use super::COMMAND_WINDOW;
+use super::session::Session;
+use super::tasks::{CompletedTask, PartialWrite, Task, late_writes};
+use crate::core::{Protocol, Request, RequestOrigin};
+use crate::net::iscsi::ABORT_TASK;
+use bytes::Bytes;
+use futures_util::future::{AbortHandle, Abortable, LocalBoxFuture};
+use rowanglade_iscsi::pdu::HEADER_BYTES;
+use rowanglade_iscsi::scsi::{self, Command, Sense};
+use rowanglade_iscsi::{Header, MAX_SEGMENT_BYTES, Pdu, RESERVED_TAG, RejectReason};
+use std::io;
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// Retry-After of a command that its session has no capacity for: tasks under way are done by then.
+const SESSION_FULL_RETRY_AFTER: Duration = Duration::from_millis(100);
+/// The most bytes that a command transfers.
+const MAX_TRANSFER_BYTES: u64 = MAX_SEGMENT_BYTES as u64;
+
+/// Responses of task management.
+const FUNCTION_COMPLETE: u8 = 0;
+const TASK_DOES_NOT_EXIST: u8 = 1;
+const FUNCTION_NOT_SUPPORTED: u8 = 5;
+
+/// What a SCSI Command PDU asks for.
+struct CommandPdu {
+    lun: u64,
+    itt: u32,
+    length: u32,
+    write: bool,
+    cdb: [u8; 16],
+    data: Bytes,
+}
+
+impl Session<'_> {
+    /// Handles a PDU of the client's.
+    ///
+    /// # Errors
+    /// The session cannot go on.
+    pub(super) fn handle_pdu(&mut self, pdu: Pdu) -> io::Result<()> {
+        if !self.count_command(&pdu) {
+            self.reject(RejectReason::ProtocolError, &header_of(&pdu));
+            return Ok(());
+        }
+        match pdu {
+            Pdu::NopOut { lun, itt, data, .. } if itt != RESERVED_TAG => {
+                let seq = self.next_sequence();
+                self.out.push(&Pdu::NopIn { lun, itt, ttt: RESERVED_TAG, seq, data });
+            }
+            Pdu::ScsiCommand { lun, itt, length, write, cdb, data, .. } => {
+                self.start_command(CommandPdu { lun, itt, length, write, cdb, data })?;
+            }
+            Pdu::TaskRequest { function, itt, referenced, .. } => {
+                self.manage_task(function, itt, referenced);
+            }
+            Pdu::DataOut { last, itt, offset, data, .. } => self.receive_data(itt, offset, &data, last),
+            _ => {}
+        }
+        Ok(())
+    }
+
+    /// Counts a command; false: the PDU is not one that a client sends here, or out of order. On one connection
+    /// commands come in order: one out of order breaks the protocol.
+    fn count_command(&mut self, pdu: &Pdu) -> bool {
+        let (immediate, cmd_sn) = match pdu {
+            Pdu::NopOut { immediate, cmd_sn, .. }
+            | Pdu::ScsiCommand { immediate, cmd_sn, .. }
+            | Pdu::TaskRequest { immediate, cmd_sn, .. } => (*immediate, *cmd_sn),
+            Pdu::DataOut { .. } => return true,
+            _ => return false,
+        };
+        if cmd_sn != self.exp_cmd_sn {
+            return false;
+        }
+        self.exp_cmd_sn = self.exp_cmd_sn.wrapping_add(u32::from(!immediate));
+        true
+    }
+
+    fn manage_task(&mut self, function: u8, itt: u32, referenced: u32) {
+        let response = match function {
+            ABORT_TASK => self.abort_task(referenced),
+            _ => FUNCTION_NOT_SUPPORTED,
+        };
+        let seq = self.next_sequence();
+        self.out.push(&Pdu::TaskResponse { response, itt, seq });
+    }
+
+    fn abort_task(&mut self, itt: u32) -> u8 {
+        match self.tasks.remove(&itt) {
+            Some(Task::Submitted(handle)) => {
+                handle.abort();
+                self.completed.retain(|completed| completed.itt != itt);
+                FUNCTION_COMPLETE
+            }
+            Some(Task::ReceivingData(_)) => FUNCTION_COMPLETE,
+            None => TASK_DOES_NOT_EXIST,
+        }
+    }
+
+    /// Adds data to a write. Data for a task that was aborted or failed may still be under way, and is dropped.
+    fn receive_data(&mut self, itt: u32, offset: u32, data: &Bytes, last: bool) {
+        let Some(Task::ReceivingData(write)) = self.tasks.get_mut(&itt) else { return };
+        let fits = write.add(offset, data);
+        let complete = write.is_complete();
+        if !fits || (last && !complete) {
+            self.tasks.remove(&itt);
+            self.send_check_condition(itt, scsi::DATA_PHASE_ERROR);
+        } else if complete && let Some(Task::ReceivingData(write)) = self.tasks.remove(&itt) {
+            self.submit(itt, write.lun, write.command, None, write.data.freeze());
+        }
+    }
+
+    /// Fails writes that lack data past their time.
+    pub(super) fn fail_late_writes(&mut self) {
+        for itt in late_writes(&self.tasks) {
+            self.tasks.remove(&itt);
+            self.send_check_condition(itt, scsi::DATA_PHASE_ERROR);
+        }
+    }
+
+    fn start_command(&mut self, pdu: CommandPdu) -> io::Result<()> {
+        let itt = pdu.itt;
+        if self.tasks.contains_key(&itt) || itt == RESERVED_TAG {
+            // A tag in use names two tasks: the session cannot go on.
+            return Err(io::Error::new(io::ErrorKind::InvalidData, "a task tag is in use"));
+        }
+        if self.tasks.len() as u32 >= COMMAND_WINDOW {
+            self.send_status(itt, scsi::TASK_SET_FULL, SESSION_FULL_RETRY_AFTER, None);
+            return Ok(());
+        }
+        match self.validate(&pdu) {
+            Err(sense) => self.send_check_condition(itt, sense),
+            Ok((command, _)) if !command.write => {
+                self.submit(itt, pdu.lun, command, Some(pdu.length), Bytes::new());
+            }
+            Ok((command, _)) if pdu.data.len() == pdu.length as usize => {
+                self.submit(itt, pdu.lun, command, None, pdu.data);
+            }
+            Ok((command, deadline)) => self.request_data(pdu, command, deadline),
+        }
+        Ok(())
+    }
+
+    /// Asks for the rest of a write's data.
+    fn request_data(&mut self, pdu: CommandPdu, command: Command, deadline: Duration) {
+        let CommandPdu { lun, itt, length, data, .. } = pdu;
+        let offset = data.len() as u32;
+        let deadline = Instant::now() + deadline;
+        let write = PartialWrite { lun, command, length, data: data.into(), deadline };
+        self.tasks.insert(itt, Task::ReceivingData(write));
+        let seq = self.sequence();
+        self.out.push(&Pdu::R2t { lun, itt, ttt: itt, seq, r2t_sn: 0, offset, length: length - offset });
+    }
+
+    /// A command that the settings allow, and its class's deadline.
+    fn validate(&self, pdu: &CommandPdu) -> Result<(Command, Duration), Sense> {
+        let command = Command::decode(&pdu.cdb)?;
+        if !self.front.luns.contains_key(&pdu.lun) {
+            return Err(scsi::NO_SUCH_LUN);
+        }
+        let class = self.front.classes.get(usize::from(command.group));
+        let (_, deadline) = class.ok_or(scsi::INVALID_FIELD)?;
+        let transfer = u64::from(command.blocks) * u64::from(scsi::BLOCK_BYTES);
+        let fits = (1..=MAX_TRANSFER_BYTES).contains(&transfer) && pdu.data.len() <= pdu.length as usize;
+        if !fits || transfer != u64::from(pdu.length) || command.write != pdu.write {
+            return Err(scsi::INVALID_FIELD);
+        }
+        Ok((command, *deadline))
+    }
+
+    /// Submits a complete command to the core, unless its client has gone. `read_length`: the bytes that a read
+    /// is expected to transfer.
+    fn submit(&mut self, itt: u32, lun: u64, command: Command, read_length: Option<u32>, body: Bytes) {
+        if self.client_closed {
+            return;
+        }
+        let Some(request) = self.request(lun, command, body) else { return };
+        let core = self.front.core.clone();
+        let response: LocalBoxFuture<'static, CompletedTask> = Box::pin(async move {
+            let response = match core.submit(request).await {
+                Ok(pending) => Ok(pending.response().await),
+                Err(invalid) => Err(invalid),
+            };
+            CompletedTask { itt, read_length, response }
+        });
+        let (handle, registration) = AbortHandle::new_pair();
+        self.tasks.insert(itt, Task::Submitted(handle));
+        self.responses.push(Abortable::new(response, registration));
+    }
+
+    /// The core's request for a command; none: the LUN or the class is unknown.
+    fn request(&mut self, lun: u64, command: Command, body: Bytes) -> Option<Request> {
+        let volume = self.front.luns.get(&lun)?;
+        let (class, deadline) = self.front.classes.get(usize::from(command.group))?;
+        self.requests_submitted += 1;
+        let id = format!("{}.{}.{}", self.parameters.initiator, self.number, self.requests_submitted);
+        Some(Request {
+            origin: RequestOrigin {
+                front: Protocol::Iscsi,
+                client: self.client.map(|client| client.ip()),
+                connection: self.client.map(|client| client.port()),
+            },
+            class: class.clone(),
+            plan: volume.plan.clone(),
+            write: command.write,
+            volume: lun,
+            object: command.address,
+            more: None,
+            locator: format!("/{class}/{lun:016x}/{:016x}", command.address),
+            idempotency_key: command.write.then(|| id.clone()),
+            id,
+            units: f64::from(command.blocks.div_ceil(self.front.blocks_per_unit)),
+            shard: volume.shard,
+            initiators: volume.initiators,
+            length: command.blocks * scsi::BLOCK_BYTES,
+            body,
+            time_left: *deadline,
+        })
+    }
+}
+
+/// The header that a Reject sends back.
+fn header_of(pdu: &Pdu) -> Header {
+    let bytes = pdu.encode();
+    let mut header = [0; HEADER_BYTES];
+    header.copy_from_slice(&bytes[..HEADER_BYTES]);
+    header
+}
--- /dev/null
+++ b/src/net/iscsi/front/session.rs
@@ -0,0 +1,179 @@
+//! One session of a client: its events, and the order in which they are handled.
+
+use super::send_buffer::SendBuffer;
+use super::tasks::{CompletedTask, Task, data_deadline};
+use super::{COMMAND_WINDOW, Front};
+use futures_util::StreamExt;
+use futures_util::future::{Abortable, LocalBoxFuture};
+use futures_util::stream::FuturesUnordered;
+use rowanglade_iscsi::{Pdu, PduReader, ReadError, RejectReason, Sequence, SessionParameters};
+use std::collections::{HashMap, VecDeque};
+use std::io;
+use std::net::SocketAddr;
+use std::ops::ControlFlow;
+use std::time::Duration;
+use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
+use tokio::time::Instant;
+
+/// How long a client may take nothing of what is written to it.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
+/// A client with so many bytes waiting that reads nothing of them has lost its session.
+const MAX_UNSENT_BYTES: usize = 1 << 20;
+/// The asynchronous event that asks for a logout.
+const LOGOUT_REQUESTED: u8 = 1;
+/// Seconds that the client has to log out.
+const LOGOUT_TIME_SECS: u16 = 3;
+/// The response of a logout that closes the session.
+const SESSION_CLOSED: u8 = 0;
+
+/// One session of a client.
+pub(super) struct Session<'a> {
+    pub(super) front: &'a Front,
+    pub(super) client: Option<SocketAddr>,
+    pub(super) number: u64,
+    pub(super) parameters: SessionParameters,
+    stat_sn: u32,
+    pub(super) exp_cmd_sn: u32,
+    pub(super) out: SendBuffer<'a>,
+    /// The client has closed its side, though PDUs of it may still be unread: nothing more is submitted.
+    pub(super) client_closed: bool,
+    pub(super) tasks: HashMap<u32, Task>,
+    /// Dropped with the session, they notify the core that the client has gone.
+    pub(super) responses: FuturesUnordered<Abortable<LocalBoxFuture<'static, CompletedTask>>>,
+    /// Responses that wait until the client has taken earlier ones.
+    pub(super) completed: VecDeque<CompletedTask>,
+    pub(super) requests_submitted: u64,
+}
+
+/// Resolves at an instant; never without one.
+async fn sleep_until(deadline: Option<Instant>) {
+    match deadline {
+        Some(deadline) => tokio::time::sleep_until(deadline).await,
+        None => std::future::pending().await,
+    }
+}
+
+impl<'a> Session<'a> {
+    pub(super) fn new(
+        front: &'a Front,
+        client: Option<SocketAddr>,
+        number: u64,
+        parameters: SessionParameters,
+        writer: &'a mut OwnedWriteHalf,
+    ) -> Session<'a> {
+        Session {
+            front,
+            client,
+            number,
+            exp_cmd_sn: parameters.cmd_sn,
+            stat_sn: parameters.stat_sn,
+            parameters,
+            out: SendBuffer::new(writer),
+            client_closed: false,
+            tasks: HashMap::new(),
+            responses: FuturesUnordered::new(),
+            completed: VecDeque::new(),
+            requests_submitted: 0,
+        }
+    }
+
+    /// Serves until the session ends, and writes what waits then.
+    pub(super) async fn run(mut self, reader: &mut PduReader<OwnedReadHalf>) -> io::Result<()> {
+        let ended = self.serve(reader).await;
+        self.withdraw();
+        let flushed = tokio::time::timeout(WRITE_TIMEOUT, self.out.flush());
+        ended.and(flushed.await?)
+    }
+
+    /// Drops all open tasks: the client wants no more responses, and the core is notified by the drop.
+    fn withdraw(&mut self) {
+        self.tasks.clear();
+        self.responses.clear();
+        self.completed.clear();
+    }
+
+    async fn serve(&mut self, reader: &mut PduReader<OwnedReadHalf>) -> io::Result<()> {
+        let mut ending = self.front.ending.clone();
+        let mut logout_requested = false;
+        loop {
+            self.send_completed();
+            let data_deadline = data_deadline(&self.tasks);
+            let write_deadline = self.out.progress_at() + WRITE_TIMEOUT;
+            tokio::select! {
+                // What comes from the client is last: nothing before it can keep it waiting for long.
+                biased;
+                () = self.out.client_closed(), if !self.client_closed => {
+                    self.client_closed = true;
+                    self.withdraw();
+                }
+                writable = self.out.writable(), if !self.out.is_empty() => {
+                    writable?;
+                    self.out.write()?;
+                }
+                () = tokio::time::sleep_until(write_deadline), if !self.out.is_empty() => {
+                    self.out.clear();
+                    return Err(io::ErrorKind::TimedOut.into());
+                }
+                // An aborted task has been answered by its task management response.
+                Some(completed) = self.responses.next() => self.completed.extend(completed),
+                () = sleep_until(data_deadline) => self.fail_late_writes(),
+                changed = ending.wait_for(|ending| *ending), if !logout_requested => {
+                    logout_requested = true;
+                    if changed.is_ok() {
+                        self.request_logout();
+                    }
+                }
+                read = reader.next() => if self.handle_read(read)?.is_break() {
+                    return Ok(());
+                },
+            }
+            if self.out.len() > MAX_UNSENT_BYTES {
+                self.out.clear();
+                return Err(io::Error::other("the client reads nothing of what is sent to it"));
+            }
+        }
+    }
+
+    /// Handles what was read. Break: the session has ended in order.
+    fn handle_read(&mut self, read: Result<Pdu, ReadError>) -> io::Result<ControlFlow<()>> {
+        match read {
+            Ok(Pdu::LogoutRequest { itt, .. }) => {
+                let seq = self.next_sequence();
+                self.out.push(&Pdu::LogoutResponse { response: SESSION_CLOSED, itt, seq });
+                return Ok(ControlFlow::Break(()));
+            }
+            Ok(pdu) => self.handle_pdu(pdu)?,
+            Err(ReadError::Rejected(reason, header)) => self.reject(reason, &header),
+            Err(ReadError::TooLong(header)) => {
+                self.reject(RejectReason::InvalidField, &header);
+                return Err(io::ErrorKind::InvalidData.into());
+            }
+            Err(ReadError::Io(error)) => return Err(error),
+            Err(ReadError::End) => return Ok(ControlFlow::Break(())),
+        }
+        Ok(ControlFlow::Continue(()))
+    }
+
+    fn request_logout(&mut self) {
+        let seq = self.next_sequence();
+        let parameters = [0, 0, LOGOUT_TIME_SECS];
+        self.out.push(&Pdu::Async { event: LOGOUT_REQUESTED, seq, parameters });
+    }
+
+    /// The numbers of a PDU with a status, or with a message of its own: it uses up a status number.
+    pub(super) fn next_sequence(&mut self) -> Sequence {
+        let sequence = self.sequence();
+        self.stat_sn = self.stat_sn.wrapping_add(1);
+        sequence
+    }
+
+    /// The numbers of a PDU that uses up no status number.
+    pub(super) fn sequence(&self) -> Sequence {
+        let capacity = COMMAND_WINDOW.saturating_sub(self.tasks.len() as u32);
+        Sequence {
+            stat_sn: self.stat_sn,
+            exp_cmd_sn: self.exp_cmd_sn,
+            max_cmd_sn: self.exp_cmd_sn.wrapping_add(capacity).wrapping_sub(1),
+        }
+    }
+}
--- a/src/net/iscsi/mod.rs
+++ b/src/net/iscsi/mod.rs
@@ -1,14 +1,17 @@
-//! An iSCSI-style protocol over TCP, in the terms of RFC 7143: a front for sessions that come in, and
-//! sessions that go out to targets.
+//! An iSCSI-style protocol over TCP, in the terms of RFC 7143: a front for sessions of clients, and sessions to
+//! targets.
 //!
-//! A LUN is a volume and a logical block address a piece of data. The group number of READ(16) and WRITE(16)
-//! is the class, in the order of the settings. A session has one connection, error recovery level 0, no
+//! A LUN is a volume and a logical block address an object. The group number of READ(16) and WRITE(16) is the
+//! request class, in the order of the settings. A session has one connection, error recovery level 0, no
 //! digests and no authentication; text negotiation outside login, discovery sessions, bidirectional commands,
-//! SNACK and task reassignment are left out and rejected. Where a client is refused, the SCSI Response's
+//! SNACK and task reassignment are left out and rejected. Where a client is rejected, the SCSI Response's
 //! status qualifier (RFC 7144) says when to come back, in tenths of a second.
 
 mod front;
-mod session;
+mod target;
 
 pub use front::{Front, Lun, serve};
-pub use session::{Figures, connect};
+pub use target::{SessionSettings, connect};
+
+/// The task management function ABORT TASK.
+const ABORT_TASK: u8 = 1;
--- /dev/null
+++ b/src/net/iscsi/target/mod.rs
@@ -0,0 +1,164 @@
+//! The actor of an iSCSI-style target: it keeps a session to the target. This side is the initiator.
+
+mod commands;
+mod replies;
+mod session;
+mod waiting;
+
+use crate::core::{Clock, CoreHandle, Endpoint, Message, Protocol, TargetMessage};
+use crate::interface::{EndpointUpdateKind, Outcome, TargetState};
+use session::{Session, SessionEnd};
+use std::io;
+use std::time::Duration;
+use tokio::sync::mpsc;
+use tokio::time::Instant;
+use waiting::WaitingMessages;
+
+/// Messages that may wait for the actor's turn. The scheduler's concurrency limit keeps far below it.
+const MAILBOX_CAPACITY: usize = 256;
+/// How long after a drain was reported the target is connected to again, in case it is back: a restart takes
+/// some seconds.
+const RECONNECT_DELAY: Duration = Duration::from_millis(1_000);
+
+/// What all sessions to targets share.
+#[derive(Clone, Debug)]
+pub struct SessionSettings {
+    /// This initiator's name.
+    pub initiator: String,
+    /// The names of the classes, in the order of their group numbers.
+    pub classes: Vec<String>,
+    /// How long a connection may take to come up.
+    pub connect_timeout: Duration,
+    /// How long a login may take.
+    pub login_timeout: Duration,
+    /// A session that owes responses and is silent for this long is asked with a NOP, and given up after as
+    /// long again.
+    pub silence_timeout: Duration,
+    /// How many logical blocks count as one unit.
+    pub blocks_per_unit: u32,
+    /// The core's clock.
+    pub clock: Clock,
+}
+
+/// Starts the actor, which lives as long as its mailbox is held.
+pub fn connect(
+    endpoint: &Endpoint,
+    settings: SessionSettings,
+    core: CoreHandle,
+) -> mpsc::Sender<TargetMessage> {
+    let (mailbox, messages) = mpsc::channel(MAILBOX_CAPACITY);
+    actix_rt::spawn(Target { endpoint: endpoint.clone(), settings, core, messages }.run());
+    mailbox
+}
+
+/// The actor of a target.
+struct Target {
+    endpoint: Endpoint,
+    settings: SessionSettings,
+    core: CoreHandle,
+    messages: mpsc::Receiver<TargetMessage>,
+}
+
+/// The core has dropped the target's mailbox.
+struct MailboxClosed;
+
+impl Target {
+    async fn run(mut self) {
+        while let Ok(waiting) = self.wait_for_work().await {
+            if let Err(MailboxClosed) = self.run_session(waiting).await {
+                return;
+            }
+        }
+    }
+
+    /// Whether the target was reported as draining: it is given nothing new.
+    fn is_draining(&self) -> bool {
+        self.endpoint.state != TargetState::Active
+    }
+
+    /// Waits for the first message that needs a session; one that drains is also tried again after a while.
+    async fn wait_for_work(&mut self) -> Result<WaitingMessages, MailboxClosed> {
+        let draining = self.is_draining();
+        let reconnect_at = Instant::now() + RECONNECT_DELAY;
+        let mut waiting = WaitingMessages::default();
+        while waiting.is_empty() {
+            tokio::select! {
+                message = self.messages.recv() => match message {
+                    // Without a session there is none to end.
+                    Some(TargetMessage::Rest(_)) => {}
+                    // Sent just before the drain was reported: nothing new goes to it.
+                    Some(message) if draining => waiting::report_unsent(message, Outcome::Unreachable),
+                    Some(message) => waiting.push(message),
+                    None => return Err(MailboxClosed),
+                },
+                () = tokio::time::sleep_until(reconnect_at), if draining => break,
+            }
+        }
+        Ok(waiting)
+    }
+
+    /// Opens a session and runs it to its end.
+    async fn run_session(&mut self, mut waiting: WaitingMessages) -> Result<(), MailboxClosed> {
+        let draining = self.is_draining();
+        let session = match self.open_session(&mut waiting).await {
+            Ok(session) => session,
+            Err(error) => {
+                tracing::debug!(target = self.endpoint.name, %error, "session not opened");
+                self.report_all_unreachable(waiting);
+                return Ok(());
+            }
+        };
+        if draining {
+            self.report_state(TargetState::Active).await;
+        }
+        match session.run(self, waiting).await {
+            SessionEnd::MailboxClosed => return Err(MailboxClosed),
+            SessionEnd::LoggedOut => {}
+            SessionEnd::Broken(error) => {
+                tracing::info!(target = self.endpoint.name, %error, "session broken");
+            }
+        }
+        Ok(())
+    }
+
+    /// Opens a session. What waits for it and is cancelled or out of time meanwhile is reported at once.
+    async fn open_session(&mut self, waiting: &mut WaitingMessages) -> io::Result<Session> {
+        let Target { endpoint, settings, messages, .. } = self;
+        let open = Session::open(endpoint, settings);
+        tokio::pin!(open);
+        loop {
+            tokio::select! {
+                biased;
+                index = waiting.expired() => waiting.report_expired(index),
+                message = messages.recv(), if waiting.len() < MAILBOX_CAPACITY => match message {
+                    Some(TargetMessage::Rest(_)) => {}
+                    Some(message) => waiting.push(message),
+                    None => return Err(io::Error::other("the core let go of the target")),
+                },
+                session = &mut open => return session,
+            }
+        }
+    }
+
+    /// Reports what waited for a session that could not be opened: none of it was sent.
+    fn report_all_unreachable(&mut self, mut waiting: WaitingMessages) {
+        while let Ok(message) = self.messages.try_recv() {
+            waiting.push(message);
+        }
+        for message in waiting.into_messages() {
+            waiting::report_unsent(message, Outcome::Unreachable);
+        }
+    }
+
+    /// Reports what the session has shown of the target's state to the core's endpoint list. A target that is
+    /// back counts as just started.
+    async fn report_state(&mut self, state: TargetState) {
+        self.endpoint.state = state;
+        if state == TargetState::Active {
+            // The core's own clock: a step of the wall clock must not make it far past or future.
+            self.endpoint.started = Some(self.settings.clock.now());
+        }
+        let entries = vec![self.endpoint.clone()];
+        self.core.send(Message::list(Protocol::Iscsi, EndpointUpdateKind::Delta, entries)).await;
+    }
+}
--- a/tests/compatibility/configuration.rs
+++ b/tests/compatibility/configuration.rs
@@ -138,9 +138,9 @@
     assert_eq!((iscsi.listen, iscsi.blocks_per_unit), (addr(3260), 16));
     assert_eq!(iscsi.name, "iqn.2026-12.example.kingston:rowanglade");
     assert_eq!(iscsi.login_timeout, Duration::from_millis(600));
-    assert_eq!(iscsi.silence, Duration::from_millis(700));
+    assert_eq!(iscsi.silence_timeout, Duration::from_millis(700));
     let lun = &iscsi.luns[&0x3_b4d6_0021];
-    assert_eq!((lun.plan.as_deref(), lun.shard, lun.hosts), (Some("basic"), Some(3), 2));
+    assert_eq!((lun.plan.as_deref(), lun.shard, lun.initiators), (Some("basic"), Some(3), 2));
     let target = &iscsi.targets[0];
     assert_eq!(target.name, "iqn.2026-12.example.kingston:box-0");
     assert_eq!((target.addr, target.zone.as_str(), target.shard), (addr(3261), "kingston", 4));
--- a/tests/network/iscsi.rs
+++ b/tests/network/iscsi.rs
@@ -74,10 +74,10 @@
     tell: mpsc::UnboundedSender<String>,
 ) {
     let (from, mut out) = stream.into_split();
-    let mut frames = Frames::new(from);
+    let mut reader = PduReader::new(from);
     let tell = |text: String| drop(tell.send(text));
     loop {
-        let (step, itt, length, cmd_sn, got) = match frames.next().await {
+        let (step, itt, length, cmd_sn, got) = match reader.next().await {
             Ok(Pdu::LoginRequest(login)) => {
                 tell("login".into());
                 let seq = Sequence { stat_sn: 0, exp_cmd_sn: login.cmd_sn, max_cmd_sn: login.cmd_sn + 8 };
@@ -128,7 +128,7 @@
                 out.write_all(&r2t.encode()).await.expect("written");
                 let mut whole = got;
                 while whole < length {
-                    let Ok(Pdu::DataOut { data, offset, .. }) = frames.next().await else { return };
+                    let Ok(Pdu::DataOut { data, offset, .. }) = reader.next().await else { return };
                     assert_eq!(offset, whole);
                     whole += data.len() as u32;
                 }
@@ -137,7 +137,7 @@
             }
             Step::Status(code) => answers.push(status(itt, code, cmd_sn + 1).encode()),
             Step::Reset => {
-                let stream = frames.into_inner().reunite(out).expect("one stream");
+                let stream = reader.into_inner().reunite(out).expect("one stream");
                 return stream.set_zero_linger().expect("set");
             }
             Step::Silence => {}
@@ -175,7 +175,7 @@
 
 /// A client's session.
 struct Client {
-    frames: Frames<OwnedReadHalf>,
+    reader: PduReader<OwnedReadHalf>,
     out: OwnedWriteHalf,
     cmd_sn: u32,
 }
@@ -184,13 +184,13 @@
     async fn log_in(node: &Running) -> Client {
         let stream = TcpStream::connect(node.iscsi.expect("the front is on")).await.expect("connected");
         let (from, mut out) = stream.into_split();
-        let mut frames = Frames::new(from);
+        let mut reader = PduReader::new(from);
         let data = Bytes::from_static(b"InitiatorName=iqn.test:client\0TargetName=iqn.test:front\0");
         let login = Login { transit: true, current: 1, next: 3, cmd_sn: 1, data, ..Login::default() };
         out.write_all(&Pdu::LoginRequest(login).encode()).await.expect("written");
-        let answer = frames.next().await;
+        let answer = reader.next().await;
         assert!(matches!(answer, Ok(Pdu::LoginResponse { status: 0, .. })), "{answer:?}");
-        Client { frames, out, cmd_sn: 1 }
+        Client { reader, out, cmd_sn: 1 }
     }
 
     async fn send(&mut self, pdu: Pdu) {
@@ -228,7 +228,7 @@
     /// What comes, in words; Data-Out is given to an R2T.
     async fn hear(&mut self) -> String {
         loop {
-            return match self.frames.next().await {
+            return match self.reader.next().await {
                 Ok(Pdu::R2t { lun, itt, ttt, offset, length, .. }) => {
                     let data = Bytes::from(vec![7; length as usize]);
                     self.send(Pdu::DataOut {
@@ -451,7 +451,7 @@
         told.push(client.hear().await);
         client.command(1, false, 0).await;
         told.push(client.hear().await);
-        let (itt, ttt, cmd_sn) = (5, NO_TAG, client.cmd_sn);
+        let (itt, ttt, cmd_sn) = (5, RESERVED_TAG, client.cmd_sn);
         client
             .send(Pdu::NopOut {
                 immediate: true,
@@ -475,8 +475,8 @@
         told.push(client.hear().await);
         let mut stranger = TcpStream::connect(node.iscsi.expect("on")).await.expect("connected");
         stranger.write_all(&[0x41; 48]).await.expect("written");
-        let mut frames = Frames::new(stranger);
-        told.push(match frames.next().await {
+        let mut reader = PduReader::new(stranger);
+        told.push(match reader.next().await {
             Ok(Pdu::LoginResponse { status, .. }) => format!("login refused {status:x}"),
             other => format!("{other:?}"),
         });
@@ -532,7 +532,7 @@
                 true => {
                     let stream = TcpStream::connect(node.iscsi.expect("on")).await.expect("connected");
                     let (from, out) = stream.into_split();
-                    Client { frames: Frames::new(from), out, cmd_sn: 1 }
+                    Client { reader: PduReader::new(from), out, cmd_sn: 1 }
                 }
             };
             let cmd_sn = client.cmd_sn;
@@ -544,13 +544,13 @@
             };
             // Far more than one read takes, behind what is answered with the connection's end.
             client.out.write_all(&[&last.encode()[..], &[0; 256 * 1024]].concat()).await.expect("written");
-            told.push(match client.frames.next().await {
+            told.push(match client.reader.next().await {
                 Ok(Pdu::LoginResponse { status, .. }) => format!("login refused {status:x}"),
                 Ok(Pdu::LogoutResponse { .. }) => "logged out".to_string(),
                 other => format!("{other:?}"),
             });
-            told.push(match client.frames.next().await {
-                Err(Unreadable::End) => "end".to_string(),
+            told.push(match client.reader.next().await {
+                Err(ReadError::End) => "end".to_string(),
                 other => format!("{other:?}"),
             });
             let more = client.out.write_all(&[0; 512]).await;
@@ -577,15 +577,15 @@
     actix_rt::spawn(async move {
         let (stream, _) = listener.accept().await.expect("accepted");
         let (from, mut out) = stream.into_split();
-        let mut frames = Frames::new(from);
-        let Ok(Pdu::LoginRequest(login)) = frames.next().await else { return };
+        let mut reader = PduReader::new(from);
+        let Ok(Pdu::LoginRequest(login)) = reader.next().await else { return };
         let _ = tell.send("login".to_string());
         told.notified().await;
         let seq = Sequence { stat_sn: 0, exp_cmd_sn: login.cmd_sn, max_cmd_sn: login.cmd_sn + 8 };
         let login = Login { data: Bytes::new(), ..login };
         // The other side may have gone.
         let _ = out.write_all(&Pdu::LoginResponse { login, seq, status: 0 }.encode()).await;
-        while let Ok(pdu) = frames.next().await {
+        while let Ok(pdu) = reader.next().await {
             let _ = tell.send(format!("{pdu:?}").split(' ').next().unwrap_or_default().to_string());
         }
     });
