--- a/crates/lab/src/scale/lists.rs
+++ b/crates/lab/src/scale/lists.rs
@@ -206,14 +206,22 @@
         let (calls, _calls) = mpsc::channel(1);
         let (seen, _seen) = mpsc::channel(1);
         let subset = subset.map(|rule| Subset::new(rule, 0, size.instances));
-        let beside =
-            CoreDependencies { table, fleet: None, operations, upgrades, calls, seen, sites: None, subset };
+        let beside = CoreDependencies {
+            routes: table,
+            quota: None,
+            admin_requests: operations,
+            handover_requests: upgrades,
+            admin_commands: calls,
+            object_sightings: seen,
+            sites: None,
+            subset,
+        };
         let connect = Box::new(|_: &Endpoint| mpsc::channel(1).0);
         let core = Core::new(scheduler, names, Clock::start(), inbox, connect, beside);
         tokio::task::spawn_local(core.run());
         let mut listed = handle.endpoint_revision();
         let entries = lines(size.targets);
-        let whole = Message::list(Protocol::Http, EndpointUpdateKind::Snapshot, entries);
+        let whole = Message::endpoints(Protocol::Http, EndpointUpdateKind::Snapshot, entries);
         let memory = super::cost::allocated();
         handle.send(whole).await;
         listed.changed().await?;
@@ -227,7 +235,7 @@
             entry.started = Some(1_000_000 * change as u64);
             // One that had left comes back: the subset hears of it too.
             entry.state = if change % 2 == 0 { TargetState::Draining } else { TargetState::Active };
-            let news = Message::list(Protocol::Http, EndpointUpdateKind::Delta, vec![entry]);
+            let news = Message::endpoints(Protocol::Http, EndpointUpdateKind::Delta, vec![entry]);
             handle.send(news).await;
             listed.changed().await?;
         }
--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -1,14 +1,14 @@
-//! Which targets operators have called out, and what of discovery's news holds for them.
+//! Which targets operators have taken out for maintenance, and what of discovery's reports holds for them.
 //!
-//! Two parties say whether a target may be sent anything: discovery, which lists it, and operators, who leave
-//! it out while they work on it. Neither overwrites the other's word here: the list is kept as discovery
-//! tells it, and [`Maintenance::view`] says what follows from both. A target that is out drains, whatever
-//! discovery says, and one that is called back is as discovery lists it from that moment on, with nothing to
-//! wait for.
+//! Two parties say whether a target may be sent requests: discovery, which lists it, and operators, who take
+//! it out while they work on it. Neither overwrites the other here: the endpoint list is kept as discovery
+//! reports it, and [`Maintenance::view`] says what follows from both. A target that is out drains, whatever
+//! discovery says, and one whose maintenance has ended is as discovery lists it from that moment on, with
+//! nothing to wait for.
 //!
-//! Operators restart a target while it is out, so it comes back cold, and discovery's news of that may be
-//! late. A target called back therefore counts as just started until discovery tells a start that came after
-//! it was called out.
+//! Operators restart a target while it is out, so it comes back without warm caches, and discovery's report
+//! of that may be late. A target that is back therefore counts as just started until discovery reports a
+//! start that came after its maintenance began.
 
 #![forbid(unsafe_code)]
 
@@ -18,50 +18,58 @@
 /// A time in microseconds, on the clock in which discovery tells starts.
 pub type Micros = u64;
 
-/// The states that discovery tells of a target, in the order in which less and less may be sent to it.
+/// The states that discovery reports of a target, in the order in which less and less may be sent to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum State {
-    Up,
+    /// It may be sent requests.
+    Active,
+    /// It finishes what it has, and is sent nothing new.
     Draining,
-    Gone,
+    /// It is not listed any more.
+    Removed,
 }
 
-/// What a target called back is taken for.
+/// A target that is back from maintenance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Back {
-    /// When it was called out. A start that discovery tells from before that is from before its restart.
-    out: Micros,
-    at: Micros,
+struct Returned {
+    /// When its maintenance began. A start that discovery reports from before that is from before its restart.
+    #[serde(rename = "out")]
+    began: Micros,
+    /// When it ended.
+    #[serde(rename = "at")]
+    ended: Micros,
 }
 
-/// The calls that hold.
+/// The targets in maintenance, and those that are back from it. A message between two builds: its form stays.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Maintenance {
     /// The targets that are out, and since when.
     #[serde(default)]
     out: BTreeMap<String, Micros>,
-    #[serde(default)]
-    back: BTreeMap<String, Back>,
+    /// The targets that are back, until discovery reports their restart.
+    #[serde(default, rename = "back")]
+    returned: BTreeMap<String, Returned>,
 }
 
 impl Maintenance {
-    /// Leaves a target out. False: it was out already, which changes nothing.
-    pub fn call_out(&mut self, now: Micros, target: &str) -> bool {
+    /// Takes a target out. False: it was out already, which changes nothing.
+    pub fn begin(&mut self, now: Micros, target: &str) -> bool {
         if self.out.contains_key(target) {
             return false;
         }
-        self.back.remove(target);
+        self.returned.remove(target);
         self.out.insert(target.to_string(), now);
         true
     }
 
     /// Lets a target serve again. False: it was not out, which changes nothing.
-    pub fn call_back(&mut self, now: Micros, target: &str) -> bool {
-        let Some(out) = self.out.remove(target) else { return false };
-        self.back.insert(target.to_string(), Back { out, at: now });
+    pub fn end(&mut self, now: Micros, target: &str) -> bool {
+        let Some(began) = self.out.remove(target) else { return false };
+        self.returned.insert(target.to_string(), Returned { began, ended: now });
         true
     }
 
+    /// Whether a target is out.
     pub fn is_out(&self, target: &str) -> bool {
         self.out.contains_key(target)
     }
@@ -71,23 +79,25 @@
         self.out.keys().map(String::as_str)
     }
 
-    /// What holds for a target of which discovery says this.
+    /// The state and the start that hold for a target of which discovery reports these.
     pub fn view(&self, target: &str, state: State, started: Option<Micros>) -> (State, Option<Micros>) {
         if self.is_out(target) {
             return (state.max(State::Draining), started);
         }
-        match self.back.get(target) {
-            Some(back) if started.is_none_or(|s| s <= back.out) => (state, Some(back.at)),
+        match self.returned.get(target) {
+            Some(returned) if started.is_none_or(|started| started <= returned.began) => {
+                (state, Some(returned.ended))
+            }
             _ => (state, started),
         }
     }
 
-    /// Forgets what discovery's news has made moot: a start told since the target was called out, or its
-    /// leaving.
-    pub fn told(&mut self, target: &str, state: State, started: Option<Micros>) {
-        let Some(back) = self.back.get(target) else { return };
-        if state == State::Gone || started.is_some_and(|s| s > back.out) {
-            self.back.remove(target);
+    /// Forgets what discovery's report has made moot: a start since the target's maintenance began, or its
+    /// removal.
+    pub fn endpoint_reported(&mut self, target: &str, state: State, started: Option<Micros>) {
+        let Some(returned) = self.returned.get(target) else { return };
+        if state == State::Removed || started.is_some_and(|started| started > returned.began) {
+            self.returned.remove(target);
         }
     }
 }
--- a/crates/maintenance/tests/maintenance.rs
+++ b/crates/maintenance/tests/maintenance.rs
@@ -5,48 +5,50 @@
 const BOX: &str = "s-1";
 
 fn up(m: &Maintenance, started: Option<Micros>) -> (State, Option<Micros>) {
-    m.view(BOX, State::Up, started)
+    m.view(BOX, State::Active, started)
 }
 
 #[test]
 fn a_target_that_is_out_drains_whatever_discovery_says() {
     let mut m = Maintenance::default();
-    assert!(m.call_out(10, BOX));
-    for (told, held) in
-        [(State::Up, State::Draining), (State::Draining, State::Draining), (State::Gone, State::Gone)]
-    {
+    assert!(m.begin(10, BOX));
+    for (told, held) in [
+        (State::Active, State::Draining),
+        (State::Draining, State::Draining),
+        (State::Removed, State::Removed),
+    ] {
         assert_eq!(m.view(BOX, told, Some(5)), (held, Some(5)));
     }
-    assert_eq!(m.view("s-2", State::Up, None), (State::Up, None));
+    assert_eq!(m.view("s-2", State::Active, None), (State::Active, None));
 }
 
 #[test]
 fn two_calls_out_need_one_call_back() {
     let mut m = Maintenance::default();
-    assert!(m.call_out(10, BOX) && !m.call_out(11, BOX));
-    assert!(m.call_back(20, BOX) && !m.call_back(21, BOX));
-    assert_eq!(up(&m, None), (State::Up, Some(20)), "the first call back is the one that counts");
+    assert!(m.begin(10, BOX) && !m.begin(11, BOX));
+    assert!(m.end(20, BOX) && !m.end(21, BOX));
+    assert_eq!(up(&m, None), (State::Active, Some(20)), "the first call back is the one that counts");
 }
 
 // Discovery's news of the restart is late: the target would count as warm, and be pushed over.
 #[test]
 fn a_target_called_back_is_cold_until_discovery_tells_its_restart() {
     let mut m = Maintenance::default();
-    m.call_out(10, BOX);
-    m.call_back(20, BOX);
-    assert_eq!(up(&m, Some(10)), (State::Up, Some(20)), "a start from before");
-    assert_eq!(up(&m, Some(15)), (State::Up, Some(15)), "the restart itself");
-    m.told(BOX, State::Up, Some(9));
-    assert_eq!(up(&m, None), (State::Up, Some(20)), "old news changes nothing");
-    m.told(BOX, State::Up, Some(15));
-    assert_eq!(up(&m, None), (State::Up, None), "what was told since is discovery's to say");
+    m.begin(10, BOX);
+    m.end(20, BOX);
+    assert_eq!(up(&m, Some(10)), (State::Active, Some(20)), "a start from before");
+    assert_eq!(up(&m, Some(15)), (State::Active, Some(15)), "the restart itself");
+    m.endpoint_reported(BOX, State::Active, Some(9));
+    assert_eq!(up(&m, None), (State::Active, Some(20)), "old news changes nothing");
+    m.endpoint_reported(BOX, State::Active, Some(15));
+    assert_eq!(up(&m, None), (State::Active, None), "what was told since is discovery's to say");
 }
 
 #[test]
 fn a_restart_while_out_does_not_bring_it_back() {
     let mut m = Maintenance::default();
-    m.call_out(10, BOX);
-    m.told(BOX, State::Up, Some(15));
+    m.begin(10, BOX);
+    m.endpoint_reported(BOX, State::Active, Some(15));
     assert_eq!(up(&m, Some(15)), (State::Draining, Some(15)));
 }
 
@@ -54,21 +56,21 @@
 #[test]
 fn each_time_out_is_a_start_of_its_own() {
     let mut m = Maintenance::default();
-    m.call_out(10, BOX);
-    m.call_back(20, BOX);
-    m.call_out(30, BOX);
+    m.begin(10, BOX);
+    m.end(20, BOX);
+    m.begin(30, BOX);
     assert_eq!(up(&m, Some(15)), (State::Draining, Some(15)));
-    m.call_back(40, BOX);
-    assert_eq!(up(&m, Some(15)), (State::Up, Some(40)));
+    m.end(40, BOX);
+    assert_eq!(up(&m, Some(15)), (State::Active, Some(40)));
 }
 
 #[test]
 fn a_target_that_left_is_forgotten_unless_it_is_out() {
     let mut m = Maintenance::default();
-    m.call_out(10, BOX);
-    m.told(BOX, State::Gone, None);
+    m.begin(10, BOX);
+    m.endpoint_reported(BOX, State::Removed, None);
     assert!(m.is_out(BOX), "operators have the last word");
-    m.call_back(20, BOX);
-    m.told(BOX, State::Gone, None);
+    m.end(20, BOX);
+    m.endpoint_reported(BOX, State::Removed, None);
     assert_eq!(m, Maintenance::default());
 }
--- a/src/bin/simulator-adapter/wire.rs
+++ b/src/bin/simulator-adapter/wire.rs
@@ -187,7 +187,7 @@
                     .unwrap_or_default()
                     .into_iter()
                     .map(|r| api::EndpointEntry {
-                        target: names.listed(&r.store),
+                        target: names.intern_target(&r.store),
                         shard: ShardId(r.bay.max(0) as u32),
                         zone: names.zone(r.hall.as_deref().unwrap_or_default()),
                         state: match r.state.as_str() {
--- a/src/bin/simulator-adapter/wire/tests.rs
+++ b/src/bin/simulator-adapter/wire/tests.rs
@@ -110,7 +110,7 @@
 #[test]
 fn every_action_is_written_as_recorded() {
     let mut names = names();
-    let (node, id, other) = (names.listed(STORE), names.taken("a-1"), names.taken("a-2"));
+    let (node, id, other) = (names.intern_target(STORE), names.taken("a-1"), names.taken("a-2"));
     let actions = [
         Action::StartAttempt { id, target: node, timeout: Some(500) },
         Action::StartAttempt { id, target: node, timeout: None },
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -17,7 +17,7 @@
 mod subset;
 mod summary;
 
-use crate::core::Watch;
+use crate::core::SiteSettings;
 use crate::names::Names;
 use crate::net::fleet::Peers;
 use crate::net::http::Page;
@@ -72,7 +72,7 @@
     /// The other instances; none turns the exchange with them off.
     pub fleet: Option<Peers>,
     /// When a site counts as lost; none turns the watch of sites off.
-    pub sites: Option<Watch>,
+    pub sites: Option<SiteSettings>,
     /// The targets that this instance prefers; none prefers none.
     pub subset: Option<Subset>,
 }
--- a/src/config/sites.rs
+++ b/src/config/sites.rs
@@ -1,7 +1,7 @@
 //! The operator's `sites` table.
 
 use super::ConfigError;
-use crate::core::Watch;
+use crate::core::SiteSettings;
 use crate::settings::Settings;
 use rowanglade_site_failover::Rules;
 use serde::Deserialize;
@@ -42,7 +42,7 @@
     ///
     /// # Errors
     /// A value is out of range, a name is no zone of the settings, or the settings give targets no ramp.
-    pub fn check(self, settings: &Settings) -> Result<Watch, ConfigError> {
+    pub fn check(self, settings: &Settings) -> Result<SiteSettings, ConfigError> {
         self.check_spans()?;
         self.check_shares()?;
         self.check_names(settings)?;
@@ -63,7 +63,7 @@
             instances,
         };
         let names = self.names.into_iter().collect();
-        Ok(Watch { names, rules, longest_advice: settings.longest_advice() })
+        Ok(SiteSettings { names, rules, longest_advice: settings.longest_advice() })
     }
 
     fn check_spans(&self) -> Result<(), ConfigError> {
--- a/src/core/access_log.rs
+++ b/src/core/access_log.rs
@@ -1,7 +1,8 @@
 //! The access log: one line a request, written by a thread of its own. The request path only puts a line into
 //! a bounded queue; what finds it full is dropped and counted.
 
-use crate::core::message::{Protocol, Request, Response};
+use crate::core::endpoint::Protocol;
+use crate::core::request::{Request, Response};
 use rowanglade_capture::own_log::{AccessLine, End, VERSION};
 use std::borrow::Cow;
 use std::fs::{File, OpenOptions};
@@ -39,7 +40,7 @@
 
 /// A request that is open, and what its line will say.
 #[derive(Debug)]
-pub struct Ticket {
+pub struct LogEntry {
     log: AccessLog,
     begun: Instant,
     line: Option<Line>,
@@ -93,7 +94,7 @@
     }
 
     /// Begins a request's line.
-    pub(super) fn begin(&self, request: &Request) -> Ticket {
+    pub(super) fn begin(&self, request: &Request) -> LogEntry {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let line = Line {
             at_us: i64::try_from(unix.as_micros()).unwrap_or(i64::MAX),
@@ -110,13 +111,13 @@
             hosts: request.initiators,
             key: request.idempotency_key.clone(),
             left_ms: u64::try_from(request.time_left.as_millis()).unwrap_or(u64::MAX),
-            sent: request.more.as_ref().and_then(|m| m.length()).unwrap_or(request.body.len() as u64),
+            sent: request.body_rest.as_ref().and_then(|m| m.length()).unwrap_or(request.body.len() as u64),
             end: End::Gone,
             received: 0,
             took_us: 0,
             wait_ms: 0,
         };
-        Ticket { log: self.clone(), begun: Instant::now(), line: Some(line) }
+        LogEntry { log: self.clone(), begun: Instant::now(), line: Some(line) }
     }
 
     /// Has the file opened anew before the next line is written.
@@ -147,11 +148,11 @@
     }
 }
 
-impl Ticket {
-    /// The request has its answer.
-    pub(super) fn end(mut self, answer: &Response) {
+impl LogEntry {
+    /// The request has its response.
+    pub(super) fn finish(mut self, response: &Response) {
         if let Some(line) = &mut self.line {
-            (line.end, line.received, line.wait_ms) = match answer {
+            (line.end, line.received, line.wait_ms) = match response {
                 Response::Served(body) => (End::Served, body.length(), 0),
                 Response::Rejected { retry_after } | Response::SiteUnavailable { retry_after, .. } => {
                     (End::Refused, 0, retry_after.as_millis() as u64)
@@ -162,8 +163,8 @@
     }
 }
 
-/// Dropped without an answer, its client has gone.
-impl Drop for Ticket {
+/// Dropped without a response, its client has gone.
+impl Drop for LogEntry {
     fn drop(&mut self) {
         if let Some(mut line) = self.line.take() {
             line.took_us = u64::try_from(self.begun.elapsed().as_micros()).unwrap_or(u64::MAX);
--- a/src/core/access_log/tests.rs
+++ b/src/core/access_log/tests.rs
@@ -24,7 +24,7 @@
         initiators: 1,
         length: 0,
         body: Bytes::from_static(b"four"),
-        more: None,
+        body_rest: None,
         time_left: Duration::from_millis(400),
     }
 }
@@ -52,9 +52,9 @@
 async fn lines_tell_how_requests_ended_and_are_read_again() {
     let path = file("ends");
     let log = AccessLog::open(&path, 10).expect("opened");
-    log.begin(&request("a")).end(&Response::Served(Bytes::from_static(b"x").into()));
-    log.begin(&request("b")).end(&Response::Rejected { retry_after: Duration::from_millis(5) });
-    log.begin(&request("c")).end(&Response::Failed);
+    log.begin(&request("a")).finish(&Response::Served(Bytes::from_static(b"x").into()));
+    log.begin(&request("b")).finish(&Response::Rejected { retry_after: Duration::from_millis(5) });
+    log.begin(&request("c")).finish(&Response::Failed);
     drop(log.begin(&request("d")));
     log.settle(Duration::from_secs(5)).await;
     let key = "Some(\"k\\\"1\") None";
@@ -66,11 +66,11 @@
 async fn a_log_moved_away_is_opened_anew() {
     let (path, moved) = (file("moved"), file("moved-away"));
     let log = AccessLog::open(&path, 10).expect("opened");
-    log.begin(&request("a")).end(&Response::Failed);
+    log.begin(&request("a")).finish(&Response::Failed);
     log.settle(Duration::from_secs(5)).await;
     std::fs::rename(&path, &moved).expect("moved");
     log.reopen();
-    log.begin(&request("b")).end(&Response::Failed);
+    log.begin(&request("b")).finish(&Response::Failed);
     log.settle(Duration::from_secs(5)).await;
     assert_eq!((read(&moved).len(), read(&path).len()), (1, 1));
 }
@@ -81,11 +81,11 @@
     let (queue, _stuck) = sync_channel(1);
     let log = AccessLog { queue, counts: Arc::default() };
     for id in ["a", "b", "c"] {
-        log.begin(&request(id)).end(&Response::Failed);
+        log.begin(&request(id)).finish(&Response::Failed);
     }
     assert_eq!(log.lost(), (2, 0));
     let full = AccessLog::open(Path::new("/dev/full"), 10).expect("opened");
-    full.begin(&request("a")).end(&Response::Failed);
+    full.begin(&request("a")).finish(&Response::Failed);
     full.settle(Duration::from_secs(5)).await;
     assert_eq!(full.lost(), (0, 1));
 }
--- a/src/core/actor.rs
+++ b/src/core/actor.rs
@@ -1,361 +1,326 @@
-//! The module's actor: it alone owns the [`Scheduler`], its timers and the requests that are open.
+//! The core's actor: it alone owns the [`Scheduler`] and all state beside it, and assembles the parts.
 
-use crate::core::attempt::{Connect, TargetMessage};
-use crate::core::clock::{Clock, micros};
+mod admin;
+mod attempts;
+mod endpoint_updates;
+mod handover;
+mod quota;
+mod requests;
+
+use crate::core::admin::{AdminCommand, AdminRequest};
+use crate::core::attempt::Connect;
+use crate::core::clock::Clock;
 use crate::core::diagnostics::{Diagnostics, Step};
-use crate::core::fleet::Fleet;
-use crate::core::mailbox::{CoreMailbox, Ids};
-use crate::core::message::{
-    AdminCommand, AdminRequest, Endpoint, HandoverRequest, Message, Protocol, Response,
-};
-use crate::core::requests::Open;
-use crate::core::routes::{Loaded, Routes};
-use crate::core::sites::{Watch, Watched};
-use crate::core::starts::StartTimes;
-use crate::interface::{Action, Event, LoadReport, Micros, Outcome, RequestId, TargetId, TargetState};
+use crate::core::endpoints::Endpoints;
+use crate::core::handover_port::HandoverPort;
+use crate::core::handover_request::HandoverRequest;
+use crate::core::mailbox::CoreMailbox;
+use crate::core::message::Message;
+use crate::core::open_requests::OpenRequests;
+use crate::core::quota::QuotaPeers;
+use crate::core::readiness::Readiness;
+use crate::core::request::Response;
+use crate::core::routes::{LoadedRoutes, Routes};
+use crate::core::site_monitor::SiteSettings;
+use crate::core::timers::Timers;
+use crate::interface::{Action, Event, LoadReport, Micros, Outcome, TargetId};
 use crate::names::Names;
 use crate::scheduler::Scheduler;
-use rowanglade_maintenance::Maintenance;
 use rowanglade_object_locations::{Object, Places, Seen};
 use rowanglade_subset::Subset;
-use std::cell::Cell;
-use std::cmp::Reverse;
-use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap, HashSet, VecDeque};
-use std::rc::Rc;
+use std::collections::VecDeque;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
-/// A request that the module has not answered this long past its deadline fails here: later than the module's
-/// own last word, and well inside the slack that the rules give.
-pub(super) const BACKSTOP: Micros = 10_000;
-/// Without an answer of discovery, what is remembered of the list must do after this long. A discovery that
-/// is not overbooked has answered by then; after a release that killed most instances it takes seconds, and
-/// clients whose instances are away are served by nobody.
-const TRUST_MEMORY: Duration = Duration::from_millis(300);
-/// Objects whose places are kept in mind: about a megabyte.
-const PLACES: usize = 16_384;
-
-pub(super) struct Target {
-    /// As its list has it.
-    pub(super) told: Endpoint,
-    /// As it holds, with operators' calls.
-    pub(super) line: Endpoint,
-    /// Of its actor; absent until it is needed.
-    pub(super) mailbox: Option<mpsc::Sender<TargetMessage>>,
-}
+/// Objects whose locations are kept: about a megabyte.
+const MAX_OBJECT_LOCATIONS: usize = 16_384;
 
-/// What stands beside the module.
+/// What the core needs beside its scheduler and its mailbox.
 pub struct CoreDependencies {
     /// The routes to be in force.
-    pub table: watch::Receiver<Arc<Loaded>>,
-    /// Absent where instances do not talk to each other.
-    pub fleet: Option<Fleet>,
-    /// Operators' calls. They do not wait behind the requests in the core's mailbox.
-    pub operations: mpsc::Receiver<AdminRequest>,
-    /// What replacing the process asks.
-    pub upgrades: mpsc::Receiver<HandoverRequest>,
-    /// Calls that hold here are told to the other process, if there is one.
-    pub calls: mpsc::Sender<AdminCommand>,
-    /// So is where objects are seen.
-    pub seen: mpsc::Sender<(Object, Seen)>,
+    pub routes: watch::Receiver<Arc<LoadedRoutes>>,
+    /// Absent where initiators do not exchange quota.
+    pub quota: Option<QuotaPeers>,
+    /// Operators' commands. They do not wait behind the requests in the core's mailbox.
+    pub admin_requests: mpsc::Receiver<AdminRequest>,
+    /// What a handover asks.
+    pub handover_requests: mpsc::Receiver<HandoverRequest>,
+    /// Commands that hold here, for the other process, if there is one.
+    pub admin_commands: mpsc::Sender<AdminCommand>,
+    /// Where objects were seen, for the other process.
+    pub object_sightings: mpsc::Sender<(Object, Seen)>,
     /// Absent where sites are not judged.
-    pub sites: Option<Watch>,
+    pub sites: Option<SiteSettings>,
     /// Absent where no target is preferred to others.
     pub subset: Option<Subset>,
 }
 
 /// The actor; [`Core::run`] is its life.
 pub struct Core {
-    pub(super) scheduler: Scheduler,
-    pub(super) names: Names,
-    pub(super) clock: Clock,
-    pub(super) rx: mpsc::Receiver<Message>,
-    /// Weak, so that the core ends when all others have let go of its mailbox.
-    pub(super) tx: mpsc::WeakSender<Message>,
-    pub(super) connect: Connect,
-    pub(super) targets: BTreeMap<TargetId, Target>,
-    /// Targets that other instances say are leaving, while discovery itself has not been heard.
-    pub(super) departed: BTreeSet<TargetId>,
-    /// What the parts so far of a whole list have named; none: no part of one has come.
-    pub(super) named: Option<(Protocol, HashSet<TargetId>)>,
-    pub(super) requests: HashMap<RequestId, Open>,
-    pub(super) backstops: BTreeSet<(Micros, RequestId)>,
-    pub(super) timers: BinaryHeap<Reverse<(Micros, u64)>>,
+    clock: Clock,
+    names: Names,
+    scheduler: Scheduler,
     /// Events that an action brought about at once; they come after the present one.
-    pub(super) next: VecDeque<Event>,
-    pub(super) ready: watch::Sender<bool>,
-    /// Discovery has had its time: what is remembered of the list must do.
-    pub(super) trusting: bool,
-    pub(super) open: Rc<Cell<usize>>,
-    pub(super) ids: Ids,
-    pub(super) routes: Routes,
-    /// The table to be in force; a new one is taken up between two messages.
-    pub(super) table: watch::Receiver<Arc<Loaded>>,
-    /// Grows with every change of the list that is in force.
-    pub(super) revision: watch::Sender<u64>,
+    queued_events: VecDeque<Event>,
+    timers: Timers,
+    mailbox: mpsc::Receiver<Message>,
+    /// Weak, so that the core ends when all others have let go of its mailbox.
+    mailbox_sender: mpsc::WeakSender<Message>,
+    admin_requests: mpsc::Receiver<AdminRequest>,
+    open_requests: OpenRequests,
+    endpoints: Endpoints,
+    routes: Routes,
+    /// New routes are taken up between two messages.
+    loaded_routes: watch::Receiver<Arc<LoadedRoutes>>,
     /// Absent where no peer may be talked to.
-    pub(super) fleet: Option<Fleet>,
-    pub(super) operations: mpsc::Receiver<AdminRequest>,
-    pub(super) upgrades: mpsc::Receiver<HandoverRequest>,
-    pub(super) calls: mpsc::Sender<AdminCommand>,
-    pub(super) seen: mpsc::Sender<(Object, Seen)>,
-    pub(super) maintenance: Maintenance,
-    pub(super) places: Places,
-    /// Absent where sites are not judged.
-    pub(super) sites: Option<Watched>,
+    quota: Option<QuotaPeers>,
+    /// Units that the scheduler offered last.
+    quota_offered: f64,
+    object_locations: Places,
     /// Absent where no target is preferred to others.
-    pub(super) subset: Option<Subset>,
-    /// Another process has what is owned here.
-    pub(super) handed: bool,
-    /// What the module said last that it can do without.
-    pub(super) spared: f64,
-    pub(super) diagnostics: Diagnostics,
-    pub(super) starts: StartTimes,
+    subset: Option<Subset>,
+    handover: HandoverPort,
+    readiness: Readiness,
+    diagnostics: Diagnostics,
+}
+
+/// What the actor handles in one step.
+#[expect(
+    clippy::large_enum_variant,
+    reason = "it lives for one step: a box would cost an allocation a message"
+)]
+enum Input {
+    Admin(AdminRequest),
+    Handover(HandoverRequest),
+    Message(Message),
+    RoutesLoaded(Arc<LoadedRoutes>),
+    TimerDue,
+}
+
+impl Input {
+    fn step(&self) -> Step {
+        match self {
+            Input::Admin(_) => Step::Admin,
+            Input::Handover(_) => Step::Handover,
+            Input::Message(message) => message.step(),
+            Input::RoutesLoaded(_) => Step::Routes,
+            Input::TimerDue => Step::Timers,
+        }
+    }
 }
 
 impl Core {
+    /// A core that has not begun to run. `connect` makes the actors of targets.
     pub fn new(
         scheduler: Scheduler,
         names: Names,
         clock: Clock,
-        inbox: CoreMailbox,
+        mailbox: CoreMailbox,
         connect: Connect,
-        beside: CoreDependencies,
+        dependencies: CoreDependencies,
     ) -> Core {
-        let CoreDependencies { mut table, fleet, operations, upgrades, calls, seen, sites, subset } = beside;
-        let CoreMailbox { rx, tx, ready, open, ids, revision } = inbox;
-        let routes = Routes::new(Arc::clone(&table.borrow_and_update()));
+        let CoreDependencies {
+            routes: mut loaded_routes,
+            quota,
+            admin_requests,
+            handover_requests,
+            admin_commands,
+            object_sightings,
+            sites,
+            subset,
+        } = dependencies;
+        let routes = Routes::new(Arc::clone(&loaded_routes.borrow_and_update()));
+        let CoreMailbox { receiver, sender, ready, unanswered, client_ids, revision } = mailbox;
         Core {
-            scheduler,
-            names,
             clock,
-            rx,
-            tx,
-            connect,
-            targets: BTreeMap::new(),
-            departed: BTreeSet::new(),
-            named: None,
-            requests: HashMap::new(),
-            backstops: BTreeSet::new(),
-            timers: BinaryHeap::new(),
-            next: VecDeque::new(),
-            ready,
-            trusting: false,
-            open,
-            ids,
+            names,
+            scheduler,
+            queued_events: VecDeque::new(),
+            timers: Timers::default(),
+            mailbox: receiver,
+            mailbox_sender: sender,
+            admin_requests,
+            open_requests: OpenRequests::new(client_ids, unanswered),
+            endpoints: Endpoints::new(connect, sites, revision),
             routes,
-            table,
-            revision,
-            fleet,
-            operations,
-            upgrades,
-            calls,
-            seen,
-            maintenance: Maintenance::default(),
-            places: Places::new(PLACES),
-            sites: sites.map(Watched::new),
+            loaded_routes,
+            quota,
+            quota_offered: 0.0,
+            object_locations: Places::new(MAX_OBJECT_LOCATIONS),
             subset,
-            handed: false,
-            spared: 0.0,
+            handover: HandoverPort::new(handover_requests, admin_commands, object_sightings),
+            readiness: Readiness::new(ready),
             diagnostics: Diagnostics::default(),
-            starts: StartTimes::default(),
         }
     }
 
-    /// Runs until every [`Handle`] is gone.
+    /// Runs until every [`CoreHandle`](crate::core::CoreHandle) is gone.
     pub async fn run(mut self) {
-        let trust = self.clock.now() + micros(TRUST_MEMORY);
-        loop {
-            let timer = self.timers.peek().map(|Reverse((at, _))| *at);
-            let backstop = self.backstops.first().map(|(at, _)| *at);
-            let trust_at = (!self.trusting).then_some(trust);
-            let ask = self.fleet.as_ref().filter(|_| !self.handed).and_then(|f| f.exchange.wake());
-            let sites = self.sites.as_ref().and_then(|s| s.wake(self.clock.now()));
-            let until = [timer, backstop, trust_at, ask, sites].into_iter().flatten().min();
-            let clock = self.clock;
-            let pause = async {
-                match until {
-                    Some(at) => tokio::time::sleep_until(clock.instant(at)).await,
-                    None => std::future::pending().await,
-                }
-            };
-            let (step, begun) = tokio::select! {
-                Some(operation) = self.operations.recv() => {
-                    let begun = Instant::now();
-                    self.operate(operation);
-                    (Step::Operation, begun)
-                }
-                Some(upgrade) = self.upgrades.recv() => {
-                    let begun = Instant::now();
-                    self.upgrade(upgrade);
-                    (Step::Upgrade, begun)
-                }
-                message = self.rx.recv() => match message {
-                    Some(message) => {
-                        let (step, begun) = (message.step(), Instant::now());
-                        self.take(message);
-                        (step, begun)
-                    }
-                    None => return,
-                },
-                () = pause => (Step::Timers, Instant::now()),
-                Ok(()) = self.table.changed() => {
-                    let begun = Instant::now();
-                    let table = Arc::clone(&self.table.borrow_and_update());
-                    self.routes.swap(table);
-                    self.tell_reach();
-                    (Step::Routes, begun)
-                }
-            };
-            self.diagnostics.step(step, begun, self.targets.len(), self.open.get());
+        self.readiness.start(self.clock.now());
+        while let Some(input) = self.next_input().await {
+            let begun = Instant::now();
+            let step = input.step();
+            self.handle_input(input);
+            self.end_step(step, begun);
             let begun = Instant::now();
-            if !self.trusting && self.clock.now() >= trust {
-                // Once, whether or not there is a target: a time that has passed must not be waited for
-                // again.
-                self.trusting = true;
-                self.make_ready();
+            self.run_due();
+            self.end_step(Step::Timers, begun);
+        }
+    }
+
+    /// Waits for the next thing to do. `None`: nobody has the core's mailbox any more.
+    async fn next_input(&mut self) -> Option<Input> {
+        let wake = self.next_wake();
+        let clock = self.clock;
+        let pause = async {
+            match wake {
+                Some(at) => tokio::time::sleep_until(clock.instant(at)).await,
+                None => std::future::pending().await,
+            }
+        };
+        tokio::select! {
+            Some(request) = self.admin_requests.recv() => Some(Input::Admin(request)),
+            Some(request) = self.handover.requests.recv() => Some(Input::Handover(request)),
+            message = self.mailbox.recv() => message.map(Input::Message),
+            () = pause => Some(Input::TimerDue),
+            Ok(()) = self.loaded_routes.changed() => {
+                Some(Input::RoutesLoaded(Arc::clone(&self.loaded_routes.borrow_and_update())))
             }
-            self.due();
-            self.diagnostics.step(Step::Timers, begun, self.targets.len(), self.open.get());
         }
     }
 
-    pub(super) fn make_ready(&mut self) {
-        if self.targets.values().any(|t| t.line.state == TargetState::Active) {
-            self.ready.send_replace(true);
+    /// When something is due, whatever comes until then.
+    fn next_wake(&self) -> Option<Micros> {
+        let quota = self.quota.as_ref().filter(|_| !self.handover.is_handed_over());
+        let wakes = [
+            self.timers.next_wake(),
+            self.open_requests.next_wake(),
+            self.readiness.next_wake(),
+            quota.and_then(QuotaPeers::next_wake),
+            self.endpoints.sites().and_then(|sites| sites.next_wake(self.clock.now())),
+        ];
+        wakes.into_iter().flatten().min()
+    }
+
+    fn handle_input(&mut self, input: Input) {
+        match input {
+            Input::Admin(request) => self.handle_admin_request(request),
+            Input::Handover(request) => self.handle_handover_request(request),
+            Input::Message(message) => self.handle_message(message),
+            Input::RoutesLoaded(routes) => {
+                self.routes.load(routes);
+                self.publish_target_sets();
+            }
+            Input::TimerDue => {}
         }
     }
 
-    fn take(&mut self, message: Message) {
+    fn end_step(&mut self, step: Step, begun: Instant) {
+        let (targets, open) = (self.endpoints.len(), self.open_requests.unanswered());
+        self.diagnostics.step_ended(step, begun, targets, open);
+    }
+
+    fn handle_message(&mut self, message: Message) {
         match message {
-            Message::Submit { id, request, arrived, response } => self.submit(id, request, arrived, response),
-            Message::ClientGone(id) => {
-                if self.conclude(id, None) {
-                    self.feed(Event::ClientGone { id });
-                }
-            }
-            Message::Shutdown => {
-                let open: Vec<RequestId> = self.requests.keys().copied().collect();
-                for id in open {
-                    if self.conclude(id, Some(Response::Failed)) {
-                        self.feed(Event::ClientGone { id });
-                    }
-                }
-            }
-            Message::Peer(from, message) => self.peer(from, &message),
-            Message::Status => {
-                let (open, targets, routes) = (self.open.get(), self.targets.len(), self.routes.versions());
-                tracing::info!(open, targets, ?routes, ready = *self.ready.borrow(), "status");
-                self.diagnostics.counters.tell();
-            }
-            Message::BodyStarted { id, number } => {
-                if let Some(open) = self.requests.get(&id) {
-                    // Its deadline runs from the last byte on, which the attempt itself keeps.
-                    self.backstops.remove(&(open.deadline + BACKSTOP, id));
-                    self.feed(Event::TransferStarted { id, attempt: number, deadline_applies: false });
-                }
-            }
-            Message::MayStart { id, number, answer } => {
-                // An attempt that ended meanwhile asks no more.
-                let _ = answer.send(self.may_start(id, number));
-            }
-            Message::ResponseStarted { id, number } => {
-                let now = self.clock.now();
-                let open = self.requests.get_mut(&id);
-                let Some(open) = open else { return };
-                open.trace(number, |trace| trace.heard = Some(now));
-                if let Some(Some(out)) = open.attempts.get_mut(number.0 as usize) {
-                    out.heard = Some(now);
-                    self.feed(Event::TransferStarted { id, attempt: number, deadline_applies: true });
-                }
-            }
-            Message::AttemptEnded { id, number, result } => self.ended(id, number, result),
-            Message::ProbeEnded { target, outcome, took, load } => {
-                let now = self.clock.now();
-                if let (Some(sites), Some(target)) = (&mut self.sites, self.targets.get(&target)) {
-                    sites.ended(now, &target.told.name, outcome, false, None);
-                }
-                self.feed(Event::ProbeEnded { target, outcome, elapsed: took, load });
+            Message::Submit { id, request, arrived, response } => {
+                self.submit(id, request, arrived, response);
             }
-            Message::PeersReportDraining(names) => self.departed(&names),
-            Message::ListTargets(answer) => {
-                // Whoever asked and has ended needs no answer.
-                let _ = answer.send(self.routes.boxes().cloned().collect());
+            Message::ClientGone(id) => self.client_gone(id),
+            Message::Shutdown => self.fail_all_requests(),
+            Message::Status => self.log_status(),
+            // Whoever asked and has ended needs no answer.
+            Message::ListTargets(answer) => drop(answer.send(self.routes.targets().cloned().collect())),
+            Message::Peer(from, message) => self.handle_quota_datagram(from, &message),
+            Message::BodyStarted { id, number } => self.body_started(id, number),
+            // An attempt that ended meanwhile asks no more.
+            Message::MayStart { id, number, answer } => drop(answer.send(self.may_start(id, number))),
+            Message::ResponseStarted { id, number } => self.response_started(id, number),
+            Message::AttemptEnded { id, number, result } => self.attempt_ended(id, number, result),
+            Message::ProbeEnded { target, outcome, elapsed, load } => {
+                self.probe_ended(target, outcome, elapsed, load);
             }
+            Message::PeersReportDraining(targets) => self.peers_report_draining(&targets),
             Message::EndpointsChanged { protocol, kind, entries, more, received } => {
-                let lines = entries.len();
-                self.list(protocol, kind, entries, more);
+                let count = entries.len();
+                self.update_endpoints(protocol, kind, entries, more);
                 if !more {
-                    self.diagnostics.list_in_force(received, lines);
+                    self.diagnostics.endpoints_in_force(received, count);
                 }
             }
         }
     }
 
-    /// Timers and backstops that are due.
-    fn due(&mut self) {
+    fn log_status(&self) {
+        let (open, targets) = (self.open_requests.unanswered(), self.endpoints.len());
+        let (routes, ready) = (self.routes.versions(), self.readiness.is_ready());
+        tracing::info!(open, targets, ?routes, ready, "status");
+        self.diagnostics.counters.log();
+    }
+
+    /// Does all that is due.
+    fn run_due(&mut self) {
+        if self.readiness.trust_cached_list_if_due(self.clock.now()) {
+            self.update_readiness();
+        }
         let now = self.clock.now();
-        self.judge_sites(now);
-        if let Some(fleet) = self.fleet.as_mut().filter(|_| !self.handed)
-            && let Some(want) = fleet.exchange.poll(now)
-        {
-            fleet.send((None, want));
+        self.poll_sites(now);
+        if let Some(quota) = self.quota.as_mut().filter(|_| !self.handover.is_handed_over()) {
+            quota.poll(now);
         }
-        while let Some(&Reverse((at, token))) = self.timers.peek()
-            && at <= now
-        {
-            self.timers.pop();
-            self.feed(Event::TimerFired { token });
+        while let Some(token) = self.timers.pop_due(now) {
+            self.apply_event(Event::TimerFired { token });
         }
         self.fail_overdue(now);
     }
 
-    /// Gives the module an event, and does what it says, until nothing follows from that.
-    pub(super) fn feed(&mut self, event: Event) {
-        self.next.push_back(event);
+    fn update_readiness(&mut self) {
+        if self.endpoints.active().next().is_some() {
+            self.readiness.set_ready();
+        }
+    }
+
+    /// Gives the scheduler an event, and does what it says, until nothing follows from that.
+    fn apply_event(&mut self, event: Event) {
+        self.queued_events.push_back(event);
         let mut actions = Vec::new();
-        while let Some(event) = self.next.pop_front() {
+        while let Some(event) = self.queued_events.pop_front() {
             let now = self.clock.now();
             self.scheduler.handle(now, event, &mut actions);
             for action in actions.drain(..) {
-                self.act(now, action);
+                self.execute(now, action);
             }
         }
     }
 
-    fn act(&mut self, now: Micros, action: Action) {
+    fn execute(&mut self, now: Micros, action: Action) {
         match action {
-            Action::StartAttempt { id, target, timeout } => self.send(now, id, target, timeout),
+            Action::StartAttempt { id, target, timeout } => self.start_attempt(now, id, target, timeout),
             Action::Reject { id, retry_after } => {
-                self.conclude(
-                    id,
-                    Some(Response::Rejected { retry_after: Duration::from_micros(retry_after) }),
-                );
+                let retry_after = Duration::from_micros(retry_after);
+                self.finish_request(id, Some(Response::Rejected { retry_after }));
             }
             Action::Fail { id } => {
-                self.conclude(id, Some(Response::Failed));
-            }
-            Action::CancelAttempt { id, attempt } => {
-                let out = self.requests.get_mut(&id).and_then(|o| o.attempts.get_mut(attempt.0 as usize));
-                if let Some(out) = out.and_then(Option::as_mut) {
-                    out.cancel = None;
-                }
+                self.finish_request(id, Some(Response::Failed));
             }
-            Action::SetTimer { token, after } => self.timers.push(Reverse((now + after, token))),
+            Action::CancelAttempt { id, attempt } => self.open_requests.cancel_attempt(id, attempt),
+            Action::SetTimer { token, after } => self.timers.set(now + after, token),
             Action::QuotaNeeded { volume, units, initiators } => {
-                if let Some(fleet) = self.fleet.as_mut().filter(|_| !self.handed) {
-                    fleet.lacks(now, volume, units, initiators);
+                if let Some(quota) = self.quota.as_mut().filter(|_| !self.handover.is_handed_over()) {
+                    quota.quota_needed(now, volume, units, initiators);
                 }
             }
-            Action::QuotaOffered { units, .. } => self.spared = units,
+            Action::QuotaOffered { units, .. } => self.quota_offered = units,
             Action::Probe { target } => {
-                if !self.probe(now, target) {
-                    let (outcome, load) = (Outcome::NotSent, LoadReport::default());
-                    self.next.push_back(Event::ProbeEnded { target, outcome, elapsed: 0, load });
+                if !self.start_probe(now, target) {
+                    self.queued_events.push_back(probe_not_sent(target));
                 }
             }
         }
     }
 }
+
+fn probe_not_sent(target: TargetId) -> Event {
+    Event::ProbeEnded { target, outcome: Outcome::NotSent, elapsed: 0, load: LoadReport::default() }
+}
--- /dev/null
+++ b/src/core/actor/attempts.rs
@@ -0,0 +1,256 @@
+//! Attempts and probes: handed to a target's actor, checked once more before their first byte, and what is
+//! learned from how they went.
+
+use super::Core;
+use crate::core::attempt::{Attempt, AttemptPermits, AttemptReporter, Probe, ProbeReporter, TargetMessage};
+use crate::core::body::ResponseBody;
+use crate::core::message::Message;
+use crate::core::open_requests::{AttemptTrace, InFlightAttempt, OpenRequest};
+use crate::core::request::{AttemptResult, Response};
+use crate::interface::{AttemptNumber, Event, LoadReport, Micros, Outcome, RequestId, TargetId};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::mpsc::error::TrySendError;
+use tokio::sync::mpsc::{self, OwnedPermit};
+use tokio::sync::oneshot;
+
+/// How long a probe may take.
+const PROBE_TIMEOUT: Micros = 1_000_000;
+
+impl Core {
+    /// Asks a target whether it answers. False: it was not asked.
+    pub(super) fn start_probe(&mut self, now: Micros, target: TargetId) -> bool {
+        let until = self.clock.instant(now + PROBE_TIMEOUT);
+        let permit = reserve(&self.mailbox_sender);
+        let (Some(mailbox), Some(permit)) = (self.endpoints.mailbox(target), permit) else { return false };
+        let probe = Probe { until, report: ProbeReporter::new(target, now, self.clock, permit) };
+        // A probe that finds no place tells so by its drop.
+        let _ = mailbox.try_send(TargetMessage::Probe(probe));
+        true
+    }
+
+    /// A probe's end.
+    pub(super) fn probe_ended(
+        &mut self,
+        target: TargetId,
+        outcome: Outcome,
+        elapsed: Micros,
+        load: LoadReport,
+    ) {
+        let now = self.clock.now();
+        if let Some((sites, name)) = self.endpoints.site_of(target) {
+            sites.attempt_ended(now, name, outcome, false, None);
+        }
+        self.apply_event(Event::ProbeEnded { target, outcome, elapsed, load });
+    }
+
+    /// Hands an attempt to its target's actor, which asks once more before its first byte.
+    pub(super) fn start_attempt(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        target: TargetId,
+        timeout: Option<Micros>,
+    ) {
+        let mailbox = self.endpoints.mailbox(target);
+        let Some(open) = self.open_requests.get_mut(id) else { return };
+        let number = AttemptNumber(open.attempts.len() as u32);
+        let timeout_at = timeout.map_or(Micros::MAX, |timeout| now.saturating_add(timeout));
+        let until = self.clock.instant(open.deadline.min(timeout_at));
+        let (cancel, cancelled) = oneshot::channel();
+        open.traces.push(AttemptTrace {
+            target,
+            sent: now,
+            started: None,
+            response_started: None,
+            ended: None,
+        });
+        open.attempts.push(self.endpoints.get(target).map(|listed| InFlightAttempt {
+            target,
+            addr: listed.reported.addr,
+            sent: now,
+            started: false,
+            response_started: None,
+            cancel: Some(cancel),
+        }));
+        // Without places for its start and its end, or a target that takes it, the attempt never was.
+        let sent = !open.is_finished()
+            && mailbox.zip(permits(open, &self.mailbox_sender)).is_some_and(|(mailbox, permits)| {
+                let request = Rc::clone(&open.request);
+                let report = AttemptReporter::new(id, number, permits);
+                send_attempt(&mailbox, Attempt { request, until, cancel: cancelled, report })
+            });
+        if !sent {
+            open.take_attempt(number);
+            let request_over = open.is_finished();
+            self.queued_events.push_back(attempt_not_sent(id, number, target, request_over));
+        }
+    }
+
+    /// The last check before an attempt's first byte: its connection is up, which may have taken long. What
+    /// was true when it was sent must still be: its target is wanted and where it was, its client waits,
+    /// there is time, and it may run beside what ran before. The units that it took are held for as long as
+    /// it is in flight.
+    pub(super) fn may_start(&mut self, id: RequestId, number: AttemptNumber) -> bool {
+        let now = self.clock.now();
+        let wanted = self.scheduler.may_start(now, id, number);
+        let Some(open) = self.open_requests.get_mut(id).filter(|open| !open.is_finished()) else {
+            return false;
+        };
+        let streamed = open.is_streamed();
+        let Some(attempt) = open.attempt_mut(number) else { return false };
+        let target = attempt.target;
+        let same_addr = self.endpoints.get(target).is_some_and(|listed| listed.reported.addr == attempt.addr);
+        let started = wanted && same_addr && !attempt.is_cancelled();
+        attempt.started = started;
+        // A streamed body's last byte comes much later: the end of its attempt tells.
+        if started && !streamed {
+            self.scheduler.settle(now, id, true);
+        }
+        open.trace(number, |trace| trace.started = started.then_some(now));
+        let (id, target) = (&open.request.id, self.names.target_name(target));
+        tracing::debug!(id, attempt = number.0, target, started, "a connection is up");
+        started
+    }
+
+    /// The streamed part of a request's body is being sent. Its deadline runs from the last byte on, which
+    /// the attempt itself keeps.
+    pub(super) fn body_started(&mut self, id: RequestId, number: AttemptNumber) {
+        if self.open_requests.get(id).is_some() {
+            self.open_requests.stop_watching(id);
+            self.apply_event(Event::TransferStarted { id, attempt: number, deadline_applies: false });
+        }
+    }
+
+    /// The head of an attempt's response has come.
+    pub(super) fn response_started(&mut self, id: RequestId, number: AttemptNumber) {
+        let now = self.clock.now();
+        let Some(open) = self.open_requests.get_mut(id) else { return };
+        open.trace(number, |trace| trace.response_started = Some(now));
+        if let Some(attempt) = open.attempt_mut(number) {
+            attempt.response_started = Some(now);
+            self.apply_event(Event::TransferStarted { id, attempt: number, deadline_applies: true });
+        }
+    }
+
+    /// An attempt's end. The first served one is the client's response.
+    pub(super) fn attempt_ended(&mut self, id: RequestId, number: AttemptNumber, result: AttemptResult) {
+        let Some(open) = self.open_requests.get_mut(id) else { return };
+        let Some(attempt) = open.take_attempt(number) else { return };
+        let result = before_start_means_not_sent(&attempt, result);
+        let now = self.clock.now();
+        open.trace(number, |trace| trace.ended = Some((now, result.outcome)));
+        let object = (open.request.volume, open.request.object);
+        let (shard, upload) = (open.request.shard, open.request.body_rest.clone());
+        self.learn_location(attempt.target, object, shard, result.outcome);
+        let consumed = upload.as_ref().is_some_and(|upload| upload.is_consumed());
+        // A streamed request counts from its last byte.
+        let complete = upload.and_then(|upload| upload.completed_at()).map_or(0, |at| self.clock.at(at));
+        let outcome = result.outcome;
+        if let Some(response) = response_to(outcome, consumed, result.body) {
+            self.finish_request(id, Some(response));
+        }
+        tracing::debug!(request = id.0, attempt = number.0, ?outcome, "an attempt ended");
+        let request_over = self.open_requests.get(id).is_none_or(OpenRequest::is_finished);
+        // What a response takes on its way, once it has begun, says nothing of its target.
+        let answered = attempt.response_started.filter(|at| *at >= complete).unwrap_or(now);
+        let elapsed = answered.saturating_sub(attempt.sent.max(complete));
+        // One whose client left tells nothing of its target.
+        if !(request_over && outcome == Outcome::Cancelled)
+            && let Some((sites, name)) = self.endpoints.site_of(attempt.target)
+        {
+            sites.attempt_ended(now, name, outcome, attempt.response_started.is_some(), Some(elapsed));
+        }
+        self.apply_event(Event::AttemptEnded {
+            id,
+            attempt: number,
+            target: attempt.target,
+            outcome,
+            elapsed,
+            request_over,
+            used: result.used,
+            elsewhere: result.elsewhere,
+            load: result.load,
+        });
+        self.remove_if_settled(id);
+    }
+
+    /// What an attempt's outcome tells of where its object is.
+    fn learn_location(
+        &mut self,
+        target: TargetId,
+        object: (u64, u64),
+        requested: Option<u32>,
+        outcome: Outcome,
+    ) {
+        let Some(shard) = self.endpoints.get(target).map(|target| target.reported.shard) else { return };
+        let sighting = match outcome {
+            Outcome::Served => self.object_locations.served(object, requested, shard),
+            Outcome::DeadlineExceeded => self.object_locations.turned_away(object, shard),
+            _ => None,
+        };
+        if let Some(sighting) = sighting {
+            self.handover.send_sighting(sighting);
+        }
+    }
+}
+
+fn reserve(mailbox: &mpsc::WeakSender<Message>) -> Option<OwnedPermit<Message>> {
+    mailbox.upgrade()?.try_reserve_owned().ok()
+}
+
+/// Places in the core's mailbox for all that an attempt must tell. `None`: there are too few.
+fn permits(open: &OpenRequest, mailbox: &mpsc::WeakSender<Message>) -> Option<AttemptPermits> {
+    let start = reserve(mailbox)?;
+    let end = reserve(mailbox)?;
+    let body_started = if open.is_streamed() { reserve(mailbox) } else { None };
+    Some(AttemptPermits { start, end, body_started, response_started: reserve(mailbox) })
+}
+
+/// False: the target's actor does not take it.
+fn send_attempt(mailbox: &mpsc::Sender<TargetMessage>, attempt: Attempt) -> bool {
+    match mailbox.try_send(TargetMessage::Attempt(Box::new(attempt))) {
+        Ok(()) => true,
+        Err(TrySendError::Full(message) | TrySendError::Closed(message)) => {
+            if let TargetMessage::Attempt(attempt) = message {
+                attempt.report.discard();
+            }
+            false
+        }
+    }
+}
+
+fn attempt_not_sent(id: RequestId, attempt: AttemptNumber, target: TargetId, request_over: bool) -> Event {
+    Event::AttemptEnded {
+        id,
+        attempt,
+        target,
+        outcome: Outcome::NotSent,
+        elapsed: 0,
+        request_over,
+        used: None,
+        elsewhere: 0.0,
+        load: LoadReport::default(),
+    }
+}
+
+/// Whatever its target's actor took it for: before its start nothing of an attempt was sent.
+fn before_start_means_not_sent(attempt: &InFlightAttempt, result: AttemptResult) -> AttemptResult {
+    match attempt.started || result.outcome.proves_not_executed() {
+        true => result,
+        false => AttemptResult::without_response(Outcome::NotSent),
+    }
+}
+
+/// The response that an attempt's outcome is for its client. `None`: the scheduler may try again. What was
+/// read of a streamed body (`consumed`) is not there for another attempt.
+fn response_to(outcome: Outcome, consumed: bool, body: ResponseBody) -> Option<Response> {
+    match outcome {
+        Outcome::Served => Some(Response::Served(body)),
+        outcome if consumed && outcome.proves_not_executed() => {
+            Some(Response::Rejected { retry_after: Duration::ZERO })
+        }
+        _ if consumed => Some(Response::Failed),
+        _ => None,
+    }
+}
--- /dev/null
+++ b/src/core/actor/handover.rs
@@ -0,0 +1,91 @@
+//! What a handover asks of the core.
+
+use super::Core;
+use crate::core::endpoint::{Endpoint, Protocol};
+use crate::core::handover_request::{HandoverRequest, HandoverState};
+use crate::interface::{Event, TargetId};
+use std::collections::HashMap;
+
+impl Core {
+    /// Does what a handover asks. Whoever asks and has ended needs no answer.
+    pub(super) fn handle_handover_request(&mut self, request: HandoverRequest) {
+        match request {
+            HandoverRequest::Describe(answer) => {
+                let _ = answer.send((self.clock.now(), self.reported_endpoints()));
+            }
+            HandoverRequest::Freeze(answer) => {
+                let _ = answer.send(Box::new(self.handover_state()));
+                self.set_handed_over(true);
+            }
+            HandoverRequest::Resume(answer) => {
+                self.set_handed_over(false);
+                let _ = answer.send(());
+            }
+            HandoverRequest::Restart(answer) => {
+                self.scheduler.forget_owned(self.clock.now());
+                self.set_handed_over(false);
+                let _ = answer.send(());
+            }
+            HandoverRequest::TakeOver(state, answer) => {
+                self.take_over(*state);
+                let _ = answer.send(());
+            }
+            HandoverRequest::AdminCommand(command) => {
+                self.apply_admin_command(&command);
+            }
+            HandoverRequest::ObjectSeen(object, seen) => self.object_locations.learn([(object, seen)]),
+        }
+    }
+
+    /// The HTTP targets, as discovery reported them.
+    fn reported_endpoints(&self) -> Vec<Endpoint> {
+        let reported = self.endpoints.iter().map(|(_, target)| &target.reported);
+        reported.filter(|endpoint| endpoint.protocol == Protocol::Http).cloned().collect()
+    }
+
+    /// All that is owned here.
+    fn handover_state(&self) -> HandoverState {
+        let scheduler = self.scheduler.handed(self.clock.now()).named(
+            |target| self.names.target_name(target).map(str::to_string),
+            |volume| self.names.volume_name(volume).map(str::to_string),
+        );
+        HandoverState {
+            maintenance: self.endpoints.maintenance().clone(),
+            scheduler,
+            object_locations: self.object_locations.all().collect(),
+        }
+    }
+
+    /// Goes on with what another process owned.
+    fn take_over(&mut self, state: HandoverState) {
+        let HandoverState { maintenance, scheduler, object_locations } = state;
+        self.endpoints.set_maintenance(maintenance);
+        self.object_locations.learn(object_locations);
+        // What maintenance changes of the targets is told before what was learned of them, which is void for
+        // another start.
+        self.refresh_all_targets();
+        let names = &mut self.names;
+        let targets: HashMap<&str, TargetId> =
+            self.endpoints.iter().map(|(id, target)| (target.reported.name.as_str(), id)).collect();
+        let scheduler = scheduler
+            .named(|target| targets.get(target.as_str()).copied(), |volume| Some(names.volume(&volume)));
+        self.scheduler.take(scheduler);
+    }
+
+    fn refresh_all_targets(&mut self) {
+        let maintenance = self.endpoints.maintenance();
+        let is_out = |id: &TargetId| {
+            self.endpoints.get(*id).is_some_and(|target| maintenance.is_out(&target.reported.name))
+        };
+        let (out, back): (Vec<TargetId>, Vec<TargetId>) =
+            self.endpoints.iter().map(|(id, _)| id).partition(is_out);
+        self.refresh_targets(&out, true);
+        self.refresh_targets(&back, false);
+    }
+
+    /// What is owned is another process's from now on, or this one's again.
+    fn set_handed_over(&mut self, handed_over: bool) {
+        self.handover.set_handed_over(handed_over);
+        self.apply_event(Event::OwnershipTransferred(handed_over));
+    }
+}
--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -1,8 +1,10 @@
-//! Attempts and probes on their way to a target's actor, and the promises that the core will hear how they
-//! ended.
+//! Attempts and probes on their way to a target's actor, and the reporters that guarantee that the core
+//! learns how each of them ended.
 
 use crate::core::clock::Clock;
-use crate::core::message::{AttemptResult, Endpoint, Message, Request};
+use crate::core::endpoint::Endpoint;
+use crate::core::message::Message;
+use crate::core::request::{AttemptResult, Request};
 use crate::interface::{AttemptNumber, LoadReport, Micros, Outcome, RequestId, TargetId};
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -13,140 +15,159 @@
 /// An attempt, as its target's actor gets it.
 #[derive(Debug)]
 pub struct Attempt {
+    /// What to send.
     pub request: Rc<Request>,
     /// When the initiator stops waiting.
     pub until: Instant,
     /// Resolves, or breaks, when the core gives the attempt up.
     pub cancel: oneshot::Receiver<()>,
-    pub report: Report,
+    /// Must hear of the attempt's start and end.
+    pub report: AttemptReporter,
 }
 
-/// A check of a target.
+/// A health check of a target.
 #[derive(Debug)]
 pub struct Probe {
+    /// When the initiator stops waiting.
     pub until: Instant,
-    pub report: ProbeReport,
+    /// Must hear of the probe's end.
+    pub report: ProbeReporter,
 }
 
 /// What a target's actor is asked.
 #[derive(Debug)]
 pub enum TargetMessage {
+    /// Send a request.
     Attempt(Box<Attempt>),
+    /// Check the target.
     Probe(Probe),
-    /// From now on it is left out, or is not any more. Left out, its connections end once they carry nothing.
-    Rest(bool),
+    /// Whether operators or a lost site keep new requests from the target. While they do, its connections end
+    /// once they carry nothing.
+    SetDraining(bool),
 }
 
 /// Makes the actor of a target, which lives as long as its mailbox is held.
 pub type Connect = Box<dyn Fn(&Endpoint) -> mpsc::Sender<TargetMessage>>;
 
-/// The duty to ask before an attempt's first byte, and to tell how it ended. Dropped untold, it counts as
-/// broken if it had started: it may have run.
+/// The mailbox places that an attempt reserves before it is sent, so that a full mailbox loses none of its
+/// messages.
 #[derive(Debug)]
-pub struct Report {
-    to: Option<(RequestId, AttemptNumber, OwnedPermit<Message>)>,
-    /// The place for the question whether it may start.
+pub(super) struct AttemptPermits {
+    /// For the question whether its first byte may go out.
+    pub(super) start: OwnedPermit<Message>,
+    /// For its end.
+    pub(super) end: OwnedPermit<Message>,
+    /// For the start of a streamed request body.
+    pub(super) body_started: Option<OwnedPermit<Message>>,
+    /// For the head of its response. Without one the core takes its end for that.
+    pub(super) response_started: Option<OwnedPermit<Message>>,
+}
+
+/// The duty to ask before an attempt's first byte, and to tell how the attempt ended. Dropped without a
+/// result, the attempt counts as broken if it had started: it may have run.
+#[derive(Debug)]
+pub struct AttemptReporter {
+    id: RequestId,
+    number: AttemptNumber,
     start: RefCell<Option<OwnedPermit<Message>>>,
-    /// Of a long body: the place for the news that its rest is being taken.
-    begun: RefCell<Option<OwnedPermit<Message>>>,
-    /// The place for the news that an answer's head has come. Without one the core takes its end for that.
-    heard: RefCell<Option<OwnedPermit<Message>>>,
+    body_started: RefCell<Option<OwnedPermit<Message>>>,
+    response_started: RefCell<Option<OwnedPermit<Message>>>,
+    /// Absent once the end was told.
+    end: Option<OwnedPermit<Message>>,
 }
 
-impl Report {
-    pub(super) fn new(
-        id: RequestId,
-        number: AttemptNumber,
-        start: OwnedPermit<Message>,
-        place: OwnedPermit<Message>,
-        begun: Option<OwnedPermit<Message>>,
-        heard: Option<OwnedPermit<Message>>,
-    ) -> Report {
-        Report {
-            to: Some((id, number, place)),
-            start: RefCell::new(Some(start)),
-            begun: RefCell::new(begun),
-            heard: RefCell::new(heard),
+impl AttemptReporter {
+    pub(super) fn new(id: RequestId, number: AttemptNumber, permits: AttemptPermits) -> AttemptReporter {
+        AttemptReporter {
+            id,
+            number,
+            start: RefCell::new(Some(permits.start)),
+            body_started: RefCell::new(permits.body_started),
+            response_started: RefCell::new(permits.response_started),
+            end: Some(permits.end),
         }
     }
 
-    /// Whether the first byte may go out. It is asked once, when nothing else is left to wait for; false: it
-    /// ends as never sent.
+    /// Whether the first byte may go out. It is asked once, when nothing else is left to wait for; false: the
+    /// attempt ends as not sent.
     pub async fn may_start(&self) -> bool {
-        let (Some((id, number, _)), Some(place)) = (&self.to, self.start.take()) else { return false };
-        let (answer, told) = oneshot::channel();
-        place.send(Message::MayStart { id: *id, number: *number, answer });
-        told.await.unwrap_or(false)
+        let Some(permit) = self.start.take() else { return false };
+        let (answer, allowed) = oneshot::channel();
+        permit.send(Message::MayStart { id: self.id, number: self.number, answer });
+        allowed.await.unwrap_or(false)
     }
 
-    /// The head of an answer has come.
-    pub fn heard(&self) {
-        if let (Some((id, number, _)), Some(place)) = (&self.to, self.heard.take()) {
-            place.send(Message::ResponseStarted { id: *id, number: *number });
+    /// The head of a response has come.
+    pub fn response_started(&self) {
+        if let Some(permit) = self.response_started.take() {
+            permit.send(Message::ResponseStarted { id: self.id, number: self.number });
         }
     }
 
-    /// The rest of a long body is being taken.
-    pub fn begun(&self) {
-        if let (Some((id, number, _)), Some(place)) = (&self.to, self.begun.take()) {
-            place.send(Message::BodyStarted { id: *id, number: *number });
+    /// The streamed part of the request's body is being sent.
+    pub fn body_started(&self) {
+        if let Some(permit) = self.body_started.take() {
+            permit.send(Message::BodyStarted { id: self.id, number: self.number });
         }
     }
 
-    pub fn tell(mut self, reply: AttemptResult) {
-        self.send(reply);
+    /// Tells how the attempt ended.
+    pub fn finish(mut self, result: AttemptResult) {
+        self.send(result);
     }
 
     /// Nothing was sent, and the core knows.
-    pub(super) fn forget(mut self) {
-        self.to = None;
+    pub(super) fn discard(mut self) {
+        self.end = None;
     }
 
-    fn send(&mut self, reply: AttemptResult) {
-        if let Some((id, number, place)) = self.to.take() {
-            place.send(Message::AttemptEnded { id, number, result: reply });
+    fn send(&mut self, result: AttemptResult) {
+        if let Some(permit) = self.end.take() {
+            permit.send(Message::AttemptEnded { id: self.id, number: self.number, result });
         }
     }
 }
 
-impl Drop for Report {
+impl Drop for AttemptReporter {
     fn drop(&mut self) {
         self.send(AttemptResult::without_response(Outcome::Broken));
     }
 }
 
-/// The duty to tell how a probe ended. Dropped untold, it was not sent.
+/// The duty to tell how a probe ended. Dropped without an outcome, the probe was not sent.
 #[derive(Debug)]
-pub struct ProbeReport {
-    node: TargetId,
+pub struct ProbeReporter {
+    target: TargetId,
     sent: Micros,
     clock: Clock,
-    place: Option<OwnedPermit<Message>>,
+    /// Absent once the end was told.
+    end: Option<OwnedPermit<Message>>,
 }
 
-impl ProbeReport {
+impl ProbeReporter {
     pub(super) fn new(
-        node: TargetId,
+        target: TargetId,
         sent: Micros,
         clock: Clock,
-        place: OwnedPermit<Message>,
-    ) -> ProbeReport {
-        ProbeReport { node, sent, clock, place: Some(place) }
+        end: OwnedPermit<Message>,
+    ) -> ProbeReporter {
+        ProbeReporter { target, sent, clock, end: Some(end) }
     }
 
-    pub fn tell(mut self, outcome: Outcome, load: LoadReport) {
+    /// Tells how the probe ended, and the load that the target reported with it.
+    pub fn finish(mut self, outcome: Outcome, load: LoadReport) {
         self.send(outcome, load);
     }
 
     fn send(&mut self, outcome: Outcome, load: LoadReport) {
-        if let Some(place) = self.place.take() {
-            let took = self.clock.now().saturating_sub(self.sent);
-            place.send(Message::ProbeEnded { target: self.node, outcome, took, load });
+        if let Some(permit) = self.end.take() {
+            let elapsed = self.clock.now().saturating_sub(self.sent);
+            permit.send(Message::ProbeEnded { target: self.target, outcome, elapsed, load });
         }
     }
 }
 
-impl Drop for ProbeReport {
+impl Drop for ProbeReporter {
     fn drop(&mut self) {
         self.send(Outcome::NotSent, LoadReport::default());
     }
--- a/src/core/body.rs
+++ b/src/core/body.rs
@@ -1,4 +1,4 @@
-//! Bodies that are not held whole: they pass through in pieces, no faster than their taker takes them.
+//! Bodies that are not buffered whole: their chunks pass through, no faster than the receiver takes them.
 
 use bytes::Bytes;
 use futures_util::StreamExt;
@@ -8,142 +8,156 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::time::Instant;
 
-/// Bodies up to this size are held whole, so that they can be sent again, or an answer be tried for again.
-pub const HELD: usize = 64 * 1024;
-/// Pieces of an answer that may wait for its client.
-pub const PIECES: usize = 2;
+/// Bodies up to this many bytes are buffered whole, so that a request can be sent again, and a response be
+/// tried for again.
+pub const MAX_BUFFERED_BODY: usize = 64 * 1024;
+/// Chunks of a streamed response that may wait for its client.
+pub const STREAMED_CHUNKS: usize = 2;
 
-/// What comes behind the held bytes of a long request, as its client sends it. One attempt takes it: what was
-/// taken is not there for another.
+type Chunks = LocalBoxStream<'static, Result<Bytes, IncompleteBody>>;
+
+/// What follows the buffered bytes of a long request, as its client sends it. One attempt reads it: what was
+/// read is not there for another.
 pub struct Upload {
-    /// Of the whole body, where its head tells it.
+    /// Bytes of the whole body, where its head tells it.
     length: Option<u64>,
-    rest: RefCell<Option<LocalBoxStream<'static, Result<Bytes, Lost>>>>,
-    begun: Cell<bool>,
-    whole: Cell<Option<Instant>>,
-    done: Notify,
+    /// Absent while a reader has it, and once some of it was read.
+    chunks: RefCell<Option<Chunks>>,
+    consumed: Cell<bool>,
+    completed_at: Cell<Option<Instant>>,
+    completion: Notify,
 }
 
 /// The rest of a body will not come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Lost;
+pub struct IncompleteBody;
 
 impl Upload {
-    pub fn new(length: Option<u64>, rest: LocalBoxStream<'static, Result<Bytes, Lost>>) -> Upload {
+    /// A body of `length` bytes altogether, of which `chunks` are still to come.
+    pub fn new(
+        length: Option<u64>,
+        chunks: LocalBoxStream<'static, Result<Bytes, IncompleteBody>>,
+    ) -> Upload {
         Upload {
             length,
-            rest: RefCell::new(Some(rest)),
-            begun: Cell::new(false),
-            whole: Cell::new(None),
-            done: Notify::new(),
+            chunks: RefCell::new(Some(chunks)),
+            consumed: Cell::new(false),
+            completed_at: Cell::new(None),
+            completion: Notify::new(),
         }
     }
 
+    /// Bytes of the whole body; `None` where its head does not tell.
     pub fn length(&self) -> Option<u64> {
         self.length
     }
 
-    /// Whether some of it was taken, and cannot be sent again.
-    pub fn begun(&self) -> bool {
-        self.begun.get()
+    /// Whether some of it was read, and cannot be sent again.
+    pub fn is_consumed(&self) -> bool {
+        self.consumed.get()
     }
 
-    /// When the last byte had been passed on.
-    pub fn whole(&self) -> Option<Instant> {
-        self.whole.get()
+    /// When the last byte had been read; `None` before that.
+    pub fn completed_at(&self) -> Option<Instant> {
+        self.completed_at.get()
     }
 
-    /// Resolves then.
-    pub async fn until_whole(&self) -> Instant {
+    /// Resolves once the last byte has been read, with the time of that.
+    pub async fn completed(&self) -> Instant {
         loop {
-            let told = self.done.notified();
-            if let Some(at) = self.whole.get() {
+            let completion = self.completion.notified();
+            if let Some(at) = self.completed_at.get() {
                 return at;
             }
-            told.await;
+            completion.await;
         }
     }
 
-    /// The rest, for an attempt. None: another has it, or had some of it.
-    pub fn take(&self) -> Option<Taken<'_>> {
-        let rest = self.rest.borrow_mut().take()?;
-        Some(Taken { upload: self, rest: Some(rest) })
+    /// A reader for an attempt. `None`: another attempt has it, or has read some of it.
+    pub fn reader(&self) -> Option<UploadReader<'_>> {
+        let chunks = self.chunks.borrow_mut().take()?;
+        Some(UploadReader { upload: self, chunks: Some(chunks) })
     }
 }
 
 impl fmt::Debug for Upload {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Upload").field("length", &self.length).field("begun", &self.begun).finish()
+        f.debug_struct("Upload").field("length", &self.length).field("consumed", &self.consumed).finish()
     }
 }
 
-/// The rest of a body, with an attempt. Dropped before any of it was taken, another attempt may have it.
-pub struct Taken<'a> {
+/// Reads the rest of a body for an attempt. Dropped before any of it was read, another attempt may have it.
+pub struct UploadReader<'a> {
     upload: &'a Upload,
-    rest: Option<LocalBoxStream<'static, Result<Bytes, Lost>>>,
+    chunks: Option<Chunks>,
 }
 
-impl Taken<'_> {
-    /// The next piece; None: it is whole. Dropped before it resolves, it has taken nothing.
-    pub async fn next(&mut self) -> Result<Option<Bytes>, Lost> {
-        let Some(rest) = &mut self.rest else { return Ok(None) };
-        let piece = rest.next().await;
-        self.upload.begun.set(true);
-        match piece {
-            Some(piece) => piece.map(Some),
+impl UploadReader<'_> {
+    /// The next chunk; `None`: the body is complete. Dropped before it resolves, it has read nothing.
+    ///
+    /// # Errors
+    /// The client will not send the rest.
+    pub async fn next(&mut self) -> Result<Option<Bytes>, IncompleteBody> {
+        let Some(chunks) = &mut self.chunks else { return Ok(None) };
+        let chunk = chunks.next().await;
+        self.upload.consumed.set(true);
+        match chunk {
+            Some(chunk) => chunk.map(Some),
             None => {
-                self.rest = None;
-                self.upload.whole.set(Some(Instant::now()));
-                self.upload.done.notify_waiters();
+                self.chunks = None;
+                self.upload.completed_at.set(Some(Instant::now()));
+                self.upload.completion.notify_waiters();
                 Ok(None)
             }
         }
     }
 }
 
-impl Drop for Taken<'_> {
+impl Drop for UploadReader<'_> {
     fn drop(&mut self) {
-        if !self.upload.begun() {
-            *self.upload.rest.borrow_mut() = self.rest.take();
+        if !self.upload.is_consumed() {
+            *self.upload.chunks.borrow_mut() = self.chunks.take();
         }
     }
 }
 
-/// An answer's body.
+/// The body of a response.
 #[derive(Debug)]
-pub enum Content {
+pub enum ResponseBody {
+    /// All of it.
     Whole(Bytes),
-    Streamed(Download),
+    /// A long one, which passes through.
+    Streamed(BodyStream),
 }
 
-/// The body of a long answer, as its target sends it.
+/// The body of a long response, as its target sends it.
 #[derive(Debug)]
-pub struct Download {
-    /// Of the whole body, where its head tells it.
+pub struct BodyStream {
+    /// Bytes of the whole body, where its head tells it.
     pub length: Option<u64>,
-    /// An error: the rest will not come. So does an end where the length tells of more.
-    pub pieces: mpsc::Receiver<Result<Bytes, Lost>>,
+    /// An error: the rest will not come. The same holds for an end before `length`.
+    pub chunks: mpsc::Receiver<Result<Bytes, IncompleteBody>>,
 }
 
-impl Content {
-    /// What is known of its length.
+impl ResponseBody {
+    /// Its length in bytes; 0 where that is not known.
     pub fn length(&self) -> u64 {
         match self {
-            Content::Whole(body) => body.len() as u64,
-            Content::Streamed(body) => body.length.unwrap_or(0),
+            ResponseBody::Whole(body) => body.len() as u64,
+            ResponseBody::Streamed(body) => body.length.unwrap_or(0),
         }
     }
 }
 
-impl From<Bytes> for Content {
-    fn from(body: Bytes) -> Content {
-        Content::Whole(body)
+impl From<Bytes> for ResponseBody {
+    fn from(body: Bytes) -> ResponseBody {
+        ResponseBody::Whole(body)
     }
 }
 
-/// Long bodies are never equal: nobody has all of them.
-impl PartialEq for Content {
-    fn eq(&self, other: &Content) -> bool {
-        matches!((self, other), (Content::Whole(a), Content::Whole(b)) if a == b)
+/// Streamed bodies are never equal: nobody has all of them.
+impl PartialEq for ResponseBody {
+    fn eq(&self, other: &ResponseBody) -> bool {
+        matches!((self, other), (ResponseBody::Whole(a), ResponseBody::Whole(b)) if a == b)
     }
 }
--- a/src/core/clock.rs
+++ b/src/core/clock.rs
@@ -1,10 +1,10 @@
-//! The one clock that the module sees.
+//! The one clock that the scheduler sees.
 
 use crate::interface::Micros;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// Monotonic microseconds that begin at the Unix time of the program's start, so that what the list tells in
+/// Monotonic microseconds that begin at the Unix time of the program's start, so that what lists tell in
 /// Unix time compares with them, and a step of the system's clock does not move them.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
@@ -13,20 +13,23 @@
 }
 
 impl Clock {
+    /// A clock that starts now, at the system's wall clock.
     pub fn start() -> Clock {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
         Clock { start: Instant::now(), base: micros(unix) }
     }
 
-    /// A clock that tells this time now: another process's.
-    pub fn at_present(now: Micros) -> Clock {
+    /// A clock that starts now, at this time: another process's.
+    pub fn starting_at(now: Micros) -> Clock {
         Clock { start: Instant::now(), base: now }
     }
 
+    /// The time now.
     pub fn now(&self) -> Micros {
         self.at(Instant::now())
     }
 
+    /// The time of an instant; that of the start for any instant before it.
     pub fn at(&self, instant: Instant) -> Micros {
         self.base + micros(instant.saturating_duration_since(self.start))
     }
@@ -37,6 +40,7 @@
     }
 }
 
+/// Whole microseconds, at most [`u64::MAX`].
 pub fn micros(span: Duration) -> Micros {
     u64::try_from(span.as_micros()).unwrap_or(u64::MAX)
 }
--- a/src/core/diagnostics.rs
+++ b/src/core/diagnostics.rs
@@ -1,93 +1,98 @@
-//! What the core measures of itself and tells the log: steps that take long, messages that wait long,
-//! requests that end late or without an answer, and how long a list takes from its arrival until it is in
-//! force.
+//! What the core measures of itself and writes to the log: steps that take long, messages that wait long, and
+//! how long an endpoint list takes from its arrival until it is in force.
 //!
-//! One thread owes every answer. A step that takes long holds up the last answers of all open requests and
-//! the news of targets that leave, so the log says what the step did. [`Counters`] go to the log with
+//! One thread gives every response. A step that takes long holds up the last responses of all open requests
+//! and the changes of targets that drain, so the log says what the step was for. [`Counters`] go to the log with
 //! SIGUSR1, and at the end.
 
-use crate::core::requests::Open;
-use crate::interface::{Micros, Outcome, TargetId};
-use crate::names::Names;
-use std::fmt::Write;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A step that takes longer is told: the last answers of requests leave 4 ms before their clients' time is
-/// up.
+/// A step that takes longer is logged: the last responses of requests leave 4 ms before their clients' time
+/// is up.
 pub const LONG_STEP: Duration = Duration::from_millis(5);
 /// A message that waited longer for its turn is counted.
 const LONG_WAIT: Duration = Duration::from_millis(20);
-/// Of each kind of line that can come often, one is written in this time.
-const TELL_EVERY: Duration = Duration::from_secs(1);
+/// Of each kind of log line that can come often, one is written in this time.
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What a step of the core was for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Step {
-    /// Timers, backstops and what else was due.
+    /// Timers, the deadline watchdog and what else was due.
     #[default]
     Timers,
+    /// A request was submitted.
     Submit,
+    /// A client has gone.
     ClientGone,
+    /// An attempt, its body or its response has started.
     AttemptStarts,
+    /// An attempt has ended.
     AttemptEnds,
-    List,
-    Departures,
+    /// An endpoint list, or a part of one.
+    Endpoints,
+    /// Targets that peers report as draining.
+    DrainGossip,
+    /// A peer's datagram of the quota exchange.
     Peer,
+    /// A probe has ended.
     Probe,
-    Operation,
-    Upgrade,
+    /// An operator's command.
+    Admin,
+    /// A step of a handover.
+    Handover,
+    /// Routes were loaded.
     Routes,
+    /// The core's state was asked for.
     Status,
-    End,
+    /// The program is about to end.
+    Shutdown,
 }
 
 /// What has been counted since the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
+    /// Steps of the core.
     pub steps: u64,
+    /// Steps that took [`LONG_STEP`] or more.
     pub long_steps: u64,
+    /// The longest step.
     pub longest_step: Duration,
+    /// What the longest step was for.
     pub longest_step_was: Step,
     /// The longest that a request waited between its front and the core.
     pub longest_wait: Duration,
+    /// Requests that waited [`LONG_WAIT`] or more.
     pub long_waits: u64,
+    /// Requests submitted.
     pub requests: u64,
-    /// Answers that were given later than the request's deadline.
-    pub late_answers: u64,
-    /// Requests that the core's backstop failed.
-    pub backstops: u64,
-    /// Requests whose client left before the answer.
+    /// Responses that were given later than the request's deadline.
+    pub late_responses: u64,
+    /// Requests that the deadline watchdog failed.
+    pub watchdog_failures: u64,
+    /// Requests whose client left before the response.
     pub clients_gone: u64,
-    /// Lists taken, those without a line left out.
+    /// Endpoint lists taken, those without an entry left out.
     pub lists: u64,
     /// The longest time from a list's last byte until it was in force.
     pub longest_list: Duration,
-    /// Targets that peers told as leaving.
-    pub departures_taken: u64,
+    /// Targets that were set to draining because peers reported that.
+    pub drain_gossip_applied: u64,
 }
 
 /// The core's measurements, and when lines of the log were written last.
 #[derive(Debug, Default)]
 pub(super) struct Diagnostics {
-    pub counters: Counters,
-    long_step_told: Option<Instant>,
-    long_steps_untold: u64,
-}
-
-/// How an attempt went so far.
-#[derive(Clone, Copy, Debug)]
-pub(super) struct AttemptTrace {
-    pub node: TargetId,
-    pub sent: Micros,
-    pub started: Option<Micros>,
-    pub heard: Option<Micros>,
-    pub ended: Option<(Micros, Outcome)>,
+    pub(super) counters: Counters,
+    long_step_logged: Option<Instant>,
+    /// Long steps since then.
+    long_steps_suppressed: u64,
 }
 
 impl Diagnostics {
     /// A step has ended that began at `begun`.
-    pub fn step(&mut self, step: Step, begun: Instant, targets: usize, open: usize) {
+    pub(super) fn step_ended(&mut self, step: Step, begun: Instant, targets: usize, open: usize) {
         let now = Instant::now();
         let took = now.saturating_duration_since(begun);
         self.counters.steps += 1;
@@ -98,26 +103,26 @@
             return;
         }
         self.counters.long_steps += 1;
-        if self.long_step_told.is_some_and(|told| now.saturating_duration_since(told) < TELL_EVERY) {
-            self.long_steps_untold += 1;
+        if self.long_step_logged.is_some_and(|logged| now.saturating_duration_since(logged) < LOG_INTERVAL) {
+            self.long_steps_suppressed += 1;
             return;
         }
-        let untold = std::mem::take(&mut self.long_steps_untold);
-        self.long_step_told = Some(now);
+        let untold = std::mem::take(&mut self.long_steps_suppressed);
+        self.long_step_logged = Some(now);
         let took_us = took.as_micros();
         tracing::warn!(?step, took_us, targets, open, untold, "a step of the core took long");
     }
 
     /// A request has come to the core, which its front had whole at `arrived`.
-    pub fn submitted(&mut self, arrived: Instant) {
+    pub(super) fn request_submitted(&mut self, arrived: Instant) {
         let waited = Instant::now().saturating_duration_since(arrived);
         self.counters.requests += 1;
         self.counters.longest_wait = self.counters.longest_wait.max(waited);
         self.counters.long_waits += u64::from(waited >= LONG_WAIT);
     }
 
-    /// A list is in force whose last byte came at `received`.
-    pub fn list_in_force(&mut self, received: Instant, lines: usize) {
+    /// An endpoint list is in force whose last byte came at `received`.
+    pub(super) fn endpoints_in_force(&mut self, received: Instant, lines: usize) {
         let took = Instant::now().saturating_duration_since(received);
         self.counters.lists += 1;
         self.counters.longest_list = self.counters.longest_list.max(took);
@@ -125,39 +130,9 @@
     }
 }
 
-/// One line on a request that ended late, or without an answer: when it came, and what became of each
-/// attempt. Times are in microseconds from its arrival.
-pub(super) fn tell_late(open: &Open, end: &str, now: Micros, names: &Names) {
-    let since = |at: Micros| at.saturating_sub(open.arrived);
-    let mut attempts = String::new();
-    for trace in &open.traces {
-        let target = names.target_name(trace.node).unwrap_or("?");
-        // Writing to a string does not fail.
-        let _ = write!(attempts, "[{target} sent {}", since(trace.sent));
-        for (word, at) in [("started", trace.started), ("heard", trace.heard)] {
-            let _ = at.map_or(Ok(()), |at| write!(attempts, " {word} {}", since(at)));
-        }
-        let _ = match trace.ended {
-            Some((at, outcome)) => write!(attempts, " {outcome:?} {}]", since(at)),
-            None => write!(attempts, " open]"),
-        };
-    }
-    tracing::warn!(
-        id = open.request.id,
-        connection = open.request.origin.connection,
-        class = open.request.class,
-        end,
-        taken_us = since(open.taken),
-        wait_us = open.deadline.saturating_sub(open.arrived),
-        ended_us = since(now),
-        attempts,
-        "a request ended late"
-    );
-}
-
 impl Counters {
     /// Writes all counters to the log.
-    pub fn tell(&self) {
+    pub fn log(&self) {
         tracing::info!(
             steps = self.steps,
             long_steps = self.long_steps,
@@ -166,12 +141,12 @@
             longest_wait_us = self.longest_wait.as_micros(),
             long_waits = self.long_waits,
             requests = self.requests,
-            late_answers = self.late_answers,
-            backstops = self.backstops,
+            late_answers = self.late_responses,
+            backstops = self.watchdog_failures,
             clients_gone = self.clients_gone,
             lists = self.lists,
             longest_list_us = self.longest_list.as_micros(),
-            departures_taken = self.departures_taken,
+            departures_taken = self.drain_gossip_applied,
             "counters"
         );
     }
--- a/src/core/mailbox.rs
+++ b/src/core/mailbox.rs
@@ -1,12 +1,15 @@
-//! The way to the core, and the promises that it will hear how everything ended.
+//! The core's mailbox, the handle by which fronts submit requests, and the guarantee that the core learns of a
+//! client that has gone.
 
-use crate::core::access_log::{AccessLog, Ticket};
-use crate::core::message::{Endpoint, Message, Protocol, Request, Response};
+use crate::core::access_log::{AccessLog, LogEntry};
+use crate::core::endpoint::{Endpoint, Protocol};
+use crate::core::message::Message;
+use crate::core::open_requests::ClientIds;
+use crate::core::request::{Request, Response};
 use crate::interface::{EndpointUpdateKind, RequestId};
 use crate::settings::Settings;
 use rowanglade_routing::TargetInfo;
-use std::cell::{Cell, RefCell};
-use std::collections::HashSet;
+use std::cell::Cell;
 use std::rc::Rc;
 use tokio::sync::mpsc::{self, OwnedPermit};
 use tokio::sync::{oneshot, watch};
@@ -14,164 +17,202 @@
 
 /// Places in the core's mailbox: two for each descriptor's request and four for its attempts' starts and
 /// ends.
-const MAILBOX: usize = 8_192;
+const MAILBOX_CAPACITY: usize = 8_192;
 
-/// Lines of a list that the core, or whoever reads a list, takes in one step: a fraction of a millisecond.
+/// Entries of an endpoint list that the core, or whoever reads a list, handles in one step: a fraction of a
+/// millisecond.
 pub const MAX_ENTRIES_PER_STEP: usize = 128;
 
 /// The core's end of its mailbox.
 #[derive(Debug)]
 pub struct CoreMailbox {
-    pub(super) rx: mpsc::Receiver<Message>,
+    pub(super) receiver: mpsc::Receiver<Message>,
     /// Weak, so that the core ends when all others have let go of its mailbox.
-    pub(super) tx: mpsc::WeakSender<Message>,
+    pub(super) sender: mpsc::WeakSender<Message>,
     pub(super) ready: watch::Sender<bool>,
-    pub(super) open: Rc<Cell<usize>>,
-    pub(super) ids: Ids,
+    pub(super) unanswered: Rc<Cell<usize>>,
+    pub(super) client_ids: ClientIds,
     pub(super) revision: watch::Sender<u64>,
 }
 
-/// The clients' ids of the requests that are not over, or have an attempt without an end.
-pub(super) type Ids = Rc<RefCell<HashSet<String>>>;
-
 /// What the settings say of requests.
 #[derive(Debug)]
-struct Terms {
-    /// Each class's name, whether it writes, and whether it carries a key.
-    classes: Vec<(String, bool, bool)>,
+struct RequestConstraints {
+    classes: Vec<ClassConstraints>,
     plans: Vec<String>,
-    /// Absent: not told.
+    /// Absent: not known.
     shards: Option<u32>,
 }
 
-/// Why a request is none that the settings have, or not to be told from another.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// What a request of a class must be.
+#[derive(Debug)]
+struct ClassConstraints {
+    name: String,
+    write: bool,
+    /// It carries an idempotency key.
+    keyed: bool,
+}
+
+/// Why a request is none that the settings have, or cannot be told from another.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidRequest {
-    Class,
-    Plan,
-    Shard,
+    /// The settings have no such request class.
+    #[error("an unknown class")]
+    UnknownClass,
+    /// The settings have no such QoS plan.
+    #[error("an unknown plan")]
+    UnknownPlan,
+    /// The settings have fewer shards.
+    #[error("an unknown shard")]
+    UnknownShard,
     /// It reads where its class writes, or the other way round.
-    Method,
-    NoKey,
+    #[error("not what its class does")]
+    WrongMethod,
+    /// Its class needs an idempotency key, and it has none.
+    #[error("no key")]
+    MissingKey,
     /// A request of this id is open.
-    Id,
-}
-
-impl std::fmt::Display for InvalidRequest {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str(match self {
-            InvalidRequest::Class => "an unknown class",
-            InvalidRequest::Plan => "an unknown plan",
-            InvalidRequest::Shard => "an unknown shard",
-            InvalidRequest::Method => "not what its class does",
-            InvalidRequest::NoKey => "no key",
-            InvalidRequest::Id => "the id of an open request",
-        })
-    }
+    #[error("the id of an open request")]
+    DuplicateId,
 }
 
-/// Makes the core's mailbox, for requests as the settings have them, which `log` tells of.
+/// Makes the core's mailbox, for requests as the settings have them. Each gets a line of `log`.
 pub fn mailbox(settings: &Settings, log: Option<AccessLog>) -> (CoreMailbox, CoreHandle) {
-    let terms = Terms {
-        classes: settings.terms().map(|(name, write, keyed)| (name.to_string(), write, keyed)).collect(),
-        plans: settings.plans().map(str::to_string).collect(),
-        shards: settings.shards(),
+    let client_ids = ClientIds::default();
+    let (sender, receiver) = mpsc::channel(MAILBOX_CAPACITY);
+    let (ready_sender, ready) = watch::channel(false);
+    let unanswered = Rc::new(Cell::new(0));
+    let (revision_sender, revision) = watch::channel(0);
+    let mailbox = CoreMailbox {
+        receiver,
+        sender: sender.downgrade(),
+        ready: ready_sender,
+        unanswered: Rc::clone(&unanswered),
+        client_ids: Rc::clone(&client_ids),
+        revision: revision_sender,
     };
-    let ids = Ids::default();
-    let (tx, rx) = mpsc::channel(MAILBOX);
-    let (ready, readiness) = watch::channel(false);
-    let open = Rc::new(Cell::new(0));
-    let (revision, listed) = watch::channel(0);
-    let inbox =
-        CoreMailbox { rx, tx: tx.downgrade(), ready, open: Rc::clone(&open), ids: Rc::clone(&ids), revision };
-    let (next, terms) = (Rc::new(Cell::new(1)), Rc::new(terms));
-    (inbox, CoreHandle { tx, next, ready: readiness, open, ids, terms, log, listed })
+    let handle = CoreHandle {
+        sender,
+        next_id: Rc::new(Cell::new(1)),
+        ready,
+        unanswered,
+        client_ids,
+        constraints: Rc::new(RequestConstraints::of(settings)),
+        log,
+        revision,
+    };
+    (mailbox, handle)
+}
+
+impl RequestConstraints {
+    fn of(settings: &Settings) -> RequestConstraints {
+        let classes = settings.terms().map(|(name, write, keyed)| ClassConstraints {
+            name: name.to_string(),
+            write,
+            keyed,
+        });
+        RequestConstraints {
+            classes: classes.collect(),
+            plans: settings.plans().map(str::to_string).collect(),
+            shards: settings.shards(),
+        }
+    }
 }
 
-/// The core's mailbox, as fronts and the list hold it.
+/// The core's mailbox, as fronts and discovery hold it.
 #[derive(Clone, Debug)]
 pub struct CoreHandle {
-    pub(super) tx: mpsc::Sender<Message>,
-    pub(super) next: Rc<Cell<u64>>,
-    pub(super) ready: watch::Receiver<bool>,
-    pub(super) open: Rc<Cell<usize>>,
-    ids: Ids,
-    terms: Rc<Terms>,
+    sender: mpsc::Sender<Message>,
+    next_id: Rc<Cell<u64>>,
+    ready: watch::Receiver<bool>,
+    unanswered: Rc<Cell<usize>>,
+    client_ids: ClientIds,
+    constraints: Rc<RequestConstraints>,
     log: Option<AccessLog>,
-    listed: watch::Receiver<u64>,
+    revision: watch::Receiver<u64>,
 }
 
 impl CoreHandle {
-    /// Whether the settings have such a request, and no other goes by its id. Served, it would be an answer
-    /// made for something else.
+    /// Checks a request against the settings and the open requests.
+    ///
+    /// # Errors
+    /// The settings have no such request, or another has its id: served, it would get a response made for
+    /// something else.
     pub fn validate(&self, request: &Request) -> Result<(), InvalidRequest> {
-        let class = self.terms.classes.iter().find(|(name, ..)| *name == request.class);
-        let (_, write, keyed) = class.ok_or(InvalidRequest::Class)?;
-        if request.write != *write {
-            return Err(InvalidRequest::Method);
+        let constraints = &self.constraints;
+        let class = constraints.classes.iter().find(|class| class.name == request.class);
+        let class = class.ok_or(InvalidRequest::UnknownClass)?;
+        if request.write != class.write {
+            return Err(InvalidRequest::WrongMethod);
+        }
+        if class.keyed && request.idempotency_key.as_ref().is_none_or(String::is_empty) {
+            return Err(InvalidRequest::MissingKey);
         }
-        if *keyed && request.idempotency_key.as_ref().is_none_or(String::is_empty) {
-            return Err(InvalidRequest::NoKey);
+        if request.plan.as_ref().is_some_and(|plan| !constraints.plans.contains(plan)) {
+            return Err(InvalidRequest::UnknownPlan);
         }
-        if request.plan.as_ref().is_some_and(|plan| !self.terms.plans.contains(plan)) {
-            return Err(InvalidRequest::Plan);
+        if request.shard.is_some_and(|shard| constraints.shards.is_some_and(|shards| shard >= shards)) {
+            return Err(InvalidRequest::UnknownShard);
         }
-        if request.shard.is_some_and(|shard| self.terms.shards.is_some_and(|shards| shard >= shards)) {
-            return Err(InvalidRequest::Shard);
+        if self.client_ids.borrow().contains(&request.id) {
+            return Err(InvalidRequest::DuplicateId);
         }
-        if self.ids.borrow().contains(&request.id) { Err(InvalidRequest::Id) } else { Ok(()) }
+        Ok(())
     }
 
-    /// Hands a fit request over. The place for the news that its client has gone is taken beforehand, so that
-    /// a full mailbox cannot lose it. Cancelled while it waits for places, it leaves nothing behind.
-    pub async fn submit(&self, request: Request) -> Result<Pending, InvalidRequest> {
+    /// Submits a request. The mailbox place for the message that its client has gone is reserved beforehand,
+    /// so that a full mailbox cannot lose it. Cancelled while it waits for places, it leaves nothing behind.
+    ///
+    /// # Errors
+    /// The request is not valid; see [`validate`](Self::validate).
+    pub async fn submit(&self, request: Request) -> Result<PendingResponse, InvalidRequest> {
         let arrived = Instant::now();
-        let places = self.two_places().await;
+        let permits = self.two_permits().await;
         // Another request of its id may have come meanwhile.
         self.validate(&request)?;
-        self.ids.borrow_mut().insert(request.id.clone());
-        let (answer, rx) = oneshot::channel();
-        let id = RequestId(self.next.get());
-        self.next.set(id.0 + 1);
+        self.client_ids.borrow_mut().insert(request.id.clone());
+        let (response, receiver) = oneshot::channel();
+        let id = RequestId(self.next_id.get());
+        self.next_id.set(id.0 + 1);
         let log = self.log.as_ref().map(|log| log.begin(&request));
-        let mut pending = Pending { rx, gone: None, log };
-        if let Some((submit, gone)) = places {
-            submit.send(Message::Submit { id, request, arrived, response: answer });
+        let mut pending = PendingResponse { receiver, gone: None, log };
+        if let Some((submit, gone)) = permits {
+            submit.send(Message::Submit { id, request, arrived, response });
             pending.gone = Some((id, gone));
         }
         Ok(pending)
     }
 
-    /// Two places in the core's mailbox. None: the core has ended.
-    async fn two_places(&self) -> Option<(OwnedPermit<Message>, OwnedPermit<Message>)> {
-        let first = self.tx.clone().reserve_owned().await.ok()?;
-        Some((first, self.tx.clone().reserve_owned().await.ok()?))
+    /// Two places in the core's mailbox. `None`: the core has ended.
+    async fn two_permits(&self) -> Option<(OwnedPermit<Message>, OwnedPermit<Message>)> {
+        let first = self.sender.clone().reserve_owned().await.ok()?;
+        Some((first, self.sender.clone().reserve_owned().await.ok()?))
     }
 
+    /// Sends a message, once there is room for it.
     pub async fn send(&self, message: Message) {
-        // A core that has ended needs no news.
-        let _ = self.tx.send(message).await;
+        // A core that has ended needs none.
+        let _ = self.sender.send(message).await;
     }
 
-    /// Tells the core of a list that came at `received`, in parts: between two of them requests have their
+    /// Sends an endpoint update that came at `received`, in parts: between two of them requests have their
     /// turn.
     pub async fn send_endpoints(
         &self,
-        wire: Protocol,
+        protocol: Protocol,
         kind: EndpointUpdateKind,
-        mut lines: Vec<Endpoint>,
+        mut entries: Vec<Endpoint>,
         received: Instant,
     ) {
         loop {
-            let rest = lines.split_off(lines.len().min(MAX_ENTRIES_PER_STEP));
+            let rest = entries.split_off(entries.len().min(MAX_ENTRIES_PER_STEP));
             let more = !rest.is_empty();
-            self.send(Message::EndpointsChanged { protocol: wire, kind, entries: lines, more, received })
-                .await;
+            self.send(Message::EndpointsChanged { protocol, kind, entries, more, received }).await;
             if !more {
                 return;
             }
             tokio::task::yield_now().await;
-            lines = rest;
+            entries = rest;
         }
     }
 
@@ -180,48 +221,52 @@
         *self.ready.borrow()
     }
 
+    /// Tells when requests can be served.
     pub fn readiness(&self) -> watch::Receiver<bool> {
         self.ready.clone()
     }
 
-    /// A number that grows with every change of the list that is in force.
+    /// A number that grows with every change of targets that takes effect.
     pub fn endpoint_revision(&self) -> watch::Receiver<u64> {
-        self.listed.clone()
+        self.revision.clone()
     }
 
-    /// The boxes that are listed; none where the core has ended.
+    /// The targets that are listed; none where the core has ended.
     pub async fn targets(&self) -> Vec<TargetInfo> {
-        let (answer, boxes) = oneshot::channel();
+        let (answer, targets) = oneshot::channel();
         self.send(Message::ListTargets(answer)).await;
-        boxes.await.unwrap_or_default()
+        targets.await.unwrap_or_default()
     }
 
-    /// Requests that have no final answer yet.
+    /// How many requests have no response yet.
     pub fn open_requests(&self) -> usize {
-        self.open.get()
+        self.unanswered.get()
     }
 }
 
-/// A request handed over. Dropped before its answer, it tells the core that the client has gone.
+/// The response to a submitted request. Dropped before it has come, it tells the core that the client has
+/// gone.
 #[derive(Debug)]
-pub struct Pending {
-    rx: oneshot::Receiver<Response>,
+pub struct PendingResponse {
+    receiver: oneshot::Receiver<Response>,
+    /// The place for that message.
     gone: Option<(RequestId, OwnedPermit<Message>)>,
-    log: Option<Ticket>,
+    log: Option<LogEntry>,
 }
 
-impl Pending {
+impl PendingResponse {
+    /// Waits for the response. One whose core has ended is failed.
     pub async fn response(mut self) -> Response {
-        let answer = (&mut self.rx).await.unwrap_or(Response::Failed);
+        let response = (&mut self.receiver).await.unwrap_or(Response::Failed);
         self.gone = None;
         if let Some(log) = self.log.take() {
-            log.end(&answer);
+            log.finish(&response);
         }
-        answer
+        response
     }
 }
 
-impl Drop for Pending {
+impl Drop for PendingResponse {
     fn drop(&mut self) {
         if let Some((id, gone)) = self.gone.take() {
             gone.send(Message::ClientGone(id));
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,32 +1,47 @@
-//! The core: the actor that alone owns the module, and the messages it exchanges with fronts, targets and
-//! the list. Nothing here knows a wire.
+//! The core: the actor that alone owns the scheduler, the parts of its state, and the messages that it
+//! exchanges with fronts, targets and discovery. Nothing here knows a wire.
+//!
+//! The parts ([`open_requests`], [`endpoints`], [`routes`], [`quota`], [`site_monitor`], [`timers`],
+//! [`readiness`], [`handover_port`]) each own one kind of state and know nothing of the actor, which
+//! assembles them.
 
 mod access_log;
 mod actor;
+mod admin;
 mod attempt;
 mod body;
 mod clock;
 mod diagnostics;
-mod fleet;
-mod listing;
+mod endpoint;
+mod endpoints;
+mod handover_port;
+mod handover_request;
 mod mailbox;
 mod message;
-mod replacing;
-mod requests;
+mod open_requests;
+mod quota;
+mod readiness;
+mod request;
 mod routes;
-mod sending;
-mod sites;
-mod starts;
+mod site_monitor;
+mod start_times;
+mod timers;
 
 pub use access_log::AccessLog;
 pub use actor::{Core, CoreDependencies};
-pub use attempt::{Attempt, Connect, Probe, ProbeReport, Report, TargetMessage};
-pub use body::{Content, Download, HELD, Lost, PIECES, Taken, Upload};
+pub use admin::{AdminCommand, AdminRequest};
+pub use attempt::{Attempt, AttemptReporter, Connect, Probe, ProbeReporter, TargetMessage};
+pub use body::{
+    BodyStream, IncompleteBody, MAX_BUFFERED_BODY, ResponseBody, STREAMED_CHUNKS, Upload, UploadReader,
+};
 pub use clock::{Clock, micros};
 pub use diagnostics::{Counters, LONG_STEP, Step};
-pub use fleet::{Fleet, Outgoing};
-pub use mailbox::{CoreHandle, CoreMailbox, InvalidRequest, MAX_ENTRIES_PER_STEP, Pending, mailbox};
-pub use message::*;
-pub use routes::{Loaded, Routes};
-pub use sites::Watch;
-pub use starts::StartTimes;
+pub use endpoint::{Endpoint, Protocol};
+pub use handover_request::{HandoverRequest, HandoverState};
+pub use mailbox::{CoreHandle, CoreMailbox, InvalidRequest, MAX_ENTRIES_PER_STEP, PendingResponse, mailbox};
+pub use message::Message;
+pub use quota::{OutgoingDatagram, QuotaPeers};
+pub use request::{AttemptResult, Request, RequestOrigin, Response};
+pub use routes::{LoadedRoutes, Routes};
+pub use site_monitor::SiteSettings;
+pub use start_times::StartTimes;
--- /dev/null
+++ b/src/core/open_requests.rs
@@ -0,0 +1,211 @@
+//! The requests that are not settled: each has one response for its client, and is removed once that is
+//! given and none of its attempts is in flight. Their deadlines are watched here.
+
+use crate::core::request::{Request, Response};
+use crate::interface::{AttemptNumber, Micros, Outcome, RequestId, TargetId, TargetSetId};
+use std::cell::{Cell, RefCell};
+use std::collections::{BTreeSet, HashMap, HashSet};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use tokio::sync::oneshot;
+
+/// A request that the scheduler has not answered this long past its deadline is failed by the core: later
+/// than the scheduler's own last response, and well inside the slack that the platform's rules give.
+const WATCHDOG_DELAY: Micros = 10_000;
+
+/// The clients' ids of the requests that are not settled, which no other request may have meanwhile.
+pub(super) type ClientIds = Rc<RefCell<HashSet<String>>>;
+
+/// An attempt without an outcome.
+pub(super) struct InFlightAttempt {
+    pub(super) target: TargetId,
+    /// Where the target was listed when the attempt was sent.
+    pub(super) addr: SocketAddr,
+    pub(super) sent: Micros,
+    /// Its first byte may have gone out.
+    pub(super) started: bool,
+    /// When the head of its response came.
+    pub(super) response_started: Option<Micros>,
+    /// Absent once the attempt is cancelled: its drop is the signal, and the attempt still tells its end.
+    pub(super) cancel: Option<oneshot::Sender<()>>,
+}
+
+impl InFlightAttempt {
+    pub(super) fn is_cancelled(&self) -> bool {
+        self.cancel.is_none()
+    }
+
+    pub(super) fn cancel(&mut self) {
+        self.cancel = None;
+    }
+}
+
+/// How an attempt went so far, for the log.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct AttemptTrace {
+    pub(super) target: TargetId,
+    pub(super) sent: Micros,
+    pub(super) started: Option<Micros>,
+    pub(super) response_started: Option<Micros>,
+    pub(super) ended: Option<(Micros, Outcome)>,
+}
+
+/// A request that has no response yet, or has an attempt in flight.
+pub(super) struct OpenRequest {
+    pub(super) request: Rc<Request>,
+    /// When its front had it whole; the client's time runs from then.
+    pub(super) arrived: Micros,
+    /// When the core took it up.
+    pub(super) submitted: Micros,
+    pub(super) deadline: Micros,
+    /// Absent once the response is given, or the client has gone.
+    pub(super) response: Option<oneshot::Sender<Response>>,
+    /// By their numbers; absent: it has ended.
+    pub(super) attempts: Vec<Option<InFlightAttempt>>,
+    /// Of all attempts, for the log.
+    pub(super) traces: Vec<AttemptTrace>,
+    /// The targets that its route lets it reach; absent: all.
+    pub(super) target_set: Option<TargetSetId>,
+}
+
+impl OpenRequest {
+    /// Whether its response is given or its client has gone.
+    pub(super) fn is_finished(&self) -> bool {
+        self.response.is_none()
+    }
+
+    /// An attempt that is in flight.
+    pub(super) fn attempt_mut(&mut self, number: AttemptNumber) -> Option<&mut InFlightAttempt> {
+        self.attempts.get_mut(number.0 as usize)?.as_mut()
+    }
+
+    /// Ends an attempt that was in flight.
+    pub(super) fn take_attempt(&mut self, number: AttemptNumber) -> Option<InFlightAttempt> {
+        self.attempts.get_mut(number.0 as usize)?.take()
+    }
+
+    /// Notes something of an attempt, for the log.
+    pub(super) fn trace(&mut self, number: AttemptNumber, note: impl FnOnce(&mut AttemptTrace)) {
+        if let Some(trace) = self.traces.get_mut(number.0 as usize) {
+            note(trace);
+        }
+    }
+
+    /// Whether its body is streamed: only one attempt can send it, which may last beyond the deadline.
+    pub(super) fn is_streamed(&self) -> bool {
+        self.request.body_rest.is_some()
+    }
+
+    /// Cancels what its client has no use for any more. What has started runs on, since the target may have
+    /// done the work, unless its body is streamed from the client.
+    fn cancel_attempts(&mut self) {
+        let streamed = self.is_streamed();
+        let idle = self.attempts.iter_mut().flatten().filter(|attempt| streamed || !attempt.started);
+        idle.for_each(InFlightAttempt::cancel);
+    }
+
+    fn is_settled(&self) -> bool {
+        self.is_finished() && self.attempts.iter().all(Option::is_none)
+    }
+}
+
+/// All requests that are not settled.
+pub(super) struct OpenRequests {
+    requests: HashMap<RequestId, OpenRequest>,
+    /// When the deadline watchdog fails a request without a response.
+    watchdog: BTreeSet<(Micros, RequestId)>,
+    client_ids: ClientIds,
+    /// How many have no response yet, for those outside the core.
+    unanswered: Rc<Cell<usize>>,
+}
+
+impl OpenRequests {
+    /// Without any request. The ids and the count are shared with [`CoreHandle`](crate::core::CoreHandle).
+    pub(super) fn new(client_ids: ClientIds, unanswered: Rc<Cell<usize>>) -> OpenRequests {
+        OpenRequests { requests: HashMap::new(), watchdog: BTreeSet::new(), client_ids, unanswered }
+    }
+
+    /// How many have no response yet.
+    pub(super) fn unanswered(&self) -> usize {
+        self.unanswered.get()
+    }
+
+    pub(super) fn ids(&self) -> Vec<RequestId> {
+        self.requests.keys().copied().collect()
+    }
+
+    pub(super) fn insert(&mut self, id: RequestId, request: OpenRequest) {
+        self.watchdog.insert((request.deadline + WATCHDOG_DELAY, id));
+        self.requests.insert(id, request);
+        self.unanswered.set(self.unanswered.get() + 1);
+    }
+
+    pub(super) fn get(&self, id: RequestId) -> Option<&OpenRequest> {
+        self.requests.get(&id)
+    }
+
+    pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut OpenRequest> {
+        self.requests.get_mut(&id)
+    }
+
+    /// Takes the client's end of a request's response, after which the request is finished. `None`: it was
+    /// finished before.
+    pub(super) fn take_response(&mut self, id: RequestId) -> Option<oneshot::Sender<Response>> {
+        let request = self.requests.get_mut(&id)?;
+        let response = request.response.take()?;
+        self.watchdog.remove(&(request.deadline + WATCHDOG_DELAY, id));
+        self.unanswered.set(self.unanswered.get() - 1);
+        Some(response)
+    }
+
+    /// Cancels the attempts of a finished request that its client has no use for.
+    pub(super) fn cancel_attempts(&mut self, id: RequestId) {
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.cancel_attempts();
+        }
+    }
+
+    /// Cancels one attempt.
+    pub(super) fn cancel_attempt(&mut self, id: RequestId, number: AttemptNumber) {
+        if let Some(attempt) = self.requests.get_mut(&id).and_then(|request| request.attempt_mut(number)) {
+            attempt.cancel();
+        }
+    }
+
+    /// Cancels the attempts that have not started and whose target is not `usable` any more.
+    pub(super) fn cancel_unstarted(&mut self, usable: impl Fn(&InFlightAttempt) -> bool) {
+        let attempts = self.requests.values_mut().flat_map(|request| request.attempts.iter_mut().flatten());
+        attempts.filter(|attempt| !attempt.started && !usable(attempt)).for_each(InFlightAttempt::cancel);
+    }
+
+    /// Whether an attempt is in flight at the target. Looks through all requests: for what is rare.
+    pub(super) fn any_attempt_at(&self, target: TargetId) -> bool {
+        let attempts = self.requests.values().flat_map(|request| request.attempts.iter().flatten());
+        attempts.into_iter().any(|attempt| attempt.target == target)
+    }
+
+    /// Removes a request that is finished and has no attempt in flight. Its client's id is free again.
+    pub(super) fn remove_if_settled(&mut self, id: RequestId) -> Option<OpenRequest> {
+        self.requests.get(&id).filter(|request| request.is_settled())?;
+        let request = self.requests.remove(&id)?;
+        self.client_ids.borrow_mut().remove(&request.request.id);
+        Some(request)
+    }
+
+    /// Ends the watch over a request's deadline, which does not hold while its body is streamed.
+    pub(super) fn stop_watching(&mut self, id: RequestId) {
+        if let Some(request) = self.requests.get(&id) {
+            self.watchdog.remove(&(request.deadline + WATCHDOG_DELAY, id));
+        }
+    }
+
+    /// When the deadline watchdog must look next.
+    pub(super) fn next_wake(&self) -> Option<Micros> {
+        self.watchdog.first().map(|(at, _)| *at)
+    }
+
+    /// A request that the scheduler has not answered in time.
+    pub(super) fn first_overdue(&self, now: Micros) -> Option<RequestId> {
+        self.watchdog.first().filter(|(at, _)| *at <= now).map(|(_, id)| *id)
+    }
+}
--- a/src/core/routes.rs
+++ b/src/core/routes.rs
@@ -1,85 +1,93 @@
-//! The table in force, and whom each open request may reach under the table it began with. Without I/O: it
-//! takes requests and news of the list, and gives the module's [`Event::Reach`]s.
+//! The routing table in force, and the targets that each open request may reach under the table it began
+//! with. Without I/O: it takes requests and changes of targets, and gives the scheduler's
+//! [`Event::TargetSetChanged`]s.
 
-use crate::core::message::{Endpoint, Protocol, Request};
+use crate::core::endpoint::{Endpoint, Protocol};
+use crate::core::request::Request;
 use crate::interface::{Event, TargetId, TargetSetId, TargetState};
 use rowanglade_routing::{BoxState, Front, RouteRequest, Table, TargetInfo};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// Sets that nobody uses are kept for the next request up to this many.
-const KEPT: usize = 4_096;
+/// With this many sets, those that no request uses are dropped: until then they serve the next request.
+const MAX_SETS: usize = 4_096;
 
-/// A table, and its version.
+/// A routing table, and its version.
 #[derive(Debug, Default)]
-pub struct Loaded {
+pub struct LoadedRoutes {
+    /// Grows with each table that is loaded.
     pub version: u64,
+    /// The routes.
     pub table: Table,
 }
 
-/// What a set of nodes is for: a table, a route in it, and the shard of the requests.
+/// What a target set is for: a table, a route in it, and the shard of the requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Key {
+struct TargetSetKey {
     version: u64,
     route: usize,
     shard: Option<u32>,
 }
 
+/// The targets that some requests may reach.
 #[derive(Debug)]
-struct Set {
-    key: Key,
-    /// The table is let go of with its last set.
-    table: Arc<Loaded>,
-    uses: usize,
-    nodes: Vec<TargetId>,
+struct TargetSet {
+    key: TargetSetKey,
+    /// The table is dropped with its last set.
+    table: Arc<LoadedRoutes>,
+    /// Open requests that use the set.
+    users: usize,
+    targets: Vec<TargetId>,
 }
 
 /// The routes, as the core holds them.
 #[derive(Debug)]
 pub struct Routes {
-    current: Arc<Loaded>,
-    boxes: Boxes,
-    sets: BTreeMap<TargetSetId, Set>,
-    by_key: HashMap<Key, TargetSetId>,
-    next: u32,
-    news: Vec<Event>,
+    current: Arc<LoadedRoutes>,
+    listed: ListedTargets,
+    sets: BTreeMap<TargetSetId, TargetSet>,
+    by_key: HashMap<TargetSetKey, TargetSetId>,
+    next_id: u32,
+    /// What the scheduler has not been told yet.
+    events: Vec<Event>,
 }
 
 impl Routes {
-    pub fn new(current: Arc<Loaded>) -> Routes {
+    /// Routes with this table in force, and no target.
+    pub fn new(current: Arc<LoadedRoutes>) -> Routes {
         Routes {
             current,
-            boxes: Boxes::default(),
+            listed: ListedTargets::default(),
             sets: BTreeMap::new(),
             by_key: HashMap::new(),
-            next: 0,
-            news: Vec::new(),
+            next_id: 0,
+            events: Vec::new(),
         }
     }
 
     /// Puts another table in force. Open requests keep the one they began with, which ends with the last of
     /// them.
-    pub fn swap(&mut self, table: Arc<Loaded>) {
+    pub fn load(&mut self, table: Arc<LoadedRoutes>) {
         self.current = table;
         self.drop_idle(|set, current| set.key.version != current);
     }
 
     /// The version in force, and those that open requests still have.
     pub fn versions(&self) -> Vec<u64> {
-        let held = self.sets.values().filter(|s| s.uses > 0).map(|s| s.key.version);
+        let held = self.sets.values().filter(|s| s.users > 0).map(|s| s.key.version);
         let mut versions: Vec<u64> = held.chain([self.current.version]).collect();
         versions.sort_unstable();
         versions.dedup();
         versions
     }
 
-    /// The boxes that are listed.
-    pub fn boxes(&self) -> impl Iterator<Item = &TargetInfo> {
-        self.boxes.all.values().map(|(info, _)| info)
+    /// The targets that are listed.
+    pub fn targets(&self) -> impl Iterator<Item = &TargetInfo> {
+        self.listed.all.values().map(|(info, _)| info)
     }
 
-    /// What a request that begins now may reach; none: every node. It is to be released once.
-    pub fn take(&mut self, request: &Request) -> Option<TargetSetId> {
+    /// What a request that begins now may reach; `None`: every target. It is to be released once.
+    pub fn acquire(&mut self, request: &Request) -> Option<TargetSetId> {
         if self.current.table.is_empty() {
             return None;
         }
@@ -96,21 +104,21 @@
             shard: request.shard,
         };
         let route = self.current.table.route(&route_request)?;
-        let key = Key { version: self.current.version, route, shard: request.shard };
+        let key = TargetSetKey { version: self.current.version, route, shard: request.shard };
         if let Some(id) = self.by_key.get(&key)
             && let Some(set) = self.sets.get_mut(id)
         {
-            set.uses += 1;
+            set.users += 1;
             return Some(*id);
         }
-        if self.sets.len() >= KEPT {
+        if self.sets.len() >= MAX_SETS {
             self.drop_idle(|_, _| true);
         }
-        let id = TargetSetId(self.next);
-        self.next += 1;
-        let nodes = self.boxes.reach(&self.current.table, key);
-        self.news.push(Event::TargetSetChanged { set: id, targets: Some(nodes.clone()) });
-        self.sets.insert(id, Set { key, table: Arc::clone(&self.current), uses: 1, nodes });
+        let id = TargetSetId(self.next_id);
+        self.next_id += 1;
+        let targets = self.listed.reachable(&self.current.table, key);
+        self.events.push(Event::TargetSetChanged { set: id, targets: Some(targets.clone()) });
+        self.sets.insert(id, TargetSet { key, table: Arc::clone(&self.current), users: 1, targets });
         self.by_key.insert(key, id);
         Some(id)
     }
@@ -118,15 +126,15 @@
     /// A request that had this set is over.
     pub fn release(&mut self, id: TargetSetId) {
         let Some(set) = self.sets.get_mut(&id) else { return };
-        set.uses -= 1;
-        if set.uses == 0 && set.key.version != self.current.version {
+        set.users -= 1;
+        if set.users == 0 && set.key.version != self.current.version {
             self.drop_idle(|set, current| set.key.version != current);
         }
     }
 
-    fn drop_idle(&mut self, which: impl Fn(&Set, u64) -> bool) {
+    fn drop_idle(&mut self, which: impl Fn(&TargetSet, u64) -> bool) {
         let current = self.current.version;
-        let idle = |set: &Set| set.uses == 0 && which(set, current);
+        let idle = |set: &TargetSet| set.users == 0 && which(set, current);
         let gone: Vec<TargetSetId> = self.sets.iter().filter(|(_, s)| idle(s)).map(|(id, _)| *id).collect();
         for id in gone {
             if let Some(set) = self.sets.remove(&id) {
@@ -136,86 +144,85 @@
                     tracing::info!(version, "routes have ended with their last request");
                 }
             }
-            self.news.push(Event::TargetSetChanged { set: id, targets: None });
+            self.events.push(Event::TargetSetChanged { set: id, targets: None });
         }
     }
 
-    /// Lines of the list that have changed. Sets change where a pool has got somebody, or has nobody any
-    /// more.
-    pub fn changed<'a>(&mut self, lines: impl Iterator<Item = (TargetId, &'a Endpoint)>) {
+    /// Takes targets that have changed. Sets change where a pool has got a target, or has none any more.
+    pub fn apply_changes<'a>(&mut self, changed: impl Iterator<Item = (TargetId, &'a Endpoint)>) {
         let mut shards = BTreeSet::new();
-        for (node, line) in lines {
-            shards.extend(self.boxes.take_out(node));
-            if line.state != TargetState::Removed {
-                shards.insert(line.shard);
-                self.boxes.put(node, line);
+        for (target, endpoint) in changed {
+            shards.extend(self.listed.remove(target));
+            if endpoint.state != TargetState::Removed {
+                shards.insert(endpoint.shard);
+                self.listed.insert(target, endpoint);
             }
         }
         for (id, set) in &mut self.sets {
             if set.key.shard.is_some_and(|shard| !shards.contains(&shard)) {
                 continue;
             }
-            let nodes = self.boxes.reach(&set.table.table, set.key);
-            if nodes != set.nodes {
-                set.nodes = nodes.clone();
-                self.news.push(Event::TargetSetChanged { set: *id, targets: Some(nodes) });
+            let targets = self.listed.reachable(&set.table.table, set.key);
+            if targets != set.targets {
+                set.targets = targets.clone();
+                self.events.push(Event::TargetSetChanged { set: *id, targets: Some(targets) });
             }
         }
     }
 
-    /// What the module has not been told yet, in its order.
-    pub fn news(&mut self) -> Vec<Event> {
-        std::mem::take(&mut self.news)
+    /// What the scheduler has not been told yet, in its order.
+    pub fn take_events(&mut self) -> Vec<Event> {
+        std::mem::take(&mut self.events)
     }
 }
 
-/// The boxes that are listed, also by their shards.
+/// The targets that are listed, also by their shards.
 #[derive(Debug, Default)]
-struct Boxes {
+struct ListedTargets {
     all: BTreeMap<TargetId, (TargetInfo, BoxState)>,
     by_shard: BTreeMap<u32, BTreeSet<TargetId>>,
 }
 
-impl Boxes {
-    /// Takes a box out, and returns the shard that it had.
-    fn take_out(&mut self, node: TargetId) -> Option<u32> {
-        let (info, _) = self.all.remove(&node)?;
-        if let Some(nodes) = self.by_shard.get_mut(&info.shard) {
-            nodes.remove(&node);
-            if nodes.is_empty() {
+impl ListedTargets {
+    /// Removes a target, and returns the shard that it had.
+    fn remove(&mut self, target: TargetId) -> Option<u32> {
+        let (info, _) = self.all.remove(&target)?;
+        if let Some(targets) = self.by_shard.get_mut(&info.shard) {
+            targets.remove(&target);
+            if targets.is_empty() {
                 self.by_shard.remove(&info.shard);
             }
         }
         Some(info.shard)
     }
 
-    fn put(&mut self, node: TargetId, line: &Endpoint) {
+    fn insert(&mut self, target: TargetId, endpoint: &Endpoint) {
         let info = TargetInfo {
-            name: line.name.clone(),
-            zone: line.zone.clone(),
-            kind: line.kind.clone(),
-            shard: line.shard,
-            addr: line.addr.ip(),
+            name: endpoint.name.clone(),
+            zone: endpoint.zone.clone(),
+            kind: endpoint.kind.clone(),
+            shard: endpoint.shard,
+            addr: endpoint.addr.ip(),
         };
-        let state = match line.state {
+        let state = match endpoint.state {
             TargetState::Active => BoxState::Active,
             TargetState::Draining => BoxState::Draining,
             TargetState::Removed => BoxState::Gone,
         };
-        self.by_shard.entry(line.shard).or_default().insert(node);
-        self.all.insert(node, (info, state));
+        self.by_shard.entry(endpoint.shard).or_default().insert(target);
+        self.all.insert(target, (info, state));
     }
 
-    /// The nodes that a set holds: of a shard's boxes where it is for one shard, else of all.
-    fn reach(&self, table: &Table, key: Key) -> Vec<TargetId> {
-        let known = |node: &TargetId| {
-            let (info, state) = &self.all[node];
-            (info, *state, *node)
+    /// The targets that a set holds: of a shard's targets where it is for one shard, else of all.
+    fn reachable(&self, table: &Table, key: TargetSetKey) -> Vec<TargetId> {
+        let known = |target: &TargetId| {
+            let (info, state) = &self.all[target];
+            (info, *state, *target)
         };
         match key.shard {
             Some(shard) => {
-                let nodes = self.by_shard.get(&shard).into_iter().flatten();
-                table.reach(Some(key.route), key.shard, nodes.map(known))
+                let targets = self.by_shard.get(&shard).into_iter().flatten();
+                table.reach(Some(key.route), key.shard, targets.map(known))
             }
             None => table.reach(Some(key.route), None, self.all.keys().map(known)),
         }
--- a/src/core/routes/tests.rs
+++ b/src/core/routes/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the reach sets that requests take from a routing table.
 
 use super::*;
-use crate::core::message::RequestOrigin;
+use crate::core::request::RequestOrigin;
 use bytes::Bytes;
 use rowanglade_routing::{Source, Terms, parse};
 use std::time::Duration;
@@ -20,10 +20,10 @@
 fallback = "second"
 "#;
 
-fn loaded(version: u64, text: &str) -> Arc<Loaded> {
+fn loaded(version: u64, text: &str) -> Arc<LoadedRoutes> {
     let terms = Terms { classes: vec![("view".into(), false)], ..Terms::default() };
     let source = Source { name: "t".into(), text: text.into() };
-    Arc::new(Loaded { version, table: parse(&[source], &terms).expect("usable").table })
+    Arc::new(LoadedRoutes { version, table: parse(&[source], &terms).expect("usable").table })
 }
 
 fn request(volume: u64, shard: Option<u32>) -> Request {
@@ -42,7 +42,7 @@
         initiators: 1,
         length: 0,
         body: Bytes::new(),
-        more: None,
+        body_rest: None,
         time_left: Duration::from_secs(1),
     }
 }
@@ -63,7 +63,7 @@
 
 fn list(routes: &mut Routes, first: TargetState) {
     let lines = [line(0, first), line(1, TargetState::Active)];
-    routes.changed(lines.iter().map(|(n, l)| (*n, l)));
+    routes.apply_changes(lines.iter().map(|(n, l)| (*n, l)));
 }
 
 fn told(routes: &mut Routes) -> Vec<(u32, Option<Vec<u32>>)> {
@@ -73,22 +73,22 @@
         }
         other => panic!("{other:?}"),
     };
-    routes.news().into_iter().map(one).collect()
+    routes.take_events().into_iter().map(one).collect()
 }
 
 #[test]
 fn a_set_follows_the_list_and_falls_back_where_its_pool_has_nobody() {
     let mut routes = Routes::new(loaded(1, TABLE));
     list(&mut routes, TargetState::Active);
-    assert_eq!(routes.take(&request(8, Some(0))), None, "no route");
-    let reach = routes.take(&request(7, Some(0)));
-    assert_eq!(routes.take(&request(7, Some(0))), reach, "one set for the same");
+    assert_eq!(routes.acquire(&request(8, Some(0))), None, "no route");
+    let reach = routes.acquire(&request(7, Some(0)));
+    assert_eq!(routes.acquire(&request(7, Some(0))), reach, "one set for the same");
     assert_eq!(told(&mut routes), [(0, Some(vec![0]))]);
     list(&mut routes, TargetState::Draining);
     assert_eq!(told(&mut routes), [(0, Some(vec![1]))]);
     list(&mut routes, TargetState::Draining);
     assert_eq!(told(&mut routes), [], "nothing has changed");
-    assert!(routes.take(&request(7, Some(5))).is_some());
+    assert!(routes.acquire(&request(7, Some(5))).is_some());
     assert_eq!(told(&mut routes), [(1, Some(vec![]))], "no box holds that shard");
 }
 
@@ -97,9 +97,9 @@
 fn an_old_table_lasts_as_long_as_its_requests() {
     let mut routes = Routes::new(loaded(1, TABLE));
     list(&mut routes, TargetState::Active);
-    let old = routes.take(&request(7, Some(0))).expect("a set");
-    routes.swap(loaded(2, &TABLE.replace("pool = \"first\"", "pool = \"second\"")));
-    let new = routes.take(&request(7, Some(0))).expect("a set");
+    let old = routes.acquire(&request(7, Some(0))).expect("a set");
+    routes.load(loaded(2, &TABLE.replace("pool = \"first\"", "pool = \"second\"")));
+    let new = routes.acquire(&request(7, Some(0))).expect("a set");
     assert!(new != old && routes.versions() == [1, 2]);
     assert_eq!(told(&mut routes), [(0, Some(vec![0])), (1, Some(vec![1]))]);
     list(&mut routes, TargetState::Removed);
--- a/src/initiator.rs
+++ b/src/initiator.rs
@@ -7,7 +7,9 @@
 mod targets;
 
 use crate::config::{Config, ConfigError, Decided, Iscsi, Reload, Routing};
-use crate::core::{self, AccessLog, Clock, Core, CoreDependencies, CoreHandle, Fleet, Loaded, Message};
+use crate::core::{
+    self, AccessLog, Clock, Core, CoreDependencies, CoreHandle, LoadedRoutes, Message, QuotaPeers,
+};
 use crate::net::peers::PeerLink;
 use crate::net::{Budget, Parts, Phase, Reservations, admin, fleet, http};
 use crate::upgrade::{Controls, Keeper, Listeners, Told};
@@ -111,7 +113,7 @@
         let (scheduler, names) = config.decide().map_err(Error::Config)?;
         let Handover { keeper, mut listeners, welcome } = Handover::receive(&config).await?;
         // Times that go from one process to the next are on one clock.
-        let clock = welcome.as_ref().map_or_else(Clock::start, |w| Clock::at_present(w.now));
+        let clock = welcome.as_ref().map_or_else(Clock::start, |w| Clock::starting_at(w.now));
         let http = listen(&mut listeners, "http", "listen", config.listen).await?;
         let admin = config.admin.map(bind_admin).transpose()?;
         let parts = Parts {
@@ -153,7 +155,7 @@
         let known = config.known.as_ref().map(http::Page::boxes).unwrap_or_default();
         let routes_open = check_routes(&routing, &known)?;
         let (table, in_force) =
-            watch::channel(Arc::new(Loaded { version: 1, table: routing.rules.table.clone() }));
+            watch::channel(Arc::new(LoadedRoutes { version: 1, table: routing.rules.table.clone() }));
         let fleet = match config.fleet {
             None => None,
             Some(peers) => {
@@ -170,12 +172,12 @@
         let (tell_call, calls) = mpsc::channel(OPERATIONS);
         let (tell_seen, seen) = mpsc::channel(SEEN);
         let beside = CoreDependencies {
-            table: in_force,
-            fleet,
-            operations,
-            upgrades: asked_of_core,
-            calls: tell_call,
-            seen: tell_seen,
+            routes: in_force,
+            quota: fleet,
+            admin_requests: operations,
+            handover_requests: asked_of_core,
+            admin_commands: tell_call,
+            object_sightings: tell_seen,
             sites: config.sites,
             subset: config.subset,
         };
@@ -266,10 +268,10 @@
     socket: UdpSocket,
     core: &CoreHandle,
     phase: &watch::Sender<Phase>,
-) -> Fleet {
+) -> QuotaPeers {
     let (out, outgoing) = mpsc::channel(peers.queue());
     actix_rt::spawn(fleet::run(socket, peers, core.clone(), outgoing, phase.subscribe()));
-    Fleet::new(incarnation(), out)
+    QuotaPeers::new(incarnation(), out)
 }
 
 /// A number that no other life of an instance has: of the system's randomness, which seeds hash maps.
--- a/src/initiator/reload.rs
+++ b/src/initiator/reload.rs
@@ -1,7 +1,7 @@
 //! Reloading of the configuration while an initiator runs, at SIGHUP and when the list of targets changes.
 
 use crate::config::{ConfigError, Decided, Reload, Routing};
-use crate::core::{AccessLog, CoreHandle, Loaded};
+use crate::core::{AccessLog, CoreHandle, LoadedRoutes};
 use crate::net::http;
 use rowanglade_routing::check::Decision;
 use rowanglade_routing::{Table, TargetInfo};
@@ -14,7 +14,7 @@
 pub struct Reloads {
     pub(super) discovery: watch::Sender<http::Address>,
     pub(super) access_log: Option<AccessLog>,
-    pub(super) table: watch::Sender<Arc<Loaded>>,
+    pub(super) table: watch::Sender<Arc<LoadedRoutes>>,
     /// The routes in force from the start, where some of their expectations could not be decided then.
     pub(super) undecided: Option<Rc<Routing>>,
 }
@@ -37,7 +37,7 @@
         let mut version = 0;
         self.table.send_modify(|loaded| {
             version = loaded.version + 1;
-            *loaded = Arc::new(Loaded { version, table });
+            *loaded = Arc::new(LoadedRoutes { version, table });
         });
         version
     }
--- a/src/initiator/targets.rs
+++ b/src/initiator/targets.rs
@@ -46,5 +46,5 @@
         started: None,
     };
     let entries = iscsi.targets.iter().map(line).collect();
-    Message::list(Protocol::Iscsi, EndpointUpdateKind::Snapshot, entries)
+    Message::endpoints(Protocol::Iscsi, EndpointUpdateKind::Snapshot, entries)
 }
--- a/src/names.rs
+++ b/src/names.rs
@@ -91,7 +91,7 @@
         KeyId(self.keys.number(name))
     }
 
-    pub fn listed(&mut self, name: &str) -> TargetId {
+    pub fn intern_target(&mut self, name: &str) -> TargetId {
         if let Some(id) = self.targets.get(name) {
             return *id;
         }
--- a/src/net/admin/server.rs
+++ b/src/net/admin/server.rs
@@ -180,7 +180,7 @@
         Ok(Asked::Operation(call)) => {
             let (done, held) = oneshot::channel();
             let asked = async {
-                service.operations.send(AdminRequest { call, done }).await.ok()?;
+                service.operations.send(AdminRequest { command: call, done }).await.ok()?;
                 held.await.ok()
             };
             match tokio::time::timeout(OWNER, asked).await {
--- a/src/net/fleet.rs
+++ b/src/net/fleet.rs
@@ -1,7 +1,7 @@
 //! Datagrams between instances: UDP, each with the fleet's code. What is not the fleet's is dropped and
 //! counted.
 
-use crate::core::{CoreHandle, Message, Outgoing};
+use crate::core::{CoreHandle, Message, OutgoingDatagram};
 use crate::net::Phase;
 use rowanglade_quota_exchange::{Key, Peer, decode, encode, wire};
 use std::collections::HashMap;
@@ -55,7 +55,7 @@
     socket: UdpSocket,
     peers: Peers,
     core: CoreHandle,
-    mut out: mpsc::Receiver<Outgoing>,
+    mut out: mpsc::Receiver<OutgoingDatagram>,
     mut phase: watch::Receiver<Phase>,
 ) {
     make_room(&socket, &peers);
--- a/src/net/http/message.rs
+++ b/src/net/http/message.rs
@@ -1,6 +1,6 @@
 //! The platform's messages: each is decoded once into a value of the core's and encoded once.
 
-use crate::core::{AttemptResult, Content, Protocol, Request, RequestOrigin, Response};
+use crate::core::{AttemptResult, Protocol, Request, RequestOrigin, Response, ResponseBody};
 use crate::interface::{LoadReport, Outcome};
 use actix_http::header::{HOST, HeaderMap, HeaderName, HeaderValue, RETRY_AFTER};
 use actix_http::{Method, RequestHead, Response as HttpResponse, StatusCode, Uri};
@@ -99,7 +99,7 @@
         initiators: hosts,
         length: 0,
         body: Bytes::new(),
-        more: None,
+        body_rest: None,
         time_left: Duration::from_millis(time_left),
     })
 }
@@ -129,7 +129,7 @@
 }
 
 /// The final answer to a client.
-pub fn encode(answer: Response) -> HttpResponse<Content> {
+pub fn encode(answer: Response) -> HttpResponse<ResponseBody> {
     match answer {
         Response::Served(content) => HttpResponse::with_body(StatusCode::OK, content),
         Response::Rejected { retry_after } => refused(retry_after),
@@ -144,7 +144,7 @@
     }
 }
 
-fn refused(wait: Duration) -> HttpResponse<Content> {
+fn refused(wait: Duration) -> HttpResponse<ResponseBody> {
     let mut response = status(StatusCode::SERVICE_UNAVAILABLE);
     if !wait.is_zero() {
         let seconds = format!("{:.3}", wait.as_secs_f64());
@@ -156,7 +156,7 @@
 }
 
 /// An answer without a body.
-pub fn status(code: StatusCode) -> HttpResponse<Content> {
+pub fn status(code: StatusCode) -> HttpResponse<ResponseBody> {
     HttpResponse::with_body(code, Bytes::new().into())
 }
 
@@ -191,7 +191,7 @@
 }
 
 /// What a target's answer says of the outcome, and tells beside it.
-pub fn reply(code: StatusCode, headers: &HeaderMap, body: Content) -> AttemptResult {
+pub fn reply(code: StatusCode, headers: &HeaderMap, body: ResponseBody) -> AttemptResult {
     let unseen = matches!(code, StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT)
         && text(headers, &NOT_RUN) == Some("1");
     let outcome = match code {
--- a/src/net/http/server.rs
+++ b/src/net/http/server.rs
@@ -1,6 +1,6 @@
 //! The front for the platform's clients.
 
-use crate::core::{Content, CoreHandle, HELD, Lost, Response, Upload};
+use crate::core::{CoreHandle, IncompleteBody, MAX_BUFFERED_BODY, Response, ResponseBody, Upload};
 use crate::net::Phase;
 use crate::net::accept::{AcceptFailures, AfterFailure};
 use crate::net::http::clients::{Busy, Clients, Guarded, Seat};
@@ -181,31 +181,30 @@
 
 /// A body on its way to its client, whose connection is busy with it.
 struct Sending {
-    content: Content,
+    content: ResponseBody,
     #[expect(dead_code, reason = "held for its drop")]
     busy: Option<Busy>,
     /// Of a body whose end is the connection's: without a reset, one that breaks off would look whole.
     cut: Option<Rc<Seat>>,
 }
 
-impl MessageBody for Content {
+impl MessageBody for ResponseBody {
     type Error = io::Error;
 
     fn size(&self) -> BodySize {
         match self {
-            Content::Whole(body) => BodySize::Sized(body.len() as u64),
-            Content::Streamed(body) => body.length.map_or(BodySize::Stream, BodySize::Sized),
+            ResponseBody::Whole(body) => BodySize::Sized(body.len() as u64),
+            ResponseBody::Streamed(body) => body.length.map_or(BodySize::Stream, BodySize::Sized),
         }
     }
 
     fn poll_next(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<io::Result<Bytes>>> {
         match self.get_mut() {
-            Content::Whole(body) if body.is_empty() => Poll::Ready(None),
-            Content::Whole(body) => Poll::Ready(Some(Ok(std::mem::take(body)))),
-            Content::Streamed(body) => body
-                .pieces
-                .poll_recv(cx)
-                .map(|piece| Some(piece?.map_err(|Lost| io::Error::other("the target's answer broke off")))),
+            ResponseBody::Whole(body) if body.is_empty() => Poll::Ready(None),
+            ResponseBody::Whole(body) => Poll::Ready(Some(Ok(std::mem::take(body)))),
+            ResponseBody::Streamed(body) => body.chunks.poll_recv(cx).map(|piece| {
+                Some(piece?.map_err(|IncompleteBody| io::Error::other("the target's answer broke off")))
+            }),
         }
     }
 }
@@ -231,7 +230,7 @@
     front: &Front,
     http_request: &mut Request,
     seat: Option<&Seat>,
-) -> Result<HttpResponse<Content>, HttpResponse<Content>> {
+) -> Result<HttpResponse<ResponseBody>, HttpResponse<ResponseBody>> {
     let declared = http_request.headers().get(actix_http::header::CONTENT_LENGTH);
     let declared = declared.and_then(|l| l.to_str().ok()).and_then(|l| l.parse::<u64>().ok());
     if declared.is_some_and(|length| length > LARGEST_BODY) {
@@ -254,7 +253,7 @@
         if !room.take(PASSING) {
             return Err(message::encode(Response::Rejected { retry_after: NO_ROOM_ADVICE }));
         }
-        request.more = Some(Rc::new(Upload::new(declared, Box::pin(coming.rest(room)))));
+        request.body_rest = Some(Rc::new(Upload::new(declared, Box::pin(coming.rest(room)))));
     }
     if !request.write && !request.body.is_empty() {
         return Err(unfit(&"a read with a body"));
@@ -296,7 +295,7 @@
 
 impl Coming {
     /// The next piece, unless its client is slower than a client may be.
-    async fn next(&mut self) -> Result<Option<Bytes>, HttpResponse<Content>> {
+    async fn next(&mut self) -> Result<Option<Bytes>, HttpResponse<ResponseBody>> {
         let until = self.begun + BODY + Duration::from_secs_f64(self.read as f64 / BYTES_A_SECOND as f64);
         let piece = tokio::time::timeout_at(until, self.payload.next()).await;
         let piece = piece.map_err(|_| message::status(StatusCode::REQUEST_TIMEOUT))?;
@@ -309,14 +308,14 @@
     }
 
     /// The body, or the first bytes of a long one; false: there is more.
-    async fn first(&mut self, room: &mut Room) -> Result<(Bytes, bool), HttpResponse<Content>> {
+    async fn first(&mut self, room: &mut Room) -> Result<(Bytes, bool), HttpResponse<ResponseBody>> {
         let mut body = BytesMut::new();
         while let Some(piece) = self.next().await? {
             if !room.take(piece.len()) {
                 return Err(message::encode(Response::Rejected { retry_after: NO_ROOM_ADVICE }));
             }
             body.extend_from_slice(&piece);
-            if body.len() > HELD {
+            if body.len() > MAX_BUFFERED_BODY {
                 return Ok((body.freeze(), false));
             }
         }
@@ -324,13 +323,13 @@
     }
 
     /// What comes behind these. Its room is given back with it.
-    fn rest(self, room: Room) -> impl futures_util::Stream<Item = Result<Bytes, Lost>> {
+    fn rest(self, room: Room) -> impl futures_util::Stream<Item = Result<Bytes, IncompleteBody>> {
         futures_util::stream::unfold(Some((self, room)), async |coming| {
             let (mut coming, room) = coming?;
             match coming.next().await {
                 Ok(Some(piece)) => Some((Ok(piece), Some((coming, room)))),
                 Ok(None) => None,
-                Err(_) => Some((Err(Lost), None)),
+                Err(_) => Some((Err(IncompleteBody), None)),
             }
         })
     }
--- a/src/net/http/target.rs
+++ b/src/net/http/target.rs
@@ -1,8 +1,8 @@
 //! The actor of an HTTP target: every attempt is one exchange on a connection of its own.
 
 use crate::core::{
-    Attempt, AttemptResult, Content, Download, Endpoint, HELD, Lost, PIECES, Probe, Report, Request, Taken,
-    TargetMessage, Upload,
+    Attempt, AttemptReporter, AttemptResult, BodyStream, Endpoint, IncompleteBody, MAX_BUFFERED_BODY, Probe,
+    Request, ResponseBody, STREAMED_CHUNKS, TargetMessage, Upload, UploadReader,
 };
 use crate::interface::Outcome;
 use crate::net::http::message::{self, LARGEST_BODY};
@@ -44,8 +44,8 @@
                 TargetMessage::Probe(probe) => {
                     actix_rt::spawn(check(pool.clone(), addr, probe));
                 }
-                TargetMessage::Rest(true) => pool.links.rest(addr),
-                TargetMessage::Rest(false) => pool.links.wake(addr),
+                TargetMessage::SetDraining(true) => pool.links.rest(addr),
+                TargetMessage::SetDraining(false) => pool.links.wake(addr),
             }
         }
         pool.links.wake(addr);
@@ -67,29 +67,29 @@
             AttemptResult::without_response(Outcome::TimedOut)
         }
     };
-    report.tell(reply);
+    report.finish(reply);
 }
 
 /// Resolves when an attempt's time is over: once it is, or so long after a long body's last byte.
 async fn over(request: &Request, until: Instant) {
-    match &request.more {
+    match &request.body_rest {
         None => tokio::time::sleep_until(until).await,
-        Some(upload) => tokio::time::sleep_until(upload.until_whole().await + request.time_left).await,
+        Some(upload) => tokio::time::sleep_until(upload.completed().await + request.time_left).await,
     }
 }
 
 /// The rest of a long body, on its way to the target.
 struct Passing<'a> {
-    rest: Taken<'a>,
+    rest: UploadReader<'a>,
     upload: &'a Upload,
-    report: &'a Report,
+    report: &'a AttemptReporter,
 }
 
 impl Rest for Passing<'_> {
     async fn next(&mut self) -> Result<Option<Bytes>, rowanglade_http_exchange::Lost> {
-        let piece = self.rest.next().await.map_err(|Lost| rowanglade_http_exchange::Lost);
-        if self.upload.begun() {
-            self.report.begun();
+        let piece = self.rest.next().await.map_err(|IncompleteBody| rowanglade_http_exchange::Lost);
+        if self.upload.is_consumed() {
+            self.report.body_started();
         }
         piece
     }
@@ -100,12 +100,12 @@
     addr: SocketAddr,
     request: &Request,
     until: Instant,
-    report: &Report,
+    report: &AttemptReporter,
 ) -> AttemptResult {
     let mut passing = None;
-    if let Some(upload) = &request.more {
+    if let Some(upload) = &request.body_rest {
         // Another attempt has had some of it, which is gone.
-        let Some(rest) = upload.take() else { return AttemptResult::without_response(Outcome::NotSent) };
+        let Some(rest) = upload.reader() else { return AttemptResult::without_response(Outcome::NotSent) };
         passing = Some(Passing { rest, upload, report });
     }
     let body = request.write.then(|| Body {
@@ -125,7 +125,7 @@
             .ask(message::request_head(request, addr, until), body, LARGEST_BODY)
             .await
             .map_err(outcome)?;
-        report.heard();
+        report.response_started();
         let content = content(pool, link, &head).await?;
         Ok(message::reply(head.status, &head.headers, content))
     };
@@ -147,22 +147,22 @@
 }
 
 /// An answer's body: whole, unless it is long.
-async fn content(pool: &Pool, mut link: Link, head: &ResponseHead) -> Result<Content, Outcome> {
+async fn content(pool: &Pool, mut link: Link, head: &ResponseHead) -> Result<ResponseBody, Outcome> {
     let told =
         head.headers.get(CONTENT_LENGTH).and_then(|l| l.to_str().ok()).and_then(|l| l.trim().parse().ok());
-    let long = told.is_some_and(|length: u64| length > HELD as u64);
+    let long = told.is_some_and(|length: u64| length > MAX_BUFFERED_BODY as u64);
     let mut held = BytesMut::new();
     let until = Instant::now() + pool.hold;
     loop {
         let Some(piece) = link.piece(Some(pool.stall)).await.map_err(outcome)? else {
             pool.links.keep(link);
-            return Ok(Content::Whole(held.freeze()));
+            return Ok(ResponseBody::Whole(held.freeze()));
         };
         held.extend_from_slice(&piece);
-        let long = long || held.len() > HELD;
+        let long = long || held.len() > MAX_BUFFERED_BODY;
         if long && head.status != StatusCode::OK {
             // Nobody is served it.
-            return Ok(Content::Whole(Bytes::new()));
+            return Ok(ResponseBody::Whole(Bytes::new()));
         }
         // One that is slow to come could not be tried for again in time, and is no use to its client held.
         // One that stands still may be spoilt.
@@ -173,15 +173,15 @@
 }
 
 /// An answer that its client gets as it comes.
-fn streamed(pool: &Pool, link: Link, first: BytesMut, length: Option<u64>) -> Content {
-    let (tx, pieces) = mpsc::channel(PIECES);
+fn streamed(pool: &Pool, link: Link, first: BytesMut, length: Option<u64>) -> ResponseBody {
+    let (tx, pieces) = mpsc::channel(STREAMED_CHUNKS);
     actix_rt::spawn(pass(pool.links.clone(), link, first.freeze(), tx));
-    Content::Streamed(Download { length, pieces })
+    ResponseBody::Streamed(BodyStream { length, chunks: pieces })
 }
 
 /// Passes a long answer on, no faster than its client takes it. A client that goes takes the connection
 /// along.
-async fn pass(links: Links, mut link: Link, first: Bytes, to: mpsc::Sender<Result<Bytes, Lost>>) {
+async fn pass(links: Links, mut link: Link, first: Bytes, to: mpsc::Sender<Result<Bytes, IncompleteBody>>) {
     let mut piece = Ok(Some(first));
     while let Ok(Some(bytes)) = piece {
         if to.send(Ok(bytes)).await.is_err() {
@@ -194,7 +194,7 @@
     }
     match piece {
         Ok(_) => links.keep(link),
-        Err(_) => drop(to.send(Err(Lost)).await),
+        Err(_) => drop(to.send(Err(IncompleteBody)).await),
     }
 }
 
@@ -203,7 +203,8 @@
     let asked = async {
         let mut link = take(&pool, addr).await?;
         let head: RequestHead = message::probe(addr);
-        let head = link.ask(head, None::<Body<'_, NoRest>>, HELD as u64).await.map_err(outcome)?;
+        let head =
+            link.ask(head, None::<Body<'_, NoRest>>, MAX_BUFFERED_BODY as u64).await.map_err(outcome)?;
         let content = content(&pool, link, &head).await?;
         Ok(message::reply(head.status, &head.headers, content))
     };
@@ -211,5 +212,5 @@
         Ok(reply) => reply.unwrap_or_else(AttemptResult::without_response),
         Err(_) => AttemptResult::without_response(Outcome::TimedOut),
     };
-    probe.report.tell(reply.outcome, reply.load);
+    probe.report.finish(reply.outcome, reply.load);
 }
--- a/src/net/iscsi/front.rs
+++ b/src/net/iscsi/front.rs
@@ -1,6 +1,6 @@
 //! Sessions that come in: this side is the target.
 
-use crate::core::{Content, CoreHandle, InvalidRequest, Protocol, Request, RequestOrigin, Response};
+use crate::core::{CoreHandle, InvalidRequest, Protocol, Request, RequestOrigin, Response, ResponseBody};
 use crate::net::Phase;
 use crate::net::accept::{AcceptFailures, AfterFailure};
 use crate::net::close::{LINGER, close, read_closed};
@@ -497,7 +497,7 @@
             write: command.write,
             volume: lun,
             object: command.address,
-            more: None,
+            body_rest: None,
             locator: format!("/{class}/{lun:016x}/{:016x}", command.address),
             idempotency_key: command.write.then(|| id.clone()),
             id,
@@ -527,8 +527,8 @@
                 self.status(itt, scsi::BUSY, retry_after, None)
             }
             Response::Failed => self.check(itt, scsi::NO_ANSWER),
-            Response::Served(Content::Streamed(_)) => self.check(itt, scsi::NO_ANSWER),
-            Response::Served(Content::Whole(body)) => {
+            Response::Served(ResponseBody::Streamed(_)) => self.check(itt, scsi::NO_ANSWER),
+            Response::Served(ResponseBody::Whole(body)) => {
                 let Some(expected) = expected else {
                     return self.status(itt, scsi::GOOD, Duration::ZERO, None);
                 };
--- a/src/net/iscsi/session.rs
+++ b/src/net/iscsi/session.rs
@@ -1,7 +1,8 @@
 //! Sessions that go out: the actor of an iSCSI-style target. This side is the initiator.
 
 use crate::core::{
-    Attempt, AttemptResult, Clock, CoreHandle, Endpoint, Message, Probe, Protocol, Report, TargetMessage,
+    Attempt, AttemptReporter, AttemptResult, Clock, CoreHandle, Endpoint, Message, Probe, Protocol,
+    TargetMessage,
 };
 use crate::interface::{EndpointUpdateKind, LoadReport, Outcome, TargetState};
 use crate::net::close::{LINGER, close};
@@ -73,7 +74,7 @@
                 tokio::select! {
                     message = self.rx.recv() => match message {
                         // Without a session there is none to end.
-                        Some(TargetMessage::Rest(_)) => {}
+                        Some(TargetMessage::SetDraining(_)) => {}
                         // Sent just before the drain was told: nothing new goes to it.
                         Some(message) if drained => tell_unsent(message, Outcome::Unreachable),
                         Some(message) => waiting.push_back(message),
@@ -123,7 +124,7 @@
                     message.into_iter().for_each(|message| tell_unsent(message, Outcome::NotSent));
                 }
                 message = rx.recv(), if waiting.len() < MAILBOX => match message {
-                    Some(TargetMessage::Rest(_)) => {}
+                    Some(TargetMessage::SetDraining(_)) => {}
                     Some(message) => waiting.push_back(message),
                     None => return Err(broken("the core let go of the target")),
                 },
@@ -140,7 +141,7 @@
             self.line.started = Some(self.figures.clock.now());
         }
         let entries = vec![self.line.clone()];
-        self.core.send(Message::list(Protocol::Iscsi, EndpointUpdateKind::Delta, entries)).await;
+        self.core.send(Message::endpoints(Protocol::Iscsi, EndpointUpdateKind::Delta, entries)).await;
     }
 }
 
@@ -149,7 +150,7 @@
     let until = |message: &TargetMessage| match message {
         TargetMessage::Attempt(attempt) => Some(attempt.until),
         TargetMessage::Probe(probe) => Some(probe.until),
-        TargetMessage::Rest(_) => None,
+        TargetMessage::SetDraining(_) => None,
     };
     let first = waiting.iter().enumerate().filter_map(|(at, message)| Some((until(message)?, at))).min();
     let late = async {
@@ -176,9 +177,9 @@
 
 fn tell_unsent(message: TargetMessage, outcome: Outcome) {
     match message {
-        TargetMessage::Attempt(attempt) => attempt.report.tell(AttemptResult::without_response(outcome)),
-        TargetMessage::Probe(probe) => probe.report.tell(outcome, LoadReport::default()),
-        TargetMessage::Rest(_) => {}
+        TargetMessage::Attempt(attempt) => attempt.report.finish(AttemptResult::without_response(outcome)),
+        TargetMessage::Probe(probe) => probe.report.finish(outcome, LoadReport::default()),
+        TargetMessage::SetDraining(_) => {}
     }
 }
 
@@ -194,7 +195,7 @@
 /// A command without its status.
 struct Task {
     /// Absent: its end was told, and the target's last word on it is only waited for.
-    report: Option<Report>,
+    report: Option<AttemptReporter>,
     lun: u64,
     write: Bytes,
     /// The last byte of the command and its data is written.
@@ -262,7 +263,7 @@
         // What was written whole may have run; the rest never did.
         for task in self.tasks.into_values() {
             if let Some(report) = task.report {
-                report.tell(AttemptResult::without_response(if task.written {
+                report.finish(AttemptResult::without_response(if task.written {
                     Outcome::Broken
                 } else {
                     Outcome::Unreachable
@@ -345,11 +346,11 @@
         match message {
             TargetMessage::Probe(Probe { report, .. }) => {
                 // The session stands: that is all that a shallow probe asks.
-                report.tell(Outcome::Served, LoadReport::default());
+                report.finish(Outcome::Served, LoadReport::default());
                 Ok(())
             }
             TargetMessage::Attempt(attempt) => self.command(*attempt).await,
-            TargetMessage::Rest(resting) => {
+            TargetMessage::SetDraining(resting) => {
                 self.resting = resting;
                 Ok(())
             }
@@ -358,15 +359,15 @@
 
     async fn command(&mut self, attempt: Attempt) -> io::Result<()> {
         let Attempt { request, until, cancel, report } = attempt;
-        if request.more.is_some() {
+        if request.body_rest.is_some() {
             // A write of blocks holds all its data.
-            report.tell(AttemptResult::without_response(Outcome::NotSent));
+            report.finish(AttemptResult::without_response(Outcome::NotSent));
             return Ok(());
         }
         let group = self.figures.classes.iter().position(|c| *c == request.class);
         let in_window = self.max_cmd_sn.wrapping_sub(self.cmd_sn) as i32 >= 0;
         let (Some(group), true, false) = (group, in_window && until > Instant::now(), self.leaving) else {
-            report.tell(AttemptResult::without_response(if self.leaving || !in_window {
+            report.finish(AttemptResult::without_response(if self.leaving || !in_window {
                 Outcome::QueueFull
             } else {
                 Outcome::NotSent
@@ -374,7 +375,7 @@
             return Ok(());
         };
         if !report.may_start().await {
-            report.tell(AttemptResult::without_response(Outcome::NotSent));
+            report.finish(AttemptResult::without_response(Outcome::NotSent));
             return Ok(());
         }
         // A request of a wire that tells no length asks for its units' blocks.
@@ -435,7 +436,7 @@
     async fn give_up(&mut self, itt: u32, outcome: Outcome) -> io::Result<()> {
         let Some(task) = self.tasks.get_mut(&itt) else { return Ok(()) };
         let Some(report) = task.report.take() else { return Ok(()) };
-        report.tell(AttemptResult::without_response(outcome));
+        report.finish(AttemptResult::without_response(outcome));
         let lun = task.lun;
         let abort = Pdu::TaskRequest {
             immediate: true,
@@ -528,7 +529,7 @@
             _ => Outcome::Error,
         };
         let body = if outcome == Outcome::Served { task.read.freeze() } else { Bytes::new() };
-        report.tell(AttemptResult { body: body.into(), ..AttemptResult::without_response(outcome) });
+        report.finish(AttemptResult { body: body.into(), ..AttemptResult::without_response(outcome) });
     }
 }
 
--- a/src/upgrade/keeper.rs
+++ b/src/upgrade/keeper.rs
@@ -1,11 +1,11 @@
 //! The actor that owns the handover's machine, the lock and the links.
 
-use crate::core::{AdminCommand, HandoverRequest};
+use crate::core::{AdminCommand, HandoverRequest, HandoverState};
 use crate::net::accept::{AcceptFailures, AfterFailure};
 use crate::net::http::Page;
 use crate::net::{Budget, Phase};
 use crate::upgrade::Meeting;
-use crate::upgrade::wire::{self, HandoverState, Message, Reader, Share, Welcome};
+use crate::upgrade::wire::{self, Message, Reader, Share, Welcome};
 use rowanglade_handover::{Action, Event, Link, Machine, Word};
 use rowanglade_object_locations::{Object, Seen};
 use std::collections::{HashMap, VecDeque};
@@ -223,7 +223,7 @@
         };
         let Message { word, welcome, given, call, seen, share } = *message;
         self.news.extend(call.map(HandoverRequest::AdminCommand));
-        self.news.extend(seen.map(|(object, seen)| HandoverRequest::Seen(object, seen)));
+        self.news.extend(seen.map(|(object, seen)| HandoverRequest::ObjectSeen(object, seen)));
         if let (Some(share), Some(controls)) = (share, &self.controls) {
             controls.budget.share(share.descriptors);
         }
@@ -277,7 +277,7 @@
             Action::Prepare => {}
             Action::Serve { given } => {
                 if let Some(given) = self.given.take().filter(|_| given) {
-                    self.ask(|done| HandoverRequest::Take(given, done)).await;
+                    self.ask(|done| HandoverRequest::TakeOver(given, done)).await;
                 }
                 self.open(Phase::Serving)?;
             }
--- a/src/upgrade/mod.rs
+++ b/src/upgrade/mod.rs
@@ -5,8 +5,9 @@
 mod keeper;
 mod wire;
 
+pub use crate::core::HandoverState;
 pub use keeper::{Begun, Controls, Keeper, Listeners, Told};
-pub use wire::{HandoverState, Message, Share, Welcome, send};
+pub use wire::{Message, Share, Welcome, send};
 
 use std::fs::File;
 use std::io;
--- a/src/upgrade/wire.rs
+++ b/src/upgrade/wire.rs
@@ -1,12 +1,10 @@
 //! What goes over a link: a length, and a message as JSON. Descriptors go with a message's first byte.
 
-use crate::core::AdminCommand;
+use crate::core::{AdminCommand, HandoverState};
 use crate::interface::Micros;
 use crate::net::http::Page;
-use crate::scheduler::snapshot::SchedulerSnapshot;
 use bytes::{Buf, BufMut, BytesMut};
 use rowanglade_handover::Word;
-use rowanglade_maintenance::Maintenance;
 use rowanglade_object_locations::{Object, Seen};
 use rustix::net::{
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
@@ -44,16 +42,6 @@
     pub descriptors: usize,
 }
 
-/// All that is owned.
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct HandoverState {
-    pub maintenance: Maintenance,
-    pub module: SchedulerSnapshot<String, String>,
-    /// Where objects were seen, the oldest first. A build that does not know of it learns that again.
-    #[serde(default)]
-    pub places: Vec<(Object, Seen)>,
-}
-
 /// A message. What it does not carry is absent; fields that another build adds are passed over.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
--- a/tests/compatibility/admin.rs
+++ b/tests/compatibility/admin.rs
@@ -39,7 +39,7 @@
     let admin = open(listener, Service { operations, ready, phase }).expect("opened");
     let owner = std::thread::spawn(move || {
         let mut calls = Vec::new();
-        while let Some(AdminRequest { call, done }) = asked.blocking_recv() {
+        while let Some(AdminRequest { command: call, done }) = asked.blocking_recv() {
             let known = !matches!(&call, AdminCommand::Maint(id) if id == "box-9");
             calls.push(call);
             done.send(known).expect("it waits");
--- a/tests/compatibility/handover.rs
+++ b/tests/compatibility/handover.rs
@@ -77,7 +77,7 @@
     let read = decoded(GIVEN.trim_end());
     let given = read.given.as_ref().expect("what is given");
     assert!(given.maintenance.is_out("box-1"));
-    assert_eq!(given.places, [((21, 22), Seen::At(1)), ((23, 24), Seen::NotAt(2))]);
+    assert_eq!(given.object_locations, [((21, 22), Seen::At(1)), ((23, 24), Seen::NotAt(2))]);
     assert_eq!(encoded(&read), GIVEN.trim_end());
 }
 
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -45,12 +45,12 @@
                 inbox,
                 connect(),
                 CoreDependencies {
-                    table,
-                    fleet: None,
-                    operations,
-                    upgrades,
-                    calls,
-                    seen,
+                    routes: table,
+                    quota: None,
+                    admin_requests: operations,
+                    handover_requests: upgrades,
+                    admin_commands: calls,
+                    object_sightings: seen,
                     sites: None,
                     subset: None,
                 },
@@ -81,7 +81,7 @@
         initiators: 1,
         length: 0,
         body: Bytes::new(),
-        more: None,
+        body_rest: None,
         time_left: Duration::from_millis(1_000),
     }
 }
@@ -97,7 +97,7 @@
         state: TargetState::Active,
         started: None,
     }];
-    core.send(Message::list(Protocol::Http, EndpointUpdateKind::Cached, entries)).await;
+    core.send(Message::endpoints(Protocol::Http, EndpointUpdateKind::Cached, entries)).await;
 }
 
 /// Targets whose actors have ended.
