--- a/crates/discovery-polling/tests/fleet.rs
+++ b/crates/discovery-polling/tests/fleet.rs
@@ -17,8 +17,8 @@
 const SIZES: [u32; 5] = [40, 80, 300, 350, 1024];
 
 /// A fleet in which each instance knows its number, as the platform tells it.
-fn numbered(instances: u32) -> Settings {
-    Settings { number: Some(0), ..settings(instances, ASK_WITHIN) }
+fn numbered(instances: u32) -> PollingConfig {
+    PollingConfig { instance_index: Some(0), ..polling_config(instances, ASK_WITHIN) }
 }
 
 /// A discovery that serves all instances once in `span`.
@@ -57,7 +57,7 @@
                 let (heard, fleet) = after_outage(instances, service, outage * SECOND, seed);
                 let what = format!("{instances} instances, {service:?} for {outage} s, seed {seed}");
                 let heard = heard.expect("all hear it");
-                assert!(heard + MARGIN <= HEARD_WITHIN, "{what}: heard after {} ms", heard / MS);
+                assert!(heard + MARGIN <= LIST_RECEIVED_WITHIN, "{what}: heard after {} ms", heard / MS);
                 assert_eq!(fleet.discovery.refused, 0, "{what}: calls refused after the return");
             }
         }
@@ -81,7 +81,7 @@
                     let heard = fleet.all_heard_within(since, 60 * SECOND).expect("all hear it");
                     let what =
                         format!("{instances} instances, {serves_all_in} s, {service:?} {outage} s, {seed}");
-                    assert!(heard <= HEARD_WITHIN, "{what}: heard after {} ms", heard / MS);
+                    assert!(heard <= LIST_RECEIVED_WITHIN, "{what}: heard after {} ms", heard / MS);
                 }
             }
         }
@@ -95,7 +95,7 @@
             let (heard, _) = after_outage(instances, Service::Silent, outage * SECOND, seed);
             let heard = heard.expect("all hear it");
             let what = format!("{instances} instances, {outage} s, seed {seed}");
-            assert!(heard <= HEARD_WITHIN + MARGIN, "{what}: heard after {} ms", heard / MS);
+            assert!(heard <= LIST_RECEIVED_WITHIN + MARGIN, "{what}: heard after {} ms", heard / MS);
         }
     }
 }
@@ -106,14 +106,18 @@
         let mut fleet = Fleet::new(numbered(instances), 5, discovery(instances, SERVES_ALL_IN));
         let since = fleet.now;
         let heard = fleet.all_heard_within(since, 60 * SECOND).expect("all hear it");
-        assert!(heard + MARGIN <= HEARD_WITHIN, "{instances} instances start: {} ms", heard / MS);
+        assert!(heard + MARGIN <= LIST_RECEIVED_WITHIN, "{instances} instances start: {} ms", heard / MS);
         assert_eq!(fleet.discovery.refused, 0);
 
         let mut fleet = watching(instances, SERVES_ALL_IN, 6);
-        (0..instances as usize * 7 / 10).for_each(|number| fleet.restart(number));
+        (0..instances as usize * 7 / 10).for_each(|instance_index| fleet.restart(instance_index));
         let since = fleet.now;
         let heard = fleet.all_heard_within(since, 60 * SECOND).expect("all hear it");
-        assert!(heard + MARGIN <= HEARD_WITHIN, "{instances} instances, 7 in 10 restart: {} ms", heard / MS);
+        assert!(
+            heard + MARGIN <= LIST_RECEIVED_WITHIN,
+            "{instances} instances, 7 in 10 restart: {} ms",
+            heard / MS
+        );
         assert_eq!(fleet.discovery.refused, 0);
     }
 }
@@ -125,7 +129,7 @@
         fleet.reset_watches();
         let since = fleet.now;
         let heard = fleet.all_heard_within(since, 60 * SECOND).expect("all hear it");
-        assert!(heard + MARGIN <= HEARD_WITHIN, "{instances} instances: {} ms", heard / MS);
+        assert!(heard + MARGIN <= LIST_RECEIVED_WITHIN, "{instances} instances: {} ms", heard / MS);
     }
 }
 
@@ -138,7 +142,7 @@
     for instances in [100, 300, 350, 1024] {
         let mut fleet = Fleet::new(numbered(instances), 8, discovery(instances, 9 * SECOND));
         let since = fleet.now;
-        fleet.run(HEARD_WITHIN);
+        fleet.run(LIST_RECEIVED_WITHIN);
         let early = fleet.heard_since(since);
         assert!(early * 5 >= instances as usize * 2, "{early} of {instances} heard the list in 6 s");
         let heard = fleet.all_heard_within(since, 60 * SECOND).expect("all hear it");
@@ -208,13 +212,13 @@
                 }
                 Trouble::ResetWatches => fleet.reset_watches(),
                 Trouble::SilentWatches => fleet.silence_watches(),
-                Trouble::Restart(number) => fleet.restart(number),
+                Trouble::Restart(instance_index) => fleet.restart(instance_index),
                 Trouble::Quiet(seconds) => fleet.run(seconds * SECOND),
             }
         }
         let since = fleet.now;
         let heard = fleet.all_heard_within(since, 60 * SECOND);
-        prop_assert!(heard.is_some_and(|heard| heard <= 2 * HEARD_WITHIN), "{:?}", heard);
+        prop_assert!(heard.is_some_and(|heard| heard <= 2 * LIST_RECEIVED_WITHIN), "{:?}", heard);
         fleet.run(5 * SECOND);
         prop_assert!(fleet.instances.iter().all(|i| i.schedule.is_watching()));
     }
--- a/crates/discovery-polling/tests/schedule.rs
+++ b/crates/discovery-polling/tests/schedule.rs
@@ -1,4 +1,4 @@
-//! One instance's schedule, in every order of ends.
+//! One instance's schedule, in every order of outcomes.
 
 use rowanglade_discovery_polling::*;
 
@@ -11,12 +11,22 @@
 /// silent.
 const KNOWN_AFTER_WAIT: Micros = 2 * SECOND;
 
-fn on_request(ask_within: Micros, instances: u32) -> Settings {
-    Settings { delivery: Delivery::OnRequest { ask_within }, watch: Watch::LongPoll, instances, number: None }
+fn on_request(max_poll_interval: Micros, instances: u32) -> PollingConfig {
+    PollingConfig {
+        delivery: Delivery::Polled { max_poll_interval },
+        watch_mode: WatchMode::LongPoll,
+        instances,
+        instance_index: None,
+    }
 }
 
-fn pushed(grace: Micros) -> Settings {
-    Settings { delivery: Delivery::Pushed { grace }, watch: Watch::LongPoll, instances: 300, number: None }
+fn pushed(drain_grace: Micros) -> PollingConfig {
+    PollingConfig {
+        delivery: Delivery::Pushed { drain_grace },
+        watch_mode: WatchMode::LongPoll,
+        instances: 300,
+        instance_index: None,
+    }
 }
 
 /// A schedule and the time, moved on from one command to the next.
@@ -26,33 +36,33 @@
 }
 
 impl Client {
-    fn new(settings: Settings) -> Client {
-        Client { schedule: Schedule::new(settings, 1, NOW), now: NOW }
+    fn new(config: PollingConfig) -> Client {
+        Client { schedule: Schedule::new(config, 1, NOW), now: NOW }
     }
 
-    /// The next call, at the time at which it is made; calls given up before it are passed over.
-    fn next_call(&mut self) -> Call {
+    /// The next call, at the time at which it is made; requests cancelled before it are passed over.
+    fn next_request(&mut self) -> PollRequest {
         for _ in 0..100 {
             match self.schedule.poll(self.now) {
-                Some(Command::Start(call)) => return call,
-                Some(Command::Abandon(_)) => {}
-                None => self.now = self.schedule.next_poll().expect("something is due").max(self.now),
+                Some(Command::Send(call)) => return call,
+                Some(Command::Cancel(_)) => {}
+                None => self.now = self.schedule.next_timeout().expect("something is due").max(self.now),
             }
         }
         panic!("no call follows");
     }
 
-    fn end(&mut self, call: Call, end: End) {
-        self.schedule.ended(self.now, call.id, end);
+    fn end(&mut self, call: PollRequest, outcome: Outcome) {
+        self.schedule.handle_outcome(self.now, call.id, outcome);
     }
 
     /// Opens the watch, and returns the call that waits for news.
-    fn watching(settings: Settings) -> (Client, Call) {
-        let mut client = Client::new(settings);
-        let first = client.next_call();
-        client.end(first, End::Answered);
-        let held = client.next_call();
-        assert!(first.hold == 0 && held.hold > 0, "the first brings what was missed, the next waits");
+    fn watching(config: PollingConfig) -> (Client, PollRequest) {
+        let mut client = Client::new(config);
+        let first = client.next_request();
+        client.end(first, Outcome::Received);
+        let held = client.next_request();
+        assert!(first.max_wait == 0 && held.max_wait > 0, "the first brings what was missed, the next waits");
         (client, held)
     }
 }
@@ -64,9 +74,9 @@
     for instances in [2, 300, 1024] {
         let (mut client, held) = Client::watching(on_request(10 * SECOND, instances));
         let begun = client.now;
-        let known = begun + (held.hold + KNOWN_AFTER_WAIT).max(HEARD_WITHIN) + GRACE;
-        let again = client.next_call();
-        assert_eq!(again.hold, 0, "it brings what was missed");
+        let known = begun + (held.max_wait + KNOWN_AFTER_WAIT).max(LIST_RECEIVED_WITHIN) + GRACE;
+        let again = client.next_request();
+        assert_eq!(again.max_wait, 0, "it brings what was missed");
         assert!(client.now + SECOND <= known, "{instances}: a second is left for its answer");
     }
 }
@@ -75,14 +85,18 @@
 fn a_call_that_is_lost_is_made_again_beside_it() {
     let (mut client, _) = Client::watching(on_request(10 * SECOND, 2));
     let begun = client.now;
-    let lost = client.next_call();
-    let beside = client.next_call();
-    assert!(lost.hold == 0 && beside.hold == 0 && lost.id != beside.id);
-    assert!(client.now + 500 * MS <= begun + HEARD_WITHIN + GRACE, "{} ms", (client.now - begun) / MS);
+    let lost = client.next_request();
+    let beside = client.next_request();
+    assert!(lost.max_wait == 0 && beside.max_wait == 0 && lost.id != beside.id);
+    assert!(
+        client.now + 500 * MS <= begun + LIST_RECEIVED_WITHIN + GRACE,
+        "{} ms",
+        (client.now - begun) / MS
+    );
     // Either may be answered, and the other is dropped.
-    client.end(lost, End::Answered);
-    assert_eq!(client.schedule.poll(client.now), Some(Command::Abandon(beside.id)));
-    assert!(client.next_call().hold > 0);
+    client.end(lost, Outcome::Received);
+    assert_eq!(client.schedule.poll(client.now), Some(Command::Cancel(beside.id)));
+    assert!(client.next_request().max_wait > 0);
 }
 
 #[test]
@@ -91,18 +105,18 @@
     let (mut open, mut most, mut calls) = (0i32, 0, Vec::new());
     while client.now < NOW + 60 * SECOND {
         match client.schedule.poll(client.now) {
-            Some(Command::Start(_)) => {
+            Some(Command::Send(_)) => {
                 open += 1;
                 calls.push(client.now);
             }
-            Some(Command::Abandon(_)) => open -= 1,
-            None => client.now = client.schedule.next_poll().expect("something is due"),
+            Some(Command::Cancel(_)) => open -= 1,
+            None => client.now = client.schedule.next_timeout().expect("something is due"),
         }
         most = most.max(open);
     }
     assert_eq!(most, 2);
     for pair in calls.windows(2) {
-        let longest = if pair[0] < NOW + 12 * SECOND { LONGEST_CYCLE } else { 10 * SECOND };
+        let longest = if pair[0] < NOW + 12 * SECOND { MAX_CYCLE } else { 10 * SECOND };
         assert!(
             pair[1] - pair[0] <= longest + 100 * MS,
             "silence is never left without a call for long: {pair:?}"
@@ -114,12 +128,12 @@
 // sent to.
 #[test]
 fn a_watch_that_is_reset_is_opened_again_within_a_cycle() {
-    for (instances, within) in [(1, 125 * MS), (8, SECOND), (300, LONGEST_CYCLE), (1024, LONGEST_CYCLE)] {
-        for end in [End::Broken, End::Refused] {
+    for (instances, within) in [(1, 125 * MS), (8, SECOND), (300, MAX_CYCLE), (1024, MAX_CYCLE)] {
+        for outcome in [Outcome::Failed, Outcome::Rejected] {
             let (mut client, held) = Client::watching(on_request(10 * SECOND, instances));
             let begun = client.now;
-            client.end(held, end);
-            assert_eq!(client.next_call().hold, 0);
+            client.end(held, outcome);
+            assert_eq!(client.next_request().max_wait, 0);
             assert!(client.now <= begun + within, "{instances}: {} ms", (client.now - begun) / MS);
         }
     }
@@ -127,47 +141,49 @@
 
 #[test]
 fn a_failed_call_is_made_again_with_longer_waits_and_within_a_cycle() {
-    for (end, instances) in [(End::Refused, 2), (End::Broken, 2), (End::Refused, 1024), (End::Broken, 1024)] {
+    for (outcome, instances) in
+        [(Outcome::Rejected, 2), (Outcome::Failed, 2), (Outcome::Rejected, 1024), (Outcome::Failed, 1024)]
+    {
         let mut client = Client::new(on_request(10 * SECOND, instances));
-        let mut call = client.next_call();
+        let mut call = client.next_request();
         let mut gaps = Vec::new();
         for _ in 0..3 {
             let begun = client.now;
-            client.end(call, end);
+            client.end(call, outcome);
             assert!(client.schedule.poll(client.now).is_none(), "not again at once");
-            call = client.next_call();
+            call = client.next_request();
             gaps.push(client.now - begun);
         }
-        assert!(gaps.iter().all(|gap| (50 * MS..=LONGEST_CYCLE).contains(gap)), "{gaps:?}");
-        assert!(gaps[2] > gaps[0] || gaps[0] == LONGEST_CYCLE, "{gaps:?}");
+        assert!(gaps.iter().all(|gap| (50 * MS..=MAX_CYCLE).contains(gap)), "{gaps:?}");
+        assert!(gaps[2] > gaps[0] || gaps[0] == MAX_CYCLE, "{gaps:?}");
         assert!(instances > 2 || gaps[..2].iter().all(|gap| *gap <= 4 * SECOND), "{gaps:?}");
     }
 }
 
-// Where the settings tell nothing of how often to ask, a failed call was made again at once, and again.
+// Where the settings say nothing of how often to ask, a failed call was made again at once, and again.
 #[test]
 fn settings_that_do_not_tell_how_often_to_ask_are_no_reason_to_ask_at_once() {
     let mut client = Client::new(on_request(0, 1));
-    let call = client.next_call();
+    let call = client.next_request();
     let begun = client.now;
-    client.end(call, End::Broken);
-    client.next_call();
+    client.end(call, Outcome::Failed);
+    client.next_request();
     assert!(client.now >= begun + 50 * MS && client.now <= begun + 2 * SECOND);
 }
 
 #[test]
 fn in_a_long_outage_an_instance_asks_no_more_than_the_settings_want() {
-    for (ask_within, longest) in
-        [(10 * SECOND, 10 * SECOND), (30 * SECOND, 30 * SECOND), (2 * SECOND, LONGEST_CYCLE)]
+    for (max_poll_interval, longest) in
+        [(10 * SECOND, 10 * SECOND), (30 * SECOND, 30 * SECOND), (2 * SECOND, MAX_CYCLE)]
     {
-        let mut client = Client::new(on_request(ask_within, 300));
+        let mut client = Client::new(on_request(max_poll_interval, 300));
         let mut gap = 0;
         while client.now < NOW + 300 * SECOND {
-            let call = client.next_call();
+            let call = client.next_request();
             let begun = client.now;
-            client.end(call, End::Refused);
+            client.end(call, Outcome::Rejected);
             assert!(client.schedule.poll(client.now).is_none());
-            gap = client.schedule.next_poll().expect("due") - begun;
+            gap = client.schedule.next_timeout().expect("due") - begun;
         }
         assert_eq!(gap, longest);
     }
@@ -177,18 +193,23 @@
 // known.
 #[test]
 fn a_watch_waits_for_two_seconds_at_most_and_no_longer_than_the_settings_leave() {
-    for (ask_within, longest) in [(0, 2_000), (4_000, 2_000), (1_500, 1_500), (1, 500), (600_000, 2_000)] {
+    for (max_poll_interval, longest) in
+        [(0, 2_000), (4_000, 2_000), (1_500, 1_500), (1, 500), (600_000, 2_000)]
+    {
         let mut holds = Vec::new();
-        let (mut client, mut held) = Client::watching(on_request(ask_within * MS, 300));
+        let (mut client, mut held) = Client::watching(on_request(max_poll_interval * MS, 300));
         for _ in 0..50 {
-            holds.push(held.hold);
-            client.now += held.hold;
-            client.end(held, End::Answered);
-            held = client.next_call();
+            holds.push(held.max_wait);
+            client.now += held.max_wait;
+            client.end(held, Outcome::Received);
+            held = client.next_request();
         }
-        assert!(holds.iter().all(|hold| (longest / 2 * MS..=longest * MS).contains(hold)), "{holds:?}");
         assert!(
-            holds.iter().any(|hold| *hold != holds[0]),
+            holds.iter().all(|max_wait| (longest / 2 * MS..=longest * MS).contains(max_wait)),
+            "{holds:?}"
+        );
+        assert!(
+            holds.iter().any(|max_wait| *max_wait != holds[0]),
             "the watches of all instances do not end together"
         );
     }
@@ -197,36 +218,36 @@
 // Nothing said when to ask for a list that is pushed: no watch was ever open, and every drain was missed.
 #[test]
 fn a_pushed_list_is_watched_again_within_its_grace_however_calls_end() {
-    for (grace, pause) in [(0, 20), (250, 62), (1_000, 250), (60_000, 500)] {
-        let grace = grace * MS;
-        let mut client = Client::new(pushed(grace));
-        let mut call = client.next_call();
+    for (drain_grace, pause) in [(0, 20), (250, 62), (1_000, 250), (60_000, 500)] {
+        let drain_grace = drain_grace * MS;
+        let mut client = Client::new(pushed(drain_grace));
+        let mut call = client.next_request();
         assert_eq!(client.now, NOW, "at once: what the agent has counts from the start");
-        for end in [End::Broken, End::Refused].repeat(3) {
+        for outcome in [Outcome::Failed, Outcome::Rejected].repeat(3) {
             let begun = client.now;
-            client.end(call, end);
-            call = client.next_call();
+            client.end(call, outcome);
+            call = client.next_request();
             let gap = client.now - begun;
-            assert!(gap / MS == pause && gap <= grace.max(80 * MS), "{grace}: {gap}");
+            assert!(gap / MS == pause && gap <= drain_grace.max(80 * MS), "{drain_grace}: {gap}");
         }
         // One without an answer gets others beside it, each within about the grace, and eight at most.
         let begun = client.now;
-        let beside = client.next_call();
-        assert!(beside.id != call.id && client.now - begun <= grace.max(80 * MS));
-        let last = (0..6).map(|_| client.next_call()).last().expect("a call");
-        assert!(client.now - begun <= 7 * grace.max(80 * MS));
-        client.end(last, End::Answered);
-        let held = client.next_call();
-        assert!(held.hold > 0);
-        for end in [End::Broken, End::Refused] {
+        let beside = client.next_request();
+        assert!(beside.id != call.id && client.now - begun <= drain_grace.max(80 * MS));
+        let last = (0..6).map(|_| client.next_request()).last().expect("a call");
+        assert!(client.now - begun <= 7 * drain_grace.max(80 * MS));
+        client.end(last, Outcome::Received);
+        let held = client.next_request();
+        assert!(held.max_wait > 0);
+        for outcome in [Outcome::Failed, Outcome::Rejected] {
             let begun = client.now;
-            let mut client = Client { schedule: Schedule::new(pushed(grace), 2, begun), now: begun };
-            let first = client.next_call();
-            client.end(first, End::Answered);
-            let held = client.next_call();
+            let mut client = Client { schedule: Schedule::new(pushed(drain_grace), 2, begun), now: begun };
+            let first = client.next_request();
+            client.end(first, Outcome::Received);
+            let held = client.next_request();
             let begun = client.now;
-            client.end(held, end);
-            client.next_call();
+            client.end(held, outcome);
+            client.next_request();
             assert_eq!(client.now, begun, "a watch that was open is opened again at once");
         }
     }
@@ -236,28 +257,28 @@
 fn another_address_is_asked_soon_whatever_the_wait_at_the_old_one() {
     let mut client = Client::new(on_request(10 * SECOND, 300));
     for _ in 0..6 {
-        let call = client.next_call();
-        client.end(call, End::Refused);
+        let call = client.next_request();
+        client.end(call, Outcome::Rejected);
     }
-    let moved = client.now;
-    client.schedule.moved(moved);
-    let call = client.next_call();
-    assert!(client.now <= moved + SECOND && call.hold == 0);
+    let changed_at = client.now;
+    client.schedule.handle_address_change(changed_at);
+    let call = client.next_request();
+    assert!(client.now <= changed_at + SECOND && call.max_wait == 0);
     // What is left of the old address's calls counts for nothing.
-    client.schedule.ended(client.now, CallId(0), End::Answered);
+    client.schedule.handle_outcome(client.now, RequestId(0), Outcome::Received);
     assert!(!client.schedule.is_watching());
 }
 
 #[test]
 fn a_subscription_needs_no_further_calls_until_it_breaks() {
-    let settings = Settings { watch: Watch::Subscription, ..on_request(10 * SECOND, 3) };
-    let mut client = Client::new(settings);
-    let call = client.next_call();
-    client.end(call, End::Answered);
+    let config = PollingConfig { watch_mode: WatchMode::Subscription, ..on_request(10 * SECOND, 3) };
+    let mut client = Client::new(config);
+    let call = client.next_request();
+    client.end(call, Outcome::Received);
     assert_eq!(client.schedule.poll(client.now), None);
-    assert_eq!(client.schedule.next_poll(), None);
-    client.schedule.subscription_broke(client.now);
+    assert_eq!(client.schedule.next_timeout(), None);
+    client.schedule.handle_subscription_broken(client.now);
     let begun = client.now;
-    client.next_call();
+    client.next_request();
     assert!(client.now <= begun + 500 * MS);
 }
--- a/crates/discovery-polling/tests/support/mod.rs
+++ b/crates/discovery-polling/tests/support/mod.rs
@@ -44,12 +44,12 @@
     }
 
     /// When and how a call ends that comes now; none: never.
-    fn serve(&mut self, now: Micros) -> Option<(Micros, End)> {
+    fn serve(&mut self, now: Micros) -> Option<(Micros, Outcome)> {
         self.calls += 1;
         match self.service {
-            Service::Down => return Some((now + self.timeout, End::Refused)),
-            Service::Refusing => return Some((now, End::Refused)),
-            Service::Resetting => return Some((now, End::Broken)),
+            Service::Down => return Some((now + self.timeout, Outcome::Rejected)),
+            Service::Refusing => return Some((now, Outcome::Rejected)),
+            Service::Resetting => return Some((now, Outcome::Failed)),
             Service::Silent => return None,
             Service::Up => {}
         }
@@ -57,11 +57,11 @@
         self.free_at = self.free_at.max(now) + self.call;
         self.longest_queue = self.longest_queue.max(queue);
         if queue <= self.timeout {
-            return Some((self.free_at, End::Answered));
+            return Some((self.free_at, Outcome::Received));
         }
         self.refused += 1;
         let at = if queue > 2 * self.timeout { now } else { now + self.timeout };
-        Some((at, End::Refused))
+        Some((at, Outcome::Rejected))
     }
 }
 
@@ -69,9 +69,9 @@
 pub struct Instance {
     pub schedule: Schedule,
     /// Ends on their way.
-    ends: Vec<(Micros, CallId, End)>,
+    ends: Vec<(Micros, RequestId, Outcome)>,
     /// The held call, which ends when its wait is over, or never.
-    held: Option<(Micros, CallId)>,
+    held: Option<(Micros, RequestId)>,
     /// When the list was last heard.
     pub heard: Option<Micros>,
     /// When its calls began.
@@ -83,36 +83,44 @@
     pub now: Micros,
     pub discovery: Discovery,
     pub instances: Vec<Instance>,
-    settings: Settings,
+    config: PollingConfig,
     seed: u64,
 }
 
-pub fn settings(instances: u32, ask_within: Micros) -> Settings {
-    Settings { delivery: Delivery::OnRequest { ask_within }, watch: Watch::LongPoll, instances, number: None }
+pub fn polling_config(instances: u32, max_poll_interval: Micros) -> PollingConfig {
+    PollingConfig {
+        delivery: Delivery::Polled { max_poll_interval },
+        watch_mode: WatchMode::LongPoll,
+        instances,
+        instance_index: None,
+    }
 }
 
 impl Fleet {
-    pub fn new(settings: Settings, seed: u64, discovery: Discovery) -> Fleet {
+    pub fn new(config: PollingConfig, seed: u64, discovery: Discovery) -> Fleet {
         let now = 100 * SECOND;
-        let mut fleet = Fleet { now, discovery, instances: Vec::new(), settings, seed };
-        for number in 0..settings.instances {
-            let instance = fleet.start(number);
+        let mut fleet = Fleet { now, discovery, instances: Vec::new(), config, seed };
+        for instance_index in 0..config.instances {
+            let instance = fleet.start(instance_index);
             fleet.instances.push(instance);
         }
         fleet
     }
 
-    fn start(&mut self, number: u32) -> Instance {
-        let seed = self.seed.wrapping_mul(1_000_003).wrapping_add(u64::from(number));
+    fn start(&mut self, instance_index: u32) -> Instance {
+        let seed = self.seed.wrapping_mul(1_000_003).wrapping_add(u64::from(instance_index));
         self.seed = self.seed.wrapping_add(0x9E37_79B9);
-        let settings = Settings { number: self.settings.number.map(|_| number), ..self.settings };
-        let schedule = Schedule::new(settings, seed, self.now);
+        let config = PollingConfig {
+            instance_index: self.config.instance_index.map(|_| instance_index),
+            ..self.config
+        };
+        let schedule = Schedule::new(config, seed, self.now);
         Instance { schedule, ends: Vec::new(), held: None, heard: None, calls: Vec::new() }
     }
 
     /// Kills and starts one instance.
-    pub fn restart(&mut self, number: usize) {
-        self.instances[number] = self.start(number as u32);
+    pub fn restart(&mut self, instance_index: usize) {
+        self.instances[instance_index] = self.start(instance_index as u32);
     }
 
     /// Ends every watch that is open.
@@ -120,7 +128,7 @@
         let now = self.now;
         for instance in &mut self.instances {
             if let Some((_, id)) = instance.held.take() {
-                instance.schedule.ended(now, id, End::Broken);
+                instance.schedule.handle_outcome(now, id, Outcome::Failed);
             }
         }
     }
@@ -158,31 +166,31 @@
             {
                 instance.held = None;
                 instance.heard = Some(now);
-                instance.schedule.ended(now, id, End::Answered);
+                instance.schedule.handle_outcome(now, id, Outcome::Received);
             }
             let due: Vec<_> = instance.ends.extract_if(.., |(at, ..)| *at <= now).collect();
             for (_, id, end) in due {
-                if end == End::Answered {
+                if end == Outcome::Received {
                     instance.heard = Some(now);
                 }
-                instance.schedule.ended(now, id, end);
+                instance.schedule.handle_outcome(now, id, end);
             }
             while let Some(command) = instance.schedule.poll(now) {
                 match command {
-                    Command::Abandon(id) => {
+                    Command::Cancel(id) => {
                         instance.ends.retain(|(_, call, _)| *call != id);
                         instance.held = instance.held.filter(|(_, call)| *call != id);
                     }
                     // A watch that goes on costs no turn.
-                    Command::Start(call) if call.hold > 0 => {
+                    Command::Send(call) if call.max_wait > 0 => {
                         let at = if self.discovery.service == Service::Silent {
                             Micros::MAX
                         } else {
-                            now + call.hold
+                            now + call.max_wait
                         };
                         instance.held = Some((at, call.id));
                     }
-                    Command::Start(call) => {
+                    Command::Send(call) => {
                         instance.calls.push(now);
                         if let Some((at, end)) = self.discovery.serve(now) {
                             instance.ends.push((at, call.id, end));
--- a/crates/drain-gossip/src/budget.rs
+++ b/crates/drain-gossip/src/budget.rs
@@ -1,34 +1,38 @@
-//! How many bytes a second an instance tells its peers.
+//! How many bytes a second an instance sends to its peers in answers.
 
 use crate::Micros;
+use crate::constants::{BUDGET_BYTES_PER_SECOND, MAX_BURST_BYTES};
 
-/// Bytes a second in the long run: an asker that misses 3,200 departures needs 32 KiB.
-pub const BYTES_PER_SECOND: u64 = 64 * 1024;
-/// Bytes at once.
-pub const BURST: u64 = 16 * 1024;
-const SECOND: u64 = 1_000_000;
+const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// A bucket of bytes that fills up.
+/// A token bucket of bytes.
 #[derive(Debug)]
-pub struct Budget {
-    left: u64,
-    at: Micros,
+pub(crate) struct ByteBudget {
+    available: u64,
+    refilled_at: Micros,
 }
 
-impl Budget {
-    pub fn new(now: Micros) -> Budget {
-        Budget { left: BURST, at: now }
+impl ByteBudget {
+    /// A full bucket.
+    pub fn new(now: Micros) -> ByteBudget {
+        ByteBudget { available: MAX_BURST_BYTES, refilled_at: now }
     }
 
-    /// Takes so many bytes, if there are as many.
-    pub fn take(&mut self, now: Micros, bytes: usize) -> bool {
-        let filled = now.saturating_sub(self.at).saturating_mul(BYTES_PER_SECOND) / SECOND;
-        if filled > 0 {
-            self.left = self.left.saturating_add(filled).min(BURST);
-            self.at = now;
-        }
-        let Some(left) = self.left.checked_sub(bytes as u64) else { return false };
-        self.left = left;
+    /// Takes so many bytes, if as many are available.
+    pub fn try_take(&mut self, now: Micros, bytes: usize) -> bool {
+        self.refill(now);
+        let Some(available) = self.available.checked_sub(bytes as u64) else { return false };
+        self.available = available;
         true
     }
+
+    /// Time that is too short for one byte stays uncounted until it is enough: it must not be lost to rounding.
+    fn refill(&mut self, now: Micros) {
+        let elapsed = now.saturating_sub(self.refilled_at);
+        let bytes = elapsed.saturating_mul(BUDGET_BYTES_PER_SECOND) / MICROS_PER_SECOND;
+        if bytes > 0 {
+            self.available = self.available.saturating_add(bytes).min(MAX_BURST_BYTES);
+            self.refilled_at = now;
+        }
+    }
 }
--- a/crates/drain-gossip/src/log.rs
+++ b/crates/drain-gossip/src/log.rs
@@ -1,25 +1,23 @@
-//! The departures that an instance knows, in the order that all instances share.
+//! The drains that an instance knows, in the order that all instances share.
 
+use crate::constants::{LOG_RETENTION, MAX_LOG_ENTRIES};
 use crate::{Micros, TargetKey};
+use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
+use std::ops::Bound::{Excluded, Unbounded};
 
-/// Departures that are kept at most, about 100 KiB; beyond them the oldest are forgotten.
-pub const MOST_KEPT: usize = 8_192;
-/// A departure is kept for this long: who missed it has heard the list by then.
-const KEPT_FOR: Micros = 60_000_000;
-
-/// A place in the order of all departures: the version of the list that told it, then the target's key.
-/// Instances that ask the same discovery agree on it, so one can go on at a peer where another peer stopped.
-#[derive(
-    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, serde::Serialize, serde::Deserialize,
-)]
+/// A place in the order of all drains: the version of the list that first named it, then the target's key.
+/// Instances that poll the same discovery agree on it, so one can go on at a peer where another peer stopped.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Position {
+    /// The version of the endpoint list; 0: before all versions.
     pub version: u64,
+    /// The target.
     pub key: TargetKey,
 }
 
 impl Position {
-    /// Behind all departures that a list of this version tells; of version 0, before all that there are.
+    /// Behind all drains that a list of this version names; for version 0, before all that there are.
     pub fn after_version(version: u64) -> Position {
         match version {
             0 => Position::default(),
@@ -32,21 +30,19 @@
     }
 }
 
-/// The departures by their positions.
+/// The drains by their positions.
 #[derive(Debug, Default)]
-pub struct DepartureLog {
+pub(crate) struct DrainLog {
     positions: BTreeMap<TargetKey, Position>,
     order: BTreeSet<Position>,
-    /// When each version's departures were heard; the oldest first.
-    heard: BTreeMap<u64, Micros>,
-    /// All departures behind this one are here.
+    /// When each version's drains were received; the oldest first.
+    received_at: BTreeMap<u64, Micros>,
+    /// All drains behind this position are here.
     complete_after: Position,
-    /// Departures forgotten because there were too many.
-    pub forgotten: u64,
 }
 
-impl DepartureLog {
-    /// The list is held as of a version; what left before it is not known here.
+impl DrainLog {
+    /// The list is held as of a version; drains before it are not known here.
     pub fn begin_after(&mut self, version: u64) {
         self.complete_after = self.complete_after.max(Position::after_version(version));
     }
@@ -54,12 +50,14 @@
     /// Another discovery counts its versions in its own way: what is known comes before all of them.
     pub fn restart(&mut self) {
         let keys: Vec<TargetKey> = self.positions.keys().copied().collect();
-        let heard = self.heard.values().copied().max();
+        let last_received_at = self.received_at.values().copied().max();
         self.order.clear();
         self.positions.clear();
-        self.heard = heard.map(|at| (0, at)).into_iter().collect();
+        self.received_at = last_received_at.map(|at| (0, at)).into_iter().collect();
         self.complete_after = Position::default();
-        keys.into_iter().for_each(|key| self.insert(Position { version: 0, key }));
+        for key in keys {
+            self.insert(Position { version: 0, key });
+        }
     }
 
     fn insert(&mut self, position: Position) {
@@ -67,16 +65,16 @@
         self.order.insert(position);
     }
 
-    /// A target left or is leaving, as a version told. One that is known keeps its position.
-    pub fn departed(&mut self, now: Micros, version: u64, key: TargetKey) {
+    /// A list of this version names a target as draining or removed. A target that is known keeps its position.
+    pub fn record_drain(&mut self, now: Micros, version: u64, key: TargetKey) {
         if !self.positions.contains_key(&key) {
             self.insert(Position { version, key });
-            self.heard.entry(version).or_insert(now);
+            self.received_at.entry(version).or_insert(now);
         }
     }
 
-    /// A target is in use again.
-    pub fn returned(&mut self, key: TargetKey) {
+    /// A target is active again.
+    pub fn record_return(&mut self, key: TargetKey) {
         if let Some(position) = self.positions.remove(&key) {
             self.order.remove(&position);
         }
@@ -84,16 +82,15 @@
 
     /// Forgets what is old, and the oldest where there are too many.
     pub fn prune(&mut self, now: Micros) {
-        while let Some((version, heard)) = self.heard.first_key_value().map(|(v, h)| (*v, *h))
-            && heard + KEPT_FOR <= now
+        while let Some(entry) = self.received_at.first_entry()
+            && *entry.get() + LOG_RETENTION <= now
         {
+            let (version, _) = entry.remove_entry();
             self.forget_through(Position::last_of(version));
-            self.heard.remove(&version);
         }
-        while self.order.len() > MOST_KEPT
+        while self.order.len() > MAX_LOG_ENTRIES
             && let Some(oldest) = self.order.first().copied()
         {
-            self.forgotten += 1;
             self.forget_through(oldest);
         }
     }
@@ -106,15 +103,14 @@
         self.complete_after = self.complete_after.max(last);
     }
 
-    /// Where a report that goes on behind `cursor` can begin, and whether departures before that are not
-    /// known here.
+    /// Where a report that goes on behind `cursor` can begin, and whether drains before that are not known
+    /// here.
     pub fn start(&self, cursor: Position) -> (Position, bool) {
         (cursor.max(self.complete_after), cursor < self.complete_after)
     }
 
-    /// The departures behind a position, in order.
+    /// The drains behind a position, in order.
     pub fn after(&self, position: Position) -> impl Iterator<Item = Position> {
-        use std::ops::Bound::{Excluded, Unbounded};
         self.order.range((Excluded(position), Unbounded)).copied()
     }
 }
--- a/crates/drain-gossip/src/message.rs
+++ b/crates/drain-gossip/src/message.rs
@@ -1,18 +1,13 @@
-//! The datagrams, which hold 256 bytes at most: a byte for the version of the format, then the message by
-//! postcard.
+//! The datagrams: a byte for the version of the format, then the message by postcard, which writes fields and
+//! variants by their order and not by their names.
 
 use crate::Position;
+use crate::constants::MAX_DATAGRAM_BYTES;
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The most bytes of a datagram.
-pub const LONGEST: usize = 256;
+/// Version 1 was a format of earlier builds; a datagram of another version is not read.
 const FORMAT: u8 = 2;
-/// The most bytes before the targets of a report: format, kind, a number of up to 5 bytes, two positions of
-/// up to 18, two flags, a count.
-const HEAD: usize = 47;
-/// Targets that one report names at most.
-pub const MOST_TARGETS: usize = (LONGEST - HEAD) / size_of::<TargetKey>();
 
 /// A target's name as a hash, in little-endian bytes: names have no bound on their length.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -25,38 +20,49 @@
     }
 }
 
-/// What one instance tells another.
+/// What one instance sends another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Asks which targets have left or are leaving behind a position.
-    Query { number: u32, after: Position },
-    /// A part of the answer to the query of that number.
+    /// Asks which targets have begun to drain or were removed behind a position.
+    Query {
+        /// The sender's round of queries, which the answer repeats.
+        #[serde(rename = "number")]
+        round: u32,
+        /// The sender knows all drains up to here.
+        after: Position,
+    },
+    /// A part of the answer to a query.
     Report(Report),
 }
 
-/// A part of an answer: all departures behind one position up to another.
+/// A part of an answer: all drains behind one position up to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// The number of the query.
-    pub number: u32,
+    /// The round of the query.
+    #[serde(rename = "number")]
+    pub round: u32,
+    /// Where the part begins.
     pub after: Position,
+    /// Where the part ends.
     pub through: Position,
-    /// Departures before `after` that the query asked for are not known to the sender.
+    /// Drains before `after` that the query asked for are not known to the sender.
     pub gap: bool,
     /// The answer ends here for now, and there is more behind it.
     pub more: bool,
-    pub departed: Vec<TargetKey>,
+    /// The targets that are draining or removed, in the order of their positions.
+    #[serde(rename = "departed")]
+    pub draining: Vec<TargetKey>,
 }
 
 /// Why a datagram is not used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Malformed {
-    /// Another version of the format.
+pub enum DecodeError {
+    /// It is of another version of the format.
     #[error("format {0} is not known")]
-    Format(u8),
+    UnknownFormat(u8),
     /// It is empty, torn, too long, or has bytes left over.
     #[error("it cannot be read")]
-    Unreadable,
+    Malformed,
 }
 
 impl Message {
@@ -67,21 +73,21 @@
         postcard::to_extend(self, start).unwrap_or_default()
     }
 
-    /// Reads a datagram.
+    /// Decodes a datagram.
     ///
     /// # Errors
     /// It is of another format, torn, too long, or names too many targets.
-    pub fn decode(bytes: &[u8]) -> Result<Message, Malformed> {
-        let (format, rest) = bytes.split_first().ok_or(Malformed::Unreadable)?;
+    pub fn decode(bytes: &[u8]) -> Result<Message, DecodeError> {
+        let (format, rest) = bytes.split_first().ok_or(DecodeError::Malformed)?;
         if *format != FORMAT {
-            return Err(Malformed::Format(*format));
+            return Err(DecodeError::UnknownFormat(*format));
         }
-        if bytes.len() > LONGEST {
-            return Err(Malformed::Unreadable);
+        if bytes.len() > MAX_DATAGRAM_BYTES {
+            return Err(DecodeError::Malformed);
         }
         match postcard::take_from_bytes::<Message>(rest) {
             Ok((message, [])) => Ok(message),
-            _ => Err(Malformed::Unreadable),
+            _ => Err(DecodeError::Malformed),
         }
     }
 }
--- a/crates/drain-gossip/tests/compatibility.rs
+++ b/crates/drain-gossip/tests/compatibility.rs
@@ -10,9 +10,9 @@
 fn messages() -> [(&'static str, Message); 2] {
     let after = Position { version: 300, key: TargetKey([1, 2, 3, 4, 5, 6, 7, 8]) };
     let through = Position { version: 301, key: TargetKey([9; 8]) };
-    let departed = vec![TargetKey::of("box-1"), TargetKey::of("box-2")];
-    let report = Report { number: 78, after, through, gap: true, more: false, departed };
-    [("query", Message::Query { number: 77, after }), ("report", Message::Report(report))]
+    let draining = vec![TargetKey::of("box-1"), TargetKey::of("box-2")];
+    let report = Report { round: 78, after, through, gap: true, more: false, draining };
+    [("query", Message::Query { round: 77, after }), ("report", Message::Report(report))]
 }
 
 fn hex(bytes: &[u8]) -> String {
--- a/crates/lab/src/scale/lists.rs
+++ b/crates/lab/src/scale/lists.rs
@@ -9,7 +9,7 @@
     Outcome, PlanId, RequestId, RequestProfile, ShardId, TargetId, TargetState, VolumeId, ZoneId,
 };
 use rowanglade::names::Names;
-use rowanglade::net::http::Page;
+use rowanglade::net::http::EndpointPage;
 use rowanglade::scheduler::Scheduler;
 use rowanglade::settings::Settings;
 use rowanglade_subset::{Rule, Subset};
@@ -48,15 +48,15 @@
 
 /// A whole list, read from its JSON.
 pub fn decode(size: Size) -> Result<Cost, Failure> {
-    let text = serde_json::to_vec(&Page::of(lines(size.targets)))?;
-    serde_json::from_slice::<Page>(&text)?;
-    let cost = measure(RUNS, || serde_json::from_slice::<Page>(&text));
+    let text = serde_json::to_vec(&EndpointPage::snapshot(lines(size.targets)))?;
+    serde_json::from_slice::<EndpointPage>(&text)?;
+    let cost = measure(RUNS, || serde_json::from_slice::<EndpointPage>(&text));
     Ok(Cost { wire: text.len() as f64, ..cost })
 }
 
 /// A whole list, written as JSON: the least that whoever serves it spends on each reader.
 pub fn encode(size: Size) -> Result<Cost, Failure> {
-    let page = Page::of(lines(size.targets));
+    let page = EndpointPage::snapshot(lines(size.targets));
     let text = serde_json::to_vec(&page)?;
     let cost = measure(RUNS, || serde_json::to_vec(&page));
     Ok(Cost { wire: text.len() as f64, ..cost })
--- a/src/bin/simulator-adapter/discovery.rs
+++ b/src/bin/simulator-adapter/discovery.rs
@@ -1,54 +1,54 @@
-//! Drives the schedule of one instance's calls for the list on the simulator's wire, where a subscription
-//! stays open by itself and a failure does not say which call it belongs to.
+//! Drives the polling schedule of one instance on the simulator's wire, where a subscription stays open by
+//! itself and a failure does not say which request it belongs to.
 
 use crate::wire::Sent;
 use rowanglade::interface::Micros;
 use rowanglade::settings::Settings;
-use rowanglade_discovery_polling::{CallId, Command, Delivery, End, Schedule, Watch};
+use rowanglade_discovery_polling::{Command, Delivery, Outcome, RequestId, Schedule, WatchMode};
 use std::collections::VecDeque;
 
-/// The token of the schedule's timers. The module's tokens are times, which stay far below it.
+/// The token of the schedule's timers. The scheduler's tokens are times, which stay far below it.
 pub const TIMER_TOKEN: u64 = 1 << 52;
 
 /// The discovery client of one instance.
 pub struct DiscoveryClient {
     instance: u64,
     schedule: Schedule,
-    /// Calls without an answer, in the order made.
-    in_flight: VecDeque<CallId>,
-    /// When the earliest timer that was asked for is due.
+    /// Requests without a response, in the order sent.
+    in_flight: VecDeque<RequestId>,
+    /// When the earliest timer that was requested is due.
     timer_at: Option<Micros>,
 }
 
 impl DiscoveryClient {
-    /// None where the list comes without being asked for.
+    /// None where the list is pushed.
     pub fn new(instance: u64, settings: &Settings, seed: u64, now: Micros) -> Option<DiscoveryClient> {
-        let asked = matches!(settings.delivery(), Delivery::OnRequest { .. });
-        asked.then(|| DiscoveryClient {
+        let polled = matches!(settings.delivery(), Delivery::Polled { .. });
+        polled.then(|| DiscoveryClient {
             instance,
-            schedule: settings.discovery_schedule(Watch::Subscription, seed, now),
+            schedule: settings.discovery_schedule(WatchMode::Subscription, seed, now),
             in_flight: VecDeque::new(),
             timer_at: None,
         })
     }
 
-    /// News of the list came.
-    pub fn heard(&mut self, now: Micros) {
+    /// A snapshot or a delta of the list was received.
+    pub fn handle_received(&mut self, now: Micros) {
         if let Some(id) = self.in_flight.pop_front() {
-            self.schedule.ended(now, id, End::Answered);
+            self.schedule.handle_outcome(now, id, Outcome::Received);
         }
     }
 
-    /// A call failed, or the subscription broke.
-    pub fn failed(&mut self, now: Micros) {
+    /// A request failed, or the subscription broke.
+    pub fn handle_failure(&mut self, now: Micros) {
         match self.in_flight.pop_front() {
-            Some(id) => self.schedule.ended(now, id, End::Refused),
-            None => self.schedule.subscription_broke(now),
+            Some(id) => self.schedule.handle_outcome(now, id, Outcome::Rejected),
+            None => self.schedule.handle_subscription_broken(now),
         }
     }
 
     /// A timer of [`TIMER_TOKEN`] is due.
-    pub fn timer(&mut self, now: Micros) {
+    pub fn handle_timer(&mut self, now: Micros) {
         self.timer_at = self.timer_at.filter(|at| *at > now);
     }
 
@@ -56,14 +56,14 @@
     pub fn poll(&mut self, now: Micros, out: &mut Vec<Sent>) {
         while let Some(command) = self.schedule.poll(now) {
             match command {
-                Command::Start(call) => {
-                    self.in_flight.push_back(call.id);
+                Command::Send(request) => {
+                    self.in_flight.push_back(request.id);
                     out.push(Sent::subscribe(self.instance));
                 }
-                Command::Abandon(id) => self.in_flight.retain(|call| *call != id),
+                Command::Cancel(id) => self.in_flight.retain(|request| *request != id),
             }
         }
-        let due = self.schedule.next_poll().map(|at| at.max(now));
+        let due = self.schedule.next_timeout().map(|at| at.max(now));
         if let Some(at) = due.filter(|at| self.timer_at.is_none_or(|timer| *at < timer)) {
             self.timer_at = Some(at);
             out.push(Sent::wake(self.instance, TIMER_TOKEN, at - now));
--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -41,7 +41,7 @@
                 }
                 wire::Opened::DiscoveryFailed => {
                     let client = instances.get_mut(&inst).and_then(|i| i.discovery.as_mut());
-                    client.into_iter().for_each(|client| client.failed(batch.now));
+                    client.into_iter().for_each(|client| client.handle_failure(batch.now));
                 }
                 wire::Opened::Destroy => {
                     instances.remove(&inst);
@@ -57,10 +57,10 @@
                             },
                             Some(client),
                         ) => {
-                            client.heard(batch.now);
+                            client.handle_received(batch.now);
                         }
                         (Event::TimerFired { token: TIMER_TOKEN }, Some(client)) => {
-                            client.timer(batch.now);
+                            client.handle_timer(batch.now);
                             continue;
                         }
                         _ => {}
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -142,7 +142,7 @@
     let operator = operator(parser)?;
     let config = Config::load(variable, &operator).map_err(Failure::usage)?;
     println!("{config}");
-    let known = config.known.as_ref().map(|k| k.boxes()).unwrap_or_default();
+    let known = config.known.as_ref().map(|known| known.routable_targets()).unwrap_or_default();
     let Decided { decision, lines, .. } = config.routing.decide(&known);
     lines.iter().for_each(|line| println!("{line}"));
     if !config.routing.rules.expectations.is_empty() {
--- a/src/cli/routes.rs
+++ b/src/cli/routes.rs
@@ -42,12 +42,12 @@
 fn read(operator: &[PathBuf], list: Option<&PathBuf>) -> Result<(Routing, Vec<TargetInfo>), Failure> {
     let config = Config::load(variable, operator).map_err(Failure::usage)?;
     let boxes = match list {
-        None => config.known.as_ref().map(|k| k.boxes()).unwrap_or_default(),
+        None => config.known.as_ref().map(|k| k.routable_targets()).unwrap_or_default(),
         Some(path) => {
             let named = |e: &dyn std::fmt::Display| Failure::Usage(format!("{}: {e}", path.display()));
             let text = std::fs::read_to_string(path).map_err(|e| named(&e))?;
-            let page: crate::net::http::Page = serde_json::from_str(&text).map_err(|e| named(&e))?;
-            page.boxes()
+            let page: crate::net::http::EndpointPage = serde_json::from_str(&text).map_err(|e| named(&e))?;
+            page.routable_targets()
         }
     };
     Ok((config.routing, boxes))
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -19,9 +19,9 @@
 
 use crate::core::Watch;
 use crate::names::Names;
+use crate::net::drain_gossip::PeerAddresses;
 use crate::net::fleet::Peers;
-use crate::net::http::Page;
-use crate::net::peers::PeerAddresses;
+use crate::net::http::EndpointPage;
 use crate::scheduler::Scheduler;
 use crate::settings::Settings;
 use operator::OperatorFiles;
@@ -56,7 +56,7 @@
     /// The seed of the instance's random numbers.
     pub seed: u64,
     /// The targets that were known before, for the time until discovery answers.
-    pub known: Option<Page>,
+    pub known: Option<EndpointPage>,
     /// The other instances as the platform gives them; none where this one tells them nothing.
     pub peers: Option<PeerAddresses>,
     /// Classes, plans and rules.
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -1,8 +1,8 @@
 //! The platform's JSON file, and the environment variables that override it.
 
 use super::{ConfigError, Limits};
-use crate::net::http::Page;
-use crate::net::peers::PeerAddresses;
+use crate::net::drain_gossip::PeerAddresses;
+use crate::net::http::EndpointPage;
 use crate::settings::Settings;
 use rowanglade_discovery_polling::Delivery;
 use serde::Deserialize;
@@ -19,7 +19,7 @@
     pub admin: Option<String>,
     /// In hex digits.
     pub seed: Option<String>,
-    pub known: Option<Page>,
+    pub known: Option<EndpointPage>,
     /// Where datagrams of other instances come.
     pub peer_listen: Option<SocketAddr>,
     /// One address for each instance, in the order of their numbers.
@@ -48,19 +48,19 @@
     /// # Errors
     /// This instance's number is no place in `peers`.
     pub fn peer_addresses(&self) -> Result<Option<PeerAddresses>, ConfigError> {
-        let asked = matches!(self.settings.delivery(), Delivery::OnRequest { .. });
+        let polled = matches!(self.settings.delivery(), Delivery::Polled { .. });
         let (Some(listen), Some(number)) = (self.peer_listen, self.settings.number()) else {
             return Ok(None);
         };
-        if !asked || !self.settings.may_tell_peers() || self.peers.is_empty() {
+        if !polled || !self.settings.may_tell_peers() || self.peers.is_empty() {
             return Ok(None);
         }
-        let me = number as usize;
-        if me >= self.peers.len() {
-            let problem = format!("{me} is no place in peers, which has {}", self.peers.len());
+        let own_index = number as usize;
+        if own_index >= self.peers.len() {
+            let problem = format!("{own_index} is no place in peers, which has {}", self.peers.len());
             return Err(ConfigError::new("settings.my-number", problem));
         }
-        Ok(Some(PeerAddresses { listen, all: self.peers.clone(), me }))
+        Ok(Some(PeerAddresses { listen, all: self.peers.clone(), own_index }))
     }
 }
 
--- a/src/initiator.rs
+++ b/src/initiator.rs
@@ -8,11 +8,11 @@
 
 use crate::config::{Config, ConfigError, Decided, Iscsi, Reload, Routing};
 use crate::core::{self, AccessLog, Clock, Core, CoreDependencies, CoreHandle, Fleet, Loaded, Message};
-use crate::net::peers::PeerLink;
+use crate::net::drain_gossip::DrainGossipLink;
 use crate::net::{Budget, Parts, Phase, Reservations, admin, fleet, http};
 use crate::upgrade::{Controls, Keeper, Listeners, Told};
 use handover::{Handover, bind_admin, bind_fleet, listen};
-use rowanglade_discovery_polling::Watch;
+use rowanglade_discovery_polling::WatchMode;
 use rowanglade_routing::TargetInfo;
 use rowanglade_routing::check::Decision;
 use std::net::SocketAddr;
@@ -150,7 +150,7 @@
         let figures = iscsi.as_ref().map(|(_, iscsi)| figures(iscsi, &config.settings, clock));
         let connect = connect(pool, figures, core.clone());
         let routing = config.routing;
-        let known = config.known.as_ref().map(http::Page::boxes).unwrap_or_default();
+        let known = config.known.as_ref().map(http::EndpointPage::routable_targets).unwrap_or_default();
         let routes_open = check_routes(&routing, &known)?;
         let (table, in_force) =
             watch::channel(Arc::new(Loaded { version: 1, table: routing.rules.table.clone() }));
@@ -184,17 +184,17 @@
         // What the predecessor holds is newer than what the platform remembers. The watch goes on from the
         // latter's version: what it tells again changes nothing.
         let known = welcome.map(|w| w.list).or(config.known).unwrap_or_default();
-        http::remember(&core, known).await;
+        http::send_cached_list(&core, known).await;
         if let Some((_, iscsi)) = &iscsi {
             core.send(portals(iscsi)).await;
         }
         let (discovery, addr) = watch::channel(config.discovery);
-        let schedule = |now| config.settings.discovery_schedule(Watch::LongPoll, config.seed, now);
-        let peers = config.peers.map(|addresses| PeerLink::new(addresses, config.seed, clock.now()));
+        let schedule = |now| config.settings.discovery_schedule(WatchMode::LongPoll, config.seed, now);
+        let gossip = config.peers.map(|addresses| DrainGossipLink::new(addresses, config.seed, clock.now()));
         let known = platform_list.as_ref();
-        let directory =
-            http::Directory::new(addr, connect_timeout, core.clone(), clock, schedule, known, peers);
-        actix_rt::spawn(directory.run());
+        let poller =
+            http::DiscoveryPoller::new(addr, connect_timeout, core.clone(), clock, schedule, known, gossip);
+        actix_rt::spawn(poller.run());
         let classes = classes(&config.settings);
         let patience = config.settings.longest_deadline().min(LONGEST) + AFTER - SPARE;
         // Without an older table to keep, one that waits for a box is in force from the start.
--- a/src/initiator/reload.rs
+++ b/src/initiator/reload.rs
@@ -12,7 +12,7 @@
 /// Where a running initiator takes a new configuration.
 #[derive(Clone, Debug)]
 pub struct Reloads {
-    pub(super) discovery: watch::Sender<http::Address>,
+    pub(super) discovery: watch::Sender<http::DiscoveryAddress>,
     pub(super) access_log: Option<AccessLog>,
     pub(super) table: watch::Sender<Arc<Loaded>>,
     /// The routes in force from the start, where some of their expectations could not be decided then.
--- a/src/net/http/mod.rs
+++ b/src/net/http/mod.rs
@@ -8,7 +8,7 @@
 mod target;
 
 pub use clients::Clients;
-pub use discovery::{Address, Directory, Page, remember};
+pub use discovery::{DiscoveryAddress, DiscoveryPoller, EndpointPage, send_cached_list};
 pub use rowanglade_http_exchange::Links;
 pub use server::{Front, serve};
 pub use target::{Pool, connect};
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -4,9 +4,9 @@
 pub mod admin;
 pub mod budget;
 pub mod close;
+pub mod drain_gossip;
 pub mod fleet;
 pub mod http;
 pub mod iscsi;
-pub mod peers;
 
 pub use budget::{Budget, Parts, Phase, Reservations};
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -4,8 +4,7 @@
 use crate::interface as api;
 use crate::interface::{Micros, SettingsError};
 use crate::names::Names;
-use rowanglade_discovery_polling as discovery;
-use rowanglade_discovery_polling::{Delivery, Schedule, Watch};
+use rowanglade_discovery_polling::{Delivery, PollingConfig, Schedule, WatchMode};
 use serde::Deserialize;
 use std::time::Duration;
 
@@ -148,8 +147,8 @@
     /// How the list of targets reaches this instance.
     pub fn delivery(&self) -> Delivery {
         match self.list_is_pushed() {
-            true => Delivery::Pushed { grace: self.rules.drain_grace.unwrap_or(0) },
-            false => Delivery::OnRequest { ask_within: self.rules.must_ask_in.unwrap_or(0) },
+            true => Delivery::Pushed { drain_grace: self.rules.drain_grace.unwrap_or(0) },
+            false => Delivery::Polled { max_poll_interval: self.rules.must_ask_in.unwrap_or(0) },
         }
     }
 
@@ -168,15 +167,15 @@
         self.my_number
     }
 
-    /// The schedule of this instance's calls for the list, from a time of the caller's clock on.
-    pub fn discovery_schedule(&self, watch: Watch, seed: u64, now: Micros) -> Schedule {
-        let settings = discovery::Settings {
+    /// The schedule of this instance's requests for the endpoint list, from a time of the caller's clock on.
+    pub fn discovery_schedule(&self, watch_mode: WatchMode, seed: u64, now: Micros) -> Schedule {
+        let config = PollingConfig {
             delivery: self.delivery(),
-            watch,
+            watch_mode,
             instances: self.siblings,
-            number: self.my_number,
+            instance_index: self.my_number,
         };
-        Schedule::new(settings, seed, now)
+        Schedule::new(config, seed, now)
     }
 
     /// This instance's number, and how many there are.
--- a/src/upgrade/keeper.rs
+++ b/src/upgrade/keeper.rs
@@ -2,7 +2,7 @@
 
 use crate::core::{AdminCommand, HandoverRequest};
 use crate::net::accept::{AcceptFailures, AfterFailure};
-use crate::net::http::Page;
+use crate::net::http::EndpointPage;
 use crate::net::{Budget, Phase};
 use crate::upgrade::Meeting;
 use crate::upgrade::wire::{self, HandoverState, Message, Reader, Share, Welcome};
@@ -348,7 +348,8 @@
                 for (_, fd) in &controls.listeners.0 {
                     fds.push(fd.try_clone()?);
                 }
-                message.welcome = Some(Box::new(Welcome { now, list: Page::of(list), share, listeners }));
+                message.welcome =
+                    Some(Box::new(Welcome { now, list: EndpointPage::snapshot(list), share, listeners }));
             }
             Word::Given => message.given = self.frozen.clone(),
             _ => {}
--- a/src/upgrade/wire.rs
+++ b/src/upgrade/wire.rs
@@ -2,7 +2,7 @@
 
 use crate::core::AdminCommand;
 use crate::interface::Micros;
-use crate::net::http::Page;
+use crate::net::http::EndpointPage;
 use crate::scheduler::snapshot::SchedulerSnapshot;
 use bytes::{Buf, BufMut, BytesMut};
 use rowanglade_handover::Word;
@@ -31,7 +31,7 @@
     /// The predecessor's time, on whose clock the successor goes on.
     pub now: Micros,
     /// The list, as discovery told it.
-    pub list: Page,
+    pub list: EndpointPage,
     pub share: Share,
     /// What the descriptors that come along are, in their order.
     pub listeners: Vec<String>,
--- a/tests/compatibility/configuration.rs
+++ b/tests/compatibility/configuration.rs
@@ -37,7 +37,7 @@
     assert_eq!((config.discovery, config.admin), (Some(addr(7071)), Some(addr(7072))));
     assert_eq!((config.limits.memory_mb, config.limits.sockets), (300, 2_000));
     let peers = config.peers.expect("peers");
-    assert_eq!((peers.listen, peers.me), (addr(7073), 1));
+    assert_eq!((peers.listen, peers.own_index), (addr(7073), 1));
     assert_eq!(peers.all, [addr(7073), addr(7074), addr(7075)]);
     let known = serde_json::to_value(config.known.expect("a list")).expect("JSON");
     let sample: serde_json::Value = serde_json::from_str(PLATFORM).expect("JSON");
@@ -50,7 +50,7 @@
     assert_eq!(settings.conn_idle(), Duration::from_secs(31));
     assert_eq!(settings.connect_timeout(), Duration::from_millis(260));
     assert_eq!(settings.zones(), ["kingston", "negril"]);
-    assert_eq!(settings.delivery(), Delivery::OnRequest { ask_within: 10_000_000 });
+    assert_eq!(settings.delivery(), Delivery::Polled { max_poll_interval: 10_000_000 });
     assert!(settings.may_tell_peers());
     assert_eq!((settings.instances(), settings.number()), ((1, 3), Some(1)));
     assert_eq!((settings.shards(), settings.longest_advice()), (Some(8), Duration::from_millis(500)));
--- a/tests/compatibility/handover.rs
+++ b/tests/compatibility/handover.rs
@@ -67,7 +67,7 @@
     let welcome = read.welcome.as_ref().expect("a welcome");
     assert_eq!((welcome.now, welcome.share.descriptors, welcome.list.version()), (1_234_567, 6, 17));
     assert_eq!(welcome.listeners, ["http", "iscsi", "admin"]);
-    assert_eq!(welcome.list.boxes().len(), 2, "one of three has left");
+    assert_eq!(welcome.list.routable_targets().len(), 2, "one of three has left");
     assert_eq!(encoded(&read), WELCOME.trim_end());
 }
 
--- a/tests/network/peers.rs
+++ b/tests/network/peers.rs
@@ -78,18 +78,18 @@
         let node = instance(0, &peers, target.addr, silent.addr).await;
         next_seen(&mut silent).await;
         let stranger = UdpSocket::bind("127.0.0.1:0").await.expect("bound");
-        let report = |number| {
-            let departed = vec![TargetKey::of("s-0")];
+        let report = |round| {
+            let draining = vec![TargetKey::of("s-0")];
             let (after, through) = (Position::default(), Position::after_version(9));
             let (gap, more) = (false, false);
-            Message::Report(Report { number, after, through, gap, more, departed }).encode()
+            Message::Report(Report { round, after, through, gap, more, draining }).encode()
         };
-        // A number that was not asked with, from the peer; and all that may have been, from a stranger; and
+        // A round that was not queried in, from the peer; and all that may have been, from a stranger; and
         // noise.
         other.send_to(&report(1_000_000), peers[0]).await.expect("sent");
         other.send_to(&[0xff; 256], peers[0]).await.expect("sent");
-        for number in 0..50 {
-            stranger.send_to(&report(number), peers[0]).await.expect("sent");
+        for round in 0..50 {
+            stranger.send_to(&report(round), peers[0]).await.expect("sent");
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
         assert_eq!(ask(node.http, &request("view", "f1", 0, "")).await, "200 here");
@@ -97,8 +97,8 @@
         let mut buffer = [0; 256];
         let (length, from) = other.recv_from(&mut buffer).await.expect("asked");
         let query = Message::decode(&buffer[..length]).expect("a query");
-        let Message::Query { number, .. } = query else { panic!("{query:?}") };
-        other.send_to(&report(number), from).await.expect("sent");
+        let Message::Query { round, .. } = query else { panic!("{query:?}") };
+        other.send_to(&report(round), from).await.expect("sent");
         until(&node, false).await;
     });
 }
