--- a/src/bin/simulator-adapter/discovery.rs
+++ b/src/bin/simulator-adapter/discovery.rs
@@ -4,7 +4,7 @@
 use crate::wire::Sent;
 use rowanglade::interface::Micros;
 use rowanglade::settings::Settings;
-use rowanglade_discovery_polling::{CallId, Command, Delivery, End, Schedule, Watch};
+use rowanglade_discovery_polling::{Command, Delivery, Outcome, RequestId, Schedule, WatchMode};
 use std::collections::VecDeque;
 
 /// The token of the schedule's timers. The scheduler's tokens are times, which stay far below it.
@@ -14,8 +14,8 @@
 pub struct DiscoveryClient {
     initiator: u64,
     schedule: Schedule,
-    /// Polls without an answer, in the order made.
-    in_flight: VecDeque<CallId>,
+    /// Requests without a response, in the order sent.
+    in_flight: VecDeque<RequestId>,
     /// When the earliest timer that was requested is due.
     timer_at: Option<Micros>,
 }
@@ -23,10 +23,10 @@
 impl DiscoveryClient {
     /// None where the list comes without being polled for.
     pub fn new(initiator: u64, settings: &Settings, seed: u64, now: Micros) -> Option<DiscoveryClient> {
-        let polled = matches!(settings.delivery(), Delivery::OnRequest { .. });
+        let polled = matches!(settings.delivery(), Delivery::Polled { .. });
         polled.then(|| DiscoveryClient {
             initiator,
-            schedule: settings.discovery_schedule(Watch::Subscription, seed, now),
+            schedule: settings.discovery_schedule(WatchMode::Subscription, seed, now),
             in_flight: VecDeque::new(),
             timer_at: None,
         })
@@ -35,15 +35,15 @@
     /// Records that the list or a change of it came.
     pub fn list_received(&mut self, now: Micros) {
         if let Some(id) = self.in_flight.pop_front() {
-            self.schedule.ended(now, id, End::Answered);
+            self.schedule.handle_outcome(now, id, Outcome::Received);
         }
     }
 
     /// Records that a poll failed, or the subscription broke.
     pub fn failed(&mut self, now: Micros) {
         match self.in_flight.pop_front() {
-            Some(id) => self.schedule.ended(now, id, End::Refused),
-            None => self.schedule.subscription_broke(now),
+            Some(id) => self.schedule.handle_outcome(now, id, Outcome::Rejected),
+            None => self.schedule.handle_subscription_broken(now),
         }
     }
 
@@ -56,14 +56,14 @@
     pub fn poll(&mut self, now: Micros, out: &mut Vec<Sent>) {
         while let Some(command) = self.schedule.poll(now) {
             match command {
-                Command::Start(call) => {
-                    self.in_flight.push_back(call.id);
+                Command::Send(request) => {
+                    self.in_flight.push_back(request.id);
                     out.push(Sent::subscribe(self.initiator));
                 }
-                Command::Abandon(id) => self.in_flight.retain(|call| *call != id),
+                Command::Cancel(id) => self.in_flight.retain(|request| *request != id),
             }
         }
-        let due = self.schedule.next_poll().map(|at| at.max(now));
+        let due = self.schedule.next_timeout().map(|at| at.max(now));
         if let Some(at) = due.filter(|at| self.timer_at.is_none_or(|timer| *at < timer)) {
             self.timer_at = Some(at);
             out.push(Sent::wake(self.initiator, TIMER_TOKEN, at - now));
--- a/src/bin/simulator-adapter/host.rs
+++ b/src/bin/simulator-adapter/host.rs
@@ -105,7 +105,7 @@
         for action in &actions {
             // On this wire an attempt has reached its target at once.
             if let Action::StartAttempt { id, .. } = action {
-                self.scheduler.settle(now, *id, true);
+                self.scheduler.commit_reserved(now, *id);
             }
             out.extend(Sent::from(self.number, action, &mut self.names));
         }
--- a/src/bin/simulator-adapter/wire/event.rs
+++ b/src/bin/simulator-adapter/wire/event.rs
@@ -101,7 +101,7 @@
 impl EndpointEntry {
     fn translate(self, names: &mut Names) -> api::EndpointEntry {
         api::EndpointEntry {
-            target: names.listed(&self.target),
+            target: names.intern_target(&self.target),
             shard: ShardId(self.shard.max(0) as u32),
             zone: names.zone(self.zone.as_deref().unwrap_or_default()),
             state: match self.state.as_str() {
--- a/src/cli/routes.rs
+++ b/src/cli/routes.rs
@@ -2,7 +2,7 @@
 
 use super::{Failure, variable};
 use crate::config::{Config, Decided, Routing};
-use crate::net::http::Page;
+use crate::net::http::EndpointPage;
 use lexopt::prelude::*;
 use rowanglade_routing::diff::diff;
 use rowanglade_routing::{Decision, Front, ListedState, RouteRequest, TargetInfo};
@@ -57,14 +57,14 @@
     fn read(&self) -> Result<(Routing, Vec<TargetInfo>), Failure> {
         let config = Config::load(variable, &self.operator).map_err(Failure::usage)?;
         let targets = match &self.list {
-            None => config.known.as_ref().map(|known| known.boxes()).unwrap_or_default(),
-            Some(path) => read_list(path)?.boxes(),
+            None => config.known.as_ref().map(|known| known.routable_targets()).unwrap_or_default(),
+            Some(path) => read_list(path)?.routable_targets(),
         };
         Ok((config.routing, targets))
     }
 }
 
-fn read_list(path: &Path) -> Result<Page, Failure> {
+fn read_list(path: &Path) -> Result<EndpointPage, Failure> {
     let failure = |error: &dyn Display| Failure::Usage(format!("{}: {error}", path.display()));
     let text = std::fs::read_to_string(path).map_err(|error| failure(&error))?;
     serde_json::from_str(&text).map_err(|error| failure(&error))
--- a/src/initiator.rs
+++ b/src/initiator.rs
@@ -7,12 +7,14 @@
 mod targets;
 
 use crate::config::{Config, ConfigError, Decided, Iscsi, Reload, Routing};
-use crate::core::{self, AccessLog, Clock, Core, CoreDependencies, CoreHandle, Fleet, Loaded, Message};
-use crate::net::peers::PeerLink;
+use crate::core::{
+    self, AccessLog, Clock, Core, CoreDependencies, CoreHandle, LoadedRoutes, Message, QuotaPeers,
+};
+use crate::net::drain_gossip::DrainGossipLink;
 use crate::net::{DescriptorBudget, OptionalParts, Phase, Reservations, admin, fleet, http};
 use crate::upgrade::{Controls, Keeper, Listeners, Told};
 use handover::{Handover, bind_admin, bind_fleet, listen};
-use rowanglade_discovery_polling::Watch;
+use rowanglade_discovery_polling::WatchMode;
 use rowanglade_routing::{Decision, TargetInfo};
 use std::net::SocketAddr;
 use std::os::fd::AsFd;
@@ -110,7 +112,7 @@
         let (scheduler, names) = config.decide().map_err(Error::Config)?;
         let Handover { keeper, mut listeners, welcome } = Handover::receive(&config).await?;
         // Times that go from one process to the next are on one clock.
-        let clock = welcome.as_ref().map_or_else(Clock::start, |w| Clock::at_present(w.now));
+        let clock = welcome.as_ref().map_or_else(Clock::start, |w| Clock::starting_at(w.now));
         let http = listen(&mut listeners, "http", "listen", config.listen).await?;
         let admin = config.admin.map(bind_admin).transpose()?;
         let parts = OptionalParts {
@@ -155,10 +157,10 @@
         let figures = iscsi.as_ref().map(|(_, iscsi)| figures(iscsi, &config.settings, clock));
         let connect = connect(transport, figures, core.clone());
         let routing = config.routing;
-        let known = config.known.as_ref().map(http::Page::boxes).unwrap_or_default();
+        let known = config.known.as_ref().map(http::EndpointPage::routable_targets).unwrap_or_default();
         let routes_open = check_routes(&routing, &known)?;
         let (table, in_force) =
-            watch::channel(Arc::new(Loaded { version: 1, table: routing.rules.table.clone() }));
+            watch::channel(Arc::new(LoadedRoutes { version: 1, table: routing.rules.table.clone() }));
         let fleet = match config.fleet {
             None => None,
             Some(peers) => {
@@ -175,12 +177,12 @@
         let (tell_call, calls) = mpsc::channel(OPERATIONS);
         let (tell_seen, seen) = mpsc::channel(SEEN);
         let beside = CoreDependencies {
-            table: in_force,
-            fleet,
-            operations,
-            upgrades: asked_of_core,
-            calls: tell_call,
-            seen: tell_seen,
+            routes: in_force,
+            quota: fleet,
+            admin_requests: operations,
+            handover_requests: asked_of_core,
+            admin_commands: tell_call,
+            object_sightings: tell_seen,
             sites: config.sites,
             subset: config.subset,
         };
@@ -189,17 +191,17 @@
         // What the predecessor holds is newer than what the platform remembers. The watch goes on from the
         // latter's version: what it tells again changes nothing.
         let known = welcome.map(|w| w.list).or(config.known).unwrap_or_default();
-        http::remember(&core, known).await;
+        http::send_cached_list(&core, known).await;
         if let Some((_, iscsi)) = &iscsi {
             core.send(portals(iscsi)).await;
         }
         let (discovery, addr) = watch::channel(config.discovery);
-        let schedule = |now| config.settings.discovery_schedule(Watch::LongPoll, config.seed, now);
-        let peers = config.peers.map(|addresses| PeerLink::new(addresses, config.seed, clock.now()));
+        let schedule = |now| config.settings.discovery_schedule(WatchMode::LongPoll, config.seed, now);
+        let gossip = config.peers.map(|addresses| DrainGossipLink::new(addresses, config.seed, clock.now()));
         let known = platform_list.as_ref();
-        let directory =
-            http::Directory::new(addr, connect_timeout, core.clone(), clock, schedule, known, peers);
-        actix_rt::spawn(directory.run());
+        let poller =
+            http::DiscoveryPoller::new(addr, connect_timeout, core.clone(), clock, schedule, known, gossip);
+        actix_rt::spawn(poller.run());
         let classes = classes(&config.settings);
         let patience = config.settings.longest_deadline().min(LONGEST) + AFTER - SPARE;
         // Without an older table to keep, one that waits for a box is in force from the start.
@@ -271,10 +273,10 @@
     socket: UdpSocket,
     core: &CoreHandle,
     phase: &watch::Sender<Phase>,
-) -> Fleet {
+) -> QuotaPeers {
     let (out, outgoing) = mpsc::channel(peers.queue());
     actix_rt::spawn(fleet::run(socket, peers, core.clone(), outgoing, phase.subscribe()));
-    Fleet::new(incarnation(), out)
+    QuotaPeers::new(incarnation(), out)
 }
 
 /// A number that no other life of an instance has: of the system's randomness, which seeds hash maps.
--- a/src/net/admin/connection.rs
+++ b/src/net/admin/connection.rs
@@ -92,7 +92,7 @@
     }
     let (done, confirmed) = oneshot::channel();
     let confirmation = async {
-        service.commands.send(AdminRequest { call: command, done }).await.ok()?;
+        service.commands.send(AdminRequest { command, done }).await.ok()?;
         confirmed.await.ok()
     };
     match tokio::time::timeout(COMMAND_TIMEOUT, confirmation).await {
--- a/src/net/http/handler.rs
+++ b/src/net/http/handler.rs
@@ -3,9 +3,9 @@
 use super::clients::ClientConnection;
 use super::message::{self, MAX_BODY_BYTES};
 use super::request_body::{BodyBudget, RequestBody};
-use super::response_body::ResponseBody;
+use super::response_body::HttpBody;
 use super::server::Front;
-use crate::core::{Content, Response, Upload};
+use crate::core::{Response, ResponseBody, Upload};
 use crate::net::Phase;
 use actix_http::body::{BodySize, MessageBody};
 use actix_http::header::CONTENT_LENGTH;
@@ -24,11 +24,11 @@
 const READINESS_PATH: &str = "/up";
 
 /// A response whose body is not being sent yet.
-type ContentResponse = HttpResponse<Content>;
+type ContentResponse = HttpResponse<ResponseBody>;
 
 /// Responds to one request. Dropped, which is how the HTTP service reports a client that has gone, it notifies
 /// the core.
-pub(super) async fn respond(front: Front, mut request: Request) -> HttpResponse<ResponseBody> {
+pub(super) async fn respond(front: Front, mut request: Request) -> HttpResponse<HttpBody> {
     let connection = request.conn_data::<Rc<ClientConnection>>().cloned();
     let active = connection.as_ref().map(ClientConnection::begin_request);
     let mut response = respond_with_content(&front, &mut request, connection.as_ref()).await;
@@ -50,7 +50,7 @@
         }
     }
     let truncates = connection.filter(|_| ends_with_connection);
-    response.map_body(|_, content| ResponseBody::new(content, active, truncates))
+    response.map_body(|_, content| HttpBody::new(content, active, truncates))
 }
 
 async fn respond_with_content(
@@ -119,7 +119,7 @@
         if !budget.reserve(UPLOAD_BUFFER_BYTES) {
             return Err(no_capacity());
         }
-        request.more = Some(Rc::new(Upload::new(declared_length, Box::pin(body.into_rest(budget)))));
+        request.body_rest = Some(Rc::new(Upload::new(declared_length, Box::pin(body.into_rest(budget)))));
     }
     if !request.write && !request.body.is_empty() {
         return Err(bad_request(&"a read with a body"));
--- a/src/net/http/message/request.rs
+++ b/src/net/http/message/request.rs
@@ -66,7 +66,7 @@
         initiators: placement.initiators,
         length: 0,
         body: Bytes::new(),
-        more: None,
+        body_rest: None,
         time_left: Duration::from_millis(time_left),
     })
 }
--- a/src/net/http/message/target.rs
+++ b/src/net/http/message/target.rs
@@ -4,7 +4,7 @@
     IDEMPOTENCY_KEY, LOAD_REPORT, NOT_EXECUTED, REQUEST_ID, TIME_LEFT_MS, USED_ELSEWHERE, USED_PERCENT,
     header_number, header_text,
 };
-use crate::core::{AttemptResult, Content, Request};
+use crate::core::{AttemptResult, Request, ResponseBody};
 use crate::interface::{LoadReport, Outcome};
 use actix_http::header::{HOST, HeaderMap, HeaderValue};
 use actix_http::{Method, RequestHead, StatusCode, Uri};
@@ -53,7 +53,7 @@
 }
 
 /// What a target's response says of the attempt's outcome, and reports beside it.
-pub fn result(code: StatusCode, headers: &HeaderMap, body: Content) -> AttemptResult {
+pub fn result(code: StatusCode, headers: &HeaderMap, body: ResponseBody) -> AttemptResult {
     let outcome = outcome(code, headers);
     AttemptResult {
         outcome,
--- a/src/net/http/mod.rs
+++ b/src/net/http/mod.rs
@@ -12,7 +12,7 @@
 mod target;
 
 pub use clients::ConnectionTable;
-pub use discovery::{Address, Directory, Page, remember};
+pub use discovery::{DiscoveryAddress, DiscoveryPoller, EndpointPage, send_cached_list};
 pub use rowanglade_http_exchange::ConnectionPool;
 pub use server::{Front, serve};
 pub use target::{TargetTransport, connect};
--- a/src/net/http/request_body.rs
+++ b/src/net/http/request_body.rs
@@ -2,7 +2,7 @@
 
 use super::handler::no_capacity;
 use super::message::{self, MAX_BODY_BYTES};
-use crate::core::{Content, HELD, Lost};
+use crate::core::{IncompleteBody, MAX_BUFFERED_BODY, ResponseBody};
 use actix_http::{BoxedPayloadStream, Payload, Response as HttpResponse, StatusCode};
 use bytes::{Bytes, BytesMut};
 use futures_util::{Stream, StreamExt};
@@ -65,7 +65,7 @@
     ///
     /// # Errors
     /// The response to a client that is too slow, breaks off, or sends more than a body may hold.
-    async fn next(&mut self) -> Result<Option<Bytes>, HttpResponse<Content>> {
+    async fn next(&mut self) -> Result<Option<Bytes>, HttpResponse<ResponseBody>> {
         let piece = tokio::time::timeout_at(self.deadline(), self.payload.next()).await;
         let piece = piece.map_err(|_| message::status(StatusCode::REQUEST_TIMEOUT))?;
         let piece = piece.transpose().map_err(|_| message::status(StatusCode::BAD_REQUEST))?;
@@ -83,14 +83,14 @@
     pub(super) async fn read_held(
         &mut self,
         budget: &mut BodyBudget,
-    ) -> Result<(Bytes, bool), HttpResponse<Content>> {
+    ) -> Result<(Bytes, bool), HttpResponse<ResponseBody>> {
         let mut body = BytesMut::new();
         while let Some(piece) = self.next().await? {
             if !budget.reserve(piece.len()) {
                 return Err(no_capacity());
             }
             body.extend_from_slice(&piece);
-            if body.len() > HELD {
+            if body.len() > MAX_BUFFERED_BODY {
                 return Ok((body.freeze(), false));
             }
         }
@@ -98,13 +98,13 @@
     }
 
     /// What comes behind the held part. The memory is given back with the stream.
-    pub(super) fn into_rest(self, budget: BodyBudget) -> impl Stream<Item = Result<Bytes, Lost>> {
+    pub(super) fn into_rest(self, budget: BodyBudget) -> impl Stream<Item = Result<Bytes, IncompleteBody>> {
         futures_util::stream::unfold(Some((self, budget)), async |unread| {
             let (mut body, budget) = unread?;
             match body.next().await {
                 Ok(Some(piece)) => Some((Ok(piece), Some((body, budget)))),
                 Ok(None) => None,
-                Err(_) => Some((Err(Lost), None)),
+                Err(_) => Some((Err(IncompleteBody), None)),
             }
         })
     }
--- a/src/net/http/response_stream.rs
+++ b/src/net/http/response_stream.rs
@@ -1,7 +1,7 @@
 //! The body of a target's response: held whole, or passed on as it comes.
 
 use super::target::TargetTransport;
-use crate::core::{Content, Download, HELD, Lost, PIECES};
+use crate::core::{BodyStream, IncompleteBody, MAX_BUFFERED_BODY, ResponseBody, STREAMED_CHUNKS};
 use actix_http::header::CONTENT_LENGTH;
 use actix_http::{ResponseHead, StatusCode};
 use bytes::{Bytes, BytesMut};
@@ -19,17 +19,17 @@
     transport: &TargetTransport,
     mut connection: Connection,
     head: &ResponseHead,
-) -> Result<Content, ExchangeError> {
+) -> Result<ResponseBody, ExchangeError> {
     let length = declared_length(head);
-    let declared_long = length.is_some_and(|length| length > HELD as u64);
+    let declared_long = length.is_some_and(|length| length > MAX_BUFFERED_BODY as u64);
     let hold_until = Instant::now() + transport.hold_time;
     let mut held = BytesMut::new();
     while let Some(piece) = connection.next_piece(Some(transport.stall_timeout)).await? {
         held.extend_from_slice(&piece);
-        let long = declared_long || held.len() > HELD;
+        let long = declared_long || held.len() > MAX_BUFFERED_BODY;
         if long && head.status != StatusCode::OK {
             // No client gets it.
-            return Ok(Content::Whole(Bytes::new()));
+            return Ok(ResponseBody::Whole(Bytes::new()));
         }
         // For one that is slow to come another attempt would be too late, and held it is no use to its client.
         let slow = Instant::now() >= hold_until && head.status == StatusCode::OK;
@@ -38,7 +38,7 @@
         }
     }
     transport.connections.check_in(connection);
-    Ok(Content::Whole(held.freeze()))
+    Ok(ResponseBody::Whole(held.freeze()))
 }
 
 /// The length of a response's body in bytes, where its head has it.
@@ -52,10 +52,10 @@
     connection: Connection,
     first: BytesMut,
     length: Option<u64>,
-) -> Content {
-    let (sender, pieces) = mpsc::channel(PIECES);
+) -> ResponseBody {
+    let (sender, pieces) = mpsc::channel(STREAMED_CHUNKS);
     actix_rt::spawn(forward(transport.connections.clone(), connection, first.freeze(), sender));
-    Content::Streamed(Download { length, pieces })
+    ResponseBody::Streamed(BodyStream { length, chunks: pieces })
 }
 
 /// Forwards a long response, no faster than its client takes it. A client that goes takes the connection
@@ -64,7 +64,7 @@
     connections: ConnectionPool,
     mut connection: Connection,
     first: Bytes,
-    client: mpsc::Sender<Result<Bytes, Lost>>,
+    client: mpsc::Sender<Result<Bytes, IncompleteBody>>,
 ) {
     let mut piece = Ok(Some(first));
     while let Ok(Some(bytes)) = piece {
@@ -78,6 +78,6 @@
     }
     match piece {
         Ok(_) => connections.check_in(connection),
-        Err(_) => drop(client.send(Err(Lost)).await),
+        Err(_) => drop(client.send(Err(IncompleteBody)).await),
     }
 }
--- a/src/net/http/target.rs
+++ b/src/net/http/target.rs
@@ -1,7 +1,8 @@
 //! The actor of an HTTP target: every attempt is one exchange on a connection of its own.
 
 use crate::core::{
-    Attempt, AttemptResult, Endpoint, HELD, Lost, Probe, Report, Request, Taken, TargetMessage, Upload,
+    Attempt, AttemptReporter, AttemptResult, Endpoint, IncompleteBody, MAX_BUFFERED_BODY, Probe, Request,
+    TargetMessage, Upload, UploadReader,
 };
 use crate::interface::Outcome;
 use crate::net::http::message::{self, MAX_BODY_BYTES};
@@ -48,8 +49,8 @@
             TargetMessage::Probe(probe) => {
                 actix_rt::spawn(run_probe(transport.clone(), addr, probe));
             }
-            TargetMessage::Rest(true) => connections.suspend(addr),
-            TargetMessage::Rest(false) => connections.resume(addr),
+            TargetMessage::SetDraining(true) => connections.suspend(addr),
+            TargetMessage::SetDraining(false) => connections.resume(addr),
         }
     }
     connections.resume(addr);
@@ -70,30 +71,30 @@
             AttemptResult::without_response(Outcome::TimedOut)
         }
     };
-    report.tell(result);
+    report.finish(result);
 }
 
 /// Resolves when an attempt's time is over: at `until`, or so long after a long body's last byte as the request
 /// had left.
 async fn timed_out(request: &Request, until: Instant) {
-    match &request.more {
+    match &request.body_rest {
         None => tokio::time::sleep_until(until).await,
-        Some(upload) => tokio::time::sleep_until(upload.until_whole().await + request.time_left).await,
+        Some(upload) => tokio::time::sleep_until(upload.completed().await + request.time_left).await,
     }
 }
 
 /// The rest of a long body, on its way to the target.
 struct UploadStream<'a> {
-    rest: Taken<'a>,
+    rest: UploadReader<'a>,
     upload: &'a Upload,
-    report: &'a Report,
+    report: &'a AttemptReporter,
 }
 
 impl BodyStream for UploadStream<'_> {
     async fn next(&mut self) -> Result<Option<Bytes>, BodyLost> {
-        let piece = self.rest.next().await.map_err(|Lost| BodyLost);
-        if self.upload.begun() {
-            self.report.begun();
+        let piece = self.rest.next().await.map_err(|IncompleteBody| BodyLost);
+        if self.upload.is_consumed() {
+            self.report.body_started();
         }
         piece
     }
@@ -104,12 +105,12 @@
     addr: SocketAddr,
     request: &Request,
     until: Instant,
-    report: &Report,
+    report: &AttemptReporter,
 ) -> AttemptResult {
     let mut upload_stream = None;
-    if let Some(upload) = &request.more {
+    if let Some(upload) = &request.body_rest {
         // Another attempt has had some of it, which is gone.
-        let Some(rest) = upload.take() else { return AttemptResult::without_response(Outcome::NotSent) };
+        let Some(rest) = upload.reader() else { return AttemptResult::without_response(Outcome::NotSent) };
         upload_stream = Some(UploadStream { rest, upload, report });
     }
     let body = request.write.then(|| RequestBody {
@@ -127,7 +128,7 @@
         }
         let head = message::request_head(request, addr, until);
         let head = connection.send(head, body, MAX_BODY_BYTES).await.map_err(outcome)?;
-        report.heard();
+        report.response_started();
         let content = read_content(transport, connection, &head).await.map_err(outcome)?;
         Ok(message::result(head.status, &head.headers, content))
     };
@@ -154,7 +155,10 @@
     let exchange = async {
         let mut connection = check_out(&transport, addr).await?;
         let body = None::<RequestBody<'_, NoStream>>;
-        let head = connection.send(message::probe_head(addr), body, HELD as u64).await.map_err(outcome)?;
+        let head = connection
+            .send(message::probe_head(addr), body, MAX_BUFFERED_BODY as u64)
+            .await
+            .map_err(outcome)?;
         let content = read_content(&transport, connection, &head).await.map_err(outcome)?;
         Ok(message::result(head.status, &head.headers, content))
     };
@@ -162,5 +166,5 @@
         Ok(result) => result.unwrap_or_else(AttemptResult::without_response),
         Err(_) => AttemptResult::without_response(Outcome::TimedOut),
     };
-    probe.report.tell(result.outcome, result.load);
+    probe.report.finish(result.outcome, result.load);
 }
--- a/src/net/iscsi/front/commands.rs
+++ b/src/net/iscsi/front/commands.rs
@@ -207,7 +207,7 @@
             write: command.write,
             volume: lun,
             object: command.address,
-            more: None,
+            body_rest: None,
             locator: format!("/{class}/{lun:016x}/{:016x}", command.address),
             idempotency_key: command.write.then(|| id.clone()),
             id,
--- a/src/net/iscsi/front/responses.rs
+++ b/src/net/iscsi/front/responses.rs
@@ -2,7 +2,7 @@
 
 use super::session::Session;
 use super::tasks::CompletedTask;
-use crate::core::{Content, Response};
+use crate::core::{Response, ResponseBody};
 use bytes::Bytes;
 use rowanglade_iscsi::scsi::{self, Sense};
 use rowanglade_iscsi::{Header, Pdu, RejectReason, Residual};
@@ -36,10 +36,10 @@
                 self.send_status(itt, scsi::BUSY, retry_after, None);
             }
             // A body that is not held whole does not fit the transfer of a command.
-            Response::Failed | Response::Served(Content::Streamed(_)) => {
+            Response::Failed | Response::Served(ResponseBody::Streamed(_)) => {
                 self.send_check_condition(itt, scsi::NO_RESPONSE);
             }
-            Response::Served(Content::Whole(body)) => match read_length {
+            Response::Served(ResponseBody::Whole(body)) => match read_length {
                 None => self.send_status(itt, scsi::GOOD, Duration::ZERO, None),
                 Some(read_length) => self.send_read(itt, read_length, body),
             },
--- a/src/net/iscsi/target/commands.rs
+++ b/src/net/iscsi/target/commands.rs
@@ -19,12 +19,12 @@
         let command = match self.command(&attempt) {
             Ok(command) => command,
             Err(outcome) => {
-                attempt.report.tell(AttemptResult::without_response(outcome));
+                attempt.report.finish(AttemptResult::without_response(outcome));
                 return Ok(());
             }
         };
         if !attempt.report.may_start().await {
-            attempt.report.tell(AttemptResult::without_response(Outcome::NotSent));
+            attempt.report.finish(AttemptResult::without_response(Outcome::NotSent));
             return Ok(());
         }
         self.send_command(attempt, command).await
@@ -33,7 +33,7 @@
     /// The command of an attempt, or why it is not sent.
     fn command(&self, attempt: &Attempt) -> Result<Command, Outcome> {
         let request = &attempt.request;
-        if request.more.is_some() {
+        if request.body_rest.is_some() {
             // A write of blocks holds all its data.
             return Err(Outcome::NotSent);
         }
@@ -115,7 +115,7 @@
     pub(super) async fn abort(&mut self, itt: u32, outcome: Outcome) -> io::Result<()> {
         let Some(task) = self.tasks.get_mut(&itt) else { return Ok(()) };
         let Some(report) = task.report.take() else { return Ok(()) };
-        report.tell(AttemptResult::without_response(outcome));
+        report.finish(AttemptResult::without_response(outcome));
         let abort = Pdu::TaskRequest {
             immediate: true,
             function: ABORT_TASK,
--- a/src/net/iscsi/target/mod.rs
+++ b/src/net/iscsi/target/mod.rs
@@ -85,7 +85,7 @@
             tokio::select! {
                 message = self.messages.recv() => match message {
                     // Without a session there is none to end.
-                    Some(TargetMessage::Rest(_)) => {}
+                    Some(TargetMessage::SetDraining(_)) => {}
                     // Sent just before the drain was reported: nothing new goes to it.
                     Some(message) if draining => waiting::report_unsent(message, Outcome::Unreachable),
                     Some(message) => waiting.push(message),
@@ -131,7 +131,7 @@
                 biased;
                 index = waiting.expired() => waiting.report_expired(index),
                 message = messages.recv(), if waiting.len() < MAILBOX_CAPACITY => match message {
-                    Some(TargetMessage::Rest(_)) => {}
+                    Some(TargetMessage::SetDraining(_)) => {}
                     Some(message) => waiting.push(message),
                     None => return Err(io::Error::other("the core let go of the target")),
                 },
@@ -159,6 +159,6 @@
             self.endpoint.started = Some(self.settings.clock.now());
         }
         let entries = vec![self.endpoint.clone()];
-        self.core.send(Message::list(Protocol::Iscsi, EndpointUpdateKind::Delta, entries)).await;
+        self.core.send(Message::endpoints(Protocol::Iscsi, EndpointUpdateKind::Delta, entries)).await;
     }
 }
--- a/src/net/iscsi/target/replies.rs
+++ b/src/net/iscsi/target/replies.rs
@@ -81,6 +81,6 @@
             _ => Outcome::Error,
         };
         let body = if outcome == Outcome::Served { task.read.freeze() } else { Bytes::new() };
-        report.tell(AttemptResult { body: body.into(), ..AttemptResult::without_response(outcome) });
+        report.finish(AttemptResult { body: body.into(), ..AttemptResult::without_response(outcome) });
     }
 }
--- a/src/net/iscsi/target/session.rs
+++ b/src/net/iscsi/target/session.rs
@@ -2,7 +2,7 @@
 
 use super::waiting::WaitingMessages;
 use super::{SessionSettings, Target};
-use crate::core::{AttemptResult, Endpoint, Probe, Report, TargetMessage};
+use crate::core::{AttemptReporter, AttemptResult, Endpoint, Probe, TargetMessage};
 use crate::interface::{LoadReport, Outcome, TargetState};
 use crate::net::close::{LINGER, close};
 use bytes::{Bytes, BytesMut};
@@ -40,7 +40,7 @@
 /// A command without its status.
 pub(super) struct Task {
     /// Absent: its end was reported, and the target's last PDU about it is only waited for.
-    pub(super) report: Option<Report>,
+    pub(super) report: Option<AttemptReporter>,
     pub(super) lun: u64,
     /// The data of a write.
     pub(super) write: Bytes,
@@ -192,11 +192,11 @@
         match message {
             TargetMessage::Probe(Probe { report, .. }) => {
                 // The session is up: that is all that a shallow probe asks.
-                report.tell(Outcome::Served, LoadReport::default());
+                report.finish(Outcome::Served, LoadReport::default());
                 Ok(())
             }
             TargetMessage::Attempt(attempt) => self.start_attempt(*attempt).await,
-            TargetMessage::Rest(suspended) => {
+            TargetMessage::SetDraining(suspended) => {
                 self.suspended = suspended;
                 Ok(())
             }
@@ -238,7 +238,7 @@
 fn report_lost(task: Task) {
     let outcome = if task.sent { Outcome::Broken } else { Outcome::Unreachable };
     if let Some(report) = task.report {
-        report.tell(AttemptResult::without_response(outcome));
+        report.finish(AttemptResult::without_response(outcome));
     }
 }
 
--- a/src/net/iscsi/target/waiting.rs
+++ b/src/net/iscsi/target/waiting.rs
@@ -50,7 +50,7 @@
         let deadline = |message: &TargetMessage| match message {
             TargetMessage::Attempt(attempt) => Some(attempt.until),
             TargetMessage::Probe(probe) => Some(probe.until),
-            TargetMessage::Rest(_) => None,
+            TargetMessage::SetDraining(_) => None,
         };
         let deadlines =
             self.0.iter().enumerate().filter_map(|(index, message)| Some((deadline(message)?, index)));
@@ -76,8 +76,8 @@
 /// Reports a message that was never sent.
 pub(super) fn report_unsent(message: TargetMessage, outcome: Outcome) {
     match message {
-        TargetMessage::Attempt(attempt) => attempt.report.tell(AttemptResult::without_response(outcome)),
-        TargetMessage::Probe(probe) => probe.report.tell(outcome, LoadReport::default()),
-        TargetMessage::Rest(_) => {}
+        TargetMessage::Attempt(attempt) => attempt.report.finish(AttemptResult::without_response(outcome)),
+        TargetMessage::Probe(probe) => probe.report.finish(outcome, LoadReport::default()),
+        TargetMessage::SetDraining(_) => {}
     }
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -4,10 +4,10 @@
 pub mod admin;
 pub mod budget;
 pub mod close;
+pub mod drain_gossip;
 pub mod fleet;
 pub mod http;
 pub mod iscsi;
-pub mod peers;
 mod phase;
 
 pub use budget::{DescriptorBudget, OptionalParts, Reservations};
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -7,8 +7,7 @@
 pub use wire::Settings;
 
 use crate::interface::Micros;
-use rowanglade_discovery_polling as discovery;
-use rowanglade_discovery_polling::{Delivery, Schedule, Watch};
+use rowanglade_discovery_polling::{Delivery, PollingConfig, Schedule, WatchMode};
 use rowanglade_routing::{ClassSettings, PlanSettings, ServiceSettings};
 use std::time::Duration;
 use wire::Class;
@@ -53,8 +52,8 @@
     /// How the endpoint list reaches this initiator.
     pub fn delivery(&self) -> Delivery {
         match self.list_is_pushed() {
-            true => Delivery::Pushed { grace: self.rules.drain_grace.unwrap_or(0) },
-            false => Delivery::OnRequest { ask_within: self.rules.must_poll_within.unwrap_or(0) },
+            true => Delivery::Pushed { drain_grace: self.rules.drain_grace.unwrap_or(0) },
+            false => Delivery::Polled { max_poll_interval: self.rules.must_poll_within.unwrap_or(0) },
         }
     }
 
@@ -79,14 +78,14 @@
     }
 
     /// The schedule of this initiator's polls for the endpoint list, from a time of the caller's clock on.
-    pub fn discovery_schedule(&self, watch: Watch, seed: u64, now: Micros) -> Schedule {
-        let settings = discovery::Settings {
+    pub fn discovery_schedule(&self, watch_mode: WatchMode, seed: u64, now: Micros) -> Schedule {
+        let config = PollingConfig {
             delivery: self.delivery(),
-            watch,
+            watch_mode,
             instances: self.initiators,
-            number: self.initiator_number,
+            instance_index: self.initiator_number,
         };
-        Schedule::new(settings, seed, now)
+        Schedule::new(config, seed, now)
     }
 
     /// The longest Retry-After that a client follows; zero: none is given.
