--- a/crates/fault-shim/src/lib.rs
+++ b/crates/fault-shim/src/lib.rs
@@ -6,15 +6,16 @@
 //! `rustix` makes system calls by itself and is not reached. Spurious EAGAIN is not offered: with
 //! edge-triggered readiness no event would follow, which Linux does not do.
 
+mod counts_file;
 mod plan;
 
 pub use plan::{COUNTS, Call, Fault, Plan, Rule, Unreadable, VARIABLE};
 
+use counts_file::CountsFile;
 use libc::{c_int, c_void, size_t, sockaddr, socklen_t, ssize_t};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, HashSet};
-use std::fmt::Write;
 use std::sync::{Mutex, MutexGuard, OnceLock, PoisonError, TryLockError};
 use std::time::Duration;
 
@@ -36,6 +37,8 @@
     /// By call and fault.
     counts: BTreeMap<String, u64>,
     injected: u64,
+    /// Where the counts are written; opened with the first fault.
+    counts_file: Option<CountsFile>,
     /// Descriptors that `accept4` gave. Their connections are clients', which are not to break: a request is
     /// lost where the process itself ends its connection.
     accepted: HashSet<c_int>,
@@ -63,8 +66,14 @@
             }
         };
         let random = Pcg64Mcg::seed_from_u64(plan.seed);
-        let state =
-            State { random, counts: BTreeMap::new(), injected: 0, accepted: HashSet::new(), late_at: None };
+        let state = State {
+            random,
+            counts: BTreeMap::new(),
+            injected: 0,
+            counts_file: None,
+            accepted: HashSet::new(),
+            late_at: None,
+        };
         Some(Injector { plan, state: Mutex::new(state), begun: monotonic() })
     });
     made.as_ref()
@@ -98,32 +107,13 @@
             state.late_at = Some(at);
         }
         if state.injected % WRITE_EVERY == 1 {
-            write_counts(&state.counts);
+            let State { counts, counts_file, .. } = &mut *state;
+            counts_file.get_or_insert_with(CountsFile::start).write(counts);
         }
         Some(drawn.fault)
     }
 }
 
-/// Writes the counts by system calls, which are not under test.
-fn write_counts(counts: &BTreeMap<String, u64>) {
-    let Ok(path) = std::env::var(COUNTS) else { return };
-    let mut text = String::new();
-    for (name, count) in counts {
-        // Writing to a string does not fail.
-        let _ = writeln!(text, "{name} {count}");
-    }
-    let Ok(path) = std::ffi::CString::new(format!("{path}.{}", std::process::id())) else { return };
-    let flags = libc::O_WRONLY | libc::O_CREAT | libc::O_TRUNC | libc::O_CLOEXEC;
-    // SAFETY: path and text live to the end of this function, and the descriptor is this function's own.
-    unsafe {
-        let file = libc::syscall(libc::SYS_open, path.as_ptr(), flags, 0o600);
-        if file >= 0 {
-            libc::syscall(libc::SYS_write, file, text.as_ptr(), text.len());
-            libc::syscall(libc::SYS_close, file);
-        }
-    }
-}
-
 /// Notes whether a new descriptor is a client's connection.
 fn opened(descriptor: c_int, by_accept: bool) -> c_int {
     if let Some(injector) = injector().filter(|_| descriptor >= 0) {
