--- a/crates/lab/src/scale/lists.rs
+++ b/crates/lab/src/scale/lists.rs
@@ -170,8 +170,8 @@
         outcome: Outcome::Served,
         elapsed: SERVED_IN,
         request_over: true,
-        used: None,
-        elsewhere: 0.0,
+        used_fraction: None,
+        units_elsewhere: 0.0,
         load: LoadReport::default(),
     }
 }
--- a/src/bin/simulator-adapter/wire.rs
+++ b/src/bin/simulator-adapter/wire.rs
@@ -218,8 +218,8 @@
                 outcome: outcome(&r.state_code),
                 elapsed: r.delay_seen,
                 request_over: r.last,
-                used: r.metered.filter(|m| *m > 0.0).map(|m| (m - 1.0) / 100.0),
-                elsewhere: r.others_got.unwrap_or(0.0),
+                used_fraction: r.metered.filter(|m| *m > 0.0).map(|m| (m - 1.0) / 100.0),
+                units_elsewhere: r.others_got.unwrap_or(0.0),
                 load: load(r.metrics, names),
             },
             Event::FirstByte(f) => api::Event::TransferStarted {
--- a/src/bin/simulator-adapter/wire/tests.rs
+++ b/src/bin/simulator-adapter/wire/tests.rs
@@ -63,8 +63,8 @@
         outcome,
         elapsed: 900,
         request_over: true,
-        used: Some(1.5),
-        elsewhere: 1.5,
+        used_fraction: Some(1.5),
+        units_elsewhere: 1.5,
         load,
     };
     let request = api::RequestProfile {
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -162,8 +162,8 @@
             outcome: reply.outcome,
             elapsed: took,
             request_over: over,
-            used: reply.used,
-            elsewhere: reply.elsewhere,
+            used_fraction: reply.used,
+            units_elsewhere: reply.elsewhere,
             load: reply.load,
         });
         self.forget(id);
--- a/src/core/sending.rs
+++ b/src/core/sending.rs
@@ -68,8 +68,8 @@
                 outcome: Outcome::NotSent,
                 elapsed: 0,
                 request_over: open.answer.is_none(),
-                used: None,
-                elsewhere: 0.0,
+                used_fraction: None,
+                units_elsewhere: 0.0,
                 load: LoadReport::default(),
             });
         }
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -5,6 +5,8 @@
 //! on arrival by predicted completion; background work is always admitted. The units in flight at a target
 //! stay below a limit that follows its learned speed.
 
+#![warn(missing_docs)]
+
 use crate::interface::{Action, Event, Micros, RequestId, Settings, SettingsError, VolumeId};
 use rowanglade_slow_start::SlowStartRule;
 use std::collections::{BTreeMap, BTreeSet};
@@ -118,8 +120,17 @@
         self.ownership.since.get_or_insert(now);
         match event {
             Event::RequestArrived(profile) => self.request_arrived(now, profile, actions),
-            Event::AttemptEnded { id, attempt, outcome, elapsed, request_over, used, elsewhere, .. } => {
-                let report = UsageReport { outcome, used_fraction: used, units_elsewhere: elsewhere };
+            Event::AttemptEnded {
+                id,
+                attempt,
+                outcome,
+                elapsed,
+                request_over,
+                used_fraction,
+                units_elsewhere,
+                ..
+            } => {
+                let report = UsageReport { outcome, used_fraction, units_elsewhere };
                 self.record_usage(now, id, report);
                 let end = AttemptEnd { id, attempt, outcome, elapsed, request_over };
                 self.attempt_ended(now, end, actions);
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -2,7 +2,7 @@
 //! them, and their translation to the module's own.
 
 use crate::interface as api;
-use crate::interface::{Micros, SettingsError};
+use crate::interface::{Micros, SettingsError, SettingsProblem};
 use crate::names::Names;
 use rowanglade_discovery_polling as discovery;
 use rowanglade_discovery_polling::{Delivery, Schedule, Watch};
@@ -236,7 +236,7 @@
     }
 
     pub fn translate(&self, names: &mut Names) -> Result<api::Settings, SettingsError> {
-        let word = |field: String| SettingsError { field, problem: "holds an unknown word" };
+        let word = |field: String| SettingsError::new(field, SettingsProblem::UnknownWord);
         if ![ON_REQUEST, PUSHED].contains(&self.discovery.as_str()) {
             return Err(word("discovery".to_string()));
         }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -163,8 +163,8 @@
             outcome,
             elapsed: took,
             request_over: outcome == Outcome::Served,
-            used: None,
-            elsewhere: 0.0,
+            used_fraction: None,
+            units_elsewhere: 0.0,
             load: LoadReport::default(),
         })
     }
