--- a/crates/slow-start/tests/ramp.rs
+++ b/crates/slow-start/tests/ramp.rs
@@ -24,12 +24,12 @@
 /// What happens to a fleet besides the start of the target.
 #[derive(Clone, Copy, Debug, Default)]
 struct Troubles {
-    /// Of the capacity, what a cold target always bears: the figure that the settings tell.
+    /// Of the capacity, what a warming target always bears: the figure that the settings tell.
     told_units: f64,
     /// The part of the processes that are killed and started again within the first 8 s.
     restarted: f64,
     /// Processes hear of the start up to so long after it.
-    heard_within: Micros,
+    notified_within: Micros,
     /// The part of connections that come up late, and by how much at most.
     late: f64,
     late_by: Micros,
@@ -50,8 +50,8 @@
 
 struct Process {
     target: TargetBudget,
-    born: Micros,
-    hears: Micros,
+    started_at: Micros,
+    notified_at: Micros,
     restarts: Option<Micros>,
 }
 
@@ -95,10 +95,15 @@
     let rule = rule(processes, &troubles);
     let mut fleet: Vec<Process> = (0..processes)
         .map(|_| {
-            let hears = STARTED + random.random_range(0..=troubles.heard_within);
+            let notified_at = STARTED + random.random_range(0..=troubles.notified_within);
             let restarts =
                 random.random_bool(troubles.restarted).then(|| STARTED + random.random_range(0..8 * SECOND));
-            Process { target: TargetBudget::new(STARTED, hears, random.random()), born: 0, hears, restarts }
+            Process {
+                target: TargetBudget::new(STARTED, notified_at, random.random()),
+                started_at: 0,
+                notified_at,
+                restarts,
+            }
         })
         .collect();
     let mut senders = volumes(&mut random, processes);
@@ -110,13 +115,13 @@
         let now = STARTED + step * STEP;
         for process in &mut fleet {
             if process.restarts.take_if(|at| *at <= now).is_some() {
-                process.hears = process.hears.max(now + random.random_range(0..=300 * MS));
-                process.target = TargetBudget::new(STARTED, process.hears, random.random());
-                process.born = now;
+                process.notified_at = process.notified_at.max(now + random.random_range(0..=300 * MS));
+                process.target = TargetBudget::new(STARTED, process.notified_at, random.random());
+                process.started_at = now;
             }
         }
         for (place, sender) in senders.iter_mut().enumerate() {
-            if fleet[sender.process].born == now {
+            if fleet[sender.process].started_at == now {
                 sender.pacer = ReservePacer::new(place as u64);
             }
         }
@@ -135,7 +140,7 @@
         }
         for (place, sender) in senders.iter_mut().enumerate() {
             let process = &mut fleet[sender.process];
-            if now < process.hears {
+            if now < process.notified_at {
                 continue;
             }
             let units = sender.units;
@@ -143,7 +148,7 @@
             let reserved = ReservedUnits { request, units, arrives_by: now + 5 * SECOND };
             if sender.pacer.admits_at(&rule, &process.target, now, sender.rate, units) <= now {
                 sender.pacer.reserve(&rule, &process.target, now, sender.rate, reserved);
-            } else if process.target.admits_at(&rule, now, process.born, units) <= now {
+            } else if process.target.admits_at(&rule, now, process.started_at, units) <= now {
                 process.target.reserve(reserved);
             } else {
                 continue;
@@ -165,12 +170,12 @@
     let mut senders = Vec::new();
     let (mut left, reserve) = (0.9 * CAPACITY, 3.0);
     while left > 0.0 {
-        let (targets, hosts) = (random.random_range(1..=6), random.random_range(1..=3));
+        let (targets, initiators_of_volume) = (random.random_range(1..=6), random.random_range(1..=3));
         let at_node = (reserve / f64::from(targets)).min(left);
         left -= at_node;
-        for _ in 0..hosts {
+        for _ in 0..initiators_of_volume {
             let process = random.random_range(0..processes) as usize;
-            let rate = at_node / f64::from(hosts);
+            let rate = at_node / f64::from(initiators_of_volume);
             senders.push(Sender {
                 process,
                 rate,
@@ -215,20 +220,20 @@
 }
 
 const FLEETS: [u32; 3] = [20, 30, 350];
-/// What the settings tell that a cold target always bears, as a part of what it does bear: the reserves leave
+/// What the settings tell that a warming target always bears, as a part of what it does bear: the reserves leave
 /// a fifth.
 const TOLD: [f64; 2] = [0.1, 0.2];
 
 #[test]
-fn the_sum_of_a_fleet_stays_below_the_fall_of_a_cold_node() {
+fn a_fleet_does_not_overload_a_warming_target() {
     for processes in FLEETS {
         for told_units in TOLD {
             let calm = Troubles { told_units, ..Troubles::default() };
             let restarts = Troubles { restarted: 0.4, ..calm };
-            let heard = Troubles { heard_within: 6 * SECOND, ..calm };
+            let heard = Troubles { notified_within: 6 * SECOND, ..calm };
             let late = Troubles { late: 0.33, late_by: 1_500 * MS, ..calm };
             let retries = Troubles { again: 0.3, ..calm };
-            let mixed = Troubles { heard_within: 6 * SECOND, late: 0.33, late_by: 1_500 * MS, ..restarts };
+            let mixed = Troubles { notified_within: 6 * SECOND, late: 0.33, late_by: 1_500 * MS, ..restarts };
             for troubles in [calm, restarts, heard, late, retries, Troubles { again: 0.3, ..mixed }] {
                 let part = most(processes, troubles);
                 assert!(part <= 1.0, "{processes} processes, {troubles:?}: {part}");
@@ -240,7 +245,7 @@
 // Clients that all fall silent and all come back in one moment find every pace with one request to its
 // credit.
 #[test]
-fn a_fleet_whose_clients_all_come_at_once_stays_near_the_fall() {
+fn a_fleet_whose_clients_all_come_at_once_does_not_overload_a_warming_target() {
     for processes in FLEETS {
         let part =
             most(processes, Troubles { told_units: TOLD[0], quiet_for: 4 * SECOND, ..Troubles::default() });
--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -1,4 +1,4 @@
-//! The sum of what a fleet sends to a node that has just started, and when it counts.
+//! The sum of what a fleet sends to a target that has just started, and when it counts.
 
 mod support;
 
@@ -10,94 +10,98 @@
 
 const STEP: Micros = 50 * MS;
 const START: Micros = 100 * SECOND;
-const NODES: u32 = 6;
+const TARGETS: u32 = 6;
 const UNITS: f64 = 2.0;
 /// Units a second of every volume's reserve.
 const RESERVE: f64 = 2.0;
-/// Of what the cold node can do, the part that its volumes' reserves there make up.
+/// Of what the warming target can do, the part that its volumes' reserves there make up.
 const RESERVED: f64 = 0.9;
 const NOTHING: [u64; 0] = [];
 
-fn cold() -> EndpointEntry {
+fn warming() -> EndpointEntry {
     EndpointEntry { started: Some(START), ..entry(0, 0) }
 }
 
-/// One initiator, and a cold node that bears four units in each window of a second.
-fn lone() -> Bench {
+/// One initiator, and a warming target that bears four units in each window of a second.
+fn lone() -> Harness {
     let mut s = Settings { initiators: 1, ..settings() };
     s.rules.slow_start_units = 4.0;
     s.rules.slow_start_duration = 1_000 * SECOND;
-    let mut b = Bench::new(s, &[cold()]);
-    b.late = true;
+    let mut b = Harness::new(s, &[warming()]);
+    b.manual_arrivals = true;
     b
 }
 
 fn large(id: u64) -> RequestProfile {
-    RequestProfile { units: 4.0, ..request(id, EXPORT) }
+    RequestProfile { units: 4.0, ..request(id, BACKGROUND) }
 }
 
 // Its budget was counted from the decision: by the time a slow connection was up it had filled again.
 #[test]
-fn what_arrives_late_counts_from_its_arrival() {
+fn units_that_arrive_late_count_from_their_arrival() {
     let mut b = lone();
-    b.pass(2 * SECOND);
-    assert_eq!(sends(&b.take(large(1))), [1]);
-    b.pass(900 * MS);
+    b.advance(2 * SECOND);
+    assert_eq!(started_requests(&b.arrive(large(1))), [1]);
+    b.advance(900 * MS);
     b.scheduler.commit_reserved(b.now, RequestId(1));
     b.served(1, 10 * MS);
-    b.pass(200 * MS);
-    assert_eq!(sends(&b.take(large(2))), NOTHING, "a second ago it was decided, and it arrived just now");
-    b.pass(850 * MS);
-    assert_eq!(sends(&b.take(large(3))), [3]);
+    b.advance(200 * MS);
+    assert_eq!(
+        started_requests(&b.arrive(large(2))),
+        NOTHING,
+        "a second ago it was decided, and it arrived just now"
+    );
+    b.advance(850 * MS);
+    assert_eq!(started_requests(&b.arrive(large(3))), [3]);
 }
 
 #[test]
-fn what_waits_for_its_connection_counts_as_long_as_it_does() {
+fn units_that_wait_for_a_connection_count_as_long_as_they_do() {
     let mut b = lone();
-    b.pass(2 * SECOND);
-    assert_eq!(sends(&b.take(request(1, EXPORT))), [1]);
-    b.pass(1_300 * MS);
-    assert_eq!(sends(&b.take(large(2))), NOTHING);
-    assert_eq!(sends(&b.pass(100 * MS)), NOTHING);
+    b.advance(2 * SECOND);
+    assert_eq!(started_requests(&b.arrive(request(1, BACKGROUND))), [1]);
+    b.advance(1_300 * MS);
+    assert_eq!(started_requests(&b.arrive(large(2))), NOTHING);
+    assert_eq!(started_requests(&b.advance(100 * MS)), NOTHING);
 }
 
-// What never left was charged, and the node stood idle for a window.
+// What never left was charged, and the target stood idle for a window.
 #[test]
-fn what_never_left_gives_its_units_back() {
+fn an_attempt_that_never_left_gives_its_units_back() {
     let mut b = lone();
-    b.pass(2 * SECOND);
-    assert_eq!(sends(&b.take(large(1))), [1]);
-    b.pass(300 * MS);
-    assert_eq!(sends(&b.outcome(1, 0, 0, Outcome::NotSent, 300 * MS)), [1]);
+    b.advance(2 * SECOND);
+    assert_eq!(started_requests(&b.arrive(large(1))), [1]);
+    b.advance(300 * MS);
+    assert_eq!(started_requests(&b.attempt_ended(1, 0, 0, Outcome::NotSent, 300 * MS)), [1]);
 }
 
 #[test]
-fn what_a_node_answered_with_an_error_has_arrived() {
+fn an_attempt_answered_with_an_error_has_arrived() {
     let mut b = lone();
-    b.pass(2 * SECOND);
-    assert_eq!(sends(&b.take(large(1))), [1]);
-    b.pass(300 * MS);
+    b.advance(2 * SECOND);
+    assert_eq!(started_requests(&b.arrive(large(1))), [1]);
+    b.advance(300 * MS);
     b.scheduler.commit_reserved(b.now, RequestId(1));
-    let mut again = sends(&b.outcome(1, 0, 0, Outcome::Error, 300 * MS));
-    again.extend(sends(&b.pass(900 * MS)));
+    let mut again = started_requests(&b.attempt_ended(1, 0, 0, Outcome::Error, 300 * MS));
+    again.extend(started_requests(&b.advance(900 * MS)));
     assert_eq!(again, NOTHING, "it counts for a second from its arrival on");
-    assert_eq!(sends(&b.pass(200 * MS)), [1]);
+    assert_eq!(started_requests(&b.advance(200 * MS)), [1]);
 }
 
 /// What a successor goes on with after one initiator's request has been sent and has not arrived.
-fn successor(settings: &Settings) -> Bench {
-    let mut first = Bench::new(settings.clone(), &[cold()]);
-    first.late = true;
-    first.pass(12 * SECOND);
-    assert_eq!(sends(&first.take(large(1))), [1]);
-    let mut next = Bench::new(settings.clone(), &[cold()]);
+fn successor(settings: &Settings) -> Harness {
+    let mut first = Harness::new(settings.clone(), &[warming()]);
+    first.manual_arrivals = true;
+    first.advance(12 * SECOND);
+    assert_eq!(started_requests(&first.arrive(large(1))), [1]);
+    let mut next = Harness::new(settings.clone(), &[warming()]);
     next.now = first.now;
     next.scheduler.restore(first.scheduler.snapshot(first.now));
     next
 }
 
 #[test]
-fn what_is_on_its_way_at_a_handover_counts_at_the_successor() {
+fn units_reserved_at_a_handover_count_at_the_successor() {
     let mut even = Settings { initiators: 1, ..settings() };
     even.rules.slow_start_units = 4.0;
     even.rules.slow_start_duration = 1_000 * SECOND;
@@ -106,11 +110,15 @@
     reserve.rules.slow_start_units = 0.0;
     for settings in [even, reserve] {
         let mut next = successor(&settings);
-        assert_eq!(sends(&next.take(large(2))), NOTHING);
-        next.pass(500 * MS);
-        assert_eq!(sends(&next.take(large(3))), NOTHING);
-        next.pass(20 * SECOND);
-        assert_eq!(sends(&next.take(large(4))), [4], "its time is up: it has arrived or never will");
+        assert_eq!(started_requests(&next.arrive(large(2))), NOTHING);
+        next.advance(500 * MS);
+        assert_eq!(started_requests(&next.arrive(large(3))), NOTHING);
+        next.advance(20 * SECOND);
+        assert_eq!(
+            started_requests(&next.arrive(large(4))),
+            [4],
+            "its time is up: it has arrived or never will"
+        );
     }
 }
 
@@ -118,8 +126,8 @@
 struct Sender {
     initiator: usize,
     volume: u32,
-    hosts: u32,
-    nodes: u32,
+    initiators_of_volume: u32,
+    targets: u32,
 }
 
 /// An attempt whose connection comes up at a time, or whose answer comes then.
@@ -128,26 +136,26 @@
     initiator: usize,
     id: u64,
     attempt: u32,
-    node: u32,
+    target: u32,
     arrived: bool,
 }
 
 struct Fleet {
     settings: Settings,
     random: Pcg64Mcg,
-    initiators: Vec<Bench>,
-    hears: Vec<Micros>,
+    initiators: Vec<Harness>,
+    notified_at: Vec<Micros>,
     senders: Vec<Sender>,
     out: Vec<Out>,
     /// Attempts of each request so far.
     attempts: BTreeMap<u64, u32>,
     next: u64,
-    /// When requests reached the cold node.
+    /// When requests reached the warming target.
     reached: Vec<Micros>,
 }
 
 impl Fleet {
-    fn new(seed: u64, count: u32, capacity: f64, heard_within: Micros) -> Fleet {
+    fn new(seed: u64, count: u32, capacity: f64, notified_within: Micros) -> Fleet {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let mut s = Settings { initiators: count, ..settings() };
         s.plans[0].reserve = RESERVE;
@@ -160,31 +168,32 @@
         let (mut senders, mut left, mut volume) = (Vec::new(), RESERVED * capacity, 0);
         while left > 0.0 {
             volume += 1;
-            let (nodes, hosts) = (random.random_range(1..=NODES), random.random_range(1..=3));
-            left -= RESERVE / f64::from(nodes);
-            for _ in 0..hosts {
+            let (targets, initiators_of_volume) =
+                (random.random_range(1..=TARGETS), random.random_range(1..=3));
+            left -= RESERVE / f64::from(targets);
+            for _ in 0..initiators_of_volume {
                 senders.push(Sender {
                     initiator: random.random_range(0..count) as usize,
                     volume,
-                    hosts,
-                    nodes,
+                    initiators_of_volume,
+                    targets,
                 });
             }
         }
-        let warm: Vec<EndpointEntry> = (1..NODES).map(|n| entry(n, n)).collect();
-        let bench = |g| {
-            let mut b = Bench::seeded(s.clone(), &warm, seed * 1_000 + g);
-            b.late = true;
+        let warm: Vec<EndpointEntry> = (1..TARGETS).map(|n| entry(n, n)).collect();
+        let harness = |g| {
+            let mut b = Harness::seeded(s.clone(), &warm, seed * 1_000 + g);
+            b.manual_arrivals = true;
             b
         };
-        let initiators = (0..u64::from(count)).map(bench).collect();
-        let hears = (0..count).map(|_| START + random.random_range(0..=heard_within)).collect();
+        let initiators = (0..u64::from(count)).map(harness).collect();
+        let notified_at = (0..count).map(|_| START + random.random_range(0..=notified_within)).collect();
         let (out, reached) = (Vec::new(), Vec::new());
         Fleet {
             settings: s,
             random,
             initiators,
-            hears,
+            notified_at,
             senders,
             out,
             attempts: BTreeMap::new(),
@@ -195,12 +204,19 @@
 
     fn sent(&mut self, initiator: usize, actions: &[Action]) {
         for action in actions {
-            let Action::StartAttempt { id, target: node, .. } = action else { continue };
+            let Action::StartAttempt { id, target, .. } = action else { continue };
             let attempt = self.attempts.entry(id.0).or_default();
             let late =
                 if self.random.random_bool(0.33) { self.random.random_range(0..1_500 * MS) } else { 0 };
             let at = self.initiators[initiator].now + late;
-            self.out.push(Out { at, initiator, id: id.0, attempt: *attempt, node: node.0, arrived: false });
+            self.out.push(Out {
+                at,
+                initiator,
+                id: id.0,
+                attempt: *attempt,
+                target: target.0,
+                arrived: false,
+            });
             *attempt += 1;
         }
     }
@@ -214,7 +230,7 @@
             let b = &mut self.initiators[o.initiator];
             if !o.arrived && b.scheduler.may_start(now, RequestId(o.id), AttemptNumber(o.attempt)) {
                 b.scheduler.commit_reserved(now, RequestId(o.id));
-                if o.node == 0 {
+                if o.target == 0 {
                     self.reached.push(now);
                 }
                 self.out.push(Out { at: now + STEP, arrived: true, ..o });
@@ -225,7 +241,7 @@
                 true if self.random.random_bool(0.2) => Outcome::Error,
                 true => Outcome::Served,
             };
-            let actions = b.outcome(o.id, o.attempt, o.node, outcome, 10 * MS);
+            let actions = b.attempt_ended(o.id, o.attempt, o.target, outcome, 10 * MS);
             self.sent(o.initiator, &actions);
         }
     }
@@ -233,22 +249,23 @@
     /// A process that is killed takes what it had under way along, and knows of nothing when it is back.
     fn restart(&mut self, initiator: usize) {
         let now = self.initiators[initiator].now;
-        let mut entries: Vec<EndpointEntry> = (1..NODES).map(|n| entry(n, n)).collect();
-        entries.extend((self.hears[initiator] <= now).then(cold));
-        let mut b = Bench::unlisted(self.settings.clone(), self.random.random());
-        (b.now, b.late) = (now, true);
-        b.list(EndpointUpdateKind::Cached, &entries);
+        let mut entries: Vec<EndpointEntry> = (1..TARGETS).map(|n| entry(n, n)).collect();
+        entries.extend((self.notified_at[initiator] <= now).then(warming));
+        let mut b = Harness::unlisted(self.settings.clone(), self.random.random());
+        (b.now, b.manual_arrivals) = (now, true);
+        b.endpoints_changed(EndpointUpdateKind::Cached, &entries);
         self.initiators[initiator] = b;
         self.out.retain(|o| o.initiator != initiator);
     }
 
     fn step(&mut self, rate: f64) {
         for initiator in 0..self.initiators.len() {
-            let actions = self.initiators[initiator].pass(STEP);
+            let actions = self.initiators[initiator].advance(STEP);
             self.sent(initiator, &actions);
             let now = self.initiators[initiator].now;
-            if (now - STEP..now).contains(&self.hears[initiator]) {
-                let actions = self.initiators[initiator].list(EndpointUpdateKind::Delta, &[cold()]);
+            if (now - STEP..now).contains(&self.notified_at[initiator]) {
+                let actions =
+                    self.initiators[initiator].endpoints_changed(EndpointUpdateKind::Delta, &[warming()]);
                 self.sent(initiator, &actions);
             }
         }
@@ -257,19 +274,19 @@
             if !self.random.random_bool(rate) {
                 continue;
             }
-            let Sender { initiator, volume, hosts, nodes } = self.senders[place];
-            let node = self.random.random_range(0..nodes);
-            if node == 0 && self.hears[initiator] > now {
+            let Sender { initiator, volume, initiators_of_volume, targets } = self.senders[place];
+            let target = self.random.random_range(0..targets);
+            if target == 0 && self.notified_at[initiator] > now {
                 continue; // it knows of nobody there
             }
             self.next += 1;
             let asked = RequestProfile {
                 volume: VolumeId(volume),
-                initiators: hosts,
-                shard: Some(ShardId(node)),
+                initiators: initiators_of_volume,
+                shard: Some(ShardId(target)),
                 ..request(self.next, KEYED)
             };
-            let actions = self.initiators[initiator].take(asked);
+            let actions = self.initiators[initiator].arrive(asked);
             self.sent(initiator, &actions);
         }
         self.come_up(now);
@@ -294,14 +311,14 @@
     fleet.reached.iter().map(part).fold(0.0, f64::max)
 }
 
-// Each volume's whole reserve could go to one of its nodes: where that was the cold one, it got more than it
+// Each volume's whole reserve could go to one of its targets: where that was the cold one, it got more than it
 // bears.
 #[test]
-fn a_fleet_with_restarts_late_news_and_late_connections_stays_below_a_cold_nodes_fall() {
+fn a_fleet_with_restarts_late_updates_and_late_connections_does_not_overload_a_warming_target() {
     let capacity = 60.0;
     for count in [20, 30, 350] {
-        for (seed, heard_within) in [(1, 0), (2, 0), (3, 6 * SECOND)] {
-            let mut fleet = Fleet::new(seed, count, capacity, heard_within);
+        for (seed, notified_within) in [(1, 0), (2, 0), (3, 6 * SECOND)] {
+            let mut fleet = Fleet::new(seed, count, capacity, notified_within);
             for step in 0..10 * SECOND / STEP {
                 // One process in five is killed within the first eight seconds.
                 if step % 40 == 0 && step < 160 {
@@ -318,7 +335,7 @@
             assert!(part <= 1.0, "{count} initiators, seed {seed}: {part} of the fall");
             assert!(
                 requests >= 100,
-                "{count} initiators, seed {seed}: {requests} requests, the node is starved"
+                "{count} initiators, seed {seed}: {requests} requests, the target is starved"
             );
         }
     }
--- a/tests/many_initiators.rs
+++ b/tests/many_initiators.rs
@@ -1,4 +1,4 @@
-//! What holds when each of many initiators sees a small part of a node's traffic.
+//! What holds when each of many initiators sees a small part of a target's traffic.
 
 mod support;
 
@@ -7,17 +7,17 @@
 use support::*;
 
 #[test]
-fn a_hundred_gateways_together_keep_a_cold_nodes_budget_and_do_not_starve_it() {
+fn a_hundred_initiators_keep_the_slow_start_budget_and_do_not_starve_the_target() {
     let s = Settings { initiators: 100, ..settings() };
     let started = 100 * SECOND;
-    let cold = EndpointEntry { started: Some(started), ..entry(0, 0) };
-    let mut all: Vec<Bench> = (0..100).map(|seed| Bench::seeded(s.clone(), &[cold], seed)).collect();
+    let warming = EndpointEntry { started: Some(started), ..entry(0, 0) };
+    let mut all: Vec<Harness> = (0..100).map(|seed| Harness::seeded(s.clone(), &[warming], seed)).collect();
     let mut sent: Vec<(Micros, f64)> = Vec::new();
     for step in 0..90u64 {
         for (g, b) in all.iter_mut().enumerate() {
-            let mut actions = b.pass(100 * MS);
-            actions.extend(b.take(request(step * 1_000 + g as u64, EXPORT)));
-            for id in sends(&actions) {
+            let mut actions = b.advance(100 * MS);
+            actions.extend(b.arrive(request(step * 1_000 + g as u64, BACKGROUND)));
+            for id in started_requests(&actions) {
                 sent.push((b.now, 2.0));
                 b.served(id, 10 * MS);
             }
@@ -40,22 +40,22 @@
     assert!(early >= 0.3 * 4.0 * r.slow_start_units, "only {early} units in the first four seconds");
 }
 
-// The even part of a hundred initiators is less than a request: most of six in ten nodes that had just been
+// The even part of a hundred initiators is less than a request: most of six in ten targets that had just been
 // replaced stood idle until they were warm.
 #[test]
-fn a_hundred_gateways_together_let_the_reserves_through_to_a_cold_node() {
+fn a_hundred_initiators_send_the_reserves_to_a_warming_target() {
     let_the_reserves_through(KEYED);
 }
 
 // Large reads that can wait had the even part only, and were the worst-served class of such a day.
 #[test]
-fn background_work_has_its_part_of_the_reserves_at_a_cold_node() {
-    let_the_reserves_through(EXPORT);
+fn background_work_has_its_part_of_the_reserves_at_a_warming_target() {
+    let_the_reserves_through(BACKGROUND);
 }
 
 /// Draws of the phases of a hundred initiators.
 const DRAWS: u64 = 12;
-/// Units of a request, and what the node can do a second when it is warm.
+/// Units of a request, and what the target can do a second when it is warm.
 const UNITS: f64 = 2.0;
 const CAPACITY: f64 = 60.0;
 const STARTED: Micros = 100 * SECOND;
@@ -63,25 +63,25 @@
 fn reserved_settings() -> Settings {
     let mut s = Settings { initiators: 100, ..settings() };
     s.plans[0].reserve = 2.0; // of 24 volumes that is 48 units a second
-    s.rules.slow_start_units = 8.0; // a node that can do 60 a second bears 45 in its first window
+    s.rules.slow_start_units = 8.0; // a target that can do 60 a second bears 45 in its first window
     s
 }
 
-/// When units are sent to a node that has just started, by initiators that ask for all that is reserved.
-fn sent_to_a_cold_node(class: u32, draw: u64) -> Vec<(Micros, f64)> {
-    let cold = EndpointEntry { started: Some(STARTED), ..entry(0, 0) };
+/// When units are sent to a target that has just started, by initiators that ask for all that is reserved.
+fn sent_to_a_warming_target(class: u32, draw: u64) -> Vec<(Micros, f64)> {
+    let warming = EndpointEntry { started: Some(STARTED), ..entry(0, 0) };
     let s = reserved_settings();
     let seeds = (0..48).map(|initiator| draw * 1_000 + initiator);
-    let mut all: Vec<Bench> = seeds.map(|seed| Bench::seeded(s.clone(), &[cold], seed)).collect();
+    let mut all: Vec<Harness> = seeds.map(|seed| Harness::seeded(s.clone(), &[warming], seed)).collect();
     let mut sent: Vec<(Micros, f64)> = Vec::new();
     for step in 0..80u64 {
         for (g, b) in all.iter_mut().enumerate() {
-            let mut actions = b.pass(100 * MS);
+            let mut actions = b.advance(100 * MS);
             if (step + g as u64).is_multiple_of(5) {
                 let volume = VolumeId(g as u32 / 2);
-                actions.extend(b.take(RequestProfile { volume, initiators: 2, ..request(step, class) }));
+                actions.extend(b.arrive(RequestProfile { volume, initiators: 2, ..request(step, class) }));
             }
-            for id in sends(&actions) {
+            for id in started_requests(&actions) {
                 sent.push((b.now, UNITS));
                 b.served(id, 10 * MS);
             }
@@ -90,7 +90,7 @@
     sent
 }
 
-/// What the node bears in a window that ends then.
+/// What the target bears in a window that ends then.
 fn borne(end: Micros) -> f64 {
     let r = reserved_settings().rules;
     let begin = end.saturating_sub(r.overload_window).max(STARTED);
@@ -108,7 +108,7 @@
 }
 
 fn let_the_reserves_through(class: u32) {
-    let draws: Vec<_> = (0..DRAWS).map(|draw| sent_to_a_cold_node(class, draw)).collect();
+    let draws: Vec<_> = (0..DRAWS).map(|draw| sent_to_a_warming_target(class, draw)).collect();
     for (draw, sent) in draws.iter().enumerate() {
         for (end, _) in sent {
             // N + 2 x root of N + 2 requests: what lies beyond N is put down to chance.
@@ -130,27 +130,28 @@
 }
 
 #[test]
-fn gateways_that_have_nothing_out_refuse_what_an_overloaded_node_cannot_serve_in_time() {
+fn initiators_with_nothing_in_flight_reject_what_an_overloaded_target_cannot_serve_in_time() {
     const SERVICE: Micros = 20 * MS;
     let s = Settings { initiators: 20, ..settings() };
-    let mut all: Vec<Bench> = (0..20).map(|seed| Bench::seeded(s.clone(), &[entry(0, 0)], seed)).collect();
+    let mut all: Vec<Harness> =
+        (0..20).map(|seed| Harness::seeded(s.clone(), &[entry(0, 0)], seed)).collect();
     let mut queue: VecDeque<(usize, u64, Micros)> = VecDeque::new();
     let (mut next_done, mut served, mut timely, mut asked) = (0, 0, 0, 0);
     for ms in 0..20_000u64 {
         let now = all[0].now + MS;
         let mut sent = Vec::new();
         for (g, b) in all.iter_mut().enumerate() {
-            sent.extend(sends(&b.pass(MS)).into_iter().map(|id| (g, id)));
+            sent.extend(started_requests(&b.advance(MS)).into_iter().map(|id| (g, id)));
             if (ms + 8 * g as u64).is_multiple_of(160) {
-                asked += 1; // 125 a second, where the node can do 50
-                sent.extend(sends(&b.take(request(ms, READ))).into_iter().map(|id| (g, id)));
+                asked += 1; // 125 a second, where the target can do 50
+                sent.extend(started_requests(&b.arrive(request(ms, READ))).into_iter().map(|id| (g, id)));
             }
         }
         if let Some((g, id, at)) = queue.front().copied().filter(|_| now >= next_done) {
             queue.pop_front();
             next_done = now + SERVICE;
             (served, timely) = (served + 1, timely + u32::from(now - at <= 100 * MS));
-            sent.extend(sends(&all[g].served(id, now - at)).into_iter().map(|id| (g, id)));
+            sent.extend(started_requests(&all[g].served(id, now - at)).into_iter().map(|id| (g, id)));
         }
         if queue.is_empty() {
             next_done = next_done.max(now + SERVICE);
@@ -158,58 +159,61 @@
         queue.extend(sent.into_iter().map(|(g, id)| (g, id, now)));
     }
     assert!(asked > 2_400, "{asked}");
-    assert!(served > 400, "the node idles: {served} of 1000");
+    assert!(served > 400, "the target idles: {served} of 1000");
     assert!(timely * 10 > served * 6, "{timely} of {served} in time");
 }
 
 #[test]
-fn a_jam_that_serves_nothing_is_not_forgotten() {
+fn an_overload_that_serves_nothing_is_not_forgotten() {
     let mut s = settings();
     s.rules.max_attempts = 1;
-    let refused_on_arrival = |outcome: Outcome| {
-        let mut b = Bench::new(s.clone(), &[entry(0, 0)]);
-        b.take(request(1_000, READ));
+    let rejected_on_arrival = |outcome: Outcome| {
+        let mut b = Harness::new(s.clone(), &[entry(0, 0)]);
+        b.arrive(request(1_000, READ));
         b.served(1_000, 20 * MS);
-        let mut refused = 0;
+        let mut rejected = 0;
         for id in 1..40 {
-            let actions = b.take(request(id, READ));
-            refused += answers(&actions).len();
-            for id in sends(&actions) {
-                b.outcome(id, 0, 0, outcome, 900 * MS);
+            let actions = b.arrive(request(id, READ));
+            rejected += final_responses(&actions).len();
+            for id in started_requests(&actions) {
+                b.attempt_ended(id, 0, 0, outcome, 900 * MS);
             }
-            b.pass(700 * MS); // longer than any rest
+            b.advance(700 * MS); // longer than any backoff
         }
-        refused
+        rejected
     };
     for outcome in [Outcome::QueueFull, Outcome::TimedOut] {
-        assert!(refused_on_arrival(outcome) > 8, "{outcome:?}: {}", refused_on_arrival(outcome));
+        assert!(rejected_on_arrival(outcome) > 8, "{outcome:?}: {}", rejected_on_arrival(outcome));
     }
-    assert_eq!(refused_on_arrival(Outcome::Error), 0, "an error tells nothing of the queue");
+    assert_eq!(rejected_on_arrival(Outcome::Error), 0, "an error tells nothing of the queue");
 }
 
 #[test]
-fn a_withdrawn_request_is_called_off_where_that_is_allowed() {
+fn an_attempt_is_cancelled_when_its_client_has_gone_where_that_is_allowed() {
     for may_cancel in [true, false] {
-        let mut b = Bench::new(Settings { may_cancel, ..settings() }, &[entry(0, 0)]);
-        assert_eq!(sends(&b.take(request(1, READ))), [1]);
+        let mut b = Harness::new(Settings { may_cancel, ..settings() }, &[entry(0, 0)]);
+        assert_eq!(started_requests(&b.arrive(request(1, READ))), [1]);
         let actions = b.event(Event::ClientGone { id: RequestId(1) });
-        let called_off =
+        let cancelled =
             actions.contains(&Action::CancelAttempt { id: RequestId(1), attempt: AttemptNumber(0) });
-        assert_eq!(called_off, may_cancel);
+        assert_eq!(cancelled, may_cancel);
     }
 }
 
 #[test]
-fn the_mean_of_all_nodes_follows_few_answers_after_a_surge() {
+fn the_mean_of_all_targets_follows_few_responses_after_a_surge() {
     let mut s = settings();
-    s.classes[KEYED as usize].latency_objective = SECOND; // so that it is let in while the node is late for reads
-    let mut b = Bench::new(s, &[entry(0, 0), entry(1, 1)]);
+    s.classes[KEYED as usize].latency_objective = SECOND; // so that it is let in while the target is late for reads
+    let mut b = Harness::new(s, &[entry(0, 0), entry(1, 1)]);
     let mut id = 0;
-    let mut answer = |b: &mut Bench, took: Micros, pause: Micros| {
+    let mut answer = |b: &mut Harness, took: Micros, pause: Micros| {
         id += 1;
-        assert_eq!(sends(&b.take(RequestProfile { shard: Some(ShardId(1)), ..request(id, KEYED) })), [id]);
-        b.outcome(id, 0, 1, Outcome::Served, took);
-        b.pass(pause);
+        assert_eq!(
+            started_requests(&b.arrive(RequestProfile { shard: Some(ShardId(1)), ..request(id, KEYED) })),
+            [id]
+        );
+        b.attempt_ended(id, 0, 1, Outcome::Served, took);
+        b.advance(pause);
     };
     for _ in 0..30 {
         answer(&mut b, 300 * MS, 5 * MS);
@@ -218,6 +222,6 @@
         answer(&mut b, 10 * MS, 1_500 * MS);
     }
     answer(&mut b, 10 * MS, 0);
-    // Node 0 was never heard: it counts as the mean.
-    assert_eq!(sends(&b.take(request(900, READ))), [900]);
+    // Target 0 was never heard: it counts as the mean.
+    assert_eq!(started_requests(&b.arrive(request(900, READ))), [900]);
 }
--- a/tests/safety_rules.rs
+++ b/tests/safety_rules.rs
@@ -6,139 +6,174 @@
 use support::*;
 
 #[test]
-fn a_held_request_is_refused_once_when_its_aim_has_passed() {
-    let mut b = Bench::new(settings(), &[]);
-    assert!(b.take(request(1, READ)).is_empty(), "no node: it is held");
-    assert!(answers(&b.pass(100 * MS)).is_empty());
-    assert_eq!(answers(&b.pass(20 * MS)), [(1, true)], "holding it longer only keeps the client waiting");
-    assert!(answers(&b.pass(5 * SECOND)).is_empty());
+fn a_queued_request_is_rejected_once_when_its_objective_has_passed() {
+    let mut b = Harness::new(settings(), &[]);
+    assert!(b.arrive(request(1, READ)).is_empty(), "no target: it is held");
+    assert!(final_responses(&b.advance(100 * MS)).is_empty());
+    assert_eq!(
+        final_responses(&b.advance(20 * MS)),
+        [(1, true)],
+        "holding it longer only keeps the client waiting"
+    );
+    assert!(final_responses(&b.advance(5 * SECOND)).is_empty());
 }
 
 #[test]
-fn a_request_out_at_its_deadline_gets_one_answer_and_nothing_more_is_sent() {
-    let mut b = Bench::new(settings(), &[entry(0, 0)]);
-    assert_eq!(sends(&b.take(request(1, ONCE))), [1]);
-    assert_eq!(answers(&b.pass(SECOND)), [(1, false)], "it may have run: a failure, not a refusal");
-    let after = b.outcome(1, 0, 0, Outcome::TimedOut, SECOND);
-    assert!(sends(&after).is_empty() && answers(&after).is_empty());
+fn a_request_in_flight_at_its_deadline_gets_one_response_and_no_retry() {
+    let mut b = Harness::new(settings(), &[entry(0, 0)]);
+    assert_eq!(started_requests(&b.arrive(request(1, NON_IDEMPOTENT))), [1]);
+    assert_eq!(
+        final_responses(&b.advance(SECOND)),
+        [(1, false)],
+        "it may have run: a failure, not a rejection"
+    );
+    let after = b.attempt_ended(1, 0, 0, Outcome::TimedOut, SECOND);
+    assert!(started_requests(&after).is_empty() && final_responses(&after).is_empty());
 }
 
 #[test]
-fn a_withdrawn_request_gets_nothing_more() {
-    let mut b = Bench::new(settings(), &[]);
-    b.take(request(1, READ));
+fn a_request_whose_client_has_gone_gets_nothing_more() {
+    let mut b = Harness::new(settings(), &[]);
+    b.arrive(request(1, READ));
     b.event(Event::ClientGone { id: RequestId(1) });
-    assert!(b.list(EndpointUpdateKind::Delta, &[entry(0, 0)]).is_empty());
-    assert!(b.pass(3 * SECOND).is_empty());
+    assert!(b.endpoints_changed(EndpointUpdateKind::Delta, &[entry(0, 0)]).is_empty());
+    assert!(b.advance(3 * SECOND).is_empty());
 }
 
 #[test]
-fn what_never_ran_is_sent_again_and_what_may_have_run_only_as_its_class_allows() {
-    for (class, outcome, again, refused) in [
+fn a_request_that_never_ran_is_retried_and_one_that_may_have_run_only_as_its_class_allows() {
+    for (class, outcome, again, rejected) in [
         (READ, Outcome::Error, true, true),
         (READ, Outcome::Unreachable, true, true),
-        (ONCE, Outcome::Unreachable, true, true),
-        (ONCE, Outcome::Error, false, false),
-        (ONCE, Outcome::Broken, false, false),
+        (NON_IDEMPOTENT, Outcome::Unreachable, true, true),
+        (NON_IDEMPOTENT, Outcome::Error, false, false),
+        (NON_IDEMPOTENT, Outcome::Broken, false, false),
         (KEYED, Outcome::Broken, true, false),
     ] {
-        let mut b = Bench::new(settings(), &[entry(0, 0)]);
-        b.take(request(1, class));
-        let mut actions = b.outcome(1, 0, 0, outcome, MS);
-        actions.extend(b.pass(100 * MS));
-        assert_eq!(sends(&actions).len(), usize::from(again), "class {class}, {outcome:?}");
+        let mut b = Harness::new(settings(), &[entry(0, 0)]);
+        b.arrive(request(1, class));
+        let mut actions = b.attempt_ended(1, 0, 0, outcome, MS);
+        actions.extend(b.advance(100 * MS));
+        assert_eq!(started_requests(&actions).len(), usize::from(again), "class {class}, {outcome:?}");
         if again {
-            actions.extend(b.pass(900 * MS));
-            if class == ONCE {
+            actions.extend(b.advance(900 * MS));
+            if class == NON_IDEMPOTENT {
                 continue; // its second attempt is out and may run: covered above
             }
         }
-        assert_eq!(answers(&actions), [(1, refused)], "class {class}, {outcome:?}");
+        assert_eq!(final_responses(&actions), [(1, rejected)], "class {class}, {outcome:?}");
     }
 }
 
 #[test]
-fn a_keyed_request_is_not_sent_again_outside_its_span_or_group() {
+fn a_keyed_request_is_not_retried_outside_its_window_or_scope() {
     let mut s = settings();
     s.classes[KEYED as usize].idempotency =
         Idempotency::KeyedWithin { scope: DeduplicationScope::Shard, window: 50 * MS };
-    let mut b = Bench::new(s.clone(), &[entry(0, 0)]);
-    b.take(request(1, KEYED));
-    b.pass(60 * MS);
-    let late = b.outcome(1, 0, 0, Outcome::Broken, 60 * MS);
-    assert!(sends(&late).is_empty());
-    assert_eq!(answers(&late), [(1, false)]);
-
-    let mut b = Bench::new(settings(), &[entry(0, 0), entry(1, 1)]);
+    let mut b = Harness::new(s.clone(), &[entry(0, 0)]);
+    b.arrive(request(1, KEYED));
+    b.advance(60 * MS);
+    let late = b.attempt_ended(1, 0, 0, Outcome::Broken, 60 * MS);
+    assert!(started_requests(&late).is_empty());
+    assert_eq!(final_responses(&late), [(1, false)]);
+
+    let mut b = Harness::new(settings(), &[entry(0, 0), entry(1, 1)]);
     let mut new_object = request(2, KEYED);
     new_object.shard = None;
-    let first = b.take(new_object);
-    let Some(Action::StartAttempt { target: node, .. }) = first.first() else { panic!("not sent") };
-    let (node, other) = (node.0, 1 - node.0);
-    let mut gone = entry(node, node);
+    let first = b.arrive(new_object);
+    let Some(Action::StartAttempt { target, .. }) = first.first() else { panic!("not sent") };
+    let (target, other) = (target.0, 1 - target.0);
+    let mut gone = entry(target, target);
     gone.state = TargetState::Removed;
-    b.list(EndpointUpdateKind::Delta, &[gone]);
-    let mut actions = b.outcome(2, 0, node, Outcome::Broken, MS);
-    actions.extend(b.pass(SECOND));
-    assert!(sends(&actions).is_empty(), "node {other} is outside the group");
-    assert_eq!(answers(&actions), [(2, false)]);
+    b.endpoints_changed(EndpointUpdateKind::Delta, &[gone]);
+    let mut actions = b.attempt_ended(2, 0, target, Outcome::Broken, MS);
+    actions.extend(b.advance(SECOND));
+    assert!(started_requests(&actions).is_empty(), "target {other} is outside the scope");
+    assert_eq!(final_responses(&actions), [(2, false)]);
 }
 
 #[test]
-fn nothing_goes_to_a_node_told_to_drain_or_missing_from_a_full_list() {
-    let mut b = Bench::new(settings(), &[entry(0, 0), entry(1, 1)]);
+fn nothing_is_sent_to_a_target_that_drains_or_is_missing_from_a_snapshot() {
+    let mut b = Harness::new(settings(), &[entry(0, 0), entry(1, 1)]);
     let mut lame = entry(0, 0);
     lame.state = TargetState::Draining;
-    b.list(EndpointUpdateKind::Delta, &[lame]);
-    b.list(EndpointUpdateKind::Snapshot, &[lame]);
-    let mut actions = b.take(request(1, READ));
+    b.endpoints_changed(EndpointUpdateKind::Delta, &[lame]);
+    b.endpoints_changed(EndpointUpdateKind::Snapshot, &[lame]);
+    let mut actions = b.arrive(request(1, READ));
     let mut other = request(2, READ);
     other.shard = Some(ShardId(1));
-    actions.extend(b.take(other));
-    actions.extend(b.pass(SECOND));
-    assert!(sends(&actions).is_empty());
-    assert_eq!(answers(&actions).len(), 2);
+    actions.extend(b.arrive(other));
+    actions.extend(b.advance(SECOND));
+    assert!(started_requests(&actions).is_empty());
+    assert_eq!(final_responses(&actions).len(), 2);
 }
 
 #[test]
-fn a_successor_takes_what_waits_for_its_shard() {
-    let mut b = Bench::new(settings(), &[]);
-    b.take(request(1, READ));
-    assert_eq!(sends(&b.list(EndpointUpdateKind::Delta, &[entry(7, 0)])), [1]);
+fn a_successor_target_takes_what_waits_for_its_shard() {
+    let mut b = Harness::new(settings(), &[]);
+    b.arrive(request(1, READ));
+    assert_eq!(started_requests(&b.endpoints_changed(EndpointUpdateKind::Delta, &[entry(7, 0)])), [1]);
 }
 
-fn cold(node: u32, started: Micros) -> EndpointEntry {
-    EndpointEntry { started: Some(started), ..entry(node, 0) }
+// A target begins to drain while one request is in flight there and another is queued for it.
+#[test]
+fn when_a_target_drains_its_attempts_end_and_its_queue_waits_for_a_successor() {
+    let mut b = Harness::new(settings(), &[entry(0, 0)]);
+    let large = |id| RequestProfile { units: 100.0, ..request(id, READ) };
+    assert_eq!(started_requests(&b.arrive(large(1))), [1]);
+    assert!(b.arrive(request(2, READ)).is_empty(), "queued: the target is full");
+    let draining = EndpointEntry { state: TargetState::Draining, ..entry(0, 0) };
+    assert!(b.endpoints_changed(EndpointUpdateKind::Delta, &[draining]).is_empty(), "nothing is cancelled");
+    assert!(!b.scheduler.may_start(b.now, RequestId(1), AttemptNumber(0)), "not after its connection is up");
+    assert!(b.served(1, MS).is_empty(), "the target has capacity again, and takes nothing new");
+    assert_eq!(started_requests(&b.endpoints_changed(EndpointUpdateKind::Delta, &[entry(7, 0)])), [2]);
+}
+
+// Without a successor the queued request is not kept until its client gives it up.
+#[test]
+fn when_a_target_drains_without_a_successor_its_queue_is_rejected_at_the_objective() {
+    let mut b = Harness::new(settings(), &[entry(0, 0)]);
+    b.arrive(RequestProfile { units: 100.0, ..request(1, READ) });
+    assert!(b.arrive(request(2, READ)).is_empty(), "queued: the target is full");
+    let draining = EndpointEntry { state: TargetState::Draining, ..entry(0, 0) };
+    b.endpoints_changed(EndpointUpdateKind::Delta, &[draining]);
+    b.served(1, MS);
+    assert!(final_responses(&b.advance(100 * MS)).is_empty());
+    assert_eq!(final_responses(&b.advance(20 * MS)), [(2, true)]);
+}
+
+fn warming(target: u32, started: Micros) -> EndpointEntry {
+    EndpointEntry { started: Some(started), ..entry(target, 0) }
 }
 
 #[test]
-fn a_cold_node_gets_no_more_than_this_gateways_part_in_any_window() {
-    let mut b = Bench::new(settings(), &[]);
-    b.pass(5 * SECOND);
-    b.list(EndpointUpdateKind::Delta, &[cold(0, b.now)]);
+fn a_warming_target_gets_no_more_than_this_initiators_part_in_any_window() {
+    let mut b = Harness::new(settings(), &[]);
+    b.advance(5 * SECOND);
+    b.endpoints_changed(EndpointUpdateKind::Delta, &[warming(0, b.now)]);
     // 16 units a second are borne from two initiators: 8 from this one, or four requests of 2 units.
     let mut sent = Vec::new();
     for id in 0..12 {
-        sent.extend(sends(&b.take(request(id, EXPORT))));
+        sent.extend(started_requests(&b.arrive(request(id, BACKGROUND))));
         if sent.contains(&id) {
-            sent.extend(sends(&b.served(id, MS)));
+            sent.extend(started_requests(&b.served(id, MS)));
         }
     }
     assert_eq!(sent.len(), 4);
 }
 
 #[test]
-fn the_cold_budget_grows_as_the_node_warms() {
+fn the_slow_start_budget_grows_as_the_target_warms_up() {
     let count = |waited: Micros| {
-        let mut b = Bench::new(settings(), &[]);
-        b.pass(5 * SECOND);
+        let mut b = Harness::new(settings(), &[]);
+        b.advance(5 * SECOND);
         let started = b.now;
-        b.pass(waited);
-        b.list(EndpointUpdateKind::Delta, &[cold(0, started)]);
+        b.advance(waited);
+        b.endpoints_changed(EndpointUpdateKind::Delta, &[warming(0, started)]);
         let mut sent = 0;
         for id in 0..40 {
-            if sends(&b.take(request(id, EXPORT))).contains(&id) {
-                sent += 1 + sends(&b.served(id, MS)).len();
+            if started_requests(&b.arrive(request(id, BACKGROUND))).contains(&id) {
+                sent += 1 + started_requests(&b.served(id, MS)).len();
             }
         }
         sent
@@ -150,61 +185,61 @@
 }
 
 #[test]
-fn a_restarted_gateway_holds_back_from_a_cold_node_for_a_window() {
-    let mut b = Bench::new(settings(), &[cold(0, 99 * SECOND)]);
-    let patient = RequestProfile { deadline: b.now + 20 * SECOND, ..request(1, EXPORT) };
-    assert!(sends(&b.take(patient)).is_empty());
-    assert_eq!(sends(&b.pass(1_100 * MS)), [1]);
+fn a_restarted_initiator_sends_a_warming_target_nothing_for_a_window() {
+    let mut b = Harness::new(settings(), &[warming(0, 99 * SECOND)]);
+    let patient = RequestProfile { deadline: b.now + 20 * SECOND, ..request(1, BACKGROUND) };
+    assert!(started_requests(&b.arrive(patient)).is_empty());
+    assert_eq!(started_requests(&b.advance(1_100 * MS)), [1]);
 }
 
 #[test]
-fn requests_of_one_key_run_one_at_a_time_and_the_key_rests() {
-    let mut b = Bench::new(settings(), &[entry(0, 0)]);
+fn requests_of_one_key_run_one_at_a_time_and_the_key_has_a_quiet_period() {
+    let mut b = Harness::new(settings(), &[entry(0, 0)]);
     let same = |id| RequestProfile { key: Some(KeyId(9)), ..request(id, ORDERED) };
-    assert_eq!(sends(&b.take(same(1))), [1]);
-    assert!(sends(&b.take(same(2))).is_empty());
-    assert_eq!(sends(&b.served(1, MS)), [2]);
-    assert!(sends(&b.take(same(3))).is_empty());
+    assert_eq!(started_requests(&b.arrive(same(1))), [1]);
+    assert!(started_requests(&b.arrive(same(2))).is_empty());
+    assert_eq!(started_requests(&b.served(1, MS)), [2]);
+    assert!(started_requests(&b.arrive(same(3))).is_empty());
     b.event(Event::ClientGone { id: RequestId(2) });
-    assert!(sends(&b.pass(50 * MS)).is_empty(), "its attempt has no outcome");
-    b.outcome(2, 0, 0, Outcome::Broken, MS);
-    assert!(sends(&b.pass(290 * MS)).is_empty(), "the key rests");
-    assert_eq!(sends(&b.pass(30 * MS)), [3]);
+    assert!(started_requests(&b.advance(50 * MS)).is_empty(), "its attempt is in flight");
+    b.attempt_ended(2, 0, 0, Outcome::Broken, MS);
+    assert!(started_requests(&b.advance(290 * MS)).is_empty(), "the key is in its quiet period");
+    assert_eq!(started_requests(&b.advance(30 * MS)), [3]);
 }
 
 #[test]
-fn further_attempts_stay_within_their_budget() {
+fn retries_stay_within_their_budget() {
     let mut s = settings();
     s.rules.retry_budget = Some(RetryBudget { minimum: 1.0, ratio: 0.1, window: 5 * SECOND });
     s.rules.max_attempts = 10;
-    let mut b = Bench::new(s, &[entry(0, 0)]);
-    let mut sent = sends(&b.take(request(1, READ))).len();
+    let mut b = Harness::new(s, &[entry(0, 0)]);
+    let mut sent = started_requests(&b.arrive(request(1, READ))).len();
     for attempt in 0..4 {
         if sent == attempt as usize + 1 {
-            sent += sends(&b.outcome(1, attempt, 0, Outcome::Error, MS)).len();
+            sent += started_requests(&b.attempt_ended(1, attempt, 0, Outcome::Error, MS)).len();
         }
     }
-    assert_eq!(sent, 2, "one free further attempt, and 0.1 for the request taken");
+    assert_eq!(sent, 2, "one free retry, and 0.1 for the request taken");
 }
 
 #[test]
 fn a_volumes_limit_holds_from_the_first_second() {
-    let mut b = Bench::new(settings(), &[entry(0, 0)]);
+    let mut b = Harness::new(settings(), &[entry(0, 0)]);
     let deadline = b.now + 20 * SECOND;
-    let limited = |id| RequestProfile { plan: Some(PlanId(1)), deadline, ..request(id, EXPORT) };
+    let limited = |id| RequestProfile { plan: Some(PlanId(1)), deadline, ..request(id, BACKGROUND) };
     let mut sent = 0;
     for id in 0..20 {
-        sent += sends(&b.take(limited(id))).len();
+        sent += started_requests(&b.arrive(limited(id))).len();
         for done in 0..id {
-            sent += sends(&b.served(done, MS)).len();
+            sent += started_requests(&b.served(done, MS)).len();
         }
     }
-    assert_eq!(sent, 0, "an unknown past may have drawn the store empty, and the slack");
+    assert_eq!(sent, 0, "an unknown past may have drawn the store empty, and the debt limit");
     let mut later = 0;
     for _ in 0..10 {
-        later += sends(&b.pass(100 * MS)).len();
+        later += started_requests(&b.advance(100 * MS)).len();
         for id in 0..20 {
-            later += sends(&b.served(id, MS)).len();
+            later += started_requests(&b.served(id, MS)).len();
         }
     }
     assert!((4..=6).contains(&later), "10 units a second and 2 units each: {later}");
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -8,13 +8,13 @@
 pub const SECOND: Micros = 1_000_000;
 pub const READ: u32 = 0;
 pub const KEYED: u32 = 1;
-pub const EXPORT: u32 = 2;
-pub const ONCE: u32 = 3;
+pub const BACKGROUND: u32 = 2;
+pub const NON_IDEMPOTENT: u32 = 3;
 pub const ORDERED: u32 = 4;
 
-fn class(aim: Micros, deadline: Micros, repeat: Idempotency, write: bool) -> RequestClass {
+fn class(objective: Micros, deadline: Micros, repeat: Idempotency, write: bool) -> RequestClass {
     RequestClass {
-        latency_objective: aim,
+        latency_objective: objective,
         deadline,
         idempotency: repeat,
         ordered_by_key: false,
@@ -66,9 +66,9 @@
     }
 }
 
-pub fn entry(node: u32, shard: u32) -> EndpointEntry {
+pub fn entry(target: u32, shard: u32) -> EndpointEntry {
     EndpointEntry {
-        target: TargetId(node),
+        target: TargetId(target),
         shard: ShardId(shard),
         zone: ZoneId(0),
         state: TargetState::Active,
@@ -91,32 +91,32 @@
     }
 }
 
-pub struct Bench {
+pub struct Harness {
     pub scheduler: Scheduler,
     pub now: Micros,
     /// Timers not yet due, as (time, token).
     timers: Vec<(Micros, u64)>,
     settings: Settings,
     /// What is sent reaches its target when the test says so, not at once.
-    pub late: bool,
+    pub manual_arrivals: bool,
 }
 
-impl Bench {
-    /// With one node for each entry, as the list's first news.
-    pub fn new(settings: Settings, entries: &[EndpointEntry]) -> Bench {
-        Bench::seeded(settings, entries, 1)
+impl Harness {
+    /// With one target for each entry, as the list's first news.
+    pub fn new(settings: Settings, entries: &[EndpointEntry]) -> Harness {
+        Harness::seeded(settings, entries, 1)
     }
 
-    pub fn seeded(settings: Settings, entries: &[EndpointEntry], seed: u64) -> Bench {
-        let mut bench = Bench::unlisted(settings, seed);
-        bench.list(EndpointUpdateKind::Cached, entries);
-        bench
+    pub fn seeded(settings: Settings, entries: &[EndpointEntry], seed: u64) -> Harness {
+        let mut harness = Harness::unlisted(settings, seed);
+        harness.endpoints_changed(EndpointUpdateKind::Cached, entries);
+        harness
     }
 
     /// One that has not even a remembered list yet.
-    pub fn unlisted(settings: Settings, seed: u64) -> Bench {
+    pub fn unlisted(settings: Settings, seed: u64) -> Harness {
         let scheduler = Scheduler::new(settings.clone(), seed).expect("usable settings");
-        Bench { scheduler, now: 100 * SECOND, timers: Vec::new(), settings, late: false }
+        Harness { scheduler, now: 100 * SECOND, timers: Vec::new(), settings, manual_arrivals: false }
     }
 
     pub fn event(&mut self, event: Event) -> Vec<Action> {
@@ -125,7 +125,7 @@
         for action in &actions {
             match action {
                 Action::SetTimer { token, after } => self.timers.push((self.now + after, *token)),
-                Action::StartAttempt { id, .. } if !self.late => {
+                Action::StartAttempt { id, .. } if !self.manual_arrivals => {
                     self.scheduler.commit_reserved(self.now, *id)
                 }
                 _ => {}
@@ -135,12 +135,12 @@
         actions
     }
 
-    pub fn list(&mut self, kind: EndpointUpdateKind, entries: &[EndpointEntry]) -> Vec<Action> {
+    pub fn endpoints_changed(&mut self, kind: EndpointUpdateKind, entries: &[EndpointEntry]) -> Vec<Action> {
         self.event(Event::EndpointsChanged { kind, entries: entries.to_vec() })
     }
 
     /// Takes a request; without a deadline of its own it gets its class's.
-    pub fn take(&mut self, mut request: RequestProfile) -> Vec<Action> {
+    pub fn arrive(&mut self, mut request: RequestProfile) -> Vec<Action> {
         if request.deadline == 0 {
             let class = request.class.map_or(0, |c| c.0 as usize);
             request.deadline = self.now + self.settings.classes[class].deadline;
@@ -148,18 +148,18 @@
         self.event(Event::RequestArrived(request))
     }
 
-    pub fn outcome(
+    pub fn attempt_ended(
         &mut self,
         id: u64,
         attempt: u32,
-        node: u32,
+        target: u32,
         outcome: Outcome,
         took: Micros,
     ) -> Vec<Action> {
         self.event(Event::AttemptEnded {
             id: RequestId(id),
             attempt: AttemptNumber(attempt),
-            target: TargetId(node),
+            target: TargetId(target),
             outcome,
             elapsed: took,
             request_over: outcome == Outcome::Served,
@@ -170,11 +170,11 @@
     }
 
     pub fn served(&mut self, id: u64, took: Micros) -> Vec<Action> {
-        self.outcome(id, 0, 0, Outcome::Served, took)
+        self.attempt_ended(id, 0, 0, Outcome::Served, took)
     }
 
     /// Lets time pass, with every timer that comes due.
-    pub fn pass(&mut self, span: Micros) -> Vec<Action> {
+    pub fn advance(&mut self, span: Micros) -> Vec<Action> {
         let until = self.now + span;
         let mut actions = Vec::new();
         while let Some(at) = self.timers.iter().map(|t| t.0).min().filter(|at| *at <= until) {
@@ -188,7 +188,7 @@
     }
 }
 
-pub fn sends(actions: &[Action]) -> Vec<u64> {
+pub fn started_requests(actions: &[Action]) -> Vec<u64> {
     let send = |a: &Action| match a {
         Action::StartAttempt { id, .. } => Some(id.0),
         _ => None,
@@ -196,8 +196,8 @@
     actions.iter().filter_map(send).collect()
 }
 
-/// Final answers: (request, whether it is a refusal).
-pub fn answers(actions: &[Action]) -> Vec<(u64, bool)> {
+/// Final answers: (request, whether it is a rejection).
+pub fn final_responses(actions: &[Action]) -> Vec<(u64, bool)> {
     let answer = |a: &Action| match a {
         Action::Reject { id, .. } => Some((id.0, true)),
         Action::Fail { id } => Some((id.0, false)),
