--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -62,7 +62,8 @@
 /// Later than any time that counts, and small enough that times can be added to it.
 const NEVER: Micros = 1_000_000_000_000_000;
 /// Final responses leave this long before the client's deadline, and no attempt starts after that: a response
-/// that reaches the client at its deadline is lost.
+/// that reaches the client at its deadline is lost. The figure is not explained
+/// (docs/design/open-questions.md).
 const RESPONSE_MARGIN_MICROS: Micros = 4_000;
 
 /// What only one process of an initiator may spend: units of limits, and budgets of warming targets.
--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -1,7 +1,7 @@
 //! Whether an arriving request is admitted. One that is not is answered at once.
 
+use super::Scheduler;
 use super::request::RequestState;
-use super::{NEVER, Scheduler};
 use crate::interface::{Action, Micros, RequestId, RequestProfile, ShardId, TargetId};
 
 /// A request beyond its volume's fair share is admitted while it is predicted within this fraction of its
@@ -29,9 +29,12 @@
     /// Its place in the shard's queue.
     position: usize,
     is_within_fair_share: bool,
-    /// Units that the target has to serve until the request is complete: in flight, ahead of it, and its own.
-    units_until_complete: f64,
-    /// When it is predicted to be complete.
+}
+
+/// When an arriving request is predicted to be complete.
+struct Prediction {
+    /// Units that the target has to serve until then: in flight, ahead of the request, and its own.
+    units: f64,
     completes_at: Micros,
 }
 
@@ -146,45 +149,31 @@
             self.insert_into_queue(shard, id, position);
             return Admission::Admitted;
         };
-        let candidate = self.predict(now, id, shard, target, position, is_within_fair_share);
+        let candidate = Candidate { id, shard, target, position, is_within_fair_share };
         self.admit_candidate(now, &candidate)
     }
 
     /// Predicts when an arriving request would be complete: what is in flight and queued ahead of it and its
     /// own units, over the target's speed, plus its latency, from when slow start admits it. Requests ahead
     /// that have missed their objective are left out, since they are dispatched after it.
-    fn predict(
-        &self,
-        now: Micros,
-        id: RequestId,
-        shard: ShardId,
-        target: TargetId,
-        position: usize,
-        is_within_fair_share: bool,
-    ) -> Candidate {
+    fn predict(&self, now: Micros, candidate: &Candidate) -> Prediction {
+        let Candidate { id, shard, target, position, .. } = *candidate;
         let request = &self.requests[&id];
         let ahead = self.queues.requests(shard)[..position].iter().map(|ahead| &self.requests[ahead]);
         let units_ahead: f64 = ahead.filter(|ahead| ahead.objective_at >= now).map(|ahead| ahead.units).sum();
-        let units_until_complete = self.targets[&target].units_in_flight + units_ahead + request.units;
+        let units = self.targets[&target].units_in_flight + units_ahead + request.units;
         let admits_at = self.slow_start_admits_at(now, target, request, units_ahead);
-        let takes = self.predicted_time(now, target, request.class, units_until_complete);
-        Candidate {
-            id,
-            shard,
-            target,
-            position,
-            is_within_fair_share,
-            units_until_complete,
-            completes_at: admits_at + takes,
-        }
+        let takes = self.predicted_time(now, target, request.class, units);
+        Prediction { units, completes_at: admits_at + takes }
     }
 
-    /// Decides on a request whose completion is predicted, and queues it if it is admitted.
+    /// Decides on an arriving request by its predicted completion, and queues it if it is admitted.
     fn admit_candidate(&mut self, now: Micros, candidate: &Candidate) -> Admission {
         let Candidate { id, shard, .. } = *candidate;
         let request = &self.requests[&id];
         let (class, units) = (request.class, request.units);
-        let is_late = candidate.completes_at > self.latest_completion(now, request, candidate);
+        let prediction = self.predict(now, candidate);
+        let is_late = prediction.completes_at > self.latest_completion(now, request, candidate);
         if self.objectives.is_background(class) {
             let position = if is_late { self.defer_background(now, candidate) } else { candidate.position };
             self.insert_into_queue(shard, id, position);
@@ -193,7 +182,7 @@
         if is_late && candidate.is_within_fair_share {
             self.fair_share.level_mut(shard).lower(now, units);
         }
-        if is_late || self.makes_others_late(now, candidate) {
+        if is_late || self.makes_others_late(now, candidate, &prediction) {
             return Admission::Rejected;
         }
         self.insert_into_queue(shard, id, candidate.position);
@@ -213,32 +202,31 @@
     /// Moves a background request that is predicted late to the end of its time, and returns its position
     /// there. One beyond its volume's fair share counts as having missed its objective.
     fn defer_background(&mut self, now: Micros, candidate: &Candidate) -> usize {
-        let mut virtual_deadline = NEVER;
+        let deadline = self.requests[&candidate.id].deadline;
         self.requests.entry(candidate.id).and_modify(|request| {
-            request.virtual_deadline = request.deadline;
+            request.virtual_deadline = deadline;
             if !candidate.is_within_fair_share {
                 request.objective_at = now;
             }
-            virtual_deadline = request.virtual_deadline;
         });
-        self.queue_position(candidate.shard, virtual_deadline)
+        self.queue_position(candidate.shard, deadline)
     }
 
     /// Whether a queued request behind an arriving one is predicted in time without it, and late with it.
     /// Background requests are not counted.
-    fn makes_others_late(&self, now: Micros, candidate: &Candidate) -> bool {
+    fn makes_others_late(&self, now: Micros, candidate: &Candidate, prediction: &Prediction) -> bool {
         let own_units = self.requests[&candidate.id].units;
-        let mut units_until_complete = candidate.units_until_complete;
+        let mut units = prediction.units;
         for behind in &self.queues.requests(candidate.shard)[candidate.position..] {
             let behind = &self.requests[behind];
             let complete_at = |units| now + self.predicted_time(now, candidate.target, behind.class, units);
-            let with_behind = units_until_complete + behind.units;
+            let with_behind = units + behind.units;
             let is_in_time_without = complete_at(with_behind - own_units) <= behind.virtual_deadline;
             let is_late_with = complete_at(with_behind) > behind.virtual_deadline;
             if !self.objectives.is_background(behind.class) && is_in_time_without && is_late_with {
                 return true;
             }
-            units_until_complete = with_behind;
+            units = with_behind;
         }
         false
     }
--- a/src/scheduler/fairness.rs
+++ b/src/scheduler/fairness.rs
@@ -11,7 +11,9 @@
 /// shard with free capacity soon admits all that is asked for. The figures of the level came with the first
 /// version (docs/design/open-questions.md).
 const LEVEL_RISE_PER_SECOND: f64 = 0.5;
-/// It falls e-fold in a second in which a tenth of what is asked for is within the share and rejected.
+/// The exponent by which it falls when all that is asked for is within the share and rejected. With the rise
+/// it settles where a twentieth of the units within the share is rejected: high enough to use the target
+/// fully.
 const LEVEL_FALL_PER_REJECTED_FRACTION: f64 = 10.0;
 /// It never falls below this fraction of the largest excess: a plan may have no reserve to live on, and its
 /// volumes must not stay shut out after an overload.
--- a/src/scheduler/stalled_attempts.rs
+++ b/src/scheduler/stalled_attempts.rs
@@ -6,7 +6,9 @@
 use super::target::Target;
 use crate::interface::{Action, Micros, TargetId};
 
-/// An attempt has been overtaken once this many attempts that were sent later have responses.
+/// An attempt has been overtaken once this many attempts that were sent later have responses: one or two may
+/// just have been smaller. How the figures here were found is only partly recorded
+/// (docs/design/open-questions.md).
 pub(super) const STALLED_AFTER_LATER_RESPONSES: usize = 4;
 /// An overtaken attempt is stalled once it has waited for this multiple of its expected time. Too small where
 /// the work of requests varies by as much.
@@ -15,8 +17,8 @@
 /// is well.
 const LONE_ATTEMPT_PATIENCE: f64 = 2.0;
 /// It also waits for this fraction of the tightest objective, longer where its target was not heard lately:
-/// what other targets' latencies predict says little of one that may just be slow. It had shown as requests
-/// that ran twice.
+/// what other targets' latencies predict says little of one that may just be slow. Such attempts were
+/// cancelled, ran all the same, and were sent once more (1ba956f).
 const LONE_ATTEMPT_OBJECTIVE_FRACTION: f64 = 0.5;
 
 impl Scheduler {
