--- a/crates/handover/tests/model.rs
+++ b/crates/handover/tests/model.rs
@@ -1,7 +1,7 @@
 //! The handover, checked over every order of events of three processes: one that serves, and two that are
 //! started beside it, of which any may die at any moment and any link may break.
 
-use rowanglade_handover::{Action, Event, Link, Machine, Word};
+use rowanglade_handover::{Action, Event, Handover, LinkId, MessageKind};
 use stateright::{Checker, Model, Property};
 
 /// What the first owner has to spend. Whoever starts from nothing has nothing.
@@ -37,7 +37,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Process {
-    machine: Machine,
+    handover: Handover,
     alive: bool,
     started: bool,
     /// It accepts clients and may spend.
@@ -86,38 +86,39 @@
         for action in actions {
             let p = &mut s.processes[who];
             match action {
-                Action::Lock => {
+                Action::TryLock => {
                     let free = s.lock.is_none() || s.lock == Some(who);
                     if free {
                         s.lock = Some(who);
                     }
-                    p.inbox.push(if free { Event::Locked } else { Event::Taken });
+                    p.inbox.push(if free { Event::LockAcquired } else { Event::LockUnavailable });
                 }
                 Action::Unlock => s.lock = s.lock.filter(|holder| *holder != who),
                 Action::Connect => {
                     let to = s.lock.filter(|to| *to != who && s.processes[*to].alive);
                     let link = to.map(|to| {
                         s.links.push(Some((who, to)));
-                        Link(s.links.len() as u64 - 1)
+                        LinkId(s.links.len() as u64 - 1)
                     });
-                    s.processes[who].inbox.push(Event::Linked(link));
+                    let event = link.map_or(Event::ConnectFailed, Event::Connected);
+                    s.processes[who].inbox.push(event);
                 }
-                Action::Say(link, word) => {
+                Action::Send(link, message) => {
                     if let Some((a, b)) = s.links[link.0 as usize] {
                         let to = if a == who { b } else { a };
-                        if word == Word::Given {
+                        if message == MessageKind::State {
                             let units = s.processes[who].frozen;
                             s.processes[to].given = units;
                         }
-                        s.processes[to].inbox.push(Event::Heard(link, word));
+                        s.processes[to].inbox.push(Event::Received(link, message));
                     }
                 }
                 Action::Close(link) => self.cut(s, link.0 as usize),
-                Action::Wait(_) => p.waiting = true,
+                Action::SetTimer(_) => p.waiting = true,
                 Action::Prepare => {}
-                Action::Serve { given } => {
+                Action::Serve { with_state } => {
                     p.serving = true;
-                    if given {
+                    if with_state {
                         p.units += p.given;
                         s.moved = true;
                     }
@@ -127,7 +128,7 @@
                     p.frozen = p.units;
                 }
                 Action::Resume => p.serving = true,
-                Action::Pass => {
+                Action::Retire => {
                     (p.serving, p.units) = (self.mutation == Mutation::SpendsWhatIsGiven, 0);
                 }
                 Action::Restart => (p.serving, p.units) = (true, 0),
@@ -139,25 +140,27 @@
     fn cut(&self, s: &mut State, link: usize) {
         if let Some((a, b)) = s.links[link].take() {
             for p in [a, b] {
-                s.processes[p].inbox.push(Event::Lost(Link(link as u64)));
+                s.processes[p].inbox.push(Event::LinkClosed(LinkId(link as u64)));
             }
         }
     }
 
     fn tell(&self, s: &mut State, who: usize, event: Event) {
         let p = &mut s.processes[who];
-        let mut actions = p.machine.handle(event);
+        let mut actions = p.handover.handle(event);
         match self.mutation {
-            Mutation::ServesUnasked if actions.contains(&Action::Say(Link(0), Word::Taken)) => {
-                actions.push(Action::Serve { given: true });
+            Mutation::ServesUnasked
+                if actions.contains(&Action::Send(LinkId(0), MessageKind::StateReceived)) =>
+            {
+                actions.push(Action::Serve { with_state: true });
             }
-            Mutation::TakesUpAnyway if p.machine.passed() && actions.contains(&Action::Lock) => {
+            Mutation::TakesUpAnyway if p.handover.is_retired() && actions.contains(&Action::TryLock) => {
                 actions.push(Action::Restart);
             }
-            Mutation::KeepsWhatItHeld if actions.contains(&Action::Serve { given: false }) => {
-                actions = vec![Action::Serve { given: true }];
+            Mutation::KeepsWhatItHeld if actions.contains(&Action::Serve { with_state: false }) => {
+                actions = vec![Action::Serve { with_state: true }];
             }
-            Mutation::NeverLooksBack if p.machine.passed() => actions.retain(|a| *a != Action::Lock),
+            Mutation::NeverLooksBack if p.handover.is_retired() => actions.retain(|a| *a != Action::TryLock),
             _ => {}
         }
         self.act(s, who, actions);
@@ -170,7 +173,7 @@
 
     fn init_states(&self) -> Vec<State> {
         let process = |_| Process {
-            machine: Machine::start().0,
+            handover: Handover::start().0,
             alive: true,
             started: false,
             serving: false,
@@ -191,7 +194,7 @@
             moved: false,
         };
         s.processes[0].started = true;
-        self.act(&mut s, 0, vec![Action::Lock]);
+        self.act(&mut s, 0, vec![Action::TryLock]);
         let event = s.processes[0].inbox.remove(0);
         self.tell(&mut s, 0, event);
         s.processes[0].units = UNITS;
@@ -228,7 +231,7 @@
         match step {
             Step::Start(i) => {
                 s.processes[i].started = true;
-                self.act(&mut s, i, vec![Action::Lock]);
+                self.act(&mut s, i, vec![Action::TryLock]);
             }
             Step::Tell(i) => {
                 let event = s.processes[i].inbox.remove(0);
@@ -238,7 +241,7 @@
             Step::Wait(i) => {
                 s.processes[i].waiting = false;
                 s.waits += 1;
-                self.tell(&mut s, i, Event::Waited);
+                self.tell(&mut s, i, Event::TimerFired);
             }
             Step::Spend(i) => {
                 s.processes[i].units -= 1;
@@ -275,7 +278,7 @@
                 s.spent + owned <= UNITS
             }),
             Property::always("whoever serves says so", |_, s: &State| {
-                s.processes.iter().all(|p| !p.alive || p.serving == p.machine.owns())
+                s.processes.iter().all(|p| !p.alive || p.serving == p.handover.is_owner())
             }),
             Property::always("nothing is orphaned", |_, s: &State| {
                 // Where nothing more is to happen by itself, somebody serves, unless all are dead.
@@ -292,7 +295,7 @@
             Property::sometimes("it moves on twice", |_, s: &State| {
                 s.moved
                     && s.processes.get(2).is_some_and(|p| p.serving && p.units == UNITS)
-                    && s.processes[1].machine.passed()
+                    && s.processes[1].handover.is_retired()
             }),
         ]
     }
--- /dev/null
+++ b/src/handover/actor.rs
@@ -0,0 +1,260 @@
+//! The actor that feeds events to the handover's state machine and carries out what that decides.
+
+mod actions;
+
+use super::controls::HandoverControls;
+use super::links::{LinkInput, Links};
+use super::message::{Listeners, Message, Welcome};
+use super::paths::{HandoverPaths, OwnershipLock};
+use crate::core::{AdminCommand, HandoverRequest, HandoverState};
+use crate::net::accept::{AcceptFailures, AfterFailure};
+use rowanglade_handover::{Action, Event, Handover, LinkId, MessageKind};
+use rowanglade_object_locations::{Object, Seen};
+use std::collections::VecDeque;
+use std::io;
+use std::os::fd::OwnedFd;
+use std::time::Duration;
+use tokio::net::{UnixListener, UnixStream};
+use tokio::sync::mpsc;
+use tokio::time::Instant;
+
+/// How often a retired predecessor tells what it still uses.
+const SHARE_INTERVAL: Duration = Duration::from_millis(100);
+
+/// How a process starts.
+#[derive(Debug)]
+pub enum HandoverStart {
+    /// No other process serves: it is an ordinary start.
+    Alone,
+    /// One serves, and hands over once this one is ready.
+    Welcomed(Box<Welcome>, Listeners),
+    /// One serves, and speaks another version of the protocol.
+    VersionMismatch {
+        /// The other's version.
+        version: u32,
+    },
+}
+
+/// What the core tells for the other process.
+#[derive(Debug)]
+pub struct CoreUpdates {
+    /// Admin commands that it has applied.
+    pub admin_commands: mpsc::Receiver<AdminCommand>,
+    /// Where it saw objects.
+    pub object_sightings: mpsc::Receiver<(Object, Seen)>,
+}
+
+/// The actor.
+#[derive(Debug)]
+pub struct HandoverActor {
+    machine: Handover,
+    /// What is to be done before the next event is taken.
+    actions: VecDeque<Action>,
+    paths: HandoverPaths,
+    lock: OwnershipLock,
+    /// Where a successor connects; absent while this process is not the owner.
+    listener: Option<UnixListener>,
+    accept_failures: AcceptFailures,
+    links: Links,
+    /// When the state machine wants to be woken.
+    timer: Option<Instant>,
+    /// What the predecessor sent, until it is used.
+    welcome: Option<(Box<Welcome>, Listeners)>,
+    received_state: Option<Box<HandoverState>>,
+    /// All that is owned here, on its way to the successor.
+    frozen_state: Option<Box<HandoverState>>,
+    /// What the core is to be told of the other process's commands and objects.
+    core_requests: VecDeque<HandoverRequest>,
+    /// Absent until this process has all that it needs to serve.
+    controls: Option<HandoverControls>,
+}
+
+impl HandoverActor {
+    /// Finds out whether another process serves. It returns once that is known, and what is needed has come.
+    ///
+    /// # Errors
+    /// The lock cannot be opened or tried, or the socket not be bound.
+    pub async fn start(paths: HandoverPaths) -> io::Result<(HandoverActor, HandoverStart)> {
+        let lock = paths.open_lock()?;
+        let (machine, actions) = Handover::start();
+        let mut actor = HandoverActor {
+            machine,
+            actions: actions.into(),
+            paths,
+            lock,
+            listener: None,
+            accept_failures: AcceptFailures::default(),
+            links: Links::new(),
+            timer: None,
+            welcome: None,
+            received_state: None,
+            frozen_state: None,
+            core_requests: VecDeque::new(),
+            controls: None,
+        };
+        loop {
+            while let Some(action) = actor.actions.pop_front() {
+                if let Some(start) = actor.execute_until_start(action).await? {
+                    return Ok((actor, start));
+                }
+            }
+            actor.next_event().await;
+        }
+    }
+
+    /// Executes an action. Some: how the process starts is known with it.
+    async fn execute_until_start(&mut self, action: Action) -> io::Result<Option<HandoverStart>> {
+        match action {
+            Action::Serve { .. } => {
+                // It is executed once there is something to serve with.
+                self.actions.push_front(action);
+                Ok(Some(HandoverStart::Alone))
+            }
+            Action::Prepare => {
+                let welcome = self.welcome.take();
+                Ok(welcome.map(|(welcome, listeners)| HandoverStart::Welcomed(welcome, listeners)))
+            }
+            Action::Fail { version } => Ok(Some(HandoverStart::VersionMismatch { version })),
+            other => self.execute(other).await.map(|()| None),
+        }
+    }
+
+    /// Runs for as long as the process does.
+    pub async fn run(mut self, controls: HandoverControls, mut updates: CoreUpdates) {
+        let mut ready = controls.ready.clone();
+        self.controls = Some(controls);
+        let mut prepared = false;
+        let mut share = tokio::time::interval(SHARE_INTERVAL);
+        loop {
+            self.execute_all().await;
+            tokio::select! {
+                Some(seen) = updates.object_sightings.recv() => {
+                    self.links.broadcast(&Message { object_seen: Some(seen), ..Message::default() });
+                }
+                Some(command) = updates.admin_commands.recv() => {
+                    self.links.broadcast(&Message { admin_command: Some(command), ..Message::default() });
+                }
+                Ok(_) = ready.wait_for(|ready| *ready), if !prepared => {
+                    prepared = true;
+                    self.handle(Event::Prepared);
+                }
+                _ = share.tick(), if self.machine.is_retired() => self.tell_share(),
+                () = self.next_event() => {}
+            }
+        }
+    }
+
+    /// Executes all actions, then passes on what the other process told for the core.
+    async fn execute_all(&mut self) {
+        while let Some(action) = self.actions.pop_front() {
+            if let Err(error) = self.execute(action).await {
+                tracing::warn!(%error, ?action, "a handover went wrong");
+            }
+        }
+        while let Some(request) = self.core_requests.pop_front() {
+            if let Some(controls) = &self.controls {
+                controls.tell(request).await;
+            }
+        }
+    }
+
+    /// Has the state machine say what follows from an event.
+    fn handle(&mut self, event: Event) {
+        self.actions.extend(self.machine.handle(event));
+    }
+
+    /// Waits for the next thing to happen. It may be dropped half way.
+    async fn next_event(&mut self) {
+        let timer = self.timer;
+        let timer_fired = async {
+            match timer {
+                Some(at) => tokio::time::sleep_until(at).await,
+                None => std::future::pending().await,
+            }
+        };
+        let listener = self.listener.as_ref();
+        let accepted = async {
+            match listener {
+                Some(listener) => listener.accept().await,
+                None => std::future::pending().await,
+            }
+        };
+        let event = tokio::select! {
+            Some(input) = self.links.next_input() => self.handle_input(input),
+            accepted = accepted => match accepted {
+                Ok((stream, _)) => self.link_to(stream).map(Event::Accepted),
+                Err(error) => {
+                    self.wait_after_failure(&error).await;
+                    None
+                }
+            },
+            () = timer_fired => {
+                self.timer = None;
+                Some(Event::TimerFired)
+            }
+        };
+        if let Some(event) = event {
+            self.handle(event);
+        }
+    }
+
+    /// A link over this stream. `None`: the other side is not trusted.
+    fn link_to(&mut self, stream: UnixStream) -> Option<LinkId> {
+        self.paths.trusts(&stream).then(|| self.links.open(stream))
+    }
+
+    /// Without a wait, an accept that goes on failing would take the whole thread.
+    async fn wait_after_failure(&mut self, error: &io::Error) {
+        let next = self.accept_failures.failed(error, "a successor");
+        if let AfterFailure::MakeRoom(wait) | AfterFailure::Wait(wait) = next {
+            tokio::time::sleep(wait).await;
+        }
+    }
+
+    fn handle_input(&mut self, input: LinkInput) -> Option<Event> {
+        match input {
+            LinkInput::Received(link, message, descriptors) => {
+                self.handle_message(link, *message, descriptors)
+            }
+            LinkInput::Closed(link) => Some(self.link_closed(link)),
+        }
+    }
+
+    /// Keeps what a message carries. `None`: it is no step of the protocol.
+    fn handle_message(&mut self, link: LinkId, message: Message, descriptors: Vec<OwnedFd>) -> Option<Event> {
+        let Message { kind, welcome, state, admin_command, object_seen, share } = message;
+        self.core_requests.extend(admin_command.map(HandoverRequest::AdminCommand));
+        self.core_requests
+            .extend(object_seen.map(|(object, seen)| HandoverRequest::ObjectSeen(object, seen)));
+        if let (Some(share), Some(controls)) = (share, &self.controls) {
+            controls.leave_to_other(share);
+        }
+        let kind = kind?;
+        // A message without what belongs to it is torn.
+        match kind {
+            MessageKind::Welcome => {
+                match welcome.filter(|welcome| welcome.listeners.len() == descriptors.len()) {
+                    Some(welcome) => {
+                        let listeners = welcome.listeners.iter().cloned().zip(descriptors).collect();
+                        self.welcome = Some((welcome, Listeners(listeners)));
+                    }
+                    None => return Some(self.link_closed(link)),
+                }
+            }
+            MessageKind::State => match state {
+                Some(state) => self.received_state = Some(state),
+                None => return Some(self.link_closed(link)),
+            },
+            _ => {}
+        }
+        Some(Event::Received(link, kind))
+    }
+
+    fn link_closed(&mut self, link: LinkId) -> Event {
+        self.links.close(link);
+        if let (true, Some(controls)) = (self.machine.is_owner(), &self.controls) {
+            controls.take_all_back();
+        }
+        Event::LinkClosed(link)
+    }
+}
--- a/src/upgrade/wire.rs
+++ b/src/handover/codec.rs
@@ -1,73 +1,37 @@
-//! What goes over a link: a length, and a message as JSON. Descriptors go with a message's first byte.
+//! How messages are written to a link: four bytes of length, then the message as JSON. Descriptors go with a
+//! message's first byte.
 
-use crate::core::{AdminCommand, HandoverState};
-use crate::interface::Micros;
-use crate::net::http::Page;
+use super::message::Message;
 use bytes::{Buf, BufMut, BytesMut};
-use rowanglade_handover::Word;
-use rowanglade_object_locations::{Object, Seen};
 use rustix::net::{
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
     SendFlags, recvmsg, sendmsg,
 };
-use serde::{Deserialize, Serialize};
 use std::io::{self, IoSlice, IoSliceMut};
 use std::mem::MaybeUninit;
 use std::os::fd::{AsFd, BorrowedFd, OwnedFd};
 use tokio::io::Interest;
 use tokio::net::UnixStream;
 
-/// Far above what the largest fleet's list and state take up.
-const LARGEST: usize = 32 << 20;
+/// Bytes of a message: far above what the endpoint list and the state of the largest fleet take up.
+const MAX_MESSAGE_BYTES: usize = 32 << 20;
 /// The most descriptors that go with a message: one for each listener.
-const MOST_PASSED: usize = 4;
-
-/// What may be known early. It is out of date by the time that everything is given, but for what does not
-/// change.
-#[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Welcome {
-    /// The predecessor's time, on whose clock the successor goes on.
-    pub now: Micros,
-    /// The list, as discovery told it.
-    pub list: Page,
-    pub share: Share,
-    /// What the descriptors that come along are, in their order.
-    pub listeners: Vec<String>,
-}
-
-/// Of what both processes count together, the part that the predecessor still has.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(default)]
-pub struct Share {
-    pub descriptors: usize,
-}
-
-/// A message. What it does not carry is absent; fields that another build adds are passed over.
-#[derive(Clone, Debug, Default, Serialize, Deserialize)]
-#[serde(default)]
-pub struct Message {
-    pub word: Option<Word>,
-    pub welcome: Option<Box<Welcome>>,
-    pub given: Option<Box<HandoverState>>,
-    /// An operator's call that came to the other process.
-    pub call: Option<AdminCommand>,
-    /// Where an object was seen by the other process.
-    pub seen: Option<(Object, Seen)>,
-    /// The predecessor has let go of some of its part.
-    pub share: Option<Share>,
-}
+const MAX_DESCRIPTORS: usize = 4;
 
 /// Writes a message, with descriptors that the other side gets as its own.
-pub async fn send(stream: &UnixStream, message: &Message, fds: &[OwnedFd]) -> io::Result<()> {
+///
+/// # Errors
+/// The stream broke, or there are more descriptors than go with a message.
+pub async fn send(stream: &UnixStream, message: &Message, descriptors: &[OwnedFd]) -> io::Result<()> {
     let text = serde_json::to_vec(message)?;
     let mut bytes = BytesMut::with_capacity(text.len() + 4);
     bytes.put_u32(text.len() as u32);
     bytes.extend_from_slice(&text);
-    let mut passed: Vec<BorrowedFd<'_>> = fds.iter().map(AsFd::as_fd).collect();
+    let mut passed: Vec<BorrowedFd<'_>> = descriptors.iter().map(AsFd::as_fd).collect();
     while !bytes.is_empty() {
         let written = stream
             .async_io(Interest::WRITABLE, || {
-                let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST_PASSED))];
+                let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS))];
                 let mut control = SendAncillaryBuffer::new(&mut space);
                 if !passed.is_empty() && !control.push(SendAncillaryMessage::ScmRights(&passed)) {
                     return Err(io::Error::other("more descriptors than go with a message"));
@@ -81,31 +45,34 @@
     Ok(())
 }
 
-/// Reads messages.
+/// Reads messages, and the descriptors that come with them.
 #[derive(Debug, Default)]
-pub struct Reader {
+pub(super) struct MessageReader {
     buffer: BytesMut,
-    fds: Vec<OwnedFd>,
+    descriptors: Vec<OwnedFd>,
 }
 
-impl Reader {
+impl MessageReader {
     /// The next message, with the descriptors that have come until its end. It may be dropped half way.
-    pub async fn next(&mut self, stream: &UnixStream) -> io::Result<(Message, Vec<OwnedFd>)> {
+    ///
+    /// # Errors
+    /// The stream broke, or what came is no message.
+    pub(super) async fn next(&mut self, stream: &UnixStream) -> io::Result<(Message, Vec<OwnedFd>)> {
         loop {
-            if let Some(message) = self.whole()? {
-                return Ok((message, std::mem::take(&mut self.fds)));
+            if let Some(message) = self.complete_message()? {
+                return Ok((message, std::mem::take(&mut self.descriptors)));
             }
             let mut part = [0; 16 * 1024];
-            let fds = &mut self.fds;
+            let descriptors = &mut self.descriptors;
             let read = stream
                 .async_io(Interest::READABLE, || {
-                    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST_PASSED))];
+                    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS))];
                     let mut control = RecvAncillaryBuffer::new(&mut space);
                     let into = &mut [IoSliceMut::new(&mut part)];
                     let got = recvmsg(stream, into, &mut control, RecvFlags::CMSG_CLOEXEC)?;
                     for message in control.drain() {
                         if let RecvAncillaryMessage::ScmRights(rights) = message {
-                            fds.extend(rights);
+                            descriptors.extend(rights);
                         }
                     }
                     Ok(got.bytes)
@@ -118,10 +85,10 @@
         }
     }
 
-    fn whole(&mut self) -> io::Result<Option<Message>> {
+    fn complete_message(&mut self) -> io::Result<Option<Message>> {
         let Some(length) = self.buffer.first_chunk::<4>() else { return Ok(None) };
         let length = u32::from_be_bytes(*length) as usize;
-        if length > LARGEST {
+        if length > MAX_MESSAGE_BYTES {
             return Err(io::Error::other("a message longer than any"));
         }
         if self.buffer.len() < length + 4 {
--- /dev/null
+++ b/src/handover/controls.rs
@@ -0,0 +1,80 @@
+//! What a handover turns in the rest of the process: the core, the phase and the budget of descriptors.
+
+use super::message::{DescriptorShare, Listeners, Welcome};
+use crate::core::HandoverRequest;
+use crate::net::http::Page;
+use crate::net::{Budget, Phase};
+use std::rc::Rc;
+use tokio::sync::{mpsc, oneshot, watch};
+
+/// A predecessor that has handed over may open so many descriptors more for what it still holds.
+const RETIRED_DESCRIPTORS: usize = 8;
+/// Descriptors that a successor needs until it has the state. Its predecessor makes room for them.
+const SUCCESSOR_DESCRIPTORS: usize = 40;
+
+/// What a handover turns.
+#[derive(Debug)]
+pub struct HandoverControls {
+    /// Where the core is asked.
+    pub core: mpsc::Sender<HandoverRequest>,
+    /// Whether there is an endpoint list that requests can be served by.
+    pub ready: watch::Receiver<bool>,
+    /// Told to all who serve clients.
+    pub phase: Rc<watch::Sender<Phase>>,
+    /// What both processes count together.
+    pub budget: Budget,
+    /// What is passed on to a successor.
+    pub listeners: Listeners,
+}
+
+impl HandoverControls {
+    pub(super) fn set_phase(&self, phase: Phase) {
+        self.phase.send_replace(phase);
+    }
+
+    /// Asks the core. `None`: it has ended.
+    pub(super) async fn ask<T>(
+        &self,
+        request: impl FnOnce(oneshot::Sender<T>) -> HandoverRequest,
+    ) -> Option<T> {
+        let (answer, answered) = oneshot::channel();
+        self.core.send(request(answer)).await.ok()?;
+        answered.await.ok()
+    }
+
+    /// Tells the core something that it does not answer.
+    pub(super) async fn tell(&self, request: HandoverRequest) {
+        // A core that has ended needs it no more.
+        let _ = self.core.send(request).await;
+    }
+
+    /// Makes room for a successor, and tells it all that may be known early. `None`: the core has ended.
+    pub(super) async fn welcome(&self) -> Option<Welcome> {
+        let (now, list) = self.ask(HandoverRequest::Describe).await?;
+        self.budget.share(SUCCESSOR_DESCRIPTORS);
+        let descriptors = self.budget.all().saturating_sub(SUCCESSOR_DESCRIPTORS);
+        let share = DescriptorShare { descriptors };
+        Some(Welcome { now, list: Page::of(list), share, listeners: self.listeners.names() })
+    }
+
+    /// Leaves so many descriptors to the other process; none where it is gone.
+    pub(super) fn leave_to_other(&self, share: DescriptorShare) {
+        self.budget.share(share.descriptors);
+    }
+
+    /// Nothing is left to the other process any more.
+    pub(super) fn take_all_back(&self) {
+        self.budget.share(0);
+    }
+
+    /// Uses no more than what is still held, and a few descriptors to finish it.
+    pub(super) fn retire(&self) {
+        self.set_phase(Phase::Leaving);
+        self.budget.leave(RETIRED_DESCRIPTORS);
+    }
+
+    /// What a retired predecessor still uses.
+    pub(super) fn retired_share(&self) -> DescriptorShare {
+        DescriptorShare { descriptors: self.budget.open() + RETIRED_DESCRIPTORS }
+    }
+}
--- a/src/initiator.rs
+++ b/src/initiator.rs
@@ -10,10 +10,10 @@
 use crate::core::{
     self, AccessLog, Clock, Core, CoreDependencies, CoreHandle, LoadedRoutes, Message, QuotaPeers,
 };
+use crate::handover::{CoreUpdates, HandoverActor, HandoverControls, Listeners};
 use crate::net::peers::PeerLink;
 use crate::net::{Budget, Parts, Phase, Reservations, admin, fleet, http};
-use crate::upgrade::{Controls, Keeper, Listeners, Told};
-use handover::{Handover, bind_admin, bind_fleet, listen};
+use handover::{Received, bind_admin, bind_fleet, listen};
 use rowanglade_discovery_polling::Watch;
 use rowanglade_routing::TargetInfo;
 use rowanglade_routing::check::Decision;
@@ -98,7 +98,7 @@
     phase: Rc<watch::Sender<Phase>>,
     budget: Budget,
     /// None where no process can replace this one.
-    keeper: Option<(Keeper, Controls, Told)>,
+    handover: Option<(HandoverActor, HandoverControls, CoreUpdates)>,
     classes: Vec<(String, Duration)>,
     /// How long a shutdown may take.
     patience: Duration,
@@ -111,7 +111,7 @@
     /// initiator serves and cannot hand over to this one.
     pub async fn start(config: Config) -> Result<Initiator, Error> {
         let (scheduler, names) = config.decide().map_err(Error::Config)?;
-        let Handover { keeper, mut listeners, welcome } = Handover::receive(&config).await?;
+        let Received { actor, mut listeners, welcome } = Received::from_predecessor(&config).await?;
         // Times that go from one process to the next are on one clock.
         let clock = welcome.as_ref().map_or_else(Clock::start, |w| Clock::starting_at(w.now));
         let http = listen(&mut listeners, "http", "listen", config.listen).await?;
@@ -202,13 +202,14 @@
         // Without an older table to keep, one that waits for a box is in force from the start.
         let undecided = routes_open.then(|| Rc::new(routing));
         let reloads = Reloads { discovery, access_log, table, undecided };
-        let keeper = keeper.map(|keeper| {
+        let handover = actor.map(|actor| {
             let (ready, listeners) = (core.readiness(), Listeners(passed));
             let (phase, budget) = (Rc::clone(&phase), budget.clone());
-            (keeper, Controls { core: upgrades, ready, phase, budget, listeners }, Told { calls, seen })
+            let controls = HandoverControls { core: upgrades, ready, phase, budget, listeners };
+            (actor, controls, CoreUpdates { admin_commands: calls, object_sightings: seen })
         });
         let initiator =
-            Initiator { core, reloads, http, iscsi, admin, phase, budget, keeper, classes, patience };
+            Initiator { core, reloads, http, iscsi, admin, phase, budget, handover, classes, patience };
         initiator.log_addresses(&config.name)?;
         Ok(initiator)
     }
--- a/src/initiator/handover.rs
+++ b/src/initiator/handover.rs
@@ -1,47 +1,49 @@
-//! The handover from the process that this one replaces, and the sockets that may come with it.
+//! What an initiator has from the process that it replaces, and the sockets that may come with it.
 
 use super::Error;
 use crate::config::{Config, ConfigError};
-use crate::upgrade::{Begun, Keeper, Listeners, Meeting, Welcome};
+use crate::handover::{HandoverActor, HandoverPaths, HandoverStart, Listeners, Welcome};
 use std::net::SocketAddr;
 use tokio::net::{TcpListener, UdpSocket};
 
-/// What this process has from the one that it replaces.
-pub struct Handover {
+/// What this process has from its predecessor.
+pub struct Received {
     /// Carries out handovers, also to a successor; none where no process can replace this one.
-    pub keeper: Option<Keeper>,
+    pub actor: Option<HandoverActor>,
     /// The predecessor's sockets.
     pub listeners: Listeners,
-    /// The predecessor's state; none where there is no predecessor.
+    /// What may be known early of the predecessor's state; none where there is no predecessor.
     pub welcome: Option<Box<Welcome>>,
 }
 
-impl Handover {
+impl Received {
     /// Looks for a process of this initiator that serves, and asks it to hand over.
     ///
     /// # Errors
     /// There is one, and it hands over by another version of the protocol.
-    pub async fn receive(config: &Config) -> Result<Handover, Error> {
-        let (keeper, listeners, welcome) = match meet(config).await {
+    pub async fn from_predecessor(config: &Config) -> Result<Received, Error> {
+        let (actor, listeners, welcome) = match contact(config).await {
             None => (None, Listeners::default(), None),
-            Some((_, Begun::Refused { version })) => return Err(Error::Version(version)),
-            Some((keeper, Begun::Alone)) => (Some(keeper), Listeners::default(), None),
-            Some((keeper, Begun::Welcomed(welcome, listeners))) => (Some(keeper), listeners, Some(welcome)),
+            Some((_, HandoverStart::VersionMismatch { version })) => return Err(Error::Version(version)),
+            Some((actor, HandoverStart::Alone)) => (Some(actor), Listeners::default(), None),
+            Some((actor, HandoverStart::Welcomed(welcome, listeners))) => {
+                (Some(actor), listeners, Some(welcome))
+            }
         };
-        Ok(Handover { keeper, listeners, welcome })
+        Ok(Received { actor, listeners, welcome })
     }
 }
 
-/// Contacts the process of this initiator that serves. None: this process can neither replace nor be
+/// Contacts the process of this initiator that serves. `None`: this process can neither replace nor be
 /// replaced.
-async fn meet(config: &Config) -> Option<(Keeper, Begun)> {
-    // Without operators' calls nobody would learn when the successor serves.
+async fn contact(config: &Config) -> Option<(HandoverActor, HandoverStart)> {
+    // Without an admin listener nobody would learn when the successor serves.
     let folder = config.meeting.as_ref().filter(|_| config.admin.is_some())?;
-    let begun = match Meeting::within(folder, &config.name) {
-        Ok(meeting) => Keeper::begin(meeting).await,
+    let started = match HandoverPaths::within(folder, &config.name) {
+        Ok(paths) => HandoverActor::start(paths).await,
         Err(error) => Err(error),
     };
-    begun
+    started
         .inspect_err(|error| {
             tracing::warn!(folder = %folder.display(), %error, "no process can replace this one");
         })
@@ -49,6 +51,9 @@
 }
 
 /// The predecessor's TCP listener of this name, or a new one; errors name the configuration's `key`.
+///
+/// # Errors
+/// The address cannot be listened on.
 pub async fn listen(
     listeners: &mut Listeners,
     name: &str,
@@ -64,6 +69,9 @@
 }
 
 /// The predecessor's UDP socket for the exchange with peers, or a new one.
+///
+/// # Errors
+/// The address cannot be bound.
 pub async fn bind_fleet(listeners: &mut Listeners, addr: SocketAddr) -> std::io::Result<UdpSocket> {
     match listeners.take("fleet") {
         Some(fd) => UdpSocket::from_std(fd.into()),
@@ -71,7 +79,10 @@
     }
 }
 
-/// A new listener for operators' calls, which each process has for itself.
+/// A new listener for operators' commands, which each process has for itself.
+///
+/// # Errors
+/// The address cannot be listened on.
 pub fn bind_admin(addr: SocketAddr) -> Result<std::net::TcpListener, Error> {
     std::net::TcpListener::bind(addr)
         .map_err(|e| Error::Config(ConfigError::new("admin", format!("{addr}: {e}"))))
--- a/src/initiator/run.rs
+++ b/src/initiator/run.rs
@@ -54,9 +54,9 @@
             body_bytes: Rc::new(Cell::new(self.budget.limits.body_bytes())),
         };
         let mut front = Box::pin(http::serve(self.http, front));
-        match self.keeper {
+        match self.handover {
             // It changes the phase once this process owns what its predecessor had.
-            Some((keeper, controls, told)) => drop(actix_rt::spawn(keeper.run(controls, told))),
+            Some((actor, controls, updates)) => drop(actix_rt::spawn(actor.run(controls, updates))),
             None => drop(self.phase.send_replace(Phase::Serving)),
         }
         actix_rt::spawn(end_sessions_when_leaving(self.phase.subscribe(), ending.clone()));
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -73,10 +73,10 @@
 pub mod cli;
 pub mod config;
 pub mod core;
+pub mod handover;
 pub mod initiator;
 pub mod interface;
 pub mod names;
 pub mod net;
 pub mod scheduler;
 pub mod settings;
-pub mod upgrade;
--- a/tests/compatibility/handover.rs
+++ b/tests/compatibility/handover.rs
@@ -2,8 +2,8 @@
 //! one it replaces: a lost field name would silently start the successor with an empty list, limit or pace.
 
 use rowanglade::core::AdminCommand;
-use rowanglade::upgrade::{Message, Share, send};
-use rowanglade_handover::Word;
+use rowanglade::handover::{DescriptorShare, Message, send};
+use rowanglade_handover::MessageKind;
 use rowanglade_object_locations::Seen;
 use tokio::io::AsyncReadExt;
 use tokio::net::UnixStream;
@@ -23,23 +23,23 @@
 
 /// Every word, and what is told beside them, each with all fields set.
 fn messages() -> Vec<Message> {
-    let words = [
-        Word::Hello { version: 1 },
-        Word::Welcome,
-        Word::Busy,
-        Word::Refuse { version: 2 },
-        Word::Ready,
-        Word::Given,
-        Word::Taken,
-        Word::Yours,
+    let kinds = [
+        MessageKind::Hello { version: 1 },
+        MessageKind::Welcome,
+        MessageKind::Busy,
+        MessageKind::VersionMismatch { version: 2 },
+        MessageKind::Ready,
+        MessageKind::State,
+        MessageKind::StateReceived,
+        MessageKind::OwnershipGranted,
     ];
     let calls = [AdminCommand::Maint("box-1".into()), AdminCommand::Ready("box-2".into())];
     let seen = [((11, 12), Seen::At(3)), ((13, 14), Seen::NotAt(4))];
     let mut all: Vec<Message> =
-        words.into_iter().map(|word| Message { word: Some(word), ..Message::default() }).collect();
-    all.extend(calls.map(|call| Message { call: Some(call), ..Message::default() }));
-    all.extend(seen.map(|seen| Message { seen: Some(seen), ..Message::default() }));
-    all.push(Message { share: Some(Share { descriptors: 5 }), ..Message::default() });
+        kinds.into_iter().map(|kind| Message { kind: Some(kind), ..Message::default() }).collect();
+    all.extend(calls.map(|call| Message { admin_command: Some(call), ..Message::default() }));
+    all.extend(seen.map(|seen| Message { object_seen: Some(seen), ..Message::default() }));
+    all.push(Message { share: Some(DescriptorShare { descriptors: 5 }), ..Message::default() });
     all
 }
 
@@ -54,8 +54,8 @@
     for (line, message) in WORDS.lines().zip(messages()) {
         let read = decoded(line);
         assert_eq!(
-            (read.word, &read.call, read.seen, read.share),
-            (message.word, &message.call, message.seen, message.share)
+            (read.kind, &read.admin_command, read.object_seen, read.share),
+            (message.kind, &message.admin_command, message.object_seen, message.share)
         );
         assert_eq!(encoded(&read), line);
     }
@@ -75,7 +75,7 @@
 #[test]
 fn what_is_given_keeps_every_field() {
     let read = decoded(GIVEN.trim_end());
-    let given = read.given.as_ref().expect("what is given");
+    let given = read.state.as_ref().expect("what is given");
     assert!(given.maintenance.is_out("box-1"));
     assert_eq!(given.object_locations, [((21, 22), Seen::At(1)), ((23, 24), Seen::NotAt(2))]);
     assert_eq!(encoded(&read), GIVEN.trim_end());
--- a/tests/network/upgrade.rs
+++ b/tests/network/upgrade.rs
@@ -1,7 +1,7 @@
 //! A process that replaces another: two nodes, or a node and somebody who speaks the handover's words badly.
 
 use crate::site::*;
-use rowanglade_handover::{VERSION, Word};
+use rowanglade_handover::{MessageKind, VERSION};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -70,7 +70,7 @@
     }
 
     async fn hello(&mut self, version: u32) {
-        self.say(json!({"word": Word::Hello { version }})).await;
+        self.say(json!({"word": MessageKind::Hello { version }})).await;
     }
 
     /// The next message with a word; None: the link has ended.
@@ -220,7 +220,7 @@
             let message =
                 serde_json::from_value(json!({"word": "welcome", "welcome": welcome})).expect("one");
             let fd = std::os::fd::OwnedFd::from(listener);
-            rowanglade::upgrade::send(&other.0, &message, &[fd]).await.expect("sent");
+            rowanglade::handover::send(&other.0, &message, &[fd]).await.expect("sent");
             other
         };
         let (other, second) = tokio::join!(dies, process(&folder.0, &lines, Some(addr)));
