--- a/crates/lab/src/routes.rs
+++ b/crates/lab/src/routes.rs
@@ -172,7 +172,7 @@
         let daemons = world::daemons(&site, &world::header(), 1, |_| Some(version(0)))?;
         let file = daemons[0].folder().join("operator.toml");
         let ask = Replay { retries: false, ..Replay::to(world::addresses(&daemons)) };
-        let in_force = || daemons[0].log().iter().filter(|l| l.contains("routes are in force")).count();
+        let in_force = || daemons[0].log().iter().filter(|l| l.contains("routes loaded")).count();
         let swaps = async {
             // From when until when which version alone is in force.
             let (mut spans, mut current, mut since) = (Vec::new(), 0, tokio::time::Instant::now());
@@ -206,7 +206,7 @@
         let log = daemons[0].log();
         let with = |words: &str| log.iter().filter(|l| l.contains(words)).count();
         let (loaded, unread, refused) =
-            (with("routes are in force"), with("was not read again"), with("was refused"));
+            (with("routes loaded"), with("configuration not reloaded"), with("configuration rejected"));
         let mut out = Outcome::default();
         out.figure("requests due", due as f64, "");
         out.figure("served", total.served as f64, "");
--- a/src/core/access_log.rs
+++ b/src/core/access_log.rs
@@ -192,7 +192,7 @@
                 match append(&self.path) {
                     Ok(file) => self.out = BufWriter::new(file),
                     // The file at hand goes on: its lines are not lost.
-                    Err(error) => tracing::error!(%error, "the access log was not opened anew"),
+                    Err(error) => tracing::error!(%error, "access log not reopened"),
                 }
             }
             let mut taken = 0;
@@ -223,7 +223,7 @@
         let failed = self.counts.failed.load(Ordering::Relaxed);
         if (dropped, failed) != (self.told.0, self.told.1) && self.told.2.elapsed() >= TELL_EVERY {
             self.told = (dropped, failed, std::time::Instant::now());
-            tracing::warn!(dropped, failed, "lines of the access log are missing");
+            tracing::warn!(dropped, failed, "access log lines lost");
         }
     }
 
--- a/src/core/actor/admin.rs
+++ b/src/core/actor/admin.rs
@@ -26,7 +26,7 @@
         let out = matches!(command, AdminCommand::Maint(_));
         let maintenance = self.endpoints.maintenance_mut();
         let changed = if out { maintenance.begin(now, name) } else { maintenance.end(now, name) };
-        tracing::info!(target = name, out, changed, "an operator's call");
+        tracing::info!(target = name, out, changed, "admin command applied");
         if let (true, Some(target)) = (changed, listed) {
             self.refresh_targets(&[target], out);
         }
--- a/src/core/actor/attempts.rs
+++ b/src/core/actor/attempts.rs
@@ -109,7 +109,7 @@
         }
         open.trace(number, |trace| trace.started = started.then_some(now));
         let (id, target) = (&open.request.id, self.names.target_name(target));
-        tracing::debug!(id, attempt = number.0, target, started, "a connection is up");
+        tracing::debug!(id, attempt = number.0, target, started, "attempt connection established");
         started
     }
 
@@ -150,7 +150,7 @@
         if let Some(response) = response_to(outcome, consumed, result.body) {
             self.finish_request(id, Some(response));
         }
-        tracing::debug!(request = id.0, attempt = number.0, ?outcome, "an attempt ended");
+        tracing::debug!(request = id.0, attempt = number.0, ?outcome, "attempt ended");
         let request_over = self.open_requests.get(id).is_none_or(OpenRequest::is_finished);
         // What a response takes on its way, once it has begun, says nothing of its target.
         let answered = attempt.response_started.filter(|at| *at >= complete).unwrap_or(now);
--- a/src/core/actor/endpoint_updates.rs
+++ b/src/core/actor/endpoint_updates.rs
@@ -99,9 +99,9 @@
         let Some(moved) = subset.listed(active.collect()) else { return };
         let mine = subset.mine();
         if moved.all && !mine.is_empty() {
-            tracing::warn!(targets = mine.len(), "the subset holds all targets: none is preferred");
+            tracing::warn!(targets = mine.len(), "subset holds all targets, none preferred");
         } else {
-            tracing::info!(preferred = ?mine, came = moved.came.len(), left = moved.left.len(), "new objects");
+            tracing::info!(preferred = ?mine, came = moved.came.len(), left = moved.left.len(), "preferred targets changed");
         }
         let preferred = mine.iter().filter(|_| !moved.all).filter_map(|name| self.names.target(name));
         let event = Event::PreferredTargets(preferred.collect());
--- a/src/core/actor/requests.rs
+++ b/src/core/actor/requests.rs
@@ -154,7 +154,7 @@
         wait_us = open.deadline.saturating_sub(open.arrived),
         ended_us = since(now),
         attempts = describe_attempts(open, names),
-        "a request ended late"
+        "request finished late"
     );
 }
 
--- a/src/core/diagnostics.rs
+++ b/src/core/diagnostics.rs
@@ -107,10 +107,10 @@
             self.long_steps_suppressed += 1;
             return;
         }
-        let untold = std::mem::take(&mut self.long_steps_suppressed);
+        let suppressed = std::mem::take(&mut self.long_steps_suppressed);
         self.long_step_logged = Some(now);
         let took_us = took.as_micros();
-        tracing::warn!(?step, took_us, targets, open, untold, "a step of the core took long");
+        tracing::warn!(?step, took_us, targets, open, suppressed, "core step took long");
     }
 
     /// A request has come to the core, which its front had whole at `arrived`.
@@ -126,7 +126,7 @@
         let took = Instant::now().saturating_duration_since(received);
         self.counters.lists += 1;
         self.counters.longest_list = self.counters.longest_list.max(took);
-        tracing::debug!(lines, took_us = took.as_micros(), "a list is in force");
+        tracing::debug!(lines, took_us = took.as_micros(), "endpoint list in force");
     }
 }
 
@@ -141,12 +141,12 @@
             longest_wait_us = self.longest_wait.as_micros(),
             long_waits = self.long_waits,
             requests = self.requests,
-            late_answers = self.late_responses,
-            backstops = self.watchdog_failures,
+            late_responses = self.late_responses,
+            watchdog_failures = self.watchdog_failures,
             clients_gone = self.clients_gone,
             lists = self.lists,
             longest_list_us = self.longest_list.as_micros(),
-            departures_taken = self.drain_gossip_applied,
+            drain_gossip_applied = self.drain_gossip_applied,
             "counters"
         );
     }
--- a/src/core/endpoints.rs
+++ b/src/core/endpoints.rs
@@ -219,7 +219,7 @@
             && before != reported.started
             && self.start_times.restarted(now, started)
         {
-            tracing::warn!(target = reported.name, "the wall clock was ahead when this process started");
+            tracing::warn!(target = reported.name, "wall clock was ahead at start");
         }
     }
 
@@ -290,7 +290,7 @@
             {
                 tracing::warn!(
                     target = target.reported.name,
-                    "its connections are not told that it rests or is back"
+                    "draining state not sent to target's connections, mailbox full"
                 );
             }
         }
--- a/src/core/routes.rs
+++ b/src/core/routes.rs
@@ -141,7 +141,7 @@
                 self.by_key.remove(&set.key);
                 let version = set.key.version;
                 if version != current && !self.sets.values().any(|s| s.key.version == version) {
-                    tracing::info!(version, "routes have ended with their last request");
+                    tracing::info!(version, "old routes dropped with their last request");
                 }
             }
             self.events.push(Event::TargetSetChanged { set: id, targets: None });
--- a/src/core/site_monitor.rs
+++ b/src/core/site_monitor.rs
@@ -109,13 +109,13 @@
 fn log_change(site: &str, change: Change) {
     match change {
         Change::Lost { failing, of, hold } => {
-            tracing::warn!(site, failing, of, hold_ms = hold / 1_000, "a site is lost");
+            tracing::warn!(site, failing, of, hold_ms = hold / 1_000, "site lost");
         }
-        Change::Returning { answering, of } => tracing::info!(site, answering, of, "a site returns"),
+        Change::Returning { answering, of } => tracing::info!(site, answering, of, "site recovery started"),
         Change::Slowed { percent } => {
-            tracing::warn!(site, percent, "a returning site is slow; its ramp begins anew");
+            tracing::warn!(site, percent, "returning site is slow, recovery ramp restarted");
         }
-        Change::Back => tracing::info!(site, "a site is back"),
+        Change::Back => tracing::info!(site, "site recovered"),
     }
 }
 
--- a/src/handover/actor.rs
+++ b/src/handover/actor.rs
@@ -148,7 +148,7 @@
     async fn execute_all(&mut self) {
         while let Some(action) = self.actions.pop_front() {
             if let Err(error) = self.execute(action).await {
-                tracing::warn!(%error, ?action, "a handover went wrong");
+                tracing::warn!(%error, ?action, "handover action failed");
             }
         }
         while let Some(request) = self.core_requests.pop_front() {
--- a/src/handover/actor/actions.rs
+++ b/src/handover/actor/actions.rs
@@ -26,7 +26,7 @@
             Action::Resume => self.resume().await,
             Action::Retire => self.retire(),
             Action::Restart => self.restart().await?,
-            Action::Fail { version } => tracing::error!(version, "it speaks another version"),
+            Action::Fail { version } => tracing::error!(version, "handover protocol version not supported"),
         }
         Ok(())
     }
@@ -66,11 +66,11 @@
             controls.retire();
         }
         self.tell_share();
-        tracing::info!("all is handed over");
+        tracing::info!("handover completed, finishing open requests");
     }
 
     async fn restart(&mut self) -> io::Result<()> {
-        tracing::warn!("the successor is gone; serving again");
+        tracing::warn!("successor lost, serving again");
         if let Some(controls) = &self.controls {
             controls.ask(HandoverRequest::Restart).await;
         }
--- a/src/handover/links.rs
+++ b/src/handover/links.rs
@@ -83,7 +83,7 @@
     inputs: mpsc::Sender<LinkInput>,
 ) {
     if let Err(error) = exchange_messages(link, &stream, &mut outgoing, &inputs).await {
-        tracing::info!(%error, "a link between processes ended");
+        tracing::info!(%error, "handover link closed");
     }
     let _ = inputs.send(LinkInput::Closed(link)).await;
 }
--- a/src/handover/paths.rs
+++ b/src/handover/paths.rs
@@ -76,7 +76,7 @@
         let owner = std::fs::metadata(self.lock_path()).map(|m| m.uid());
         let trusted = matches!((stream.peer_cred(), owner), (Ok(peer), Ok(owner)) if peer.uid() == owner);
         if !trusted {
-            tracing::warn!("another user's process is not talked to");
+            tracing::warn!("handover connection of another user rejected");
         }
         trusted
     }
--- a/src/initiator.rs
+++ b/src/initiator.rs
@@ -1,59 +1,40 @@
 //! Puts an initiator together. Its modules run it, reload its configuration and shut it down.
 
+mod channels;
 mod error;
 mod handover;
 mod reload;
+mod routes;
 mod run;
+mod sockets;
 mod targets;
 
-use crate::config::{Config, ConfigError, Decided, Iscsi, Reload, Routing};
-use crate::core::{
-    self, AccessLog, Clock, Core, CoreDependencies, CoreHandle, LoadedRoutes, Message, QuotaPeers,
-};
-use crate::handover::{CoreUpdates, HandoverActor, HandoverControls, Listeners};
+use crate::config::{Config, ConfigError, Iscsi, Reload};
+use crate::core::{self, AccessLog, Clock, Core, CoreDependencies, CoreHandle, Message, QuotaPeers};
+use crate::handover::{CoreUpdates, HandoverActor, HandoverControls};
 use crate::net::peers::PeerLink;
-use crate::net::{Budget, Parts, Phase, Reservations, admin, fleet, http};
-use handover::{Received, bind_admin, bind_fleet, listen};
+use crate::net::{Budget, Phase, admin, fleet, http};
+use channels::CoreChannels;
+use handover::Received;
+use routes::InitialRoutes;
 use rowanglade_discovery_polling::Watch;
-use rowanglade_routing::TargetInfo;
-use rowanglade_routing::check::Decision;
+use sockets::Sockets;
 use std::net::SocketAddr;
-use std::os::fd::AsFd;
 use std::rc::Rc;
-use std::sync::Arc;
 use std::time::Duration;
-use targets::{classes, connect, figures, portals};
+use targets::{TargetConnections, classes, connect, portals, session_figures};
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::{mpsc, watch};
 
-pub use error::Error;
+pub use error::{Error, ReloadError};
 pub use reload::Reloads;
 
-/// The program ends this long before SIGKILL can come.
-const SPARE: Duration = Duration::from_millis(150);
-/// The platform counts the longest deadline as this at most, and adds `AFTER`, before SIGKILL.
-const LONGEST: Duration = Duration::from_secs(3);
-const AFTER: Duration = Duration::from_millis(700);
-
-/// How long an answer that has begun may stand still: half of the tightest aim, so that a new attempt can
-/// still be in time, within these bounds.
-const SHORTEST_STALL: Duration = Duration::from_millis(30);
-const LONGEST_STALL: Duration = Duration::from_millis(400);
-
-/// How long an answer that comes in pieces is held back, so that it can be tried for again: an eighth of the
-/// tightest aim, within these bounds.
-const SHORTEST_HOLD: Duration = Duration::from_millis(20);
-const LONGEST_HOLD: Duration = Duration::from_millis(200);
-
-/// How long a connection to a target rests after an answer: what a target sends behind one shows by then.
-const REST: Duration = Duration::from_millis(10);
-
-/// Operators' calls that may wait for the core.
-const OPERATIONS: usize = admin::MOST_CALLS;
-
-/// News of places that may wait for the other process: more than a handover's second brings.
-const SEEN: usize = 1_024;
+/// The program ends this long before the platform's SIGKILL can come.
+const KILL_MARGIN: Duration = Duration::from_millis(150);
+/// The platform counts the longest deadline as this at most, and adds `KILL_DELAY`, before SIGKILL.
+const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
+const KILL_DELAY: Duration = Duration::from_millis(700);
 
 /// Serves until SIGTERM or SIGINT, then finishes open requests. At SIGHUP it takes over what `reload` reads.
 ///
@@ -93,7 +74,7 @@
     reloads: Reloads,
     http: TcpListener,
     iscsi: Option<(TcpListener, Iscsi)>,
-    /// None where operators' calls are off.
+    /// None where the admin listener is off.
     admin: Option<admin::Admin>,
     phase: Rc<watch::Sender<Phase>>,
     budget: Budget,
@@ -101,115 +82,107 @@
     handover: Option<(HandoverActor, HandoverControls, CoreUpdates)>,
     classes: Vec<(String, Duration)>,
     /// How long a shutdown may take.
-    patience: Duration,
+    shutdown_time: Duration,
 }
 
 impl Initiator {
-    /// Starts the core, the list and the listeners.
+    /// Starts the core, discovery and the listeners.
     ///
-    /// # Errors The configuration cannot be used, a socket cannot be opened, or another process of this
-    /// initiator serves and cannot hand over to this one.
-    pub async fn start(config: Config) -> Result<Initiator, Error> {
+    /// # Errors
+    /// The configuration cannot be used, a socket cannot be opened, or another process of this initiator
+    /// serves and cannot hand over to this one.
+    pub async fn start(mut config: Config) -> Result<Initiator, Error> {
         let (scheduler, names) = config.decide().map_err(Error::Config)?;
         let Received { actor, mut listeners, welcome } = Received::from_predecessor(&config).await?;
         // Times that go from one process to the next are on one clock.
-        let clock = welcome.as_ref().map_or_else(Clock::start, |w| Clock::starting_at(w.now));
-        let http = listen(&mut listeners, "http", "listen", config.listen).await?;
-        let admin = config.admin.map(bind_admin).transpose()?;
-        let parts = Parts {
-            operators: admin.is_some(),
-            fleet: config.fleet.is_some(),
-            peers: config.peers.is_some(),
-            sessions: config.iscsi.is_some(),
-            pushed: config.settings.list_is_pushed(),
-        };
-        let shares = Reservations::of(config.limits.sockets, parts);
-        let iscsi = match config.iscsi {
-            Some(iscsi) => {
-                Some((listen(&mut listeners, "iscsi", "iscsi.listen", iscsi.listen).await?, iscsi))
-            }
-            None => None,
-        };
+        let clock = welcome.as_ref().map_or_else(Clock::start, |welcome| Clock::starting_at(welcome.now));
+        let mut sockets = Sockets::open(&mut config, &mut listeners).await?;
         let phase = Rc::new(watch::Sender::new(Phase::Preparing));
-        let mut passed = vec![("http".to_string(), http.as_fd().try_clone_to_owned()?)];
-        if let Some((listener, _)) = &iscsi {
-            passed.push(("iscsi".to_string(), listener.as_fd().try_clone_to_owned()?));
-        }
-        let (idle, stall) = (config.settings.conn_idle() / 2, config.settings.tightest_aim() / 2);
-        let stall = stall.clamp(SHORTEST_STALL, LONGEST_STALL);
-        let links = http::Links::new(shares.targets, idle, stall, REST);
-        actix_rt::spawn(links.clone().sweep());
-        let clients = http::Clients::new(shares.clients, shares.idle_clients);
-        let budget = Budget::new(config.limits, parts, clients, links.clone());
+
+        let connections = TargetConnections::new(&config, &sockets);
+        let budget = connections.budget;
         if let Some(welcome) = &welcome {
             budget.share(welcome.share.descriptors);
         }
-        let connect_timeout = config.settings.connect_timeout();
-        let hold = (config.settings.tightest_aim() / 8).clamp(SHORTEST_HOLD, LONGEST_HOLD);
-        let pool = http::Pool { connect_timeout, stall, hold, links };
-        let access_log = config.access_log.as_ref().map(|c| AccessLog::open(&c.path, c.queue)).transpose()?;
-        let (inbox, core) = core::mailbox(&config.settings, access_log.clone());
-        let figures = iscsi.as_ref().map(|(_, iscsi)| figures(iscsi, &config.settings, clock));
-        let connect = connect(pool, figures, core.clone());
-        let routing = config.routing;
-        let known = config.known.as_ref().map(http::Page::boxes).unwrap_or_default();
-        let routes_open = check_routes(&routing, &known)?;
-        let (table, in_force) =
-            watch::channel(Arc::new(LoadedRoutes { version: 1, table: routing.rules.table.clone() }));
-        let fleet = match config.fleet {
-            None => None,
+        let access_log = open_access_log(&config)?;
+        let (mailbox, core) = core::mailbox(&config.settings, access_log.clone());
+        let figures =
+            sockets.iscsi.as_ref().map(|(_, iscsi)| session_figures(iscsi, &config.settings, clock));
+        let connect = connect(connections.pool, figures, core.clone());
+
+        let routes = InitialRoutes::check(config.routing, config.known.as_ref())?;
+        let quota = match config.fleet {
             Some(peers) => {
-                let socket = bind_fleet(&mut listeners, peers.addrs[usize::from(peers.me.0)]).await?;
-                passed.push(("fleet".to_string(), socket.as_fd().try_clone_to_owned()?));
-                Some(exchange_with(peers, socket, &core, &phase))
+                let socket = sockets.open_quota(&mut listeners, &peers).await?;
+                Some(start_quota_exchange(peers, socket, &core, &phase))
             }
+            None => None,
         };
-        let (operator, operations) = mpsc::channel(OPERATIONS);
-        let service =
-            admin::Service { operations: operator, ready: core.readiness(), phase: phase.subscribe() };
-        let admin = admin.map(|listener| admin::open(listener, service)).transpose()?;
-        let (upgrades, asked_of_core) = mpsc::channel(OPERATIONS);
-        let (tell_call, calls) = mpsc::channel(OPERATIONS);
-        let (tell_seen, seen) = mpsc::channel(SEEN);
-        let beside = CoreDependencies {
-            routes: in_force,
-            quota: fleet,
-            admin_requests: operations,
-            handover_requests: asked_of_core,
-            admin_commands: tell_call,
-            object_sightings: tell_seen,
+        let passed_on = sockets.duplicate()?;
+
+        let channels = CoreChannels::new();
+        let admin = start_admin(sockets.admin, channels.admin_requests.0, &core, &phase)?;
+        let dependencies = CoreDependencies {
+            routes: routes.in_force,
+            quota,
+            admin_requests: channels.admin_requests.1,
+            handover_requests: channels.handover_requests.1,
+            admin_commands: channels.admin_commands.0,
+            object_sightings: channels.object_sightings.0,
             sites: config.sites,
             subset: config.subset,
         };
-        actix_rt::spawn(Core::new(scheduler, names, clock, inbox, connect, beside).run());
-        let platform_list = config.known.clone();
-        // What the predecessor holds is newer than what the platform remembers. The watch goes on from the
+        let actor_of_core = Core::new(scheduler, names, clock, mailbox, connect, dependencies);
+        actix_rt::spawn(actor_of_core.run());
+
+        // What the predecessor holds is newer than the platform's cached list. The watch goes on from the
         // latter's version: what it tells again changes nothing.
-        let known = welcome.map(|w| w.list).or(config.known).unwrap_or_default();
-        http::remember(&core, known).await;
-        if let Some((_, iscsi)) = &iscsi {
+        let cached_list = welcome.map(|welcome| welcome.list).or_else(|| config.known.clone());
+        http::remember(&core, cached_list.unwrap_or_default()).await;
+        if let Some((_, iscsi)) = &sockets.iscsi {
             core.send(portals(iscsi)).await;
         }
-        let (discovery, addr) = watch::channel(config.discovery);
+        let (discovery, discovery_addr) = watch::channel(config.discovery);
         let schedule = |now| config.settings.discovery_schedule(Watch::LongPoll, config.seed, now);
         let peers = config.peers.map(|addresses| PeerLink::new(addresses, config.seed, clock.now()));
-        let known = platform_list.as_ref();
-        let directory =
-            http::Directory::new(addr, connect_timeout, core.clone(), clock, schedule, known, peers);
+        let directory = http::Directory::new(
+            discovery_addr,
+            config.settings.connect_timeout(),
+            core.clone(),
+            clock,
+            schedule,
+            config.known.as_ref(),
+            peers,
+        );
         actix_rt::spawn(directory.run());
-        let classes = classes(&config.settings);
-        let patience = config.settings.longest_deadline().min(LONGEST) + AFTER - SPARE;
-        // Without an older table to keep, one that waits for a box is in force from the start.
-        let undecided = routes_open.then(|| Rc::new(routing));
-        let reloads = Reloads { discovery, access_log, table, undecided };
+
         let handover = actor.map(|actor| {
-            let (ready, listeners) = (core.readiness(), Listeners(passed));
-            let (phase, budget) = (Rc::clone(&phase), budget.clone());
-            let controls = HandoverControls { core: upgrades, ready, phase, budget, listeners };
-            (actor, controls, CoreUpdates { admin_commands: calls, object_sightings: seen })
+            let controls = HandoverControls {
+                core: channels.handover_requests.0,
+                ready: core.readiness(),
+                phase: Rc::clone(&phase),
+                budget: budget.clone(),
+                listeners: passed_on,
+            };
+            let updates = CoreUpdates {
+                admin_commands: channels.admin_commands.1,
+                object_sightings: channels.object_sightings.1,
+            };
+            (actor, controls, updates)
         });
-        let initiator =
-            Initiator { core, reloads, http, iscsi, admin, phase, budget, handover, classes, patience };
+        let initiator = Initiator {
+            core,
+            reloads: Reloads { discovery, access_log, table: routes.table, undecided: routes.undecided },
+            http: sockets.http,
+            iscsi: sockets.iscsi,
+            admin,
+            phase,
+            budget,
+            handover,
+            classes: classes(&config.settings),
+            shutdown_time: config.settings.longest_deadline().min(MAX_COUNTED_DEADLINE) + KILL_DELAY
+                - KILL_MARGIN,
+        };
         initiator.log_addresses(&config.name)?;
         Ok(initiator)
     }
@@ -249,33 +222,34 @@
     }
 }
 
-/// Checks the routes that are in force from the start. Returns whether some of their expectations wait for
-/// targets that are not listed yet.
-///
-/// # Errors
-/// An expectation is broken.
-fn check_routes(routing: &Routing, known: &[TargetInfo]) -> Result<bool, Error> {
-    let Decided { decision, lines, open } = routing.decide(known);
-    lines.iter().for_each(|line| tracing::warn!("{line}"));
-    if decision == Decision::Refuse {
-        return Err(Error::Config(ConfigError::new("expect", lines.join("\n"))));
-    }
-    Ok(open)
+fn open_access_log(config: &Config) -> std::io::Result<Option<AccessLog>> {
+    config.access_log.as_ref().map(|log| AccessLog::open(&log.path, log.queue)).transpose()
+}
+
+/// Starts the thread for operators' commands, if there is a listener for them.
+fn start_admin(
+    listener: Option<std::net::TcpListener>,
+    operations: mpsc::Sender<core::AdminRequest>,
+    core: &CoreHandle,
+    phase: &watch::Sender<Phase>,
+) -> std::io::Result<Option<admin::Admin>> {
+    let service = admin::Service { operations, ready: core.readiness(), phase: phase.subscribe() };
+    listener.map(|listener| admin::open(listener, service)).transpose()
 }
 
-/// Starts the exchange of units with the other instances.
-fn exchange_with(
+/// Starts the exchange of quota with the other initiators.
+fn start_quota_exchange(
     peers: fleet::Peers,
     socket: UdpSocket,
     core: &CoreHandle,
     phase: &watch::Sender<Phase>,
 ) -> QuotaPeers {
-    let (out, outgoing) = mpsc::channel(peers.queue());
+    let (sender, outgoing) = mpsc::channel(peers.queue());
     actix_rt::spawn(fleet::run(socket, peers, core.clone(), outgoing, phase.subscribe()));
-    QuotaPeers::new(incarnation(), out)
+    QuotaPeers::new(incarnation(), sender)
 }
 
-/// A number that no other life of an instance has: of the system's randomness, which seeds hash maps.
+/// A number that no other life of an initiator has: of the system's randomness, which seeds hash maps.
 fn incarnation() -> u64 {
     use std::hash::{BuildHasher, Hasher, RandomState};
     RandomState::new().build_hasher().finish()
--- /dev/null
+++ b/src/initiator/channels.rs
@@ -0,0 +1,39 @@
+//! The channels between the core, the admin listener and the handover's actor.
+
+use crate::core::{AdminCommand, AdminRequest, HandoverRequest};
+use crate::net::admin;
+use rowanglade_object_locations::{Object, Seen};
+use tokio::sync::mpsc;
+
+/// Operators' commands that may wait for the core, and as many requests of a handover.
+const REQUESTS: usize = admin::MOST_CALLS;
+
+/// Object locations that may wait for the other process: more than a handover's second brings.
+const OBJECT_SIGHTINGS: usize = 1_024;
+
+/// Both ends of a channel.
+type Channel<T> = (mpsc::Sender<T>, mpsc::Receiver<T>);
+
+/// The channels, by what they carry.
+pub struct CoreChannels {
+    /// From the admin listener to the core.
+    pub admin_requests: Channel<AdminRequest>,
+    /// From the handover's actor to the core.
+    pub handover_requests: Channel<HandoverRequest>,
+    /// From the core to the other process.
+    pub admin_commands: Channel<AdminCommand>,
+    /// From the core to the other process.
+    pub object_sightings: Channel<(Object, Seen)>,
+}
+
+impl CoreChannels {
+    /// Channels that carry nothing yet.
+    pub fn new() -> CoreChannels {
+        CoreChannels {
+            admin_requests: mpsc::channel(REQUESTS),
+            handover_requests: mpsc::channel(REQUESTS),
+            admin_commands: mpsc::channel(REQUESTS),
+            object_sightings: mpsc::channel(OBJECT_SIGHTINGS),
+        }
+    }
+}
--- a/src/initiator/error.rs
+++ b/src/initiator/error.rs
@@ -18,3 +18,17 @@
     )]
     Version(u32),
 }
+
+/// Why a configuration was not read again. The one that was read last stays in force.
+#[derive(Debug, thiserror::Error)]
+pub enum ReloadError {
+    /// The configuration cannot be used. Names the file, line or key at fault.
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    /// The thread that checks it could not be started.
+    #[error(transparent)]
+    Thread(std::io::Error),
+    /// The thread that checks it panicked.
+    #[error("the check did not come to its end")]
+    CheckPanicked,
+}
--- a/src/initiator/handover.rs
+++ b/src/initiator/handover.rs
@@ -1,10 +1,8 @@
-//! What an initiator has from the process that it replaces, and the sockets that may come with it.
+//! What an initiator has from the process that it replaces.
 
 use super::Error;
-use crate::config::{Config, ConfigError};
+use crate::config::Config;
 use crate::handover::{HandoverActor, HandoverPaths, HandoverStart, Listeners, Welcome};
-use std::net::SocketAddr;
-use tokio::net::{TcpListener, UdpSocket};
 
 /// What this process has from its predecessor.
 pub struct Received {
@@ -45,45 +43,7 @@
     };
     started
         .inspect_err(|error| {
-            tracing::warn!(folder = %folder.display(), %error, "no process can replace this one");
+            tracing::warn!(folder = %folder.display(), %error, "handover disabled");
         })
         .ok()
 }
-
-/// The predecessor's TCP listener of this name, or a new one; errors name the configuration's `key`.
-///
-/// # Errors
-/// The address cannot be listened on.
-pub async fn listen(
-    listeners: &mut Listeners,
-    name: &str,
-    key: &str,
-    addr: SocketAddr,
-) -> Result<TcpListener, Error> {
-    if let Some(fd) = listeners.take(name) {
-        let listener = std::net::TcpListener::from(fd);
-        listener.set_nonblocking(true)?;
-        return Ok(TcpListener::from_std(listener)?);
-    }
-    TcpListener::bind(addr).await.map_err(|e| Error::Config(ConfigError::new(key, format!("{addr}: {e}"))))
-}
-
-/// The predecessor's UDP socket for the exchange with peers, or a new one.
-///
-/// # Errors
-/// The address cannot be bound.
-pub async fn bind_fleet(listeners: &mut Listeners, addr: SocketAddr) -> std::io::Result<UdpSocket> {
-    match listeners.take("fleet") {
-        Some(fd) => UdpSocket::from_std(fd.into()),
-        None => UdpSocket::bind(addr).await,
-    }
-}
-
-/// A new listener for operators' commands, which each process has for itself.
-///
-/// # Errors
-/// The address cannot be listened on.
-pub fn bind_admin(addr: SocketAddr) -> Result<std::net::TcpListener, Error> {
-    std::net::TcpListener::bind(addr)
-        .map_err(|e| Error::Config(ConfigError::new("admin", format!("{addr}: {e}"))))
-}
--- a/src/initiator/reload.rs
+++ b/src/initiator/reload.rs
@@ -1,5 +1,6 @@
 //! Reloading of the configuration while an initiator runs, at SIGHUP and when the list of targets changes.
 
+use super::ReloadError;
 use crate::config::{ConfigError, Decided, Reload, Routing};
 use crate::core::{AccessLog, CoreHandle, LoadedRoutes};
 use crate::net::http;
@@ -21,19 +22,19 @@
 
 impl Reloads {
     /// Takes over what is valid whatever the routes are: discovery's address, and a reopened access log.
-    pub fn take(&self, reload: &Reload) {
+    pub fn apply_settings(&self, reload: &Reload) {
         // Also at the same address: another service may stand behind it, and the watch there may have fallen
         // silent.
         let moved = self.discovery.send_replace(reload.discovery) != reload.discovery;
         if let Some(log) = &self.access_log {
             log.reopen();
         }
-        tracing::info!(moved, "the configuration was read again");
+        tracing::info!(moved, "configuration reloaded");
     }
 
     /// Puts a table in force in one step, and returns its version. Open requests keep the table they began
     /// with.
-    pub fn load(&self, table: Table) -> u64 {
+    pub fn load_routes(&self, table: Table) -> u64 {
         let mut version = 0;
         self.table.send_modify(|loaded| {
             version = loaded.version + 1;
@@ -43,22 +44,20 @@
     }
 
     /// Carries out a decision on routes. Returns them if some of their expectations wait for further targets.
-    fn apply(&self, checked: Checked, in_force: bool) -> Option<Undecided> {
+    fn apply_routes(&self, checked: Checked, in_force: bool) -> Option<Undecided> {
         let Checked { reload, decided } = checked;
         let table = &reload.routing.rules.table;
         match decided.decision {
             Decision::Load if in_force => {}
             Decision::Load => {
-                let (routes, version) = (table.routes().len(), self.load(table.clone()));
-                tracing::info!(version, routes, "routes are in force");
+                let (routes, version) = (table.routes().len(), self.load_routes(table.clone()));
+                tracing::info!(version, routes, "routes loaded");
             }
-            Decision::Hold => tracing::warn!(in_force, "routes wait for boxes that are not listed"),
+            Decision::Hold => tracing::warn!(in_force, "routes wait for targets that are not listed"),
             Decision::Refuse if in_force => {
-                tracing::error!(
-                    "routes in force break what was expected of them; a corrected file is needed"
-                );
+                tracing::error!("routes in force break their expectations, a corrected file is needed");
             }
-            Decision::Refuse => tracing::error!("routes that waited were refused; the ones before go on"),
+            Decision::Refuse => tracing::error!("waiting routes rejected, keeping those in force"),
         }
         let in_force = in_force || decided.decision == Decision::Load;
         decided.open.then_some(Undecided { reload, in_force })
@@ -85,7 +84,7 @@
 async fn check(
     read: impl FnOnce() -> Result<Reload, ConfigError> + Send + 'static,
     targets: Vec<TargetInfo>,
-) -> Result<Checked, String> {
+) -> Result<Checked, ReloadError> {
     let (result_tx, result) = oneshot::channel();
     let thread = std::thread::Builder::new().name("reload".into()).spawn(move || {
         let checked = read().map(|reload| {
@@ -95,9 +94,8 @@
         // Nobody listens any more where the program ends.
         let _ = result_tx.send(checked);
     });
-    thread.map_err(|e| e.to_string())?;
-    let checked = result.await.map_err(|_| "the check did not come to its end".to_string())?;
-    let checked = checked.map_err(|e| e.to_string())?;
+    thread.map_err(ReloadError::Thread)?;
+    let checked = result.await.map_err(|_| ReloadError::CheckPanicked)??;
     checked.decided.lines.iter().for_each(|line| tracing::warn!("{line}"));
     Ok(checked)
 }
@@ -110,16 +108,16 @@
     reloads: Reloads,
     core: CoreHandle,
 ) {
-    let mut listed = core.endpoint_revision();
+    let mut revision = core.endpoint_revision();
     let at_start = reloads.undecided.as_deref().cloned();
     let mut undecided =
         at_start.map(|routing| Undecided { reload: Reload { discovery: None, routing }, in_force: true });
     loop {
         let recheck = tokio::select! {
             requested = requested() => if requested { None } else { return },
-            Ok(()) = listed.changed(), if undecided.is_some() => undecided.take(),
+            Ok(()) = revision.changed(), if undecided.is_some() => undecided.take(),
         };
-        listed.mark_unchanged();
+        revision.mark_unchanged();
         let targets = core.targets().await;
         let in_force = recheck.as_ref().is_some_and(|undecided| undecided.in_force);
         let is_new = recheck.is_none();
@@ -129,15 +127,15 @@
         };
         match checked {
             // A file that cannot be used changes nothing: the configuration that was read last stays.
-            Err(error) => tracing::error!(%error, "the configuration was not read again"),
+            Err(error) => tracing::error!(%error, "configuration not reloaded"),
             Ok(checked) if is_new && checked.decided.decision == Decision::Refuse => {
-                tracing::error!("the configuration was refused; the one before goes on");
+                tracing::error!("configuration rejected, keeping the one in force");
             }
             Ok(checked) => {
                 if is_new {
-                    reloads.take(&checked.reload);
+                    reloads.apply_settings(&checked.reload);
                 }
-                undecided = reloads.apply(checked, in_force);
+                undecided = reloads.apply_routes(checked, in_force);
             }
         }
     }
--- /dev/null
+++ b/src/initiator/routes.rs
@@ -0,0 +1,42 @@
+//! The routes that are in force from the start.
+
+use super::Error;
+use crate::config::{ConfigError, Decided, Routing};
+use crate::core::LoadedRoutes;
+use crate::net::http;
+use rowanglade_routing::check::Decision;
+use std::rc::Rc;
+use std::sync::Arc;
+use tokio::sync::watch;
+
+/// The version of the routes that are in force from the start.
+const FIRST_VERSION: u64 = 1;
+
+/// Routes that an initiator starts with.
+pub struct InitialRoutes {
+    /// Where another table is put in force.
+    pub table: watch::Sender<Arc<LoadedRoutes>>,
+    /// The table to be in force, as the core sees it.
+    pub in_force: watch::Receiver<Arc<LoadedRoutes>>,
+    /// The routes, where some of their expectations wait for targets that are not listed yet. Without an
+    /// older table to keep, they are in force all the same.
+    pub undecided: Option<Rc<Routing>>,
+}
+
+impl InitialRoutes {
+    /// Checks the routes against the cached list.
+    ///
+    /// # Errors
+    /// An expectation is broken.
+    pub fn check(routing: Routing, cached_list: Option<&http::Page>) -> Result<InitialRoutes, Error> {
+        let targets = cached_list.map(http::Page::boxes).unwrap_or_default();
+        let Decided { decision, lines, open } = routing.decide(&targets);
+        lines.iter().for_each(|line| tracing::warn!("{line}"));
+        if decision == Decision::Refuse {
+            return Err(Error::Config(ConfigError::new("expect", lines.join("\n"))));
+        }
+        let loaded = LoadedRoutes { version: FIRST_VERSION, table: routing.rules.table.clone() };
+        let (table, in_force) = watch::channel(Arc::new(loaded));
+        Ok(InitialRoutes { table, in_force, undecided: open.then(|| Rc::new(routing)) })
+    }
+}
--- a/src/initiator/run.rs
+++ b/src/initiator/run.rs
@@ -10,14 +10,14 @@
 use tokio::time::{Instant, timeout_at};
 
 /// For this long after SIGTERM clients may still connect, and a request must be answered whenever it comes.
-const STILL_COME: Duration = Duration::from_millis(750);
+const ACCEPT_AFTER_SIGTERM: Duration = Duration::from_millis(750);
 /// Clients go on with the connections that stay open, and nobody else serves them until the next start: so
 /// they do stay open, until this much is left for what is held by then.
-const LAST_ANSWERS: Duration = Duration::from_millis(900);
+const LAST_RESPONSES: Duration = Duration::from_millis(900);
 /// What has no answer this long before the end is failed, so that none is lost.
-const GIVE_UP: Duration = Duration::from_millis(100);
+const FAIL_BEFORE_END: Duration = Duration::from_millis(100);
 /// How long the access log's last lines may take to the disk.
-const LAST_LINES: Duration = Duration::from_millis(100);
+const LOG_FLUSH_TIMEOUT: Duration = Duration::from_millis(100);
 /// How often a shutdown looks whether connections and requests are left.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
@@ -65,14 +65,14 @@
             () = stop => {}
         }
 
-        let shutdown = Shutdown::begin(self.core, clients, self.patience);
+        let shutdown = Shutdown::begin(self.core, clients, self.shutdown_time);
         end_phase(&self.phase);
         ending.send_replace(true);
         shutdown.serve_on(front).await;
         closing.send_replace(true);
         shutdown.finish_requests().await;
         if let Some(log) = &self.reloads.access_log {
-            log.settle(LAST_LINES).await;
+            log.settle(LOG_FLUSH_TIMEOUT).await;
         }
         shutdown.end(sessions.get());
         Ok(())
@@ -107,17 +107,17 @@
 }
 
 impl Shutdown {
-    fn begin(core: CoreHandle, clients: http::Clients, patience: Duration) -> Shutdown {
+    fn begin(core: CoreHandle, clients: http::Clients, time: Duration) -> Shutdown {
         let begun = Instant::now();
-        tracing::info!(open = core.open_requests(), "ending");
-        Shutdown { core, clients, begun, end: begun + patience }
+        tracing::info!(open = core.open_requests(), "shutdown started");
+        Shutdown { core, clients, begun, end: begun + time }
     }
 
     /// Goes on serving clients until they have left, or until the time for the last answers has come.
     async fn serve_on(&self, mut front: impl Future<Output = std::io::Result<()>> + Unpin) {
         self.clients.keep();
-        let _ = timeout_at(self.begun + STILL_COME, &mut front).await;
-        let _ = timeout_at(self.end - LAST_ANSWERS, async {
+        let _ = timeout_at(self.begun + ACCEPT_AFTER_SIGTERM, &mut front).await;
+        let _ = timeout_at(self.end - LAST_RESPONSES, async {
             tokio::select! {
                 _ = &mut front => {}
                 () = self.idle() => {}
@@ -130,7 +130,7 @@
     /// Waits for open requests, and fails those that are still open shortly before the end.
     async fn finish_requests(&self) {
         // Sessions were asked to log out. One that stays without an open request does not hold the end up.
-        if timeout_at(self.end - GIVE_UP, self.idle()).await.is_err() {
+        if timeout_at(self.end - FAIL_BEFORE_END, self.idle()).await.is_err() {
             self.core.send(Message::Shutdown).await;
             let _ = timeout_at(self.end, self.idle()).await;
         }
@@ -142,7 +142,7 @@
             open = self.core.open_requests(),
             connections = self.clients.open(),
             sessions,
-            "ended"
+            "shutdown completed"
         );
     }
 
--- a/src/initiator/targets.rs
+++ b/src/initiator/targets.rs
@@ -1,17 +1,63 @@
 //! How targets are reached, and those that the operator's file lists.
 
-use crate::config::{Iscsi, Portal};
+use super::sockets::Sockets;
+use crate::config::{Config, Iscsi, Portal};
 use crate::core::{Clock, Connect, CoreHandle, Endpoint, Message, Protocol};
 use crate::interface::{EndpointUpdateKind, TargetState};
-use crate::net::{http, iscsi};
+use crate::net::{Budget, Parts, Reservations, http, iscsi};
 use crate::settings::Settings;
 use std::time::Duration;
 
+/// How long a response that has begun may stand still: half of the tightest latency objective, so that a new
+/// attempt can still be in time, within these bounds.
+const MIN_STALL: Duration = Duration::from_millis(30);
+const MAX_STALL: Duration = Duration::from_millis(400);
+
+/// How long a response that comes in pieces is held back, so that it can be tried for again: an eighth of the
+/// tightest latency objective, within these bounds.
+const MIN_HOLD: Duration = Duration::from_millis(20);
+const MAX_HOLD: Duration = Duration::from_millis(200);
+
+/// How long a connection to a target rests after a response: what a target sends behind one shows by then.
+const CONNECTION_REST: Duration = Duration::from_millis(10);
+
+/// The connections to HTTP targets, and the budget that they share with clients.
+pub struct TargetConnections {
+    /// How targets are connected to.
+    pub pool: http::Pool,
+    /// Divides the configuration's limits.
+    pub budget: Budget,
+}
+
+impl TargetConnections {
+    /// Without any connection. Idle ones are closed from now on.
+    pub fn new(config: &Config, sockets: &Sockets) -> TargetConnections {
+        let settings = &config.settings;
+        let parts = Parts {
+            operators: sockets.admin.is_some(),
+            fleet: config.fleet.is_some(),
+            peers: config.peers.is_some(),
+            sessions: sockets.iscsi.is_some(),
+            pushed: settings.list_is_pushed(),
+        };
+        let shares = Reservations::of(config.limits.sockets, parts);
+        let idle = settings.conn_idle() / 2;
+        let stall = (settings.tightest_aim() / 2).clamp(MIN_STALL, MAX_STALL);
+        let hold = (settings.tightest_aim() / 8).clamp(MIN_HOLD, MAX_HOLD);
+        let links = http::Links::new(shares.targets, idle, stall, CONNECTION_REST);
+        actix_rt::spawn(links.clone().sweep());
+        let clients = http::Clients::new(shares.clients, shares.idle_clients);
+        let budget = Budget::new(config.limits, parts, clients, links.clone());
+        let connect_timeout = settings.connect_timeout();
+        TargetConnections { pool: http::Pool { connect_timeout, stall, hold, links }, budget }
+    }
+}
+
 /// Connects each target over its own protocol. Without `figures` all are reached over HTTP.
 pub fn connect(pool: http::Pool, figures: Option<iscsi::Figures>, core: CoreHandle) -> Connect {
-    Box::new(move |line| match (line.protocol, &figures) {
-        (Protocol::Iscsi, Some(figures)) => iscsi::connect(line, figures.clone(), core.clone()),
-        _ => http::connect(line, pool.clone()),
+    Box::new(move |endpoint| match (endpoint.protocol, &figures) {
+        (Protocol::Iscsi, Some(figures)) => iscsi::connect(endpoint, figures.clone(), core.clone()),
+        _ => http::connect(endpoint, pool.clone()),
     })
 }
 
@@ -21,7 +67,7 @@
 }
 
 /// What sessions to targets keep to.
-pub fn figures(iscsi: &Iscsi, settings: &Settings, clock: Clock) -> iscsi::Figures {
+pub fn session_figures(iscsi: &Iscsi, settings: &Settings, clock: Clock) -> iscsi::Figures {
     iscsi::Figures {
         initiator: iscsi.name.clone(),
         classes: classes(settings).into_iter().map(|(name, _)| name).collect(),
@@ -35,7 +81,7 @@
 
 /// The targets that the operator's file lists.
 pub fn portals(iscsi: &Iscsi) -> Message {
-    let line = |portal: &Portal| Endpoint {
+    let endpoint = |portal: &Portal| Endpoint {
         name: portal.name.clone(),
         protocol: Protocol::Iscsi,
         addr: portal.addr,
@@ -45,6 +91,6 @@
         state: TargetState::Active,
         started: None,
     };
-    let entries = iscsi.targets.iter().map(line).collect();
+    let entries = iscsi.targets.iter().map(endpoint).collect();
     Message::endpoints(Protocol::Iscsi, EndpointUpdateKind::Snapshot, entries)
 }
--- a/src/net/admin/server.rs
+++ b/src/net/admin/server.rs
@@ -109,7 +109,7 @@
         let read = Rc::clone(&whole);
         let task = actix_rt::spawn(async move {
             if let Err(error) = answer(stream, config, &service, &read).await {
-                tracing::debug!(%error, "an operator's call ended");
+                tracing::debug!(%error, "admin connection failed");
             }
             open.borrow_mut().retain(|c| c.number != number);
         });
--- a/tests/network/http.rs
+++ b/tests/network/http.rs
@@ -299,7 +299,7 @@
                 .await;
         let node = start(&[line(gone.addr, 0, "active")], Some(old.addr), None).await;
         let before = saw(&mut old, 2).await;
-        node.reloads.take(&Reload { discovery: Some(new.addr), routing: Default::default() });
+        node.reloads.apply_settings(&Reload { discovery: Some(new.addr), routing: Default::default() });
         let (dropped, after) = (saw(&mut old, 1).await, saw(&mut new, 2).await);
         assert_snapshot!(waits(&format!("{before}\n{dropped}\n{after}")), @r"
         GET /discovery/hosts?from=1&hold_ms=1 HTTP/1.1
--- a/tests/network/leaving.rs
+++ b/tests/network/leaving.rs
@@ -180,7 +180,10 @@
         }
         News::Sighup => {
             let new = peer(vec![page(7, true, &leaving), Step::Silence]).await;
-            scene.node.reloads.take(&Reload { discovery: Some(new.addr), routing: Default::default() });
+            scene
+                .node
+                .reloads
+                .apply_settings(&Reload { discovery: Some(new.addr), routing: Default::default() });
             moved = Some(new);
         }
         News::Silence | News::SilenceTwice | News::Return => {}
--- a/tests/network/lost_site.rs
+++ b/tests/network/lost_site.rs
@@ -158,7 +158,7 @@
         // The power goes: connections are reset and refused. The list knows of nothing.
         let lost = Instant::now();
         FAR.for_each(|place| site.boxes[place].kill());
-        logged(&daemons, "a site is lost").await;
+        logged(&daemons, "site lost").await;
         let noticed = lost.elapsed();
         assert!(noticed < Duration::from_secs(3), "after {noticed:?}");
         load.told.borrow_mut().clear();
@@ -175,7 +175,7 @@
         for place in FAR {
             site.boxes[place].restart().await.expect("its address");
         }
-        logged(&daemons, "a site returns").await;
+        logged(&daemons, "site recovery started").await;
         assert!(lost.elapsed() >= Duration::from_millis(1_500), "its hold stands");
         let returned = tokio::time::Instant::now();
         load.told.borrow_mut().clear();
@@ -213,7 +213,7 @@
         }
         tokio::time::sleep(Duration::from_secs(3)).await;
         assert_eq!(load.take(FAR, LOST), 0);
-        assert!(!daemons.iter().any(|d| d.log().iter().any(|l| l.contains("a site is lost"))));
+        assert!(!daemons.iter().any(|d| d.log().iter().any(|l| l.contains("site lost"))));
         assert!(load.take(FAR, "200") > 0);
         load.end().await;
     });
@@ -238,7 +238,7 @@
         }
         for daemon in &daemons {
             let log = daemon.log();
-            let losses: Vec<&String> = log.iter().filter(|l| l.contains("a site is lost")).collect();
+            let losses: Vec<&String> = log.iter().filter(|l| l.contains("site lost")).collect();
             assert!((1..=2).contains(&losses.len()), "{losses:#?}");
             assert!(losses[0].contains("hold_ms=1500"), "{losses:#?}");
             assert!(losses.get(1).is_none_or(|l| l.contains("hold_ms=3000")), "{losses:#?}");
@@ -269,12 +269,12 @@
         };
         served(&load, 10).await;
         FAR.for_each(|place| site.boxes[place].kill());
-        logged(&daemons, "a site is lost").await;
+        logged(&daemons, "site lost").await;
         served(&load, 20).await;
         for place in FAR {
             site.boxes[place].restart().await.expect("its address");
         }
-        logged(&daemons, "a site returns").await;
+        logged(&daemons, "site recovery started").await;
         served(&load, 20).await;
         load.end().await;
         let mut seen: Vec<f64> = (site.boxes.iter().flat_map(|b| b.seen()))
--- a/tests/network/routes.rs
+++ b/tests/network/routes.rs
@@ -32,7 +32,7 @@
         // Another object, which is where the request says.
         let read = request("view", "r5", 0, "").replace("e0b4d655", "e0b4d656");
         assert_eq!(ask(node.http, &read).await, "200 zero", "no route: everywhere");
-        assert_eq!(node.reloads.load(table("zero")), 2);
+        assert_eq!(node.reloads.load_routes(table("zero")), 2);
         // The core takes the table up between two messages; what is sent after one of its answers has it.
         while ask(node.http, &request("deposit", "again", -1, "x")).await != "200 zero" {}
         for i in 0..3 {
@@ -69,7 +69,7 @@
         let node = start(&lines, None, Some(&operator("one"))).await;
         let asking = actix_rt::spawn(async move { ask(node.http, &request("deposit", "k1", -1, "x")).await });
         b.seen.recv().await.expect("the first attempt");
-        node.reloads.load(table("zero"));
+        node.reloads.load_routes(table("zero"));
         while ask(node.http, &request("deposit", "k2", -1, "x")).await != "200 zero" {}
         b.go.notify_one();
         assert_eq!(asking.await.expect("joined"), "200 one");
@@ -121,14 +121,14 @@
             daemon.signal(Signal::SIGHUP).expect("it runs");
         };
         load(file("box-9", "kingston", "hold"));
-        logged(&daemon, "routes wait for boxes that are not listed").await;
-        assert!(!daemon.log().iter().any(|l| l.contains("are in force")));
+        logged(&daemon, "routes wait for targets that are not listed").await;
+        assert!(!daemon.log().iter().any(|l| l.contains("routes loaded")));
         put("box-9");
-        logged(&daemon, "routes are in force version=2").await;
+        logged(&daemon, "routes loaded version=2").await;
 
         load(file("box-8", "negril", "warn"));
-        logged(&daemon, "routes are in force version=3").await;
+        logged(&daemon, "routes loaded version=3").await;
         put("box-8");
-        logged(&daemon, "routes in force break what was expected").await;
+        logged(&daemon, "routes in force break their expectations").await;
     });
 }
--- a/tests/signals.rs
+++ b/tests/signals.rs
@@ -96,16 +96,16 @@
     tell("-HUP");
     let broken = until("is broken");
     assert!(broken.contains("line 7: expect[0]: \"e\"") && broken.contains("it could reach s-0"), "{broken}");
-    until("was refused");
+    until("configuration rejected");
 
     write(&expect("only = { boxes = \"s-0\" }")[..60]);
     tell("-HUP");
-    let unread = until("was not read again");
+    let unread = until("configuration not reloaded");
     assert!(unread.contains("operator.toml"), "{unread}");
 
     write(&expect("some = { boxes = \"s-0\" }"));
     tell("-HUP");
-    assert!(until("in force").contains("version=2"), "the refused ones were no version");
+    assert!(until("routes loaded").contains("version=2"), "the refused ones were no version");
 
     tell("-USR1");
     assert!(until("status").contains("routes=[2]"), "one version, and no request under another");
