--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -68,7 +68,7 @@
                     let resolved = match &event {
                         Event::AttemptEnded { id, request_over: over, .. } => Some((*id, *over)),
                         Event::ClientGone { id } => {
-                            i.names.ended(*id);
+                            i.names.request_finished(*id);
                             None
                         }
                         _ => None,
@@ -83,7 +83,7 @@
                         reply.actions.extend(wire::Sent::from(inst, action, &mut i.names));
                     }
                     if let Some((id, over)) = resolved {
-                        i.names.resolved(id, over);
+                        i.names.attempt_ended(id, over);
                     }
                 }
             }
--- a/src/bin/simulator-adapter/wire.rs
+++ b/src/bin/simulator-adapter/wire.rs
@@ -200,7 +200,7 @@
                     .collect(),
             },
             Event::Inbound(r) => api::Event::RequestArrived(api::RequestProfile {
-                id: names.taken(&r.xid),
+                id: names.open_request(&r.xid),
                 class: names.class(&r.cls),
                 plan: r.policy_no.and_then(|p| names.plan(&p)),
                 volume: names.volume(r.volume.as_deref().unwrap_or_default()),
@@ -254,7 +254,7 @@
 
 fn load(row: Option<Vec<Option<f64>>>, names: &Names) -> api::LoadReport {
     let mut load = api::LoadReport::default();
-    for (field, value) in names.fields.iter().zip(row.unwrap_or_default()) {
+    for (field, value) in names.load_report_fields.iter().zip(row.unwrap_or_default()) {
         let value = value.filter(|v| v.is_finite() && *v >= 0.0);
         match field.as_str() {
             "concurrent" => load.in_flight = value,
@@ -329,7 +329,7 @@
     pub fn from(inst: u64, action: &Action, names: &mut Names) -> Option<Sent> {
         let what = match *action {
             Action::StartAttempt { id, target, timeout } => {
-                names.sent(id);
+                names.attempt_sent(id);
                 What::Issue {
                     xid: names.request_name(id)?.to_string(),
                     timeout,
@@ -338,12 +338,12 @@
             }
             Action::Reject { id, retry_after } => {
                 let xid = names.request_name(id)?.to_string();
-                names.ended(id);
+                names.request_finished(id);
                 What::Deny { xid, wait: retry_after }
             }
             Action::Fail { id } => {
                 let xid = names.request_name(id)?.to_string();
-                names.ended(id);
+                names.request_finished(id);
                 What::RespondError { xid }
             }
             Action::CancelAttempt { id, attempt } => {
--- a/src/bin/simulator-adapter/wire/tests.rs
+++ b/src/bin/simulator-adapter/wire/tests.rs
@@ -17,7 +17,7 @@
     names.classes = words(&["view", "deposit"]);
     names.plans = words(&["basic", "full"]);
     names.zones = words(&["kingston", "negril"]);
-    names.fields = words(&["concurrent", "depth", "mean_ms", "load_share"]);
+    names.load_report_fields = words(&["concurrent", "depth", "mean_ms", "load_share"]);
     names
 }
 
@@ -110,7 +110,8 @@
 #[test]
 fn every_action_is_written_as_recorded() {
     let mut names = names();
-    let (node, id, other) = (names.intern_target(STORE), names.taken("a-1"), names.taken("a-2"));
+    let (node, id, other) =
+        (names.intern_target(STORE), names.open_request("a-1"), names.open_request("a-2"));
     let actions = [
         Action::StartAttempt { id, target: node, timeout: Some(500) },
         Action::StartAttempt { id, target: node, timeout: None },
--- a/src/names.rs
+++ b/src/names.rs
@@ -1,96 +1,107 @@
-//! The wire's names and the module's ids, for one instance.
+//! The numbers by which the scheduler knows what has a name on a wire, for one initiator.
 
 use crate::interface::*;
 use std::collections::{HashMap, VecDeque};
 
-/// Names are forgotten, oldest first, beyond this many.
-const KEPT: usize = 1 << 16;
+/// Names are forgotten, oldest first, beyond this many: what has not come for so long is learned anew.
+const MAX_NAMES: usize = 1 << 16;
 
 /// Hands out a number for a name. The order of numbers is the order of first sight.
 #[derive(Default)]
 pub struct Interner {
     numbers: HashMap<String, u64>,
     order: VecDeque<String>,
-    next: u64,
+    last: u64,
 }
 
 impl Interner {
+    /// The name's number, a new one where it is not known.
     pub fn number(&mut self, name: &str) -> u64 {
-        if let Some(n) = self.numbers.get(name) {
-            return *n;
+        if let Some(number) = self.numbers.get(name) {
+            return *number;
         }
-        if self.order.len() >= KEPT
-            && let Some(old) = self.order.pop_front()
+        if self.order.len() >= MAX_NAMES
+            && let Some(oldest) = self.order.pop_front()
         {
-            self.numbers.remove(&old);
+            self.numbers.remove(&oldest);
         }
-        self.next += 1;
-        self.numbers.insert(name.to_string(), self.next);
+        self.last += 1;
+        self.numbers.insert(name.to_string(), self.last);
         self.order.push_back(name.to_string());
-        self.next
+        self.last
     }
-}
 
-impl Interner {
     fn name(&self, number: u64) -> Option<&str> {
         // Numbers are handed out in turn, and the oldest names are forgotten first.
-        let first = self.next - self.order.len() as u64 + 1;
-        let at = usize::try_from(number.checked_sub(first)?).ok()?;
-        self.order.get(at).map(String::as_str)
+        let first = self.last - self.order.len() as u64 + 1;
+        let position = usize::try_from(number.checked_sub(first)?).ok()?;
+        self.order.get(position).map(String::as_str)
     }
 }
 
-struct Open {
+/// A request that is known by its name, until it is finished and its attempts have ended.
+struct NamedRequest {
     name: String,
-    out: u32,
-    over: bool,
+    attempts_in_flight: u32,
+    finished: bool,
 }
 
+/// All names, and their numbers.
 #[derive(Default)]
 pub struct Names {
+    /// Request classes, by their numbers.
     pub classes: Vec<String>,
+    /// QoS plans, by their numbers.
     pub plans: Vec<String>,
+    /// Zones, by their numbers.
     pub zones: Vec<String>,
-    pub fields: Vec<String>,
+    /// The fields of a target's load report, in the order in which they come.
+    pub load_report_fields: Vec<String>,
     volumes: Interner,
     keys: Interner,
     targets: HashMap<String, TargetId>,
     target_names: Vec<String>,
     requests: HashMap<String, RequestId>,
-    open: HashMap<RequestId, Open>,
-    next_request: u64,
+    open_requests: HashMap<RequestId, NamedRequest>,
+    last_request: u64,
 }
 
-fn place(names: &[String], name: &str) -> Option<u32> {
-    names.iter().position(|n| n == name).map(|i| i as u32)
+fn position(names: &[String], name: &str) -> Option<u32> {
+    names.iter().position(|known| known == name).map(|i| i as u32)
 }
 
 impl Names {
+    /// The request class of this name; `None`: the settings have none.
     pub fn class(&self, name: &str) -> Option<ClassId> {
-        place(&self.classes, name).map(ClassId)
+        position(&self.classes, name).map(ClassId)
     }
 
+    /// The QoS plan of this name; `None`: the settings have none.
     pub fn plan(&self, name: &str) -> Option<PlanId> {
-        place(&self.plans, name).map(PlanId)
+        position(&self.plans, name).map(PlanId)
     }
 
+    /// The zone of this name; all that the settings do not have count as one.
     pub fn zone(&self, name: &str) -> ZoneId {
-        ZoneId(place(&self.zones, name).unwrap_or(self.zones.len() as u32))
+        ZoneId(position(&self.zones, name).unwrap_or(self.zones.len() as u32))
     }
 
+    /// The volume of this name, numbered at first sight.
     pub fn volume(&mut self, name: &str) -> VolumeId {
         VolumeId(self.volumes.number(name) as u32)
     }
 
-    /// Looks through all names: for what is rare.
+    /// A volume's name; `None`: it is forgotten.
     pub fn volume_name(&self, id: VolumeId) -> Option<&str> {
         self.volumes.name(u64::from(id.0))
     }
 
+    /// The key of this name, numbered at first sight.
     pub fn key(&mut self, name: &str) -> KeyId {
         KeyId(self.keys.number(name))
     }
 
+    /// The target of this name, numbered at first sight. Targets are never forgotten.
     pub fn intern_target(&mut self, name: &str) -> TargetId {
         if let Some(id) = self.targets.get(name) {
             return *id;
@@ -101,58 +112,66 @@
         id
     }
 
+    /// The target of this name; `None`: it was never listed.
     pub fn target(&self, name: &str) -> Option<TargetId> {
         self.targets.get(name).copied()
     }
 
+    /// A target's name.
     pub fn target_name(&self, id: TargetId) -> Option<&str> {
         self.target_names.get(id.0 as usize).map(String::as_str)
     }
 
-    pub fn taken(&mut self, name: &str) -> RequestId {
-        self.next_request += 1;
-        let id = RequestId(self.next_request);
+    /// A new request of this name.
+    pub fn open_request(&mut self, name: &str) -> RequestId {
+        self.last_request += 1;
+        let id = RequestId(self.last_request);
         self.requests.insert(name.to_string(), id);
-        self.open.insert(id, Open { name: name.to_string(), out: 0, over: false });
+        let request = NamedRequest { name: name.to_string(), attempts_in_flight: 0, finished: false };
+        self.open_requests.insert(id, request);
         id
     }
 
+    /// The open request of this name.
     pub fn request(&self, name: &str) -> Option<RequestId> {
         self.requests.get(name).copied()
     }
 
+    /// An open request's name.
     pub fn request_name(&self, id: RequestId) -> Option<&str> {
-        self.open.get(&id).map(|o| o.name.as_str())
+        self.open_requests.get(&id).map(|request| request.name.as_str())
     }
 
-    pub fn sent(&mut self, id: RequestId) {
-        if let Some(o) = self.open.get_mut(&id) {
-            o.out += 1;
+    /// An attempt of the request was sent.
+    pub fn attempt_sent(&mut self, id: RequestId) {
+        if let Some(request) = self.open_requests.get_mut(&id) {
+            request.attempts_in_flight += 1;
         }
     }
 
-    /// An attempt has its outcome.
-    pub fn resolved(&mut self, id: RequestId, over: bool) {
-        if let Some(o) = self.open.get_mut(&id) {
-            o.out = o.out.saturating_sub(1);
-            o.over |= over;
+    /// An attempt has its outcome, and the request is finished with it or not.
+    pub fn attempt_ended(&mut self, id: RequestId, request_finished: bool) {
+        if let Some(request) = self.open_requests.get_mut(&id) {
+            request.attempts_in_flight = request.attempts_in_flight.saturating_sub(1);
+            request.finished |= request_finished;
         }
-        self.forget(id);
+        self.remove_if_settled(id);
     }
 
-    /// The request is over; its name is kept while an attempt has no outcome.
-    pub fn ended(&mut self, id: RequestId) {
-        if let Some(o) = self.open.get_mut(&id) {
-            o.over = true;
+    /// The request is finished; its name is kept while an attempt has no outcome.
+    pub fn request_finished(&mut self, id: RequestId) {
+        if let Some(request) = self.open_requests.get_mut(&id) {
+            request.finished = true;
         }
-        self.forget(id);
+        self.remove_if_settled(id);
     }
 
-    fn forget(&mut self, id: RequestId) {
-        if self.open.get(&id).is_some_and(|o| o.over && o.out == 0)
-            && let Some(o) = self.open.remove(&id)
+    fn remove_if_settled(&mut self, id: RequestId) {
+        let settled = |request: &NamedRequest| request.finished && request.attempts_in_flight == 0;
+        if self.open_requests.get(&id).is_some_and(settled)
+            && let Some(request) = self.open_requests.remove(&id)
         {
-            self.requests.remove(&o.name);
+            self.requests.remove(&request.name);
         }
     }
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -243,7 +243,7 @@
         names.zones = self.azs.clone();
         names.classes = self.grades.iter().map(|g| g.name.clone()).collect();
         names.plans = self.policies.iter().map(|p| p.name.clone()).collect();
-        names.fields = self.report.fields.clone();
+        names.load_report_fields = self.report.fields.clone();
         let (info, rules) = (&self.family_info, &self.rules);
         let mut classes = Vec::new();
         for (i, g) in self.grades.iter().enumerate() {
--- a/tests/compatibility/configuration.rs
+++ b/tests/compatibility/configuration.rs
@@ -72,7 +72,7 @@
 fn every_key_of_the_settings_reaches_the_module() {
     let mut names = Names::default();
     let settings = load().settings.translate(&mut names).expect("usable");
-    assert_eq!(names.fields, ["depth", "mean_ms"]);
+    assert_eq!(names.load_report_fields, ["depth", "mean_ms"]);
     assert_eq!(settings.initiators, 3);
     let figures = (
         settings.mean_request_units,
