--- a/src/core/access_log/tests.rs
+++ b/src/core/access_log/tests.rs
@@ -3,6 +3,7 @@
 use super::*;
 use crate::core::RequestOrigin;
 use bytes::Bytes;
+use std::path::PathBuf;
 
 fn request(id: &str) -> Request {
     Request {
@@ -79,7 +80,7 @@
 #[tokio::test]
 async fn what_the_queue_or_the_disk_does_not_take_is_counted() {
     let (queue, _stuck) = sync_channel(1);
-    let log = AccessLog { queue, counts: Arc::default() };
+    let log = AccessLog { queue, shared: Arc::default() };
     for id in ["a", "b", "c"] {
         log.begin(&request(id)).finish(&Response::Failed);
     }
--- a/src/core/endpoints.rs
+++ b/src/core/endpoints.rs
@@ -1,11 +1,13 @@
 //! The known targets: what discovery, peers, operators and judged sites say of each, and what follows from
 //! all of them.
 
+mod updates;
+
 use crate::core::attempt::{Connect, TargetMessage};
 use crate::core::endpoint::{Endpoint, Protocol};
 use crate::core::site_monitor::{SiteMonitor, SiteSettings};
 use crate::core::start_times::StartTimes;
-use crate::interface::{EndpointEntry, EndpointUpdateKind, Micros, ShardId, TargetId, TargetState};
+use crate::interface::{EndpointEntry, Micros, ShardId, TargetId, TargetState};
 use crate::names::Names;
 use rowanglade_maintenance::{Maintenance, State};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
@@ -118,111 +120,6 @@
         self.maintenance = maintenance;
     }
 
-    /// Takes an update of one list, or a part of one, and returns the targets that it changed. Targets of
-    /// another protocol are not in that list, and stay.
-    pub(super) fn update(
-        &mut self,
-        now: Micros,
-        names: &mut Names,
-        protocol: Protocol,
-        kind: EndpointUpdateKind,
-        mut entries: Vec<Endpoint>,
-        more: bool,
-    ) -> Vec<TargetId> {
-        if matches!(kind, EndpointUpdateKind::Snapshot | EndpointUpdateKind::Cached) {
-            entries.extend(self.left_out_of_snapshot(names, protocol, &entries, more));
-        }
-        if protocol == Protocol::Http {
-            if kind == EndpointUpdateKind::Delta && !more {
-                entries.extend(self.gossip_refuted_by(&entries));
-            }
-            if !more {
-                self.draining_by_gossip.clear();
-            }
-        }
-        entries.into_iter().filter_map(|reported| self.update_entry(now, names, reported)).collect()
-    }
-
-    /// Notes whom a part of a snapshot names. At the snapshot's end: the targets of its list that no part has
-    /// named, as removed.
-    fn left_out_of_snapshot(
-        &mut self,
-        names: &mut Names,
-        protocol: Protocol,
-        entries: &[Endpoint],
-        more: bool,
-    ) -> Vec<Endpoint> {
-        let partial = self.partial_snapshot.take().filter(|partial| partial.protocol == protocol);
-        let mut members = partial.map_or_else(HashSet::new, |partial| partial.members);
-        members.extend(entries.iter().map(|reported| names.intern_target(&reported.name)));
-        if more {
-            self.partial_snapshot = Some(PartialSnapshot { protocol, members });
-            return Vec::new();
-        }
-        let listed = self.targets.iter().filter(|(_, target)| target.reported.protocol == protocol);
-        let left_out = listed.filter(|(id, _)| !members.contains(id));
-        left_out
-            .map(|(_, target)| Endpoint { state: TargetState::Removed, ..target.reported.clone() })
-            .collect()
-    }
-
-    /// The targets that peers reported as draining, and of which discovery, which has been heard now, tells no
-    /// change: as discovery had them.
-    fn gossip_refuted_by(&self, changes: &[Endpoint]) -> Vec<Endpoint> {
-        let changed: HashSet<&str> = changes.iter().map(|change| change.name.as_str()).collect();
-        let draining = self.draining_by_gossip.iter().filter_map(|id| self.targets.get(id));
-        let unchanged = draining.filter(|target| !changed.contains(target.reported.name.as_str()));
-        unchanged.map(|target| Endpoint { state: TargetState::Active, ..target.reported.clone() }).collect()
-    }
-
-    /// Takes an entry of a list. `None`: it changes nothing.
-    fn update_entry(&mut self, now: Micros, names: &mut Names, reported: Endpoint) -> Option<TargetId> {
-        let id = names.intern_target(&reported.name);
-        if reported.protocol == Protocol::Http {
-            // Discovery's own word holds again.
-            self.draining_by_gossip.remove(&id);
-        }
-        self.maintenance.endpoint_reported(
-            &reported.name,
-            maintenance_state(reported.state),
-            reported.started,
-        );
-        if let Some(sites) = &mut self.sites {
-            sites.endpoint_listed(now, &reported);
-        }
-        self.check_clock(now, id, &reported);
-        let effective = self.effective(now, &reported);
-        match self.targets.get_mut(&id) {
-            Some(target) if target.reported.addr == reported.addr => {
-                // A start that lay in the future counts from when it was reported first.
-                let same_start = target.reported.started == reported.started;
-                let started = if same_start { target.effective.started } else { effective.started };
-                let effective = Endpoint { started, ..effective };
-                let changed = target.effective != effective;
-                (target.reported, target.effective) = (reported, effective);
-                changed.then_some(id)
-            }
-            None if reported.state == TargetState::Removed => None,
-            _ => {
-                // Sessions are kept up whether or not they are used.
-                let mailbox = (reported.protocol == Protocol::Iscsi).then(|| self.start_actor(&effective));
-                self.targets.insert(id, Target { reported, effective, mailbox });
-                Some(id)
-            }
-        }
-    }
-
-    /// Learns from a target's restart whether this process's clock is ahead.
-    fn check_clock(&mut self, now: Micros, id: TargetId, reported: &Endpoint) {
-        let before = self.targets.get(&id).map(|target| target.reported.started);
-        if let (Some(before), Some(started)) = (before, reported.started)
-            && before != reported.started
-            && self.start_times.restarted(now, started)
-        {
-            tracing::warn!(target = reported.name, "wall clock was ahead at start");
-        }
-    }
-
     /// Peers report that these targets drain: nothing new goes to them until discovery is heard. Returns the
     /// targets that this changed.
     pub(super) fn report_draining(
--- a/tests/starts.rs
+++ b/tests/starts.rs
@@ -10,7 +10,7 @@
 #[test]
 fn a_start_is_taken_as_told_where_the_clock_is_right() {
     let mut starts = StartTimes::default();
-    assert!(!starts.restarted(NOW, NOW - 3 * SECOND));
+    assert!(!starts.learn_from_restart(NOW, NOW - 3 * SECOND));
     assert_eq!(starts.on_clock(NOW, NOW - 3 * SECOND), NOW - 3 * SECOND);
     assert_eq!(starts.on_clock(NOW, NOW - 5 * HOUR), NOW - 5 * HOUR, "long ago, told by a whole list");
 }
@@ -28,11 +28,11 @@
 fn the_first_restart_shows_that_the_clock_is_ahead() {
     let ahead = NOW + HOUR;
     let mut starts = StartTimes::default();
-    assert!(starts.restarted(ahead, NOW - 2 * SECOND));
+    assert!(starts.learn_from_restart(ahead, NOW - 2 * SECOND));
     assert_eq!(starts.on_clock(ahead, NOW - 2 * SECOND), ahead, "just now");
     // Later ones are right within what the first one's news took.
     let later = ahead + 30 * SECOND;
     let on_clock = starts.on_clock(later, NOW + 28 * SECOND);
     assert!((later - 2 * SECOND..=later).contains(&on_clock), "{on_clock}");
-    assert!(!starts.restarted(later, NOW + 28 * SECOND), "nothing new");
+    assert!(!starts.learn_from_restart(later, NOW + 28 * SECOND), "nothing new");
 }
