--- a/src/core/actor.rs
+++ b/src/core/actor.rs
@@ -7,9 +7,10 @@
 mod quota;
 mod requests;
 
-use crate::core::admin::{AdminCommand, AdminRequest};
+use crate::core::admin::AdminRequest;
 use crate::core::attempt::Connect;
 use crate::core::clock::Clock;
+use crate::core::dependencies::CoreDependencies;
 use crate::core::diagnostics::{Diagnostics, Step};
 use crate::core::endpoints::Endpoints;
 use crate::core::handover_port::HandoverPort;
@@ -21,12 +22,11 @@
 use crate::core::readiness::Readiness;
 use crate::core::request::Response;
 use crate::core::routes::{LoadedRoutes, Routes};
-use crate::core::site_monitor::SiteSettings;
 use crate::core::timers::Timers;
 use crate::interface::{Action, Event, LoadReport, Micros, Outcome, TargetId};
 use crate::names::Names;
 use crate::scheduler::Scheduler;
-use rowanglade_object_locations::{Object, Places, Seen};
+use rowanglade_object_locations::Places;
 use rowanglade_subset::Subset;
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -37,26 +37,6 @@
 /// Objects whose locations are kept: about a megabyte.
 const MAX_OBJECT_LOCATIONS: usize = 16_384;
 
-/// What the core needs beside its scheduler and its mailbox.
-pub struct CoreDependencies {
-    /// The routes to be in force.
-    pub routes: watch::Receiver<Arc<LoadedRoutes>>,
-    /// Absent where initiators do not exchange quota.
-    pub quota: Option<QuotaPeers>,
-    /// Operators' commands. They do not wait behind the requests in the core's mailbox.
-    pub admin_requests: mpsc::Receiver<AdminRequest>,
-    /// What a handover asks.
-    pub handover_requests: mpsc::Receiver<HandoverRequest>,
-    /// Commands that hold here, for the other process, if there is one.
-    pub admin_commands: mpsc::Sender<AdminCommand>,
-    /// Where objects were seen, for the other process.
-    pub object_sightings: mpsc::Sender<(Object, Seen)>,
-    /// Absent where sites are not judged.
-    pub sites: Option<SiteSettings>,
-    /// Absent where no target is preferred to others.
-    pub subset: Option<Subset>,
-}
-
 /// The actor; [`Core::run`] is its life.
 pub struct Core {
     clock: Clock,
--- a/src/core/mailbox.rs
+++ b/src/core/mailbox.rs
@@ -6,6 +6,7 @@
 use crate::core::message::Message;
 use crate::core::open_requests::ClientIds;
 use crate::core::request::{Request, Response};
+use crate::core::validation::{InvalidRequest, RequestConstraints};
 use crate::interface::{EndpointUpdateKind, RequestId};
 use crate::settings::Settings;
 use rowanglade_routing::TargetInfo;
@@ -35,47 +36,6 @@
     pub(super) revision: watch::Sender<u64>,
 }
 
-/// What the settings say of requests.
-#[derive(Debug)]
-struct RequestConstraints {
-    classes: Vec<ClassConstraints>,
-    plans: Vec<String>,
-    /// Absent: not known.
-    shards: Option<u32>,
-}
-
-/// What a request of a class must be.
-#[derive(Debug)]
-struct ClassConstraints {
-    name: String,
-    write: bool,
-    /// It carries an idempotency key.
-    keyed: bool,
-}
-
-/// Why a request is none that the settings have, or cannot be told from another.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum InvalidRequest {
-    /// The settings have no such request class.
-    #[error("an unknown class")]
-    UnknownClass,
-    /// The settings have no such QoS plan.
-    #[error("an unknown plan")]
-    UnknownPlan,
-    /// The settings have fewer shards.
-    #[error("an unknown shard")]
-    UnknownShard,
-    /// It reads where its class writes, or the other way round.
-    #[error("not what its class does")]
-    WrongMethod,
-    /// Its class needs an idempotency key, and it has none.
-    #[error("no key")]
-    MissingKey,
-    /// A request of this id is open.
-    #[error("the id of an open request")]
-    DuplicateId,
-}
-
 /// Makes the core's mailbox, for requests as the settings have them. Each gets a line of `log`.
 pub fn mailbox(settings: &Settings, log: Option<AccessLog>) -> (CoreMailbox, CoreHandle) {
     let client_ids = ClientIds::default();
@@ -104,21 +64,6 @@
     (mailbox, handle)
 }
 
-impl RequestConstraints {
-    fn of(settings: &Settings) -> RequestConstraints {
-        let classes = settings.terms().map(|(name, write, keyed)| ClassConstraints {
-            name: name.to_string(),
-            write,
-            keyed,
-        });
-        RequestConstraints {
-            classes: classes.collect(),
-            plans: settings.plans().map(str::to_string).collect(),
-            shards: settings.shards(),
-        }
-    }
-}
-
 /// The core's mailbox, as fronts and discovery hold it.
 #[derive(Clone, Debug)]
 pub struct CoreHandle {
@@ -139,21 +84,7 @@
     /// The settings have no such request, or another has its id: served, it would get a response made for
     /// something else.
     pub fn validate(&self, request: &Request) -> Result<(), InvalidRequest> {
-        let constraints = &self.constraints;
-        let class = constraints.classes.iter().find(|class| class.name == request.class);
-        let class = class.ok_or(InvalidRequest::UnknownClass)?;
-        if request.write != class.write {
-            return Err(InvalidRequest::WrongMethod);
-        }
-        if class.keyed && request.idempotency_key.as_ref().is_none_or(String::is_empty) {
-            return Err(InvalidRequest::MissingKey);
-        }
-        if request.plan.as_ref().is_some_and(|plan| !constraints.plans.contains(plan)) {
-            return Err(InvalidRequest::UnknownPlan);
-        }
-        if request.shard.is_some_and(|shard| constraints.shards.is_some_and(|shards| shard >= shards)) {
-            return Err(InvalidRequest::UnknownShard);
-        }
+        self.constraints.check(request)?;
         if self.client_ids.borrow().contains(&request.id) {
             return Err(InvalidRequest::DuplicateId);
         }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -11,6 +11,7 @@
 mod attempt;
 mod body;
 mod clock;
+mod dependencies;
 mod diagnostics;
 mod endpoint;
 mod endpoints;
@@ -26,22 +27,25 @@
 mod site_monitor;
 mod start_times;
 mod timers;
+mod validation;
 
 pub use access_log::AccessLog;
-pub use actor::{Core, CoreDependencies};
+pub use actor::Core;
 pub use admin::{AdminCommand, AdminRequest};
 pub use attempt::{Attempt, AttemptReporter, Connect, Probe, ProbeReporter, TargetMessage};
 pub use body::{
     BodyStream, IncompleteBody, MAX_BUFFERED_BODY, ResponseBody, STREAMED_CHUNKS, Upload, UploadReader,
 };
 pub use clock::{Clock, micros};
+pub use dependencies::CoreDependencies;
 pub use diagnostics::{Counters, LONG_STEP, Step};
 pub use endpoint::{Endpoint, Protocol};
 pub use handover_request::{HandoverRequest, HandoverState};
-pub use mailbox::{CoreHandle, CoreMailbox, InvalidRequest, MAX_ENTRIES_PER_STEP, PendingResponse, mailbox};
+pub use mailbox::{CoreHandle, CoreMailbox, MAX_ENTRIES_PER_STEP, PendingResponse, mailbox};
 pub use message::Message;
 pub use quota::{OutgoingDatagram, QuotaPeers};
 pub use request::{AttemptResult, Request, RequestOrigin, Response};
 pub use routes::{LoadedRoutes, Routes};
 pub use site_monitor::SiteSettings;
 pub use start_times::StartTimes;
+pub use validation::InvalidRequest;
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use rowanglade::core::{
     Clock, Connect, Core, CoreDependencies, CoreHandle, Endpoint, Message, Protocol, Request, RequestOrigin,
-    Response, TargetMessage, mailbox,
+    Response, TargetMessage, mailbox as core_mailbox,
 };
 use rowanglade::interface::{EndpointUpdateKind, TargetState};
 use rowanglade::names::Names;
@@ -32,25 +32,25 @@
         let mut runtime = tokio::runtime::Builder::new_current_thread();
         let runtime = runtime.enable_time().start_paused(true).build().expect("a runtime");
         tokio::task::LocalSet::new().block_on(&runtime, async {
-            let (inbox, handle) = mailbox(&settings, None);
-            let (_routes, table) = watch::channel(Arc::default());
-            let (_operators, operations) = mpsc::channel(1);
-            let (_keeper, upgrades) = mpsc::channel(1);
-            let (calls, _calls) = mpsc::channel(1);
-            let (seen, _seen) = mpsc::channel(1);
+            let (mailbox, handle) = core_mailbox(&settings, None);
+            let (_routes, routes) = watch::channel(Arc::default());
+            let (_operators, admin_requests) = mpsc::channel(1);
+            let (_handover, handover_requests) = mpsc::channel(1);
+            let (admin_commands, _admin_commands) = mpsc::channel(1);
+            let (object_sightings, _object_sightings) = mpsc::channel(1);
             let core = Core::new(
                 scheduler,
                 names,
                 Clock::start(),
-                inbox,
+                mailbox,
                 connect(),
                 CoreDependencies {
-                    routes: table,
+                    routes,
                     quota: None,
-                    admin_requests: operations,
-                    handover_requests: upgrades,
-                    admin_commands: calls,
-                    object_sightings: seen,
+                    admin_requests,
+                    handover_requests,
+                    admin_commands,
+                    object_sightings,
                     sites: None,
                     subset: None,
                 },
