--- a/src/core/actor/attempts.rs
+++ b/src/core/actor/attempts.rs
@@ -105,7 +105,7 @@
         attempt.started = started;
         // A streamed body's last byte comes much later: the end of its attempt tells.
         if started && !streamed {
-            self.scheduler.settle(now, id, true);
+            self.scheduler.commit_reserved(now, id);
         }
         open.trace(number, |trace| trace.started = started.then_some(now));
         let (id, target) = (&open.request.id, self.names.target_name(target));
--- a/src/core/actor/handover.rs
+++ b/src/core/actor/handover.rs
@@ -22,7 +22,7 @@
                 let _ = answer.send(());
             }
             HandoverRequest::Restart(answer) => {
-                self.scheduler.forget_owned(self.clock.now());
+                self.scheduler.reset_owned(self.clock.now());
                 self.set_handed_over(false);
                 let _ = answer.send(());
             }
@@ -45,7 +45,7 @@
 
     /// All that is owned here.
     fn handover_state(&self) -> HandoverState {
-        let scheduler = self.scheduler.handed(self.clock.now()).named(
+        let scheduler = self.scheduler.snapshot(self.clock.now()).map_names(
             |target| self.names.target_name(target).map(str::to_string),
             |volume| self.names.volume_name(volume).map(str::to_string),
         );
@@ -68,8 +68,8 @@
         let targets: HashMap<&str, TargetId> =
             self.endpoints.iter().map(|(id, target)| (target.reported.name.as_str(), id)).collect();
         let scheduler = scheduler
-            .named(|target| targets.get(target.as_str()).copied(), |volume| Some(names.volume(&volume)));
-        self.scheduler.take(scheduler);
+            .map_names(|target| targets.get(target.as_str()).copied(), |volume| Some(names.volume(&volume)));
+        self.scheduler.restore(scheduler);
     }
 
     fn refresh_all_targets(&mut self) {
--- a/src/handover/actor.rs
+++ b/src/handover/actor.rs
@@ -7,7 +7,7 @@
 use super::message::{Listeners, Message, Welcome};
 use super::paths::{HandoverPaths, OwnershipLock};
 use crate::core::{AdminCommand, HandoverRequest, HandoverState};
-use crate::net::accept::{AcceptFailures, AfterFailure};
+use crate::net::accept::{AcceptFailures, pause};
 use rowanglade_handover::{Action, Event, Handover, LinkId, MessageKind};
 use rowanglade_object_locations::{Object, Seen};
 use std::collections::VecDeque;
@@ -205,10 +205,7 @@
 
     /// Without a wait, an accept that goes on failing would take the whole thread.
     async fn wait_after_failure(&mut self, error: &io::Error) {
-        let next = self.accept_failures.failed(error, "a successor");
-        if let AfterFailure::MakeRoom(wait) | AfterFailure::Wait(wait) = next {
-            tokio::time::sleep(wait).await;
-        }
+        pause(self.accept_failures.failed(error, "a successor")).await;
     }
 
     fn handle_input(&mut self, input: LinkInput) -> Option<Event> {
--- a/src/handover/controls.rs
+++ b/src/handover/controls.rs
@@ -2,8 +2,8 @@
 
 use super::message::{DescriptorShare, Listeners, Welcome};
 use crate::core::HandoverRequest;
-use crate::net::http::Page;
-use crate::net::{Budget, Phase};
+use crate::net::http::EndpointPage;
+use crate::net::{DescriptorBudget, Phase};
 use std::rc::Rc;
 use tokio::sync::{mpsc, oneshot, watch};
 
@@ -22,7 +22,7 @@
     /// Told to all who serve clients.
     pub phase: Rc<watch::Sender<Phase>>,
     /// What both processes count together.
-    pub budget: Budget,
+    pub budget: DescriptorBudget,
     /// What is passed on to a successor.
     pub listeners: Listeners,
 }
@@ -52,9 +52,9 @@
     pub(super) async fn welcome(&self) -> Option<Welcome> {
         let (now, list) = self.ask(HandoverRequest::Describe).await?;
         self.budget.share(SUCCESSOR_DESCRIPTORS);
-        let descriptors = self.budget.all().saturating_sub(SUCCESSOR_DESCRIPTORS);
+        let descriptors = self.budget.total().saturating_sub(SUCCESSOR_DESCRIPTORS);
         let share = DescriptorShare { descriptors };
-        Some(Welcome { now, list: Page::of(list), share, listeners: self.listeners.names() })
+        Some(Welcome { now, list: EndpointPage::snapshot(list), share, listeners: self.listeners.names() })
     }
 
     /// Leaves so many descriptors to the other process; none where it is gone.
@@ -70,11 +70,11 @@
     /// Uses no more than what is still held, and a few descriptors to finish it.
     pub(super) fn retire(&self) {
         self.set_phase(Phase::Leaving);
-        self.budget.leave(RETIRED_DESCRIPTORS);
+        self.budget.keep_in_use(RETIRED_DESCRIPTORS);
     }
 
     /// What a retired predecessor still uses.
     pub(super) fn retired_share(&self) -> DescriptorShare {
-        DescriptorShare { descriptors: self.budget.open() + RETIRED_DESCRIPTORS }
+        DescriptorShare { descriptors: self.budget.open_descriptors() + RETIRED_DESCRIPTORS }
     }
 }
--- a/src/handover/message.rs
+++ b/src/handover/message.rs
@@ -2,7 +2,7 @@
 
 use crate::core::{AdminCommand, HandoverState};
 use crate::interface::Micros;
-use crate::net::http::Page;
+use crate::net::http::EndpointPage;
 use rowanglade_handover::MessageKind;
 use rowanglade_object_locations::{Object, Seen};
 use serde::{Deserialize, Serialize};
@@ -14,7 +14,7 @@
     /// The predecessor's time in microseconds, on whose clock the successor goes on.
     pub now: Micros,
     /// The endpoint list, as discovery reported it.
-    pub list: Page,
+    pub list: EndpointPage,
     /// What the predecessor still uses.
     pub share: DescriptorShare,
     /// What the descriptors that come along are, in their order.
--- a/src/initiator.rs
+++ b/src/initiator.rs
@@ -12,12 +12,12 @@
 use crate::config::{Config, ConfigError, Iscsi, Reload};
 use crate::core::{self, AccessLog, Clock, Core, CoreDependencies, CoreHandle, Message, QuotaPeers};
 use crate::handover::{CoreUpdates, HandoverActor, HandoverControls};
-use crate::net::peers::PeerLink;
-use crate::net::{Budget, Phase, admin, fleet, http};
+use crate::net::drain_gossip::DrainGossipLink;
+use crate::net::{DescriptorBudget, Phase, admin, fleet, http};
 use channels::CoreChannels;
 use handover::Received;
 use routes::InitialRoutes;
-use rowanglade_discovery_polling::Watch;
+use rowanglade_discovery_polling::WatchMode;
 use sockets::Sockets;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -75,9 +75,9 @@
     http: TcpListener,
     iscsi: Option<(TcpListener, Iscsi)>,
     /// None where the admin listener is off.
-    admin: Option<admin::Admin>,
+    admin: Option<admin::AdminListener>,
     phase: Rc<watch::Sender<Phase>>,
-    budget: Budget,
+    budget: DescriptorBudget,
     /// None where no process can replace this one.
     handover: Option<(HandoverActor, HandoverControls, CoreUpdates)>,
     classes: Vec<(String, Duration)>,
@@ -108,7 +108,7 @@
         let (mailbox, core) = core::mailbox(&config.settings, access_log.clone());
         let figures =
             sockets.iscsi.as_ref().map(|(_, iscsi)| session_figures(iscsi, &config.settings, clock));
-        let connect = connect(connections.pool, figures, core.clone());
+        let connect = connect(connections.transport, figures, core.clone());
 
         let routes = InitialRoutes::check(config.routing, config.known.as_ref())?;
         let quota = match config.fleet {
@@ -138,23 +138,23 @@
         // What the predecessor holds is newer than the platform's cached list. The watch goes on from the
         // latter's version: what it tells again changes nothing.
         let cached_list = welcome.map(|welcome| welcome.list).or_else(|| config.known.clone());
-        http::remember(&core, cached_list.unwrap_or_default()).await;
+        http::send_cached_list(&core, cached_list.unwrap_or_default()).await;
         if let Some((_, iscsi)) = &sockets.iscsi {
             core.send(portals(iscsi)).await;
         }
         let (discovery, discovery_addr) = watch::channel(config.discovery);
-        let schedule = |now| config.settings.discovery_schedule(Watch::LongPoll, config.seed, now);
-        let peers = config.peers.map(|addresses| PeerLink::new(addresses, config.seed, clock.now()));
-        let directory = http::Directory::new(
+        let schedule = |now| config.settings.discovery_schedule(WatchMode::LongPoll, config.seed, now);
+        let gossip = config.peers.map(|addresses| DrainGossipLink::new(addresses, config.seed, clock.now()));
+        let poller = http::DiscoveryPoller::new(
             discovery_addr,
             config.settings.connect_timeout(),
             core.clone(),
             clock,
             schedule,
             config.known.as_ref(),
-            peers,
+            gossip,
         );
-        actix_rt::spawn(directory.run());
+        actix_rt::spawn(poller.run());
 
         let handover = actor.map(|actor| {
             let controls = HandoverControls {
@@ -213,7 +213,7 @@
 
     /// Where operators call, if anywhere.
     pub fn admin_addr(&self) -> Option<SocketAddr> {
-        self.admin.as_ref().map(admin::Admin::addr)
+        self.admin.as_ref().map(admin::AdminListener::addr)
     }
 
     /// Where sessions connect, if that front is on.
@@ -229,11 +229,11 @@
 /// Starts the thread for operators' commands, if there is a listener for them.
 fn start_admin(
     listener: Option<std::net::TcpListener>,
-    operations: mpsc::Sender<core::AdminRequest>,
+    commands: mpsc::Sender<core::AdminRequest>,
     core: &CoreHandle,
     phase: &watch::Sender<Phase>,
-) -> std::io::Result<Option<admin::Admin>> {
-    let service = admin::Service { operations, ready: core.readiness(), phase: phase.subscribe() };
+) -> std::io::Result<Option<admin::AdminListener>> {
+    let service = admin::AdminService { commands, ready: core.readiness(), phase: phase.subscribe() };
     listener.map(|listener| admin::open(listener, service)).transpose()
 }
 
--- a/src/initiator/channels.rs
+++ b/src/initiator/channels.rs
@@ -6,7 +6,7 @@
 use tokio::sync::mpsc;
 
 /// Operators' commands that may wait for the core, and as many requests of a handover.
-const REQUESTS: usize = admin::MOST_CALLS;
+const REQUESTS: usize = admin::MAX_CALLS;
 
 /// Object locations that may wait for the other process: more than a handover's second brings.
 const OBJECT_SIGHTINGS: usize = 1_024;
--- a/src/initiator/routes.rs
+++ b/src/initiator/routes.rs
@@ -28,8 +28,8 @@
     ///
     /// # Errors
     /// An expectation is broken.
-    pub fn check(routing: Routing, cached_list: Option<&http::Page>) -> Result<InitialRoutes, Error> {
-        let targets = cached_list.map(http::Page::boxes).unwrap_or_default();
+    pub fn check(routing: Routing, cached_list: Option<&http::EndpointPage>) -> Result<InitialRoutes, Error> {
+        let targets = cached_list.map(http::EndpointPage::routable_targets).unwrap_or_default();
         let Decided { decision, lines, open } = routing.decide(&targets);
         lines.iter().for_each(|line| tracing::warn!("{line}"));
         if decision == Decision::Refuse {
--- a/src/initiator/targets.rs
+++ b/src/initiator/targets.rs
@@ -4,7 +4,7 @@
 use crate::config::{Config, Iscsi, Portal};
 use crate::core::{Clock, Connect, CoreHandle, Endpoint, Message, Protocol};
 use crate::interface::{EndpointUpdateKind, TargetState};
-use crate::net::{Budget, Parts, Reservations, http, iscsi};
+use crate::net::{DescriptorBudget, OptionalParts, Reservations, http, iscsi};
 use crate::settings::Settings;
 use std::time::Duration;
 
@@ -24,40 +24,45 @@
 /// The connections to HTTP targets, and the budget that they share with clients.
 pub struct TargetConnections {
     /// How targets are connected to.
-    pub pool: http::Pool,
+    pub transport: http::TargetTransport,
     /// Divides the configuration's limits.
-    pub budget: Budget,
+    pub budget: DescriptorBudget,
 }
 
 impl TargetConnections {
     /// Without any connection. Idle ones are closed from now on.
     pub fn new(config: &Config, sockets: &Sockets) -> TargetConnections {
         let settings = &config.settings;
-        let parts = Parts {
-            operators: sockets.admin.is_some(),
+        let parts = OptionalParts {
+            admin: sockets.admin.is_some(),
             fleet: config.fleet.is_some(),
             peers: config.peers.is_some(),
-            sessions: sockets.iscsi.is_some(),
-            pushed: settings.list_is_pushed(),
+            iscsi: sockets.iscsi.is_some(),
+            pushed_list: settings.list_is_pushed(),
         };
         let shares = Reservations::of(config.limits.sockets, parts);
         let idle = settings.conn_idle() / 2;
-        let stall = (settings.tightest_aim() / 2).clamp(MIN_STALL, MAX_STALL);
-        let hold = (settings.tightest_aim() / 8).clamp(MIN_HOLD, MAX_HOLD);
-        let links = http::Links::new(shares.targets, idle, stall, CONNECTION_REST);
-        actix_rt::spawn(links.clone().sweep());
-        let clients = http::Clients::new(shares.clients, shares.idle_clients);
-        let budget = Budget::new(config.limits, parts, clients, links.clone());
+        let stall_timeout = (settings.tightest_aim() / 2).clamp(MIN_STALL, MAX_STALL);
+        let hold_time = (settings.tightest_aim() / 8).clamp(MIN_HOLD, MAX_HOLD);
+        let connections = http::ConnectionPool::new(shares.targets, idle, stall_timeout, CONNECTION_REST);
+        actix_rt::spawn(connections.clone().close_expired());
+        let clients = http::ConnectionTable::new(shares.clients, shares.idle_clients);
+        let budget = DescriptorBudget::new(config.limits, parts, clients, connections.clone());
         let connect_timeout = settings.connect_timeout();
-        TargetConnections { pool: http::Pool { connect_timeout, stall, hold, links }, budget }
+        let transport = http::TargetTransport { connect_timeout, stall_timeout, hold_time, connections };
+        TargetConnections { transport, budget }
     }
 }
 
 /// Connects each target over its own protocol. Without `figures` all are reached over HTTP.
-pub fn connect(pool: http::Pool, figures: Option<iscsi::Figures>, core: CoreHandle) -> Connect {
+pub fn connect(
+    transport: http::TargetTransport,
+    figures: Option<iscsi::Figures>,
+    core: CoreHandle,
+) -> Connect {
     Box::new(move |endpoint| match (endpoint.protocol, &figures) {
         (Protocol::Iscsi, Some(figures)) => iscsi::connect(endpoint, figures.clone(), core.clone()),
-        _ => http::connect(endpoint, pool.clone()),
+        _ => http::connect(endpoint, transport.clone()),
     })
 }
 
--- a/src/net/http/mod.rs
+++ b/src/net/http/mod.rs
@@ -3,12 +3,16 @@
 pub mod clients;
 mod dial;
 mod discovery;
+mod handler;
 mod message;
+mod request_body;
+mod response_body;
+mod response_stream;
 mod server;
 mod target;
 
-pub use clients::Clients;
-pub use discovery::{Address, Directory, Page, remember};
-pub use rowanglade_http_exchange::Links;
+pub use clients::ConnectionTable;
+pub use discovery::{DiscoveryAddress, DiscoveryPoller, EndpointPage, send_cached_list};
+pub use rowanglade_http_exchange::ConnectionPool;
 pub use server::{Front, serve};
-pub use target::{Pool, connect};
+pub use target::{TargetTransport, connect};
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,12 +1,14 @@
-//! The fronts, the targets and the list on their wires.
+//! The fronts, the targets and discovery on their wires.
 
 pub mod accept;
 pub mod admin;
 pub mod budget;
 pub mod close;
+pub mod drain_gossip;
 pub mod fleet;
 pub mod http;
 pub mod iscsi;
-pub mod peers;
+mod phase;
 
-pub use budget::{Budget, Parts, Phase, Reservations};
+pub use budget::{DescriptorBudget, OptionalParts, Reservations};
+pub use phase::Phase;
