--- a/src/core/replacing.rs
+++ b/src/core/replacing.rs
@@ -63,6 +63,6 @@
     /// What is owned is another process's from now on, or this one's again.
     fn hand(&mut self, handed: bool) {
         self.handed = handed;
-        self.feed(Event::OwnershipTransferred(handed));
+        self.feed(Event::OwnershipChanged { owned_here: !handed });
     }
 }
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -16,7 +16,7 @@
     pub plan: Option<PlanId>,
     /// Its volume.
     pub volume: VolumeId,
-    /// The key that orders it among others, if it has one.
+    /// The piece of data that it is for, by which classes may order it, if it has one.
     pub key: Option<KeyId>,
     /// Its size. What is not a positive finite number counts as the mean size.
     pub units: f64,
@@ -116,9 +116,12 @@
         /// The target's report of its load.
         load: LoadReport,
     },
-    /// True: another process has what is owned here, which is units of limits and the budgets of warming
-    /// targets. False: it is owned here again.
-    OwnershipTransferred(bool),
+    /// Who may spend what only one process may, which is units of limits and the budgets of warming targets,
+    /// has changed in a handover.
+    OwnershipChanged {
+        /// This process may. Otherwise another one does, and nothing is sent that would spend it.
+        owned_here: bool,
+    },
     /// A timer of [`Action::SetTimer`](super::Action::SetTimer) is due.
     TimerFired {
         /// The timer's token. One that was replaced by an earlier timer is ignored.
--- a/src/interface/ids.rs
+++ b/src/interface/ids.rs
@@ -18,7 +18,7 @@
     VolumeId(u32);
     /// A client's request. An id is never used twice.
     RequestId(u64);
-    /// The key of an object or of a group of requests.
+    /// A piece of data.
     KeyId(u64);
     /// A request class: its place in [`Settings::classes`](super::Settings::classes).
     ClassId(u32);
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -148,7 +148,7 @@
             Event::OfferQuota { volume, max_units } => self.offer_quota(now, volume, max_units, actions),
             Event::QuotaReceived { volume, units } => self.quota.receive(now, volume, units),
             Event::ProbeEnded { .. } => {}
-            Event::OwnershipTransferred(is_transferred) => self.ownership.is_transferred = is_transferred,
+            Event::OwnershipChanged { owned_here } => self.ownership.is_transferred = !owned_here,
             Event::TimerFired { token } => {
                 if self.timers.take_if_current(token) {
                     self.tick(now, actions);
--- a/src/scheduler/concurrency_limit.rs
+++ b/src/scheduler/concurrency_limit.rs
@@ -1,5 +1,6 @@
 //! How many units may be in flight at a target, and which part of that requests may use that can wait.
 
+use super::target::Target;
 use super::{MICROS_PER_SECOND, Scheduler};
 use crate::interface::{Micros, TargetId};
 
@@ -33,7 +34,7 @@
 impl Scheduler {
     /// The most units that may be in flight at the target: what it serves within a fraction of the tightest
     /// objective, by its learned speed.
-    pub(super) fn concurrency_limit(&self, now: Micros, target: TargetId) -> f64 {
+    fn concurrency_limit(&self, now: Micros, target: &Target) -> f64 {
         let speed = self.estimate(now, target).units_per_second;
         let tightest = self.objectives.tightest as f64;
         let units = speed * SERVICE_TIME_OBJECTIVE_FRACTION * tightest / MICROS_PER_SECOND;
@@ -60,7 +61,7 @@
             DispatchPriority::Low => LOW_PRIORITY_LIMIT_FRACTION,
         };
         let is_idle = state.in_flight.is_empty();
-        if !is_idle && units_in_flight > limit_fraction * self.concurrency_limit(now, target) {
+        if !is_idle && units_in_flight > limit_fraction * self.concurrency_limit(now, state) {
             return true;
         }
         if !is_idle && state.consecutive_failures > 0 {
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -52,10 +52,11 @@
         let mut position = 0;
         while let Some(&id) = self.queues.requests(shard).get(position) {
             position += 1;
-            let set = self.requests[&id].target_set;
+            let request = &self.requests[&id];
+            let set = request.target_set;
             let target = if set.is_none() { Some(shard_target) } else { self.serving_target(shard, set) };
             let Some(target) = target else { continue };
-            match self.readiness(now, &self.requests[&id], target, pass) {
+            match self.readiness(now, request, target, pass) {
                 Readiness::TargetBlocked if set.is_none() => return true,
                 Readiness::TargetBlocked | Readiness::NotNow => {}
                 Readiness::Ready => {
@@ -71,15 +72,21 @@
 
     /// Whether a request may be dispatched to its target in a pass.
     fn readiness(&self, now: Micros, request: &RequestState, target: TargetId, pass: QueuePass) -> Readiness {
-        let is_low = pass == QueuePass::Late || self.objectives.is_background(request.class);
-        let priority = if is_low { DispatchPriority::Low } else { DispatchPriority::Normal };
-        let is_full = self.is_full(now, target, request.units, priority);
-        if self.targets[&target].backoff_until > now || (is_full && priority == DispatchPriority::Normal) {
+        if self.targets[&target].backoff_until > now {
             return Readiness::TargetBlocked;
         }
+        let is_low = pass == QueuePass::Late || self.objectives.is_background(request.class);
+        let priority = if is_low { DispatchPriority::Low } else { DispatchPriority::Normal };
         let is_late = request.objective_at < now;
         let is_in_pass = is_late == (pass == QueuePass::Late);
-        if is_in_pass && !is_full { Readiness::Ready } else { Readiness::NotNow }
+        if is_low && !is_in_pass {
+            return Readiness::NotNow;
+        }
+        match (self.is_full(now, target, request.units, priority), priority) {
+            (true, DispatchPriority::Normal) => Readiness::TargetBlocked,
+            (false, _) if is_in_pass => Readiness::Ready,
+            _ => Readiness::NotNow,
+        }
     }
 
     /// Sends a request to a target if all rules on sends allow it now, and returns whether it was sent. What
--- a/src/scheduler/estimates.rs
+++ b/src/scheduler/estimates.rs
@@ -1,5 +1,6 @@
 //! What is learned of latency and speed, and the predictions made from it.
 
+use super::target::Target;
 use super::{MICROS_PER_SECOND, Scheduler};
 use crate::interface::{Micros, TargetId};
 
@@ -45,8 +46,8 @@
 impl Scheduler {
     /// The latency and speed of a target: its own as far as there is confidence in it, for the rest the mean
     /// of all targets. So a target that was never heard counts as average.
-    pub(super) fn estimate(&self, now: Micros, target: TargetId) -> Estimate {
-        self.targets[&target].estimate.blended_with(&self.estimates.overall, now)
+    pub(super) fn estimate(&self, now: Micros, target: &Target) -> Estimate {
+        target.estimate.blended_with(&self.estimates.overall, now)
     }
 
     /// How long these units in flight take at the target, with the margin of the class.
@@ -60,8 +61,8 @@
     /// the target brings no responses to learn from, and would admit into a backlog. One attempt alone may
     /// have a silent connection; counted, it would close a target that could answer others.
     pub(super) fn predicted_micros(&self, now: Micros, target: TargetId, units: f64) -> f64 {
-        let estimate = self.estimate(now, target);
         let state = &self.targets[&target];
+        let estimate = self.estimate(now, state);
         let oldest = state.in_flight.first().filter(|_| state.in_flight.len() > 1);
         let silent_since = oldest.map(|attempt| state.responded_at.max(attempt.sent_at));
         let silence = silent_since.map_or(0, |since| now.saturating_sub(since)) as f64;
--- a/src/scheduler/learning.rs
+++ b/src/scheduler/learning.rs
@@ -65,7 +65,7 @@
     /// Learns from the end of an attempt at a known target.
     pub(super) fn learn(&mut self, now: Micros, target: TargetId, outcome: Outcome, sample: ResponseSample) {
         self.learn_margin(outcome, &sample);
-        let learned = self.estimate(now, target);
+        let learned = self.estimate(now, &self.targets[&target]);
         let Some(latency) = sample.latency_micros(outcome, learned.latency_micros) else { return };
         let speed = sample.units / latency * MICROS_PER_SECOND;
         let is_first = self.estimates.overall.last_response_at.is_none();
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -2,6 +2,7 @@
 
 use super::Scheduler;
 use super::request::RequestState;
+use super::target::Target;
 use crate::interface::{Micros, RequestId, ShardId, TargetId, TargetSetId};
 
 /// Targets that are compared for one new object at most. Where there are more, those that this initiator
@@ -79,17 +80,23 @@
         let units = state.units_in_flight + queued_units + request.units;
         // Before the first response all times are zero: every initiator would begin with the same target.
         let cost = factor * self.predicted_time(now, target, request.class, units).max(1) as f64;
-        Some(Choice { rank: self.placement_rank(request, target, cost), cost, shard: state.shard })
+        Some(Choice { rank: self.placement_rank(request, target, state, cost), cost, shard: state.shard })
     }
 
     /// Guards against initiators that each hold a connection to almost every target: a target that was never
     /// heard costs a new connection, which buys nothing where another is early enough.
-    fn placement_rank(&self, request: &RequestState, target: TargetId, cost: f64) -> PlacementRank {
+    fn placement_rank(
+        &self,
+        request: &RequestState,
+        target: TargetId,
+        state: &Target,
+        cost: f64,
+    ) -> PlacementRank {
         let objective = self.settings.classes[request.class].latency_objective as f64;
         let is_early_enough = cost <= EARLY_ENOUGH_OBJECTIVE_FRACTION * objective;
         if is_early_enough && self.target_sets.preferred.contains(&target) {
             PlacementRank::Preferred
-        } else if is_early_enough && self.targets[&target].estimate.last_response_at.is_some() {
+        } else if is_early_enough && state.estimate.last_response_at.is_some() {
             PlacementRank::Known
         } else {
             PlacementRank::Other
--- a/src/scheduler/stalled_attempts.rs
+++ b/src/scheduler/stalled_attempts.rs
@@ -4,7 +4,7 @@
 use super::estimates::confidence;
 use super::request::{AttemptState, InFlightKey};
 use super::target::Target;
-use crate::interface::{Action, Micros, TargetId};
+use crate::interface::{Action, Micros};
 
 /// An attempt has been overtaken once this many attempts that were sent later have responses: one or two may
 /// just have been smaller. How the figures here were found is only partly recorded
@@ -33,8 +33,7 @@
             return;
         }
         let busy = self.targets.busy();
-        let stalled: Vec<InFlightKey> =
-            busy.flat_map(|(target, state)| self.stalled_at(now, target, state)).collect();
+        let stalled: Vec<InFlightKey> = busy.flat_map(|(_, target)| self.stalled_at(now, target)).collect();
         for InFlightKey { request: id, attempt, .. } in stalled {
             self.requests.entry(id).and_modify(|request| request.attempts[attempt.0 as usize].stalled = true);
             actions.push(Action::CancelAttempt { id, attempt });
@@ -42,21 +41,16 @@
     }
 
     /// The stalled attempts at a target, without those that were cancelled before.
-    fn stalled_at<'a>(
-        &'a self,
-        now: Micros,
-        target: TargetId,
-        state: &'a Target,
-    ) -> impl Iterator<Item = InFlightKey> + 'a {
+    fn stalled_at<'a>(&'a self, now: Micros, target: &'a Target) -> impl Iterator<Item = InFlightKey> + 'a {
         let latency = self.estimate(now, target).latency_micros;
-        let confidence = confidence(now, state.estimate.last_response_at);
+        let confidence = confidence(now, target.estimate.last_response_at);
         let lone_wait = LONE_ATTEMPT_OBJECTIVE_FRACTION * self.objectives.tightest as f64 / confidence;
-        state.in_flight.iter().copied().filter(move |key| {
+        target.in_flight.iter().copied().filter(move |key| {
             let request = self.requests.get(&key.request);
             let Some(attempt) = request.and_then(|request| request.attempt(key.attempt)) else {
                 return false;
             };
-            !attempt.stalled && is_stalled(now, state, attempt, latency, lone_wait)
+            !attempt.stalled && is_stalled(now, target, attempt, latency, lone_wait)
         })
     }
 }
