--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -17,11 +17,11 @@
 mod subset;
 mod summary;
 
-use crate::core::Watch;
+use crate::core::SiteSettings;
 use crate::names::Names;
+use crate::net::drain_gossip::PeerAddresses;
 use crate::net::fleet::Peers;
-use crate::net::http::Page;
-use crate::net::peers::PeerAddresses;
+use crate::net::http::EndpointPage;
 use crate::scheduler::Scheduler;
 use crate::settings::Settings;
 use operator::OperatorFiles;
@@ -56,7 +56,7 @@
     /// The seed of the instance's random numbers.
     pub seed: u64,
     /// The targets that were known before, for the time until discovery answers.
-    pub known: Option<Page>,
+    pub known: Option<EndpointPage>,
     /// The other instances as the platform gives them; none where this one tells them nothing.
     pub peers: Option<PeerAddresses>,
     /// Classes, plans and rules.
@@ -72,7 +72,7 @@
     /// The other instances; none turns the exchange with them off.
     pub fleet: Option<Peers>,
     /// When a site counts as lost; none turns the watch of sites off.
-    pub sites: Option<Watch>,
+    pub sites: Option<SiteSettings>,
     /// The targets that this instance prefers; none prefers none.
     pub subset: Option<Subset>,
 }
--- a/tests/compatibility/handover.rs
+++ b/tests/compatibility/handover.rs
@@ -67,7 +67,7 @@
     let welcome = read.welcome.as_ref().expect("a welcome");
     assert_eq!((welcome.now, welcome.share.descriptors, welcome.list.version()), (1_234_567, 6, 17));
     assert_eq!(welcome.listeners, ["http", "iscsi", "admin"]);
-    assert_eq!(welcome.list.boxes().len(), 2, "one of three has left");
+    assert_eq!(welcome.list.routable_targets().len(), 2, "one of three has left");
     assert_eq!(encoded(&read), WELCOME.trim_end());
 }
 
@@ -77,7 +77,7 @@
     let read = decoded(GIVEN.trim_end());
     let given = read.given.as_ref().expect("what is given");
     assert!(given.maintenance.is_out("box-1"));
-    assert_eq!(given.places, [((21, 22), Seen::At(1)), ((23, 24), Seen::NotAt(2))]);
+    assert_eq!(given.object_locations, [((21, 22), Seen::At(1)), ((23, 24), Seen::NotAt(2))]);
     assert_eq!(encoded(&read), GIVEN.trim_end());
 }
 
