--- a/crates/slow-start/tests/fleet.rs
+++ b/crates/slow-start/tests/fleet.rs
@@ -106,7 +106,7 @@
 fn initiators_that_act_alone_keep_the_slow_start_rule_and_the_target_busy() {
     for seed in 1..30 {
         for lag in [0, 2 * SECOND, 5 * SECOND] {
-            // The list tells some at once and others late.
+            // Some are notified at once and others late.
             let all = arrivals(seed, |s| lag * (s as u64 % 10) / 10, None);
             let fullest = fullest(&all);
             assert!(fullest <= 1.0, "seed {seed}, lag {lag}: {fullest} of what the target bears");
--- a/crates/slow-start/tests/ramp.rs
+++ b/crates/slow-start/tests/ramp.rs
@@ -1,8 +1,8 @@
 //! The sum of what 20, 30 and 350 processes send to one target that has just started, counted where it
 //! arrives.
 //!
-//! A target that has just started falls when, within the rule's window, it gets more than N + 2 x root of N +
-//! 2 requests of mean size, N being what the rule allows: multiple x present capacity x window.
+//! A target that has just started is overloaded when, within the rule's window, it gets more than N + 2 x
+//! root of N + 2 requests of mean size, N being what the rule allows: multiple x present capacity x window.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -24,11 +24,11 @@
 /// What happens to a fleet besides the start of the target.
 #[derive(Clone, Copy, Debug, Default)]
 struct Troubles {
-    /// Of the capacity, what a warming target always bears: the figure that the settings tell.
+    /// Of the capacity, what a warming target always bears: the figure of the settings.
     told_units: f64,
     /// The part of the processes that are killed and started again within the first 8 s.
     restarted: f64,
-    /// Processes hear of the start up to so long after it.
+    /// Processes are notified of the start up to so long after it.
     notified_within: Micros,
     /// The part of connections that come up late, and by how much at most.
     late: f64,
@@ -153,7 +153,7 @@
             } else {
                 continue;
             }
-            // One that is turned away is asked for again, and is as large as it was.
+            // One that is rejected is asked for again, and is as large as it was.
             if !random.random_bool(troubles.again) {
                 sender.units = size(&mut random);
             }
@@ -187,7 +187,7 @@
     senders
 }
 
-/// The most that any window held, as a part of what makes the target fall, and when that window began.
+/// The most that any window held, as a part of what overloads the target, and when that window began.
 fn worst(rule: &SlowStartRule, reached: &[(Micros, f64)]) -> (f64, f64) {
     let mut worst = (0.0, 0.0);
     for (begin, _) in reached {
@@ -214,13 +214,13 @@
     }
     let (part, at, seed) = most;
     println!(
-        "{processes} processes, {troubles:?}: {part:.3} of the fall, at {at:.2} s, seed {seed}; {sum:.0} requests"
+        "{processes} processes, {troubles:?}: {part:.3} of an overload, at {at:.2} s, seed {seed}; {sum:.0} requests"
     );
     part
 }
 
 const FLEETS: [u32; 3] = [20, 30, 350];
-/// What the settings tell that a warming target always bears, as a part of what it does bear: the reserves leave
+/// What a warming target always bears by the settings, as a part of what it does bear: the reserves leave
 /// a fifth.
 const TOLD: [f64; 2] = [0.1, 0.2];
 
@@ -230,11 +230,11 @@
         for told_units in TOLD {
             let calm = Troubles { told_units, ..Troubles::default() };
             let restarts = Troubles { restarted: 0.4, ..calm };
-            let heard = Troubles { notified_within: 6 * SECOND, ..calm };
+            let notified = Troubles { notified_within: 6 * SECOND, ..calm };
             let late = Troubles { late: 0.33, late_by: 1_500 * MS, ..calm };
             let retries = Troubles { again: 0.3, ..calm };
             let mixed = Troubles { notified_within: 6 * SECOND, late: 0.33, late_by: 1_500 * MS, ..restarts };
-            for troubles in [calm, restarts, heard, late, retries, Troubles { again: 0.3, ..mixed }] {
+            for troubles in [calm, restarts, notified, late, retries, Troubles { again: 0.3, ..mixed }] {
                 let part = most(processes, troubles);
                 assert!(part <= 1.0, "{processes} processes, {troubles:?}: {part}");
             }
@@ -242,7 +242,7 @@
     }
 }
 
-// Clients that all fall silent and all come back in one moment find every pace with one request to its
+// Clients that all fall silent and all come back in one moment find every pacer with one request to its
 // credit.
 #[test]
 fn a_fleet_whose_clients_all_come_at_once_does_not_overload_a_warming_target() {
--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -18,7 +18,7 @@
     Reject {
         /// The request.
         id: RequestId,
-        /// How long the client should stay away, in microseconds. 0: it is told none.
+        /// How long the client should stay away, in microseconds. 0: it is given no time.
         retry_after: Micros,
     },
     /// Final response: failed, and nothing is promised.
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -1,4 +1,4 @@
-//! What an initiator is told at its start: its classes, its plans and the bounds of the rules.
+//! The settings of an initiator: its classes, its plans and the bounds of the rules.
 
 use super::{Micros, SettingsError, SettingsProblem};
 use rowanglade_slow_start::SlowStartRule;
@@ -112,7 +112,7 @@
     pub max_attempts: u32,
 }
 
-/// All that an initiator is told at its start.
+/// The settings that an initiator is started with.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     /// How many initiators share the targets.
@@ -140,8 +140,8 @@
     pub may_cancel: bool,
     /// Targets accept hedged requests. The scheduler sends none.
     pub may_hedge: bool,
-    /// The longest time to stay away that a rejected client follows, in microseconds. 0: clients are told
-    /// none.
+    /// The longest time to stay away that a rejected client follows, in microseconds. 0: clients are
+    /// given no time.
     pub max_retry_after: Micros,
 }
 
--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -126,8 +126,8 @@
     ///
     /// Background requests are always admitted, and deferred where they are predicted late.
     ///
-    /// Guards against queues in which every request waits until it is late: clients hear at once, and may try
-    /// elsewhere.
+    /// Guards against queues in which every request waits until it is late: clients are answered at once, and
+    /// may try elsewhere.
     fn admit(&mut self, now: Micros, id: RequestId) -> Admission {
         self.choose_shard(now, id);
         let request = &self.requests[&id];
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -89,13 +89,20 @@
         }
     }
 
-    /// Sends a request to a target if all rules on sends allow it now, and returns whether it was sent. What
-    /// one rule takes is kept for this attempt, so the order of the rules is fixed: the retry budget is spent
-    /// last of those that can refuse a retry.
+    /// Sends a request to a target if all rules on sends allow it now, and returns whether it was sent:
+    ///
+    /// 1. one attempt of a request at a time, and no more than the settings allow (retry.rs),
+    /// 2. what must still hold when the connection is up ([`Scheduler::may_send`]),
+    /// 3. slow start (slow_start.rs),
+    /// 4. the order of requests of one key (key_order.rs),
+    /// 5. for a retry, the budget of all retries (retry.rs),
+    /// 6. for a first attempt, the volume's limit (quota.rs), which counts each request once.
+    ///
+    /// The order is fixed: the retry budget is spent by asking for it, so it comes after all rules that could
+    /// still refuse a retry.
     fn dispatch(&mut self, now: Micros, id: RequestId, target: TargetId, actions: &mut Vec<Action>) -> bool {
         let request = &self.requests[&id];
         let is_retry = !request.attempts.is_empty();
-        // There are never two attempts of one request at once.
         if request.has_attempt_in_flight()
             || !self.has_attempts_left(request)
             || !self.may_send(now, request, target)
@@ -107,7 +114,6 @@
         if is_retry && !self.spend_retry_budget(now) {
             return false;
         }
-        // A volume's limit counts each request once, at its first attempt.
         let request = &self.requests[&id];
         let shortfall = if is_retry { None } else { self.quota_shortfall(now, request) };
         if shortfall.as_ref().is_some_and(|shortfall| shortfall.units > 0.0) {
--- a/src/scheduler/estimates.rs
+++ b/src/scheduler/estimates.rs
@@ -45,7 +45,7 @@
 
 impl Scheduler {
     /// The latency and speed of a target: its own as far as there is confidence in it, for the rest the mean
-    /// of all targets. So a target that was never heard counts as average.
+    /// of all targets. So a target that has never responded counts as average.
     pub(super) fn estimate(&self, now: Micros, target: &Target) -> Estimate {
         target.estimate.blended_with(&self.estimates.overall, now)
     }
--- a/src/scheduler/giving_up.rs
+++ b/src/scheduler/giving_up.rs
@@ -6,7 +6,7 @@
 
 impl Scheduler {
     /// Answers all requests whose deadline comes, whatever is in flight for them: a client that has given up
-    /// hears nothing.
+    /// reads no response.
     pub(super) fn answer_at_deadline(&mut self, now: Micros, actions: &mut Vec<Action>) {
         while let Some(&(deadline, id)) = self.deadlines.first()
             && deadline <= now + RESPONSE_MARGIN_MICROS
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -83,8 +83,8 @@
         Some(Choice { rank: self.placement_rank(request, target, state, cost), cost, shard: state.shard })
     }
 
-    /// Guards against initiators that each hold a connection to almost every target: a target that was never
-    /// heard costs a new connection, which buys nothing where another is early enough.
+    /// Guards against initiators that each hold a connection to almost every target: one to a target that has
+    /// never responded is a new one, which buys nothing where another is early enough.
     fn placement_rank(
         &self,
         request: &RequestState,
--- a/src/scheduler/stalled_attempts.rs
+++ b/src/scheduler/stalled_attempts.rs
@@ -16,8 +16,8 @@
 /// One that is alone at its target waits for this many times as long: no other response shows that the target
 /// is well.
 const LONE_ATTEMPT_PATIENCE: f64 = 2.0;
-/// It also waits for this fraction of the tightest objective, longer where its target was not heard lately:
-/// what other targets' latencies predict says little of one that may just be slow. Such attempts were
+/// It also waits for this fraction of the tightest objective, longer where its target has not responded
+/// lately: what other targets' latencies predict says little of one that may just be slow. Such attempts were
 /// cancelled, ran all the same, and were sent once more (1ba956f).
 const LONE_ATTEMPT_OBJECTIVE_FRACTION: f64 = 0.5;
 
--- a/src/scheduler/volume_usage.rs
+++ b/src/scheduler/volume_usage.rs
@@ -12,7 +12,7 @@
 /// The smallest rate, in units a second, that is divided by.
 const SMALLEST_RATE: f64 = 1e-9;
 
-/// What the usage meter told last.
+/// The last figure of the usage meter.
 #[derive(Clone, Copy)]
 struct MeterReading {
     at: Micros,
@@ -58,7 +58,7 @@
     pub reserve: f64,
 }
 
-/// What the end of an attempt tells of its volume's use.
+/// What the end of an attempt reports of its volume's use.
 pub(super) struct UsageReport {
     pub outcome: Outcome,
     /// Units served for the volume everywhere in the meter's last period, as a fraction of its nominal rate.
@@ -122,7 +122,7 @@
 }
 
 impl Scheduler {
-    /// Takes over what the end of an attempt tells of its volume's use.
+    /// Takes over what the end of an attempt reports of its volume's use.
     pub(super) fn record_usage(&mut self, now: Micros, id: RequestId, report: UsageReport) {
         let Some(request) = self.requests.get(&id) else { return };
         let Some(volume) = self.volumes.get_mut(&request.volume) else { return };
--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -311,7 +311,7 @@
     fleet.reached.iter().map(part).fold(0.0, f64::max)
 }
 
-// Each volume's whole reserve could go to one of its targets: where that was the cold one, it got more than it
+// Each volume's whole reserve could go to one of its targets: where that was the warming one, it got more than it
 // bears.
 #[test]
 fn a_fleet_with_restarts_late_updates_and_late_connections_does_not_overload_a_warming_target() {
@@ -331,8 +331,8 @@
             }
             let part = worst(&fleet, capacity);
             let requests = fleet.reached.len();
-            println!("{count} initiators, seed {seed}: {part:.3} of the fall, {requests} requests");
-            assert!(part <= 1.0, "{count} initiators, seed {seed}: {part} of the fall");
+            println!("{count} initiators, seed {seed}: {part:.3} of an overload, {requests} requests");
+            assert!(part <= 1.0, "{count} initiators, seed {seed}: {part} of an overload");
             assert!(
                 requests >= 100,
                 "{count} initiators, seed {seed}: {requests} requests, the target is starved"
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -98,7 +98,7 @@
     assert!(again.len() >= 9, "{again:?}");
 }
 
-/// Requests whose connections come up any time later, are cancelled, or are never up: the true bucket holds.
+/// Requests whose connections come up any time later, are cancelled, or are never up: the platform's count stays within the limit.
 #[test]
 fn the_limit_holds_whenever_requests_arrive() {
     for seed in 0..20 {
--- a/tests/many_initiators.rs
+++ b/tests/many_initiators.rs
@@ -185,7 +185,7 @@
     for outcome in [Outcome::QueueFull, Outcome::TimedOut] {
         assert!(rejected_on_arrival(outcome) > 8, "{outcome:?}: {}", rejected_on_arrival(outcome));
     }
-    assert_eq!(rejected_on_arrival(Outcome::Error), 0, "an error tells nothing of the queue");
+    assert_eq!(rejected_on_arrival(Outcome::Error), 0, "an error shows nothing of the queue");
 }
 
 #[test]
@@ -203,7 +203,7 @@
 #[test]
 fn the_mean_of_all_targets_follows_few_responses_after_a_surge() {
     let mut s = settings();
-    s.classes[KEYED as usize].latency_objective = SECOND; // so that it is let in while the target is late for reads
+    s.classes[KEYED as usize].latency_objective = SECOND; // so that it is admitted while the target is late for reads
     let mut b = Harness::new(s, &[entry(0, 0), entry(1, 1)]);
     let mut id = 0;
     let mut answer = |b: &mut Harness, took: Micros, pause: Micros| {
@@ -222,6 +222,6 @@
         answer(&mut b, 10 * MS, 1_500 * MS);
     }
     answer(&mut b, 10 * MS, 0);
-    // Target 0 was never heard: it counts as the mean.
+    // Target 0 has never responded: it counts as the mean.
     assert_eq!(started_requests(&b.arrive(request(900, READ))), [900]);
 }
--- a/tests/many_targets.rs
+++ b/tests/many_targets.rs
@@ -12,7 +12,7 @@
     (0..count).map(|i| entry(i, i)).collect()
 }
 
-/// The shortest of some times that it takes to hear a snapshot again.
+/// The shortest of some times that it takes to apply a snapshot again.
 fn snapshot_time(count: u32) -> Duration {
     let entries = targets(count);
     let mut harness = Harness::new(settings(), &entries);
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -69,7 +69,7 @@
 #[test]
 fn background_work_without_capacity_is_given_up_well_before_half_of_its_time() {
     let mut b = target_with_latency(40 * MS);
-    assert!(b.arrive(request(1, BACKGROUND)).is_empty(), "held: the target is predicted busy");
+    assert!(b.arrive(request(1, BACKGROUND)).is_empty(), "queued: the target is predicted busy");
     assert!(final_responses(&b.advance(150 * MS)).is_empty());
     assert_eq!(final_responses(&b.advance(30 * MS)), [(1, true)], "rejected: a new try does no harm");
 }
@@ -79,8 +79,8 @@
     let mut b = target_with_latency(25 * MS); // 80 units a second, 25 ms latency
     let large = |id, class| RequestProfile { units: 4.0, ..request(id, class) };
     assert_eq!(started_requests(&b.arrive(large(1, KEYED))), [1]);
-    let held = b.arrive(RequestProfile { units: 9.0, ..request(2, KEYED) });
-    assert!(held.is_empty(), "(4 + 9) / 80 s + 25 ms: just in time, and held at the bound");
+    let queued = b.arrive(RequestProfile { units: 9.0, ..request(2, KEYED) });
+    assert!(queued.is_empty(), "(4 + 9) / 80 s + 25 ms: just in time, and queued at the limit");
     let pushed = b.arrive(request(3, READ));
     assert_eq!(final_responses(&pushed), [(3, true)], "in time itself, but 2 would be late");
 }
@@ -117,9 +117,9 @@
     b.arrive(request(1_000, READ));
     b.served(1_000, 20 * MS); // 100 units a second: two requests may be out
     let out: Vec<u64> = (1..4).flat_map(|id| started_requests(&b.arrive(request(id, KEYED)))).collect();
-    assert_eq!(out, [1, 2], "3 is held");
+    assert_eq!(out, [1, 2], "3 is queued");
     b.advance(300 * MS); // the objective of all three has passed
-    assert!(b.arrive(request(20, NON_IDEMPOTENT)).is_empty(), "held too");
+    assert!(b.arrive(request(20, NON_IDEMPOTENT)).is_empty(), "queued too");
     assert_eq!(started_requests(&b.served(1, 300 * MS)), [20], "3 has the earlier deadline but lapsed");
 }
 
@@ -226,7 +226,7 @@
     assert_eq!(
         final_responses(&b.arrive(request(1, READ))),
         [(1, true)],
-        "nothing of ours is out, yet others' work is"
+        "nothing of this initiator is in flight, yet others' work is"
     );
     b.advance(300 * MS);
     assert_eq!(final_responses(&b.arrive(request(2, READ))), [(2, true)]);
@@ -255,7 +255,7 @@
     actions.iter().filter_map(cancelled).collect()
 }
 
-// An answer that never comes held its units and its client until the deadline, and kept its target closed.
+// A response that never comes held its units and its client until the deadline, and kept its target closed.
 #[test]
 fn an_attempt_overtaken_by_later_responses_is_cancelled_and_retried() {
     let mut b = target_with_latency(2 * MS);
@@ -290,7 +290,7 @@
 
 #[test]
 fn background_work_waits_while_the_target_is_busy_with_others_work() {
-    // Nothing of ours is out in either case; a read's objective is 100 ms.
+    // Nothing of this initiator is in flight in either case; a read's objective is 100 ms.
     let at_once =
         |took: Micros| started_requests(&target_with_latency(took).arrive(request(2, BACKGROUND))).len();
     assert_eq!(at_once(10 * MS), 1);
@@ -301,7 +301,7 @@
     assert_eq!(
         started_requests(&b.arrive(request(3, BACKGROUND))),
         [3],
-        "what was told long ago counts less and less"
+        "what was learned long ago counts less and less"
     );
 }
 
@@ -381,7 +381,7 @@
     assert_eq!(
         final_responses(&harness.arrive(kept(5, 9))),
         [(5, true)],
-        "a target set that was never told has no targets"
+        "a target set that was never set has no targets"
     );
     // What waits follows its target set: a target taken out of it gets nothing more of it.
     harness.event(target_set(7, &[]));
@@ -421,9 +421,9 @@
     assert!((back - 7.5).abs() < 0.1, "no more than the bucket holds: {back}");
 }
 
-// Where a fleet spreads its traffic thin, most attempts meet a target that was not heard for seconds. Judged by
-// what others' latencies predict, those at slow targets were cancelled, ran on all the same, and were sent
-// once more.
+// Where a fleet spreads its traffic thin, most attempts meet a target that has not responded for seconds.
+// Judged by what others' latencies predict, those at slow targets were cancelled, ran on all the same, and
+// were sent once more.
 #[test]
 fn a_lone_attempt_is_cancelled_soon_only_where_its_target_responded_lately() {
     let cancelled = |unheard: Micros| {
@@ -453,8 +453,8 @@
 }
 
 // Before the first answer all targets cost nothing, and the first in the list's order was taken. So 48
-// initiators that started together all began with one target, and stayed there: what was heard before is
-// preferred.
+// initiators that started together all began with one target, and stayed there: a target that has responded
+// is preferred.
 #[test]
 fn the_first_new_objects_of_many_initiators_go_to_all_targets() {
     let targets: Vec<EndpointEntry> = (0..6).map(|i| entry(i, i)).collect();
@@ -470,7 +470,7 @@
     assert!(counts.iter().all(|c| (8..=35).contains(c)), "{counts:?}");
 }
 
-// What all initiators hear of first was where all of them placed new objects.
+// All initiators placed new objects at the targets that responded to all of them first.
 #[test]
 fn a_new_object_goes_to_a_preferred_target_unless_that_is_late_or_in_backoff() {
     let placed = |took: Micros, outcome: Outcome| {
@@ -495,10 +495,10 @@
 // silent.
 #[test]
 fn an_attempt_whose_response_has_begun_takes_no_capacity_and_is_not_cancelled_but_keeps_its_deadline() {
-    let begun = |told: bool| {
+    let begun = |transfer_started: bool| {
         let mut b = target_with_latency(2 * MS);
         assert_eq!(started_requests(&b.arrive(request(1, READ))), [1]);
-        if told {
+        if transfer_started {
             b.event(Event::TransferStarted {
                 id: RequestId(1),
                 attempt: AttemptNumber(0),
@@ -519,8 +519,8 @@
     assert_eq!(ends(begun(true)), (vec![], vec![(1, true)]), "its client still gets an answer in time");
 }
 
-// What filled the token bucket of a limited volume always went to the lowest shard that had a request waiting: asked
-// beyond its limit, a volume got nothing at its other shards.
+// What filled the token bucket of a limited volume always went to the lowest shard that had a request
+// waiting: asked beyond its limit, a volume got nothing at its other shards.
 #[test]
 fn units_of_a_limited_volume_go_to_the_earliest_deadline_whatever_its_shard() {
     let mut s = settings();
--- a/tests/safety_rules.rs
+++ b/tests/safety_rules.rs
@@ -8,7 +8,7 @@
 #[test]
 fn a_queued_request_is_rejected_once_when_its_objective_has_passed() {
     let mut b = Harness::new(settings(), &[]);
-    assert!(b.arrive(request(1, READ)).is_empty(), "no target: it is held");
+    assert!(b.arrive(request(1, READ)).is_empty(), "no target: it is queued");
     assert!(final_responses(&b.advance(100 * MS)).is_empty());
     assert_eq!(
         final_responses(&b.advance(20 * MS)),
@@ -58,7 +58,7 @@
         if again {
             actions.extend(b.advance(900 * MS));
             if class == NON_IDEMPOTENT {
-                continue; // its second attempt is out and may run: covered above
+                continue; // its second attempt is in flight and may run: covered above
             }
         }
         assert_eq!(final_responses(&actions), [(1, rejected)], "class {class}, {outcome:?}");
@@ -234,7 +234,7 @@
             sent += started_requests(&b.served(done, MS)).len();
         }
     }
-    assert_eq!(sent, 0, "an unknown past may have drawn the store empty, and the debt limit");
+    assert_eq!(sent, 0, "an unknown past may have used up the bucket, and the debt limit");
     let mut later = 0;
     for _ in 0..10 {
         later += started_requests(&b.advance(100 * MS)).len();
--- a/tests/starts.rs
+++ b/tests/starts.rs
@@ -12,7 +12,7 @@
     let mut starts = StartTimes::default();
     assert!(!starts.restarted(NOW, NOW - 3 * SECOND));
     assert_eq!(starts.on_clock(NOW, NOW - 3 * SECOND), NOW - 3 * SECOND);
-    assert_eq!(starts.on_clock(NOW, NOW - 5 * HOUR), NOW - 5 * HOUR, "long ago, told by a whole list");
+    assert_eq!(starts.on_clock(NOW, NOW - 5 * HOUR), NOW - 5 * HOUR, "long ago, in a snapshot");
 }
 
 // A process that started while the wall clock was an hour behind took every start for an hour in the future,
@@ -30,7 +30,7 @@
     let mut starts = StartTimes::default();
     assert!(starts.restarted(ahead, NOW - 2 * SECOND));
     assert_eq!(starts.on_clock(ahead, NOW - 2 * SECOND), ahead, "just now");
-    // Later ones are right within what the first one's news took.
+    // Later ones are right within what the first one's update took.
     let later = ahead + 30 * SECOND;
     let on_clock = starts.on_clock(later, NOW + 28 * SECOND);
     assert!((later - 2 * SECOND..=later).contains(&on_clock), "{on_clock}");
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -102,7 +102,7 @@
 }
 
 impl Harness {
-    /// With one target for each entry, as the list's first news.
+    /// With one target for each entry, as the first endpoint list.
     pub fn new(settings: Settings, entries: &[EndpointEntry]) -> Harness {
         Harness::seeded(settings, entries, 1)
     }
