--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -52,10 +52,11 @@
         let mut position = 0;
         while let Some(&id) = self.queues.requests(shard).get(position) {
             position += 1;
-            let set = self.requests[&id].target_set;
+            let request = &self.requests[&id];
+            let set = request.target_set;
             let target = if set.is_none() { Some(shard_target) } else { self.serving_target(shard, set) };
             let Some(target) = target else { continue };
-            match self.readiness(now, &self.requests[&id], target, pass) {
+            match self.readiness(now, request, target, pass) {
                 Readiness::TargetBlocked if set.is_none() => return true,
                 Readiness::TargetBlocked | Readiness::NotNow => {}
                 Readiness::Ready => {
@@ -71,24 +72,37 @@
 
     /// Whether a request may be dispatched to its target in a pass.
     fn readiness(&self, now: Micros, request: &RequestState, target: TargetId, pass: QueuePass) -> Readiness {
-        let is_low = pass == QueuePass::Late || self.objectives.is_background(request.class);
-        let priority = if is_low { DispatchPriority::Low } else { DispatchPriority::Normal };
-        let is_full = self.is_full(now, target, request.units, priority);
-        if self.targets[&target].backoff_until > now || (is_full && priority == DispatchPriority::Normal) {
+        if self.targets[&target].backoff_until > now {
             return Readiness::TargetBlocked;
         }
+        let is_low = pass == QueuePass::Late || self.objectives.is_background(request.class);
+        let priority = if is_low { DispatchPriority::Low } else { DispatchPriority::Normal };
         let is_late = request.objective_at < now;
         let is_in_pass = is_late == (pass == QueuePass::Late);
-        if is_in_pass && !is_full { Readiness::Ready } else { Readiness::NotNow }
+        if is_low && !is_in_pass {
+            return Readiness::NotNow;
+        }
+        match (self.is_full(now, target, request.units, priority), priority) {
+            (true, DispatchPriority::Normal) => Readiness::TargetBlocked,
+            (false, _) if is_in_pass => Readiness::Ready,
+            _ => Readiness::NotNow,
+        }
     }
 
-    /// Sends a request to a target if all rules on sends allow it now, and returns whether it was sent. What
-    /// one rule takes is kept for this attempt, so the order of the rules is fixed: the retry budget is spent
-    /// last of those that can refuse a retry.
+    /// Sends a request to a target if all rules on sends allow it now, and returns whether it was sent:
+    ///
+    /// 1. one attempt of a request at a time, and no more than the settings allow (retry.rs),
+    /// 2. what must still hold when the connection is up ([`Scheduler::may_send`]),
+    /// 3. slow start (slow_start.rs),
+    /// 4. the order of requests of one key (key_order.rs),
+    /// 5. for a retry, the budget of all retries (retry.rs),
+    /// 6. for a first attempt, the volume's limit (quota.rs), which counts each request once.
+    ///
+    /// The order is fixed: the retry budget is spent by asking for it, so it comes after all rules that could
+    /// still refuse a retry.
     fn dispatch(&mut self, now: Micros, id: RequestId, target: TargetId, actions: &mut Vec<Action>) -> bool {
         let request = &self.requests[&id];
         let is_retry = !request.attempts.is_empty();
-        // There are never two attempts of one request at once.
         if request.has_attempt_in_flight()
             || !self.has_attempts_left(request)
             || !self.may_send(now, request, target)
@@ -100,7 +114,6 @@
         if is_retry && !self.spend_retry_budget(now) {
             return false;
         }
-        // A volume's limit counts each request once, at its first attempt.
         let request = &self.requests[&id];
         let shortfall = if is_retry { None } else { self.quota_shortfall(now, request) };
         if shortfall.as_ref().is_some_and(|shortfall| shortfall.units > 0.0) {
