--- a/crates/http-exchange/src/connection.rs
+++ b/crates/http-exchange/src/connection.rs
@@ -1,14 +1,13 @@
 //! One connection to a server, and the exchange that it carries.
 
-use crate::body::{BodyStream, NoStream, RequestBody};
+use crate::body::{BodyStream, NoStream, RequestBody, encode_request};
 use crate::error::ExchangeError;
 use crate::pool::OpenSlot;
 use crate::response::{CompleteResponse, Unread, count_piece};
 use crate::stream;
 use actix_codec::{Decoder, Encoder};
-use actix_http::body::BodySize;
 use actix_http::h1::{ClientCodec, Message};
-use actix_http::{RequestHead, RequestHeadType, ResponseHead, StatusCode};
+use actix_http::{RequestHead, ResponseHead, StatusCode};
 use bytes::{Buf, Bytes, BytesMut};
 use std::io;
 use std::mem::MaybeUninit;
@@ -18,7 +17,7 @@
 
 /// The most that the head of a response may take up, and a line between two chunks.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// How many 1xx responses may come before the final one: more is no answer in time for anybody.
+/// How many 1xx responses may come before the final one: a peer that sends more is taken for broken.
 const MAX_INFORMATIONAL_RESPONSES: usize = 16;
 /// What is read at once, at most: no more of a response is held than that and what its reader holds.
 const READ_BYTES: usize = 16 * 1024;
@@ -113,7 +112,7 @@
         self.response_complete = false;
         self.unused = false;
         let mut codec = ClientCodec::default();
-        let out = encode_request(&mut codec, head, body.as_ref())?;
+        let out = encode_request(&mut codec, head, body.as_ref()).map_err(not_written)?;
         let early_response = match body.and_then(|body| body.rest) {
             None => {
                 stream::write_all(&self.stream, &out).await.map_err(not_written)?;
@@ -290,21 +289,6 @@
     }
 }
 
-/// The head of a request and the part of its body that is held.
-fn encode_request<S>(
-    codec: &mut ClientCodec,
-    head: RequestHead,
-    body: Option<&RequestBody<'_, S>>,
-) -> Result<BytesMut, ExchangeError> {
-    let mut out = BytesMut::new();
-    let size = body.map_or(BodySize::None, RequestBody::size);
-    codec.encode(Message::Item((RequestHeadType::from(head), size)), &mut out).map_err(not_written)?;
-    if let Some(body) = body.filter(|body| !body.held.is_empty()) {
-        codec.encode(Message::Chunk(Some(body.held.clone())), &mut out).map_err(not_written)?;
-    }
-    Ok(out)
-}
-
 fn not_written<E>(_: E) -> ExchangeError {
     ExchangeError::NotWritten
 }
--- a/src/bin/simulator-adapter/host.rs
+++ b/src/bin/simulator-adapter/host.rs
@@ -110,7 +110,7 @@
             out.extend(Sent::from(self.number, action, &mut self.names));
         }
         if let Some((id, over)) = resolved {
-            self.names.resolved(id, over);
+            self.names.attempt_ended(id, over);
         }
     }
 
@@ -139,7 +139,7 @@
         match event {
             Event::AttemptEnded { id, request_over, .. } => Some((*id, *request_over)),
             Event::ClientGone { id } => {
-                self.names.ended(*id);
+                self.names.request_finished(*id);
                 None
             }
             _ => None,
--- a/src/bin/simulator-adapter/wire/action.rs
+++ b/src/bin/simulator-adapter/wire/action.rs
@@ -92,7 +92,7 @@
     pub fn from(initiator: u64, action: &Action, names: &mut Names) -> Option<Sent> {
         let command = match *action {
             Action::StartAttempt { id, target, timeout } => {
-                names.sent(id);
+                names.attempt_sent(id);
                 Command::StartAttempt {
                     request: names.request_name(id)?.to_string(),
                     timeout,
@@ -101,12 +101,12 @@
             }
             Action::Reject { id, retry_after } => {
                 let request = names.request_name(id)?.to_string();
-                names.ended(id);
+                names.request_finished(id);
                 Command::Reject { request, retry_after }
             }
             Action::Fail { id } => {
                 let request = names.request_name(id)?.to_string();
-                names.ended(id);
+                names.request_finished(id);
                 Command::Fail { request }
             }
             Action::CancelAttempt { id, attempt } => {
--- a/src/bin/simulator-adapter/wire/event.rs
+++ b/src/bin/simulator-adapter/wire/event.rs
@@ -117,7 +117,7 @@
 impl RequestArrived {
     fn translate(self, names: &mut Names) -> api::RequestProfile {
         api::RequestProfile {
-            id: names.taken(&self.request),
+            id: names.open_request(&self.request),
             class: names.class(&self.class),
             plan: self.plan.and_then(|plan| names.plan(&plan)),
             volume: names.volume(self.volume.as_deref().unwrap_or_default()),
@@ -140,8 +140,8 @@
             outcome: outcome(&self.outcome),
             elapsed: self.elapsed,
             request_over: self.request_over,
-            used: self.used.filter(|used| *used > 0.0).map(|used| (used - 1.0) / 100.0),
-            elsewhere: self.elsewhere.unwrap_or(0.0),
+            used_fraction: self.used.filter(|used| *used > 0.0).map(|used| (used - 1.0) / 100.0),
+            units_elsewhere: self.elsewhere.unwrap_or(0.0),
             load: load(self.load, names),
         })
     }
@@ -174,7 +174,7 @@
 /// A load report, whose values come in the order of the settings' fields.
 fn load(values: Option<Vec<Option<f64>>>, names: &Names) -> api::LoadReport {
     let mut load = api::LoadReport::default();
-    for (field, value) in names.fields.iter().zip(values.unwrap_or_default()) {
+    for (field, value) in names.load_report_fields.iter().zip(values.unwrap_or_default()) {
         let value = value.filter(|value| value.is_finite() && *value >= 0.0);
         match field.as_str() {
             "concurrent" => load.in_flight = value,
--- a/src/bin/simulator-adapter/wire/tests.rs
+++ b/src/bin/simulator-adapter/wire/tests.rs
@@ -20,7 +20,7 @@
     names.classes = words(&["view", "deposit"]);
     names.plans = words(&["basic", "full"]);
     names.zones = words(&["kingston", "negril"]);
-    names.fields = words(&["concurrent", "depth", "mean_ms", "load_share"]);
+    names.load_report_fields = words(&["concurrent", "depth", "mean_ms", "load_share"]);
     names
 }
 
@@ -68,8 +68,8 @@
         outcome,
         elapsed: 900,
         request_over: true,
-        used: Some(1.5),
-        elsewhere: 1.5,
+        used_fraction: Some(1.5),
+        units_elsewhere: 1.5,
         load,
     };
     let request = api::RequestProfile {
@@ -115,7 +115,8 @@
 #[test]
 fn every_action_is_written_as_recorded() {
     let mut names = names();
-    let (target, id, other) = (names.intern_target(STORE), names.taken("a-1"), names.taken("a-2"));
+    let (target, id, other) =
+        (names.intern_target(STORE), names.open_request("a-1"), names.open_request("a-2"));
     let actions = [
         Action::StartAttempt { id, target, timeout: Some(500) },
         Action::StartAttempt { id, target, timeout: None },
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -37,11 +37,19 @@
 Exit codes: 0 done; 1 it failed while running; 2 wrong usage, configuration or file.
 ";
 
-/// Why a command ended badly.
+/// The exit code of a command that failed while running.
+const EXIT_RUNNING: u8 = 1;
+/// The exit code of wrong usage, configuration or file.
+const EXIT_USAGE: u8 = 2;
+
+/// Why a command failed.
+#[derive(Debug, thiserror::Error)]
 enum Failure {
     /// Wrong usage, configuration or file.
+    #[error("{0}")]
     Usage(String),
     /// It failed while running.
+    #[error("{0}")]
     Running(String),
 }
 
@@ -53,6 +61,13 @@
     fn running(error: impl std::fmt::Display) -> Failure {
         Failure::Running(error.to_string())
     }
+
+    fn exit_code(&self) -> u8 {
+        match self {
+            Failure::Usage(_) => EXIT_USAGE,
+            Failure::Running(_) => EXIT_RUNNING,
+        }
+    }
 }
 
 impl From<lexopt::Error> for Failure {
@@ -65,20 +80,17 @@
 pub fn run(args: impl IntoIterator<Item = OsString>) -> ExitCode {
     match dispatch(args) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(Failure::Usage(error)) => fail(2, &error),
-        Err(Failure::Running(error)) => fail(1, &error),
+        Err(failure) => {
+            eprintln!("rowanglade: {failure}");
+            ExitCode::from(failure.exit_code())
+        }
     }
 }
 
-fn fail(code: u8, error: &str) -> ExitCode {
-    eprintln!("rowanglade: {error}");
-    ExitCode::from(code)
-}
-
 fn dispatch(args: impl IntoIterator<Item = OsString>) -> Result<(), Failure> {
     let mut args = args.into_iter().peekable();
     // Without a word, or with an option first, it serves.
-    let word = match args.peek().map(|a| a.to_string_lossy().into_owned()) {
+    let word = match args.peek().map(|arg| arg.to_string_lossy().into_owned()) {
         Some(word) if !word.starts_with('-') => {
             args.next();
             word
@@ -123,7 +135,7 @@
 }
 
 /// The operator's files, which are all that `serve` and `check` take.
-fn operator(mut parser: lexopt::Parser) -> Result<Vec<PathBuf>, Failure> {
+fn operator_files(mut parser: lexopt::Parser) -> Result<Vec<PathBuf>, Failure> {
     let mut operator = Vec::new();
     while let Some(arg) = parser.next()? {
         match arg {
@@ -139,7 +151,7 @@
 }
 
 fn check(parser: lexopt::Parser) -> Result<(), Failure> {
-    let operator = operator(parser)?;
+    let operator = operator_files(parser)?;
     let config = Config::load(variable, &operator).map_err(Failure::usage)?;
     println!("{config}");
     let known = config.known.as_ref().map(|known| known.routable_targets()).unwrap_or_default();
@@ -155,7 +167,7 @@
 }
 
 fn serve(parser: lexopt::Parser) -> Result<(), Failure> {
-    let operator = operator(parser)?;
+    let operator = operator_files(parser)?;
     let config = Config::load(variable, &operator).map_err(Failure::usage)?;
     start_log();
     // The runtime of the HTTP libraries: one thread.
@@ -179,9 +191,9 @@
     capture::load(&file)
 }
 
-/// Nothing is written per request at the default level.
+/// Starts the log on standard error. Nothing is logged per request at the default level.
 fn start_log() {
-    let level = std::env::var("LOG").ok().and_then(|l| l.parse().ok()).unwrap_or(tracing::Level::INFO);
+    let level = variable("LOG").and_then(|level| level.parse().ok()).unwrap_or(tracing::Level::INFO);
     tracing_subscriber::fmt().with_max_level(level).with_writer(std::io::stderr).with_ansi(false).init();
 }
 
--- a/src/config/fleet.rs
+++ b/src/config/fleet.rs
@@ -10,13 +10,14 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The instances of the fleet, and the key that all of them share.
+/// The initiators of the fleet, and the key that all of them share.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetTable {
     peers: Vec<SocketAddr>,
-    /// This instance's place in `peers`.
-    me: usize,
+    /// This initiator's index in `peers`.
+    #[serde(rename = "me")]
+    own_index: usize,
     key_file: PathBuf,
 }
 
@@ -27,22 +28,25 @@
     /// `me` is no place in `peers`, a peer stands there twice, or the key file does not hold 64 hex digits. No error
     /// shows the key.
     pub fn check(self) -> Result<Peers, ConfigError> {
-        if self.peers.len() > usize::from(u16::MAX) || self.me >= self.peers.len() {
-            return Err(ConfigError::new("fleet.me", format!("{} is no place in fleet.peers", self.me)));
+        if self.peers.len() > usize::from(u16::MAX) || self.own_index >= self.peers.len() {
+            return Err(ConfigError::new(
+                "fleet.me",
+                format!("{} is no place in fleet.peers", self.own_index),
+            ));
         }
-        let mut seen = HashSet::with_capacity(self.peers.len());
-        if let Some(i) = self.peers.iter().position(|peer| !seen.insert(peer)) {
-            return Err(ConfigError::new(format!("fleet.peers[{i}]"), "is there twice"));
+        let mut known = HashSet::with_capacity(self.peers.len());
+        if let Some(index) = self.peers.iter().position(|peer| !known.insert(peer)) {
+            return Err(ConfigError::new(format!("fleet.peers[{index}]"), "is there twice"));
         }
         let key = self.read_key()?;
-        Ok(Peers { addrs: self.peers, me: Peer(self.me as u16), key })
+        Ok(Peers { addrs: self.peers, me: Peer(self.own_index as u16), key })
     }
 
     fn read_key(&self) -> Result<Key, ConfigError> {
         let error = |problem: &dyn fmt::Display| {
             ConfigError::new("fleet.key_file", format!("{}: {problem}", self.key_file.display()))
         };
-        let text = std::fs::read_to_string(&self.key_file).map_err(|e| error(&e))?;
+        let text = std::fs::read_to_string(&self.key_file).map_err(|cause| error(&cause))?;
         // The key itself is secret and stays out of the message.
         key(text.trim()).ok_or_else(|| error(&"is not 64 hex digits"))
     }
--- a/src/config/limits.rs
+++ b/src/config/limits.rs
@@ -3,13 +3,13 @@
 use super::ConfigError;
 use serde::Deserialize;
 
-/// Memory of a configuration that sets none, in MB: what the smallest deployment gives.
+/// Memory of a configuration that sets none, in MB.
 const DEFAULT_MEMORY_MB: usize = 192;
-/// Descriptors of a configuration that sets none: the usual limit of a process.
+/// Descriptors of a configuration that sets none: Linux's usual limit of a process.
 const DEFAULT_DESCRIPTORS: usize = 1_024;
-/// With less memory the program holds no body beside what it always needs.
+/// The least memory in MB: a quarter of it, 4 MB, is left for bodies.
 const MIN_MEMORY_MB: usize = 16;
-/// With fewer descriptors none are left for clients beside what is reserved.
+/// The fewest descriptors: what is reserved leaves hardly more than what must be shared.
 const MIN_DESCRIPTORS: usize = 64;
 /// Bodies of requests take up at most one part in so many of the memory: the rest is the program's own, the
 /// buffers of its connections and the endpoint list.
--- a/src/config/reload.rs
+++ b/src/config/reload.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// How far apart files are read twice, so that one that is being written is left alone.
-const SETTLED: Duration = Duration::from_millis(50);
+const REREAD_DELAY: Duration = Duration::from_millis(50);
 
 /// What a running program takes over; everything else waits for its next start.
 #[derive(Clone, Debug)]
@@ -26,7 +26,7 @@
     pub fn load(env: impl Fn(&str) -> Option<String>, operator: &[PathBuf]) -> Result<Reload, ConfigError> {
         let texts = || operator.iter().map(|path| std::fs::read(path).ok()).collect::<Vec<_>>();
         let before = texts();
-        std::thread::sleep(SETTLED);
+        std::thread::sleep(REREAD_DELAY);
         let without_discovery = |name: &str| env(name).filter(|_| name != "LB_DISCOVERY");
         let config = Config::load(without_discovery, operator)?;
         if before != texts() {
--- a/src/config/sites.rs
+++ b/src/config/sites.rs
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 
 /// The longest span, in milliseconds: far above any use, and well inside the range of times.
-const LONGEST_SPAN_MS: u64 = 86_400_000;
+const MAX_SPAN_MS: u64 = 86_400_000;
 
 /// When a site counts as lost, and how it comes back.
 #[derive(Deserialize)]
@@ -73,8 +73,8 @@
             ("longest_hold_ms", self.longest_hold_ms),
             ("probe_every_ms", self.probe_every_ms),
         ];
-        match spans.iter().find(|(_, span)| !(1..=LONGEST_SPAN_MS).contains(span)) {
-            Some((key, span)) => Err(error(key, format!("{span} is not from 1 to {LONGEST_SPAN_MS}"))),
+        match spans.iter().find(|(_, span)| !(1..=MAX_SPAN_MS).contains(span)) {
+            Some((key, span)) => Err(error(key, format!("{span} is not from 1 to {MAX_SPAN_MS}"))),
             None => Ok(()),
         }
     }
@@ -95,9 +95,9 @@
 
     fn check_names(&self, settings: &Settings) -> Result<(), ConfigError> {
         match self.names.iter().enumerate().find(|(_, name)| !settings.zones().contains(name)) {
-            Some((place, name)) => {
+            Some((index, name)) => {
                 let problem = format!("{name:?} is no zone of settings.azs");
-                Err(error(&format!("names[{place}]"), problem))
+                Err(error(&format!("names[{index}]"), problem))
             }
             None => Ok(()),
         }
--- a/src/core/actor/attempts.rs
+++ b/src/core/actor/attempts.rs
@@ -109,7 +109,7 @@
         }
         open.trace(number, |trace| trace.started = started.then_some(now));
         let (id, target) = (&open.request.id, self.names.target_name(target));
-        tracing::debug!(id, attempt = number.0, target, started, "a connection is up");
+        tracing::debug!(id, attempt = number.0, target, started, "attempt connection established");
         started
     }
 
@@ -150,7 +150,7 @@
         if let Some(response) = response_to(outcome, consumed, result.body) {
             self.finish_request(id, Some(response));
         }
-        tracing::debug!(request = id.0, attempt = number.0, ?outcome, "an attempt ended");
+        tracing::debug!(request = id.0, attempt = number.0, ?outcome, "attempt ended");
         let request_over = self.open_requests.get(id).is_none_or(OpenRequest::is_finished);
         // What a response takes on its way, once it has begun, says nothing of its target.
         let answered = attempt.response_started.filter(|at| *at >= complete).unwrap_or(now);
@@ -168,8 +168,8 @@
             outcome,
             elapsed,
             request_over,
-            used: result.used,
-            elsewhere: result.elsewhere,
+            used_fraction: result.used,
+            units_elsewhere: result.elsewhere,
             load: result.load,
         });
         self.remove_if_settled(id);
@@ -228,8 +228,8 @@
         outcome: Outcome::NotSent,
         elapsed: 0,
         request_over,
-        used: None,
-        elsewhere: 0.0,
+        used_fraction: None,
+        units_elsewhere: 0.0,
         load: LoadReport::default(),
     }
 }
--- a/src/core/actor/handover.rs
+++ b/src/core/actor/handover.rs
@@ -86,6 +86,6 @@
     /// What is owned is another process's from now on, or this one's again.
     fn set_handed_over(&mut self, handed_over: bool) {
         self.handover.set_handed_over(handed_over);
-        self.apply_event(Event::OwnershipTransferred(handed_over));
+        self.apply_event(Event::OwnershipChanged { owned_here: !handed_over });
     }
 }
--- a/src/net/accept.rs
+++ b/src/net/accept.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Pause where descriptors or memory are short, or the listener fails again and again: clients' requests wait
-/// meanwhile, and their shortest latency objectives are some tens of milliseconds.
+/// Pause where descriptors or memory are short, or the listener fails again and again: long enough not to spin,
+/// and short, since clients that wait to be accepted lose that time.
 const PAUSE: Duration = Duration::from_millis(20);
 /// Consecutive failures without a pause: each has taken a broken connection out of the queue, as far as is
 /// known.
--- a/src/net/http/handler.rs
+++ b/src/net/http/handler.rs
@@ -18,7 +18,7 @@
 
 /// What the rest of a long body takes up at most, in the buffers that it passes through.
 const UPLOAD_BUFFER_BYTES: usize = 192 * 1024;
-/// Retry-After of a request for whose body there is no memory: bodies under way are done by then.
+/// Retry-After of a request for whose body there is no memory.
 const NO_CAPACITY_RETRY_AFTER: Duration = Duration::from_millis(100);
 /// The path at which the platform asks whether this initiator is ready.
 const READINESS_PATH: &str = "/up";
--- a/src/net/iscsi/front/commands.rs
+++ b/src/net/iscsi/front/commands.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Retry-After of a command that its session has no capacity for: tasks under way are done by then.
+/// Retry-After of a command that its session has no capacity for.
 const SESSION_FULL_RETRY_AFTER: Duration = Duration::from_millis(100);
 /// The most bytes that a command transfers.
 const MAX_TRANSFER_BYTES: u64 = MAX_SEGMENT_BYTES as u64;
--- a/src/net/iscsi/target/mod.rs
+++ b/src/net/iscsi/target/mod.rs
@@ -16,8 +16,7 @@
 
 /// Messages that may wait for the actor's turn. The scheduler's concurrency limit keeps far below it.
 const MAILBOX_CAPACITY: usize = 256;
-/// How long after a drain was reported the target is connected to again, in case it is back: a restart takes
-/// some seconds.
+/// How long after a drain was reported the target is connected to again, in case it is back.
 const RECONNECT_DELAY: Duration = Duration::from_millis(1_000);
 
 /// What all sessions to targets share.
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use wire::Class;
 
-/// The shortest time that a connection is given to come up, in microseconds: below it none would.
+/// The shortest time that a connection is given to come up, in microseconds: settings may have zero.
 const MIN_CONNECT_TIMEOUT_MICROS: Micros = 1_000;
 
 /// What the settings say of a request class to those who admit requests of it.
--- a/src/settings/translate.rs
+++ b/src/settings/translate.rs
@@ -2,7 +2,7 @@
 
 use super::wire::{self, Class, Plan, Settings};
 use crate::interface as api;
-use crate::interface::SettingsError;
+use crate::interface::{SettingsError, SettingsProblem};
 use crate::names::Names;
 
 impl Settings {
@@ -38,7 +38,7 @@
         names.zones = self.zones.clone();
         names.classes = self.class_names();
         names.plans = self.plans().map(str::to_string).collect();
-        names.fields = self.load_report.fields.clone();
+        names.load_report_fields = self.load_report.fields.clone();
     }
 
     fn translate_classes(&self) -> Result<Vec<api::RequestClass>, SettingsError> {
@@ -115,5 +115,5 @@
 
 /// The error of a key that holds a word which the settings do not have; `field` is the key as it is written.
 fn unknown_word(field: String) -> SettingsError {
-    SettingsError { field, problem: "holds an unknown word" }
+    SettingsError::new(field, SettingsProblem::UnknownWord)
 }
--- a/src/settings/wire.rs
+++ b/src/settings/wire.rs
@@ -11,8 +11,7 @@
 /// The word of a class whose requests carry an idempotency key.
 pub(super) const KEYED: &str = "by_key";
 
-/// How long a target lets a connection stay idle where the settings do not say, in microseconds: what the
-/// platform's targets do.
+/// How long a target lets a connection stay idle where the settings do not say, in microseconds.
 const DEFAULT_CONNECTION_IDLE_MICROS: Micros = 30_000_000;
 /// How long a connection may take to come up where the settings do not say, in microseconds.
 const DEFAULT_CONNECT_TIMEOUT_MICROS: Micros = 250_000;
