--- a/crates/slow-start/tests/ramp.rs
+++ b/crates/slow-start/tests/ramp.rs
@@ -7,7 +7,6 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rowanglade_slow_start::{Micros, ReservePacer, ReservedUnits, SlowStartRule, TargetBudget};
-use std::collections::VecDeque;
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
@@ -25,7 +24,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Troubles {
     /// Of the capacity, what a warming target always bears: the figure of the settings.
-    told_units: f64,
+    always_borne: f64,
     /// The part of the processes that are killed and started again within the first 8 s.
     restarted: f64,
     /// Processes are notified of the start up to so long after it.
@@ -64,7 +63,7 @@
         overload_multiple: 2.5,
         initiators: processes,
     };
-    rule.units = troubles.told_units * allowed(&rule, STARTED) * USUAL;
+    rule.units = troubles.always_borne * allowed(&rule, STARTED) * USUAL;
     rule
 }
 
@@ -88,81 +87,130 @@
     f64::from(units)
 }
 
-/// When units reach the target that a fleet sends it whose clients ask for more than it may have all the
-/// time.
-fn arrivals(seed: u64, processes: u32, troubles: Troubles) -> Vec<(Micros, f64)> {
-    let mut random = Pcg64Mcg::seed_from_u64(seed);
-    let rule = rule(processes, &troubles);
-    let mut fleet: Vec<Process> = (0..processes)
-        .map(|_| {
-            let notified_at = STARTED + random.random_range(0..=troubles.notified_within);
-            let restarts =
-                random.random_bool(troubles.restarted).then(|| STARTED + random.random_range(0..8 * SECOND));
-            Process {
-                target: TargetBudget::new(STARTED, notified_at, random.random()),
-                started_at: 0,
-                notified_at,
-                restarts,
-            }
-        })
-        .collect();
-    let mut senders = volumes(&mut random, processes);
-    let mut reached: Vec<(Micros, f64)> = Vec::new();
-    // Arrival, request, and its sender.
-    let mut in_transit: VecDeque<(Micros, u64, usize, f64)> = VecDeque::new();
-    let mut request = 0;
-    for step in 0..WARM_UP / STEP {
-        let now = STARTED + step * STEP;
-        for process in &mut fleet {
+/// A request on its way to the target.
+struct InTransit {
+    arrives_at: Micros,
+    request: u64,
+    /// The place of its sender.
+    sender: usize,
+    units: f64,
+}
+
+/// A fleet whose clients ask for more than it may send all the time.
+struct Fleet {
+    random: Pcg64Mcg,
+    rule: SlowStartRule,
+    troubles: Troubles,
+    processes: Vec<Process>,
+    senders: Vec<Sender>,
+    requests: u64,
+    in_transit: Vec<InTransit>,
+    /// When units reached the target.
+    reached: Vec<(Micros, f64)>,
+}
+
+impl Process {
+    fn new(random: &mut Pcg64Mcg, troubles: &Troubles) -> Process {
+        let notified_at = STARTED + random.random_range(0..=troubles.notified_within);
+        let is_restarted = random.random_bool(troubles.restarted);
+        let restarts = is_restarted.then(|| STARTED + random.random_range(0..8 * SECOND));
+        let target = TargetBudget::new(STARTED, notified_at, random.random());
+        Process { target, started_at: 0, notified_at, restarts }
+    }
+}
+
+impl Fleet {
+    fn new(seed: u64, processes: u32, troubles: Troubles) -> Fleet {
+        let mut random = Pcg64Mcg::seed_from_u64(seed);
+        Fleet {
+            rule: rule(processes, &troubles),
+            troubles,
+            processes: (0..processes).map(|_| Process::new(&mut random, &troubles)).collect(),
+            senders: volumes(&mut random, processes),
+            requests: 0,
+            in_transit: Vec::new(),
+            reached: Vec::new(),
+            random,
+        }
+    }
+
+    /// Restarts the processes whose time has come. They know nothing of what they sent before.
+    fn restart(&mut self, now: Micros) {
+        for process in &mut self.processes {
             if process.restarts.take_if(|at| *at <= now).is_some() {
-                process.notified_at = process.notified_at.max(now + random.random_range(0..=300 * MS));
-                process.target = TargetBudget::new(STARTED, process.notified_at, random.random());
+                process.notified_at = process.notified_at.max(now + self.random.random_range(0..=300 * MS));
+                process.target = TargetBudget::new(STARTED, process.notified_at, self.random.random());
                 process.started_at = now;
             }
         }
-        for (place, sender) in senders.iter_mut().enumerate() {
-            if fleet[sender.process].started_at == now {
+        for (place, sender) in self.senders.iter_mut().enumerate() {
+            if self.processes[sender.process].started_at == now {
                 sender.pacer = ReservePacer::new(place as u64);
             }
         }
-        in_transit.retain(|(at, request, sender, units)| {
-            if *at > now {
-                return true;
-            }
-            reached.push((now, *units));
-            let sender = &mut senders[*sender];
-            sender.pacer.commit(now, *request);
-            fleet[sender.process].target.commit(now, *request);
-            false
-        });
-        if now < STARTED + troubles.quiet_for {
-            continue;
+    }
+
+    /// Lets requests arrive whose connections are up.
+    fn arrive(&mut self, now: Micros) {
+        let (arrived, in_transit) =
+            std::mem::take(&mut self.in_transit).into_iter().partition(|r| r.arrives_at <= now);
+        self.in_transit = in_transit;
+        for InTransit { request, sender, units, .. } in arrived {
+            self.reached.push((now, units));
+            let sender = &mut self.senders[sender];
+            sender.pacer.commit(now, request);
+            self.processes[sender.process].target.commit(now, request);
         }
-        for (place, sender) in senders.iter_mut().enumerate() {
-            let process = &mut fleet[sender.process];
-            if now < process.notified_at {
-                continue;
-            }
-            let units = sender.units;
-            request += 1;
-            let reserved = ReservedUnits { request, units, arrives_by: now + 5 * SECOND };
-            if sender.pacer.admits_at(&rule, &process.target, now, sender.rate, units) <= now {
-                sender.pacer.reserve(&rule, &process.target, now, sender.rate, reserved);
-            } else if process.target.admits_at(&rule, now, process.started_at, units) <= now {
-                process.target.reserve(reserved);
-            } else {
-                continue;
-            }
-            // One that is rejected is asked for again, and is as large as it was.
-            if !random.random_bool(troubles.again) {
-                sender.units = size(&mut random);
+    }
+
+    /// Sends what one of the two budgets admits, of each sender one request at most.
+    fn send(&mut self, now: Micros) {
+        for place in 0..self.senders.len() {
+            if let Some(in_transit) = self.send_one(now, place) {
+                self.in_transit.push(in_transit);
             }
-            let late = random.random_bool(troubles.late);
-            let delay = if late { random.random_range(0..=troubles.late_by) } else { 0 };
-            in_transit.push_back((now + delay, request, place, units));
         }
     }
-    reached
+
+    fn send_one(&mut self, now: Micros, place: usize) -> Option<InTransit> {
+        let (rule, sender) = (&self.rule, &mut self.senders[place]);
+        let process = &mut self.processes[sender.process];
+        if now < process.notified_at {
+            return None;
+        }
+        let units = sender.units;
+        self.requests += 1;
+        let request = self.requests;
+        let reserved = ReservedUnits { request, units, arrives_by: now + 5 * SECOND };
+        if sender.pacer.admits_at(rule, &process.target, now, sender.rate, units) <= now {
+            sender.pacer.reserve(rule, &process.target, now, sender.rate, reserved);
+        } else if process.target.admits_at(rule, now, process.started_at, units) <= now {
+            process.target.reserve(reserved);
+        } else {
+            return None;
+        }
+        // One that is rejected is asked for again, and is as large as it was.
+        if !self.random.random_bool(self.troubles.again) {
+            sender.units = size(&mut self.random);
+        }
+        let is_late = self.random.random_bool(self.troubles.late);
+        let delay = if is_late { self.random.random_range(0..=self.troubles.late_by) } else { 0 };
+        Some(InTransit { arrives_at: now + delay, request, sender: place, units })
+    }
+}
+
+/// When units reach the target, until it is warm.
+fn arrivals(seed: u64, processes: u32, troubles: Troubles) -> Vec<(Micros, f64)> {
+    let mut fleet = Fleet::new(seed, processes, troubles);
+    for step in 0..WARM_UP / STEP {
+        let now = STARTED + step * STEP;
+        fleet.restart(now);
+        fleet.arrive(now);
+        if now >= STARTED + troubles.quiet_for {
+            fleet.send(now);
+        }
+    }
+    fleet.reached
 }
 
 /// Volumes whose reserves at the target make up nine tenths of it, each through one to three processes.
@@ -171,11 +219,11 @@
     let (mut left, reserve) = (0.9 * CAPACITY, 3.0);
     while left > 0.0 {
         let (targets, initiators_of_volume) = (random.random_range(1..=6), random.random_range(1..=3));
-        let at_node = (reserve / f64::from(targets)).min(left);
-        left -= at_node;
+        let at_target = (reserve / f64::from(targets)).min(left);
+        left -= at_target;
         for _ in 0..initiators_of_volume {
             let process = random.random_range(0..processes) as usize;
-            let rate = at_node / f64::from(initiators_of_volume);
+            let rate = at_target / f64::from(initiators_of_volume);
             senders.push(Sender {
                 process,
                 rate,
@@ -222,13 +270,13 @@
 const FLEETS: [u32; 3] = [20, 30, 350];
 /// What a warming target always bears by the settings, as a part of what it does bear: the reserves leave
 /// a fifth.
-const TOLD: [f64; 2] = [0.1, 0.2];
+const ALWAYS_BORNE: [f64; 2] = [0.1, 0.2];
 
 #[test]
 fn a_fleet_does_not_overload_a_warming_target() {
     for processes in FLEETS {
-        for told_units in TOLD {
-            let calm = Troubles { told_units, ..Troubles::default() };
+        for always_borne in ALWAYS_BORNE {
+            let calm = Troubles { always_borne, ..Troubles::default() };
             let restarts = Troubles { restarted: 0.4, ..calm };
             let notified = Troubles { notified_within: 6 * SECOND, ..calm };
             let late = Troubles { late: 0.33, late_by: 1_500 * MS, ..calm };
@@ -247,8 +295,10 @@
 #[test]
 fn a_fleet_whose_clients_all_come_at_once_does_not_overload_a_warming_target() {
     for processes in FLEETS {
-        let part =
-            most(processes, Troubles { told_units: TOLD[0], quiet_for: 4 * SECOND, ..Troubles::default() });
+        let part = most(
+            processes,
+            Troubles { always_borne: ALWAYS_BORNE[0], quiet_for: 4 * SECOND, ..Troubles::default() },
+        );
         assert!(part <= 1.0, "{processes} processes: {part}");
     }
 }
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -4,6 +4,17 @@
 //! Each shard has a queue of requests in earliest-deadline order with capped overtakes. Requests are rejected
 //! on arrival by predicted completion; background work is always admitted. The units in flight at a target
 //! stay below a limit that follows its learned speed.
+//!
+//! A request passes through the modules in this order:
+//!
+//! 1. `admission` rejects it or admits it; a new object first gets its shard from `placement`;
+//! 2. `queue_order` queues it at its shard;
+//! 3. `dispatch` sends it to its target as soon as the rules on sends allow it, or `giving_up` ends its wait;
+//! 4. `outcomes` acts on the end of an attempt: `learning` and `backoff` first, then `retry`, which queues
+//!    the request again or ends it;
+//! 5. `responses` gives it its final response and removes it.
+//!
+//! `timers` repeats what depends on time alone.
 
 #![warn(missing_docs)]
 
--- a/src/scheduler/fairness.rs
+++ b/src/scheduler/fairness.rs
@@ -18,7 +18,8 @@
 /// It never falls below this fraction of the largest excess: a plan may have no reserve to live on, and its
 /// volumes must not stay shut out after an overload.
 const MIN_LEVEL_FRACTION: f64 = 0.1;
-/// The largest step of time, in seconds, that the level rises at once.
+/// The largest step of time, in seconds, that the level rises at once: while nothing is asked for, nothing
+/// shows that more could be served.
 const MAX_LEVEL_STEP_SECONDS: f64 = 1.0;
 /// The smallest weight that an excess is divided by.
 const SMALLEST_WEIGHT: f64 = 1e-9;
