--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -3,6 +3,7 @@
 mod support;
 
 use rowanglade::interface::*;
+use support::FinalResponse::{Failed, Rejected};
 use support::*;
 
 /// One target that has answered a request of 2 units in `took`.
@@ -58,7 +59,7 @@
 fn a_request_predicted_late_is_rejected_on_arrival_and_background_work_never() {
     let mut b = target_with_latency(40 * MS); // 50 units a second
     assert_eq!(started_requests(&b.arrive(request(1, READ))), [1]);
-    assert_eq!(final_responses(&b.arrive(request(2, READ))), [(2, true)]);
+    assert_eq!(final_responses(&b.arrive(request(2, READ))), [(2, Rejected)]);
     for id in 3..40 {
         assert!(final_responses(&b.arrive(request(id, BACKGROUND))).is_empty());
     }
@@ -71,7 +72,7 @@
     let mut b = target_with_latency(40 * MS);
     assert!(b.arrive(request(1, BACKGROUND)).is_empty(), "queued: the target is predicted busy");
     assert!(final_responses(&b.advance(150 * MS)).is_empty());
-    assert_eq!(final_responses(&b.advance(30 * MS)), [(1, true)], "rejected: a new try does no harm");
+    assert_eq!(final_responses(&b.advance(30 * MS)), [(1, Rejected)], "rejected: a new try does no harm");
 }
 
 #[test]
@@ -82,7 +83,7 @@
     let queued = b.arrive(RequestProfile { units: 9.0, ..request(2, KEYED) });
     assert!(queued.is_empty(), "(4 + 9) / 80 s + 25 ms: just in time, and queued at the limit");
     let pushed = b.arrive(request(3, READ));
-    assert_eq!(final_responses(&pushed), [(3, true)], "in time itself, but 2 would be late");
+    assert_eq!(final_responses(&pushed), [(3, Rejected)], "in time itself, but 2 would be late");
 }
 
 #[test]
@@ -185,7 +186,7 @@
     assert!(b.attempt_ended(77, 9, 9, Outcome::Error, 0).is_empty());
     assert!(b.event(Event::TimerFired { token: 1 }).is_empty());
     assert!(b.event(Event::ClientGone { id: RequestId(5) }).is_empty());
-    assert_eq!(final_responses(&b.arrive(RequestProfile { class: None, ..request(1, READ) })), [(1, false)]);
+    assert_eq!(final_responses(&b.arrive(RequestProfile { class: None, ..request(1, READ) })), [(1, Failed)]);
     assert_eq!(started_requests(&b.arrive(RequestProfile { units: f64::NAN, ..request(2, READ) })), [2]);
     assert_eq!(
         started_requests(&b.arrive(RequestProfile { units: 0.0, plan: None, key: None, ..request(3, READ) })),
@@ -214,7 +215,7 @@
     b.advance(20 * MS);
     assert!(final_responses(&b.arrive(request(2, READ))).is_empty());
     b.advance(100 * MS); // responses are owed and none comes
-    assert_eq!(final_responses(&b.arrive(request(3, READ))), [(3, true)]);
+    assert_eq!(final_responses(&b.arrive(request(3, READ))), [(3, Rejected)]);
     b.served(1, 120 * MS);
     b.served(2, 100 * MS);
     assert!(final_responses(&b.arrive(request(4, READ))).is_empty(), "one late answer does not shut it out");
@@ -225,11 +226,11 @@
     let mut b = target_with_latency(200 * MS);
     assert_eq!(
         final_responses(&b.arrive(request(1, READ))),
-        [(1, true)],
+        [(1, Rejected)],
         "nothing of this initiator is in flight, yet others' work is"
     );
     b.advance(300 * MS);
-    assert_eq!(final_responses(&b.arrive(request(2, READ))), [(2, true)]);
+    assert_eq!(final_responses(&b.arrive(request(2, READ))), [(2, Rejected)]);
     b.advance(3 * SECOND);
     assert_eq!(started_requests(&b.arrive(request(3, READ))), [3]);
 }
@@ -375,12 +376,12 @@
     harness.event(target_set(8, &[2]));
     assert_eq!(
         final_responses(&harness.arrive(kept(4, 8))),
-        [(4, true)],
+        [(4, Rejected)],
         "data on one target never goes elsewhere"
     );
     assert_eq!(
         final_responses(&harness.arrive(kept(5, 9))),
-        [(5, true)],
+        [(5, Rejected)],
         "a target set that was never set has no targets"
     );
     // What waits follows its target set: a target taken out of it gets nothing more of it.
@@ -515,8 +516,8 @@
         let cancelled = cancellations(&b.advance(200 * MS));
         (cancelled, final_responses(&b.advance(SECOND)))
     };
-    assert_eq!(ends(begun(false)), (vec![1], vec![(1, true)]));
-    assert_eq!(ends(begun(true)), (vec![], vec![(1, true)]), "its client still gets an answer in time");
+    assert_eq!(ends(begun(false)), (vec![1], vec![(1, Rejected)]));
+    assert_eq!(ends(begun(true)), (vec![], vec![(1, Rejected)]), "its client still gets an answer in time");
 }
 
 // What filled the token bucket of a limited volume always went to the lowest shard that had a request
--- a/tests/safety_rules.rs
+++ b/tests/safety_rules.rs
@@ -3,6 +3,7 @@
 mod support;
 
 use rowanglade::interface::*;
+use support::FinalResponse::{Failed, Rejected};
 use support::*;
 
 #[test]
@@ -12,7 +13,7 @@
     assert!(final_responses(&b.advance(100 * MS)).is_empty());
     assert_eq!(
         final_responses(&b.advance(20 * MS)),
-        [(1, true)],
+        [(1, Rejected)],
         "holding it longer only keeps the client waiting"
     );
     assert!(final_responses(&b.advance(5 * SECOND)).is_empty());
@@ -24,7 +25,7 @@
     assert_eq!(started_requests(&b.arrive(request(1, NON_IDEMPOTENT))), [1]);
     assert_eq!(
         final_responses(&b.advance(SECOND)),
-        [(1, false)],
+        [(1, Failed)],
         "it may have run: a failure, not a rejection"
     );
     let after = b.attempt_ended(1, 0, 0, Outcome::TimedOut, SECOND);
@@ -42,26 +43,26 @@
 
 #[test]
 fn a_request_that_never_ran_is_retried_and_one_that_may_have_run_only_as_its_class_allows() {
-    for (class, outcome, again, rejected) in [
-        (READ, Outcome::Error, true, true),
-        (READ, Outcome::Unreachable, true, true),
-        (NON_IDEMPOTENT, Outcome::Unreachable, true, true),
-        (NON_IDEMPOTENT, Outcome::Error, false, false),
-        (NON_IDEMPOTENT, Outcome::Broken, false, false),
-        (KEYED, Outcome::Broken, true, false),
+    for (class, outcome, is_retried, response) in [
+        (READ, Outcome::Error, true, Rejected),
+        (READ, Outcome::Unreachable, true, Rejected),
+        (NON_IDEMPOTENT, Outcome::Unreachable, true, Rejected),
+        (NON_IDEMPOTENT, Outcome::Error, false, Failed),
+        (NON_IDEMPOTENT, Outcome::Broken, false, Failed),
+        (KEYED, Outcome::Broken, true, Failed),
     ] {
         let mut b = Harness::new(settings(), &[entry(0, 0)]);
         b.arrive(request(1, class));
         let mut actions = b.attempt_ended(1, 0, 0, outcome, MS);
         actions.extend(b.advance(100 * MS));
-        assert_eq!(started_requests(&actions).len(), usize::from(again), "class {class}, {outcome:?}");
-        if again {
+        assert_eq!(started_requests(&actions).len(), usize::from(is_retried), "class {class}, {outcome:?}");
+        if is_retried {
             actions.extend(b.advance(900 * MS));
             if class == NON_IDEMPOTENT {
                 continue; // its second attempt is in flight and may run: covered above
             }
         }
-        assert_eq!(final_responses(&actions), [(1, rejected)], "class {class}, {outcome:?}");
+        assert_eq!(final_responses(&actions), [(1, response)], "class {class}, {outcome:?}");
     }
 }
 
@@ -75,7 +76,7 @@
     b.advance(60 * MS);
     let late = b.attempt_ended(1, 0, 0, Outcome::Broken, 60 * MS);
     assert!(started_requests(&late).is_empty());
-    assert_eq!(final_responses(&late), [(1, false)]);
+    assert_eq!(final_responses(&late), [(1, Failed)]);
 
     let mut b = Harness::new(settings(), &[entry(0, 0), entry(1, 1)]);
     let mut new_object = request(2, KEYED);
@@ -89,7 +90,7 @@
     let mut actions = b.attempt_ended(2, 0, target, Outcome::Broken, MS);
     actions.extend(b.advance(SECOND));
     assert!(started_requests(&actions).is_empty(), "target {other} is outside the scope");
-    assert_eq!(final_responses(&actions), [(2, false)]);
+    assert_eq!(final_responses(&actions), [(2, Failed)]);
 }
 
 #[test]
@@ -139,7 +140,7 @@
     b.endpoints_changed(EndpointUpdateKind::Delta, &[draining]);
     b.served(1, MS);
     assert!(final_responses(&b.advance(100 * MS)).is_empty());
-    assert_eq!(final_responses(&b.advance(20 * MS)), [(2, true)]);
+    assert_eq!(final_responses(&b.advance(20 * MS)), [(2, Rejected)]);
 }
 
 fn warming(target: u32, started: Micros) -> EndpointEntry {
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -196,12 +196,20 @@
     actions.iter().filter_map(send).collect()
 }
 
-/// Final answers: (request, whether it is a rejection).
-pub fn final_responses(actions: &[Action]) -> Vec<(u64, bool)> {
-    let answer = |a: &Action| match a {
-        Action::Reject { id, .. } => Some((id.0, true)),
-        Action::Fail { id } => Some((id.0, false)),
+/// The final response of this initiator's own to a request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum FinalResponse {
+    /// A retry does no harm.
+    Rejected,
+    /// Nothing is promised.
+    Failed,
+}
+
+pub fn final_responses(actions: &[Action]) -> Vec<(u64, FinalResponse)> {
+    let response = |action: &Action| match action {
+        Action::Reject { id, .. } => Some((id.0, FinalResponse::Rejected)),
+        Action::Fail { id } => Some((id.0, FinalResponse::Failed)),
         _ => None,
     };
-    actions.iter().filter_map(answer).collect()
+    actions.iter().filter_map(response).collect()
 }
