--- a/crates/handover/tests/model.rs
+++ b/crates/handover/tests/model.rs
@@ -13,26 +13,26 @@
     processes: usize,
     deaths: u8,
     breaks: u8,
-    waits: u8,
+    timers_fired: u8,
 }
 
 /// Two successors at once, and one that is followed by another; and much trouble between two.
-const THREE: Bounds = Bounds { processes: 3, deaths: 1, breaks: 0, waits: 1 };
-const TWO: Bounds = Bounds { processes: 2, deaths: 1, breaks: 2, waits: 2 };
+const THREE: Bounds = Bounds { processes: 3, deaths: 1, breaks: 0, timers_fired: 1 };
+const TWO: Bounds = Bounds { processes: 2, deaths: 1, breaks: 2, timers_fired: 2 };
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Mutation {
     None,
-    /// The predecessor goes on spending after it has given.
-    SpendsWhatIsGiven,
-    /// A successor serves once it is given, without waiting for the word that it is its own.
-    ServesUnasked,
-    /// One that has passed everything on takes it up again when the link breaks, whoever has the lock.
-    TakesUpAnyway,
-    /// A successor that finds itself alone keeps what it was given, which the other may have spent.
-    KeepsWhatItHeld,
-    /// The one whose successor died does not look whether it is alone.
-    NeverLooksBack,
+    /// The predecessor goes on spending after it has sent the state.
+    SpendsFrozenState,
+    /// A successor serves once it has the state, without waiting for `OwnershipGranted`.
+    ServesBeforeOwnership,
+    /// A retired predecessor restarts when the link breaks, whoever has the lock.
+    RestartsWithoutLock,
+    /// A successor that finds itself alone keeps the state that it received, which the other may have spent.
+    KeepsReceivedState,
+    /// A predecessor whose successor died does not try the lock.
+    NeverRetriesLock,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -43,12 +43,12 @@
     /// It accepts clients and may spend.
     serving: bool,
     units: u8,
-    /// Units that came with `Given`, and those that it gave and may take back.
-    given: u8,
-    frozen: u8,
-    /// What it is to be told, in turn.
+    /// Units that came with the state, and those that it sent and may take back.
+    received_units: u8,
+    frozen_units: u8,
+    /// The events that it will handle, in turn.
     inbox: Vec<Event>,
-    waiting: bool,
+    timer_set: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -59,77 +59,77 @@
     links: Vec<Option<(usize, usize)>>,
     deaths: u8,
     breaks: u8,
-    waits: u8,
+    timers_fired: u8,
     spent: u8,
-    /// The successor became the owner of what was given.
-    moved: bool,
+    /// The successor became the owner of the state that it received.
+    state_moved: bool,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
     Start(usize),
-    Tell(usize),
+    Deliver(usize),
     Prepare(usize),
-    Wait(usize),
+    FireTimer(usize),
     Spend(usize),
-    Die(usize),
-    Break(usize),
+    Kill(usize),
+    BreakLink(usize),
 }
 
-struct Pair {
+struct HandoverModel {
     mutation: Mutation,
     bounds: Bounds,
 }
 
-impl Pair {
-    fn act(&self, s: &mut State, who: usize, actions: Vec<Action>) {
+impl HandoverModel {
+    fn apply_actions(&self, s: &mut State, process_id: usize, actions: Vec<Action>) {
         for action in actions {
-            let p = &mut s.processes[who];
+            let p = &mut s.processes[process_id];
             match action {
                 Action::TryLock => {
-                    let free = s.lock.is_none() || s.lock == Some(who);
+                    let free = s.lock.is_none() || s.lock == Some(process_id);
                     if free {
-                        s.lock = Some(who);
+                        s.lock = Some(process_id);
                     }
                     p.inbox.push(if free { Event::LockAcquired } else { Event::LockUnavailable });
                 }
-                Action::Unlock => s.lock = s.lock.filter(|holder| *holder != who),
+                Action::Unlock => s.lock = s.lock.filter(|holder| *holder != process_id),
                 Action::Connect => {
-                    let to = s.lock.filter(|to| *to != who && s.processes[*to].alive);
+                    let to = s.lock.filter(|to| *to != process_id && s.processes[*to].alive);
                     let link = to.map(|to| {
-                        s.links.push(Some((who, to)));
+                        s.links.push(Some((process_id, to)));
                         LinkId(s.links.len() as u64 - 1)
                     });
                     let event = link.map_or(Event::ConnectFailed, Event::Connected);
-                    s.processes[who].inbox.push(event);
+                    s.processes[process_id].inbox.push(event);
                 }
                 Action::Send(link, message) => {
                     if let Some((a, b)) = s.links[link.0 as usize] {
-                        let to = if a == who { b } else { a };
+                        let to = if a == process_id { b } else { a };
                         if message == MessageKind::State {
-                            let units = s.processes[who].frozen;
-                            s.processes[to].given = units;
+                            let units = s.processes[process_id].frozen_units;
+                            s.processes[to].received_units = units;
                         }
                         s.processes[to].inbox.push(Event::Received(link, message));
                     }
                 }
-                Action::Close(link) => self.cut(s, link.0 as usize),
-                Action::SetTimer(_) => p.waiting = true,
+                Action::Close(link) => self.close_link(s, link.0 as usize),
+                Action::SetTimer(_) => p.timer_set = true,
                 Action::Prepare => {}
                 Action::Serve { with_state } => {
                     p.serving = true;
                     if with_state {
-                        p.units += p.given;
-                        s.moved = true;
+                        p.units += p.received_units;
+                        s.state_moved = true;
                     }
                 }
                 Action::Freeze => {
-                    p.serving = self.mutation == Mutation::SpendsWhatIsGiven;
-                    p.frozen = p.units;
+                    p.serving = self.mutation == Mutation::SpendsFrozenState;
+                    p.frozen_units = p.units;
                 }
                 Action::Resume => p.serving = true,
                 Action::Retire => {
-                    (p.serving, p.units) = (self.mutation == Mutation::SpendsWhatIsGiven, 0);
+                    (p.serving, p.units) = (self.mutation == Mutation::SpendsFrozenState, 0);
                 }
                 Action::Restart => (p.serving, p.units) = (true, 0),
                 Action::Fail { .. } => p.alive = false,
@@ -137,7 +137,7 @@
         }
     }
 
-    fn cut(&self, s: &mut State, link: usize) {
+    fn close_link(&self, s: &mut State, link: usize) {
         if let Some((a, b)) = s.links[link].take() {
             for p in [a, b] {
                 s.processes[p].inbox.push(Event::LinkClosed(LinkId(link as u64)));
@@ -145,29 +145,33 @@
         }
     }
 
-    fn tell(&self, s: &mut State, who: usize, event: Event) {
-        let p = &mut s.processes[who];
+    fn deliver(&self, s: &mut State, process_id: usize, event: Event) {
+        let p = &mut s.processes[process_id];
         let mut actions = p.handover.handle(event);
         match self.mutation {
-            Mutation::ServesUnasked
+            Mutation::ServesBeforeOwnership
                 if actions.contains(&Action::Send(LinkId(0), MessageKind::StateReceived)) =>
             {
                 actions.push(Action::Serve { with_state: true });
             }
-            Mutation::TakesUpAnyway if p.handover.is_retired() && actions.contains(&Action::TryLock) => {
+            Mutation::RestartsWithoutLock
+                if p.handover.is_retired() && actions.contains(&Action::TryLock) =>
+            {
                 actions.push(Action::Restart);
             }
-            Mutation::KeepsWhatItHeld if actions.contains(&Action::Serve { with_state: false }) => {
+            Mutation::KeepsReceivedState if actions.contains(&Action::Serve { with_state: false }) => {
                 actions = vec![Action::Serve { with_state: true }];
             }
-            Mutation::NeverLooksBack if p.handover.is_retired() => actions.retain(|a| *a != Action::TryLock),
+            Mutation::NeverRetriesLock if p.handover.is_retired() => {
+                actions.retain(|a| *a != Action::TryLock)
+            }
             _ => {}
         }
-        self.act(s, who, actions);
+        self.apply_actions(s, process_id, actions);
     }
 }
 
-impl Model for Pair {
+impl Model for HandoverModel {
     type State = State;
     type Action = Step;
 
@@ -178,10 +182,10 @@
             started: false,
             serving: false,
             units: 0,
-            given: 0,
-            frozen: 0,
+            received_units: 0,
+            frozen_units: 0,
             inbox: Vec::new(),
-            waiting: false,
+            timer_set: false,
         };
         let mut s = State {
             processes: (0..self.bounds.processes).map(process).collect(),
@@ -189,14 +193,14 @@
             links: Vec::new(),
             deaths: 0,
             breaks: 0,
-            waits: 0,
+            timers_fired: 0,
             spent: 0,
-            moved: false,
+            state_moved: false,
         };
         s.processes[0].started = true;
-        self.act(&mut s, 0, vec![Action::TryLock]);
+        self.apply_actions(&mut s, 0, vec![Action::TryLock]);
         let event = s.processes[0].inbox.remove(0);
-        self.tell(&mut s, 0, event);
+        self.deliver(&mut s, 0, event);
         s.processes[0].units = UNITS;
         vec![s]
     }
@@ -208,21 +212,23 @@
                 continue;
             }
             if !p.inbox.is_empty() {
-                out.push(Step::Tell(i));
+                out.push(Step::Deliver(i));
             }
             out.push(Step::Prepare(i));
-            if p.waiting && s.waits < self.bounds.waits {
-                out.push(Step::Wait(i));
+            if p.timer_set && s.timers_fired < self.bounds.timers_fired {
+                out.push(Step::FireTimer(i));
             }
             if p.serving && p.units > 0 {
                 out.push(Step::Spend(i));
             }
             if s.deaths < self.bounds.deaths {
-                out.push(Step::Die(i));
+                out.push(Step::Kill(i));
             }
         }
         if s.breaks < self.bounds.breaks {
-            out.extend(s.links.iter().enumerate().filter(|(_, l)| l.is_some()).map(|(i, _)| Step::Break(i)));
+            out.extend(
+                s.links.iter().enumerate().filter(|(_, l)| l.is_some()).map(|(i, _)| Step::BreakLink(i)),
+            );
         }
     }
 
@@ -231,23 +237,23 @@
         match step {
             Step::Start(i) => {
                 s.processes[i].started = true;
-                self.act(&mut s, i, vec![Action::TryLock]);
+                self.apply_actions(&mut s, i, vec![Action::TryLock]);
             }
-            Step::Tell(i) => {
+            Step::Deliver(i) => {
                 let event = s.processes[i].inbox.remove(0);
-                self.tell(&mut s, i, event);
+                self.deliver(&mut s, i, event);
             }
-            Step::Prepare(i) => self.tell(&mut s, i, Event::Prepared),
-            Step::Wait(i) => {
-                s.processes[i].waiting = false;
-                s.waits += 1;
-                self.tell(&mut s, i, Event::TimerFired);
+            Step::Prepare(i) => self.deliver(&mut s, i, Event::Prepared),
+            Step::FireTimer(i) => {
+                s.processes[i].timer_set = false;
+                s.timers_fired += 1;
+                self.deliver(&mut s, i, Event::TimerFired);
             }
             Step::Spend(i) => {
                 s.processes[i].units -= 1;
                 s.spent += 1;
             }
-            Step::Die(i) => {
+            Step::Kill(i) => {
                 s.deaths += 1;
                 let p = &mut s.processes[i];
                 (p.alive, p.serving) = (false, false);
@@ -255,20 +261,20 @@
                 s.lock = s.lock.filter(|holder| *holder != i);
                 for link in 0..s.links.len() {
                     if s.links[link].is_some_and(|(a, b)| a == i || b == i) {
-                        self.cut(&mut s, link);
+                        self.close_link(&mut s, link);
                         s.processes[i].inbox.clear();
                     }
                 }
             }
-            Step::Break(link) => {
+            Step::BreakLink(link) => {
                 s.breaks += 1;
-                self.cut(&mut s, link);
+                self.close_link(&mut s, link);
             }
         }
         (s != *last).then_some(s)
     }
 
-    fn properties(&self) -> Vec<Property<Pair>> {
+    fn properties(&self) -> Vec<Property<HandoverModel>> {
         vec![
             Property::always("one owner at most", |_, s: &State| {
                 s.processes.iter().filter(|p| p.alive && p.serving).count() <= 1
@@ -277,23 +283,23 @@
                 let owned: u8 = s.processes.iter().filter(|p| p.alive && p.serving).map(|p| p.units).sum();
                 s.spent + owned <= UNITS
             }),
-            Property::always("whoever serves says so", |_, s: &State| {
+            Property::always("whoever serves is the owner", |_, s: &State| {
                 s.processes.iter().all(|p| !p.alive || p.serving == p.handover.is_owner())
             }),
             Property::always("nothing is orphaned", |_, s: &State| {
                 // Where nothing more is to happen by itself, somebody serves, unless all are dead.
                 let started = |p: &&Process| p.alive && p.started;
-                let quiet = s.processes.iter().filter(started).all(|p| p.inbox.is_empty() && !p.waiting);
+                let quiet = s.processes.iter().filter(started).all(|p| p.inbox.is_empty() && !p.timer_set);
                 let anybody = s.processes.iter().any(|p| started(&p));
                 let served = s.processes.iter().any(|p| p.alive && p.serving);
                 let preparing = s.links.iter().any(Option::is_some);
                 !quiet || !anybody || served || preparing
             }),
-            Property::sometimes("what is owned moves on", |_, s: &State| {
-                s.moved && s.processes[1].units == UNITS
+            Property::sometimes("ownership moves on", |_, s: &State| {
+                s.state_moved && s.processes[1].units == UNITS
             }),
-            Property::sometimes("it moves on twice", |_, s: &State| {
-                s.moved
+            Property::sometimes("ownership moves on twice", |_, s: &State| {
+                s.state_moved
                     && s.processes.get(2).is_some_and(|p| p.serving && p.units == UNITS)
                     && s.processes[1].handover.is_retired()
             }),
@@ -301,11 +307,11 @@
     }
 }
 
-fn checked(mutation: Mutation, bounds: Bounds) -> Vec<&'static str> {
-    let checker = Pair { mutation, bounds }.checker().threads(4).spawn_bfs().join();
+fn broken_properties(mutation: Mutation, bounds: Bounds) -> Vec<&'static str> {
+    let checker = HandoverModel { mutation, bounds }.checker().threads(4).spawn_bfs().join();
     println!("{} states", checker.unique_state_count());
     let always =
-        ["one owner at most", "nothing is spent twice", "whoever serves says so", "nothing is orphaned"];
+        ["one owner at most", "nothing is spent twice", "whoever serves is the owner", "nothing is orphaned"];
     let mut broken: Vec<_> = always.into_iter().filter(|p| checker.discovery(p).is_some()).collect();
     for name in &broken {
         if mutation == Mutation::None
@@ -314,7 +320,7 @@
             println!("{name}: {:?}\n{:#?}", path.clone().into_actions(), path.last_state());
         }
     }
-    let sometimes = ["what is owned moves on", "it moves on twice"];
+    let sometimes = ["ownership moves on", "ownership moves on twice"];
     if mutation == Mutation::None {
         let reached = sometimes.into_iter().take(bounds.processes - 1);
         broken.extend(reached.filter(|p| checker.discovery(p).is_none()));
@@ -324,19 +330,19 @@
 
 #[test]
 fn whatever_dies_or_breaks_there_is_one_owner_and_nothing_is_orphaned() {
-    assert_eq!(checked(Mutation::None, TWO), Vec::<&str>::new());
-    assert_eq!(checked(Mutation::None, THREE), Vec::<&str>::new());
+    assert_eq!(broken_properties(Mutation::None, TWO), Vec::<&str>::new());
+    assert_eq!(broken_properties(Mutation::None, THREE), Vec::<&str>::new());
 }
 
 #[test]
 fn the_model_catches_each_mutation() {
     for mutation in [
-        Mutation::SpendsWhatIsGiven,
-        Mutation::ServesUnasked,
-        Mutation::TakesUpAnyway,
-        Mutation::KeepsWhatItHeld,
-        Mutation::NeverLooksBack,
+        Mutation::SpendsFrozenState,
+        Mutation::ServesBeforeOwnership,
+        Mutation::RestartsWithoutLock,
+        Mutation::KeepsReceivedState,
+        Mutation::NeverRetriesLock,
     ] {
-        assert_ne!(checked(mutation, TWO), Vec::<&str>::new(), "{mutation:?} is not caught");
+        assert_ne!(broken_properties(mutation, TWO), Vec::<&str>::new(), "{mutation:?} is not caught");
     }
 }
--- a/src/core/diagnostics.rs
+++ b/src/core/diagnostics.rs
@@ -63,7 +63,7 @@
     pub longest_step_was: Step,
     /// The longest that a request waited between its front and the core.
     pub longest_wait: Duration,
-    /// Requests that waited [`LONG_WAIT`] or more.
+    /// Requests that waited 20 ms or more.
     pub long_waits: u64,
     /// Requests submitted.
     pub requests: u64,
--- a/tests/network/stopping.rs
+++ b/tests/network/stopping.rs
@@ -7,11 +7,11 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 
-/// How long clients may connect after it is told, in any case.
-const STILL_COME: Duration = Duration::from_millis(750);
+/// How long clients may connect after it is told to end, in any case.
+const ACCEPT_AFTER_SIGTERM: Duration = Duration::from_millis(750);
 
 /// Deadlines so short that it has ended within two seconds.
-fn brief(json: &mut serde_json::Value) {
+fn short_deadlines(json: &mut serde_json::Value) {
     for grade in 0..2 {
         json["settings"]["grades"][grade]["promise"] = 300_000.into();
         json["settings"]["grades"][grade]["hard-limit"] = 800_000.into();
@@ -19,7 +19,7 @@
 }
 
 /// All that comes until the connection ends; an error where it is reset.
-async fn rest(stream: &mut TcpStream) -> Result<String, std::io::ErrorKind> {
+async fn read_to_end_of(stream: &mut TcpStream) -> Result<String, std::io::ErrorKind> {
     let mut text = Vec::new();
     stream.read_to_end(&mut text).await.map_err(|e| e.kind())?;
     Ok(String::from_utf8_lossy(&text).into_owned())
@@ -30,7 +30,7 @@
     story(async {
         let Step::Answer(done) = ok("late") else { unreachable!("it answers") };
         let mut target = peer(vec![ok("first"), Step::Wait(done), ok("x"), ok("x"), ok("x")]).await;
-        let node = start_with(&[line(target.addr, 0, "active")], None, None, brief).await;
+        let node = start_with(&[line(target.addr, 0, "active")], None, None, short_deadlines).await;
         let connect = async || TcpStream::connect(node.http).await.expect("connected");
         let (mut resting, mut hanging, mut half, mut idle) =
             (connect().await, connect().await, connect().await, connect().await);
@@ -40,7 +40,7 @@
         let deposit = request("deposit", "t2", 0, "halved");
         sent(&mut half, &deposit[..deposit.len() - 3]).await;
         tokio::time::sleep(Duration::from_millis(20)).await;
-        let told = Instant::now();
+        let stopped_at = Instant::now();
         node.end.send(()).expect("it runs");
         tokio::time::sleep(Duration::from_millis(50)).await;
         sent(&mut half, &deposit[deposit.len() - 3..]).await;
@@ -51,12 +51,12 @@
         assert_eq!(read_message(&mut hanging).await.expect("answered").1, b"late");
         // All of them rest until it ends them, and it does so in order.
         for stream in [&mut resting, &mut hanging, &mut half, &mut idle] {
-            assert_eq!(rest(stream).await.as_deref(), Ok(""));
+            assert_eq!(read_to_end_of(stream).await.as_deref(), Ok(""));
         }
-        assert!(told.elapsed() >= STILL_COME);
+        assert!(stopped_at.elapsed() >= ACCEPT_AFTER_SIGTERM);
         drop((resting, hanging, half, idle));
         node.run.await.expect("no panic").expect("no error");
-        assert!(told.elapsed() < Duration::from_millis(800 + 700), "{:?}", told.elapsed());
+        assert!(stopped_at.elapsed() < Duration::from_millis(800 + 700), "{:?}", stopped_at.elapsed());
     });
 }
 
@@ -67,7 +67,7 @@
     const CLIENTS: usize = 80;
     story(async {
         let mut target = peer((0..CLIENTS).map(|_| ok("served")).collect()).await;
-        let node = start_with(&[line(target.addr, 0, "active")], None, None, brief).await;
+        let node = start_with(&[line(target.addr, 0, "active")], None, None, short_deadlines).await;
         let mut streams = Vec::new();
         for _ in 0..CLIENTS {
             streams.push(TcpStream::connect(node.http).await.expect("connected"));
@@ -75,13 +75,13 @@
         tokio::time::sleep(Duration::from_millis(20)).await;
         node.end.send(()).expect("it runs");
         // One every two milliseconds, around the instant in which it closes what rests.
-        let from = tokio::time::Instant::now() + STILL_COME - Duration::from_millis(80);
+        let from = tokio::time::Instant::now() + ACCEPT_AFTER_SIGTERM - Duration::from_millis(80);
         let clients = streams.into_iter().enumerate().map(|(i, mut stream)| async move {
             tokio::time::sleep_until(from + Duration::from_millis(2) * i as u32).await;
             // Refused where the connection is closed already.
             let request = request("view", &format!("m{i}."), 0, "");
             let _ = tokio::io::AsyncWriteExt::write_all(&mut stream, request.as_bytes()).await;
-            (i, rest(&mut stream).await)
+            (i, read_to_end_of(&mut stream).await)
         });
         let ended = futures_util::future::join_all(clients).await;
         let seen = crate::late::seen_after(&mut target, Duration::from_millis(50)).await;
@@ -116,7 +116,7 @@
     story(async {
         let Step::Answer(done) = ok("one") else { unreachable!("it answers") };
         let mut target = peer(vec![Step::Wait(done), ok("two")]).await;
-        let node = start_with(&[line(target.addr, 0, "active")], None, None, brief).await;
+        let node = start_with(&[line(target.addr, 0, "active")], None, None, short_deadlines).await;
         let mut client = TcpStream::connect(node.http).await.expect("connected");
         let both = [request("view", "n1", 0, ""), request("view", "n2", 0, "")].concat();
         sent(&mut client, &both).await;
@@ -124,7 +124,7 @@
         node.end.send(()).expect("it runs");
         tokio::time::sleep(Duration::from_millis(20)).await;
         target.go.notify_one();
-        let text = rest(&mut client).await.expect("no reset");
+        let text = read_to_end_of(&mut client).await.expect("no reset");
         let seen = crate::late::seen_after(&mut target, Duration::from_millis(50)).await;
         assert_eq!(text.matches("HTTP/1.1 200").count(), 1 + seen.len(), "{text}");
         assert!(text.contains("one"), "{text}");
@@ -139,7 +139,7 @@
     story(async {
         let target = peer(vec![Step::Silence]).await;
         let change = |json: &mut serde_json::Value| {
-            brief(json);
+            short_deadlines(json);
             // A client that says it waits longer than its class allows.
             json["settings"]["ceilings"]["cancel"] = false.into();
         };
@@ -147,12 +147,12 @@
         let mut client = TcpStream::connect(node.http).await.expect("connected");
         sent(&mut client, &patient_request("deposit", "f1")).await;
         tokio::time::sleep(Duration::from_millis(50)).await;
-        let told = Instant::now();
+        let stopped_at = Instant::now();
         node.end.send(()).expect("it runs");
-        let text = rest(&mut client).await.expect("no reset");
+        let text = read_to_end_of(&mut client).await.expect("no reset");
         assert!(text.starts_with("HTTP/1.1 500 ") && text.contains("onnection: close"), "{text}");
         drop(client);
         node.run.await.expect("no panic").expect("no error");
-        assert!(told.elapsed() < Duration::from_millis(800 + 700), "{:?}", told.elapsed());
+        assert!(stopped_at.elapsed() < Duration::from_millis(800 + 700), "{:?}", stopped_at.elapsed());
     });
 }
--- a/tests/network/upgrade.rs
+++ b/tests/network/upgrade.rs
@@ -1,4 +1,4 @@
-//! A process that replaces another: two nodes, or a node and somebody who speaks the handover's words badly.
+//! Handovers: between two initiators, or an initiator and a peer that does not keep to the protocol.
 
 use crate::site::*;
 use rowanglade_handover::{MessageKind, VERSION};
@@ -44,37 +44,37 @@
     .await
 }
 
-async fn call(node: &Running, call: &str) -> String {
-    let admin = node.admin.expect("operators can call");
+async fn call(initiator: &Running, call: &str) -> String {
+    let admin = initiator.admin.expect("operators can call");
     ask(admin, &format!("{call} HTTP/1.1\r\nHost: x\r\n\r\n")).await
 }
 
-async fn healthy(node: &Running) {
-    while call(node, "GET /healthcheck").await != "200 close" {
+async fn healthy(initiator: &Running) {
+    while call(initiator, "GET /healthcheck").await != "200 close" {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
 }
 
-/// Somebody on the handover's socket.
-struct Other(UnixStream);
+/// A peer on the handover's socket that the test plays.
+struct HandoverPeer(UnixStream);
 
-impl Other {
-    async fn meet(folder: &Folder) -> Other {
-        Other(UnixStream::connect(folder.socket()).await.expect("somebody serves"))
+impl HandoverPeer {
+    async fn connect(folder: &Folder) -> HandoverPeer {
+        HandoverPeer(UnixStream::connect(folder.socket()).await.expect("somebody serves"))
     }
 
-    async fn say(&mut self, message: Value) {
+    async fn send(&mut self, message: Value) {
         let text = message.to_string();
         self.0.write_u32(text.len() as u32).await.expect("written");
         self.0.write_all(text.as_bytes()).await.expect("written");
     }
 
-    async fn hello(&mut self, version: u32) {
-        self.say(json!({"word": MessageKind::Hello { version }})).await;
+    async fn send_hello(&mut self, version: u32) {
+        self.send(json!({"word": MessageKind::Hello { version }})).await;
     }
 
-    /// The next message with a word; None: the link has ended.
-    async fn hear(&mut self) -> Option<Value> {
+    /// The kind of the next message that has one; `None`: the link has ended.
+    async fn receive(&mut self) -> Option<Value> {
         loop {
             let length = self.0.read_u32().await.ok()?;
             let mut text = vec![0; length as usize];
@@ -168,26 +168,26 @@
             assert_eq!(ask(first.http, &request("view", id, 0, "")).await, format!("200 {body}"));
         };
 
-        let mut other = Other::meet(&folder).await;
-        other.hello(VERSION + 1).await;
-        assert_eq!(other.hear().await, Some(json!({"refuse": {"version": VERSION}})), "another version");
-        assert_eq!(other.hear().await, None);
+        let mut other = HandoverPeer::connect(&folder).await;
+        other.send_hello(VERSION + 1).await;
+        assert_eq!(other.receive().await, Some(json!({"refuse": {"version": VERSION}})), "another version");
+        assert_eq!(other.receive().await, None);
         served("x1", "0").await;
 
-        let mut torn = Other::meet(&folder).await;
+        let mut torn = HandoverPeer::connect(&folder).await;
         torn.0.write_all(b"\xff\xff\xff\xffnoise").await.expect("written");
-        assert_eq!(torn.hear().await, None, "noise");
+        assert_eq!(torn.receive().await, None, "noise");
         served("x2", "1").await;
 
-        let mut other = Other::meet(&folder).await;
-        other.hello(VERSION).await;
-        assert_eq!(other.hear().await, Some(json!("welcome")));
-        let mut second = Other::meet(&folder).await;
-        second.hello(VERSION).await;
-        assert_eq!(second.hear().await, Some(json!("busy")), "one successor at a time");
+        let mut other = HandoverPeer::connect(&folder).await;
+        other.send_hello(VERSION).await;
+        assert_eq!(other.receive().await, Some(json!("welcome")));
+        let mut second = HandoverPeer::connect(&folder).await;
+        second.send_hello(VERSION).await;
+        assert_eq!(second.receive().await, Some(json!("busy")), "one successor at a time");
         served("x3", "2").await;
-        other.say(json!({"word": "ready"})).await;
-        assert_eq!(other.hear().await, Some(json!("given")));
+        other.send(json!({"word": "ready"})).await;
+        assert_eq!(other.receive().await, Some(json!("given")));
         assert_eq!(call(&first, "GET /healthcheck").await, "503 close", "all is on its way");
         // It dies with all of it in its hands.
         drop(other);
@@ -206,13 +206,13 @@
         // The lock is taken by whoever serves.
         let lock = std::fs::File::create(folder.0.join("rowanglade-n1.lock")).expect("a file");
         lock.lock().expect("free");
-        let door = tokio::net::UnixListener::bind(folder.socket()).expect("bound");
+        let handover_listener = tokio::net::UnixListener::bind(folder.socket()).expect("bound");
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("bound");
         let addr = listener.local_addr().expect("bound");
         let dies = async {
-            let (stream, _) = door.accept().await.expect("the successor");
-            let mut other = Other(stream);
-            assert_eq!(other.hear().await, Some(json!({"hello": {"version": VERSION}})));
+            let (stream, _) = handover_listener.accept().await.expect("the successor");
+            let mut other = HandoverPeer(stream);
+            assert_eq!(other.receive().await, Some(json!({"hello": {"version": VERSION}})));
             let known: Value = serde_json::from_str(&lines[0]).expect("JSON");
             let list = json!({"version": 0, "full": true, "servers": [known]});
             let welcome =
@@ -228,7 +228,7 @@
         let mut early = TcpStream::connect(addr).await.expect("in the backlog");
         assert_eq!(call(&second, "GET /healthcheck").await, "503 close");
         drop(other);
-        drop(door);
+        drop(handover_listener);
         lock.unlock().expect("held");
         healthy(&second).await;
         assert_eq!(ask_on(&mut early, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n").await, "200");
