--- a/src/initiator.rs
+++ b/src/initiator.rs
@@ -11,11 +11,11 @@
 
 use crate::config::{Config, ConfigError, Iscsi, Reload};
 use crate::core::{self, AccessLog, Clock, Core, CoreDependencies, CoreHandle, Message, QuotaPeers};
-use crate::handover::{CoreUpdates, HandoverActor, HandoverControls};
+use crate::handover::{CoreUpdates, HandoverControls, Welcome};
 use crate::net::drain_gossip::DrainGossipLink;
 use crate::net::{DescriptorBudget, Phase, admin, fleet, http};
 use channels::CoreChannels;
-use handover::Received;
+use handover::{HandoverTask, Received};
 use routes::InitialRoutes;
 use rowanglade_discovery_polling::WatchMode;
 use sockets::Sockets;
@@ -79,7 +79,7 @@
     phase: Rc<watch::Sender<Phase>>,
     budget: DescriptorBudget,
     /// None where no process can replace this one.
-    handover: Option<(HandoverActor, HandoverControls, CoreUpdates)>,
+    handover: Option<HandoverTask>,
     classes: Vec<(String, Duration)>,
     /// How long a shutdown may take.
     shutdown_time: Duration,
@@ -110,8 +110,8 @@
             sockets.iscsi.as_ref().map(|(_, iscsi)| session_figures(iscsi, &config.settings, clock));
         let connect = connect(connections.transport, figures, core.clone());
 
-        let routes = InitialRoutes::check(config.routing, config.known.as_ref())?;
-        let quota = match config.fleet {
+        let routes = InitialRoutes::check(std::mem::take(&mut config.routing), config.known.as_ref())?;
+        let quota = match config.fleet.take() {
             Some(peers) => {
                 let socket = sockets.open_quota(&mut listeners, &peers).await?;
                 Some(start_quota_exchange(peers, socket, &core, &phase))
@@ -121,55 +121,33 @@
         let passed_on = sockets.duplicate()?;
 
         let channels = CoreChannels::new();
-        let admin = start_admin(sockets.admin, channels.admin_requests.0, &core, &phase)?;
+        let admin = start_admin(sockets.admin, channels.admin_requests.sender, &core, &phase)?;
         let dependencies = CoreDependencies {
             routes: routes.in_force,
             quota,
-            admin_requests: channels.admin_requests.1,
-            handover_requests: channels.handover_requests.1,
-            admin_commands: channels.admin_commands.0,
-            object_sightings: channels.object_sightings.0,
-            sites: config.sites,
-            subset: config.subset,
+            admin_requests: channels.admin_requests.receiver,
+            handover_requests: channels.handover_requests.receiver,
+            admin_commands: channels.admin_commands.sender,
+            object_sightings: channels.object_sightings.sender,
+            sites: config.sites.take(),
+            subset: config.subset.take(),
         };
-        let actor_of_core = Core::new(scheduler, names, clock, mailbox, connect, dependencies);
-        actix_rt::spawn(actor_of_core.run());
+        actix_rt::spawn(Core::new(scheduler, names, clock, mailbox, connect, dependencies).run());
 
-        // What the predecessor holds is newer than the platform's cached list. The watch goes on from the
-        // latter's version: what it tells again changes nothing.
-        let cached_list = welcome.map(|welcome| welcome.list).or_else(|| config.known.clone());
-        http::send_cached_list(&core, cached_list.unwrap_or_default()).await;
-        if let Some((_, iscsi)) = &sockets.iscsi {
-            core.send(portals(iscsi)).await;
-        }
-        let (discovery, discovery_addr) = watch::channel(config.discovery);
-        let schedule = |now| config.settings.discovery_schedule(WatchMode::LongPoll, config.seed, now);
-        let gossip = config.peers.map(|addresses| DrainGossipLink::new(addresses, config.seed, clock.now()));
-        let poller = http::DiscoveryPoller::new(
-            discovery_addr,
-            config.settings.connect_timeout(),
-            core.clone(),
-            clock,
-            schedule,
-            config.known.as_ref(),
-            gossip,
-        );
-        actix_rt::spawn(poller.run());
+        send_first_lists(&core, &config, welcome, sockets.iscsi.as_ref().map(|(_, iscsi)| iscsi)).await;
+        let discovery = start_discovery(&mut config, &core, clock);
 
-        let handover = actor.map(|actor| {
-            let controls = HandoverControls {
-                core: channels.handover_requests.0,
-                ready: core.readiness(),
-                phase: Rc::clone(&phase),
-                budget: budget.clone(),
-                listeners: passed_on,
-            };
-            let updates = CoreUpdates {
-                admin_commands: channels.admin_commands.1,
-                object_sightings: channels.object_sightings.1,
-            };
-            (actor, controls, updates)
-        });
+        let controls = HandoverControls {
+            core: channels.handover_requests.sender,
+            ready: core.readiness(),
+            phase: Rc::clone(&phase),
+            budget: budget.clone(),
+            listeners: passed_on,
+        };
+        let updates = CoreUpdates {
+            admin_commands: channels.admin_commands.receiver,
+            object_sightings: channels.object_sightings.receiver,
+        };
         let initiator = Initiator {
             core,
             reloads: Reloads { discovery, access_log, table: routes.table, undecided: routes.undecided },
@@ -178,7 +156,7 @@
             admin,
             phase,
             budget,
-            handover,
+            handover: actor.map(|actor| HandoverTask { actor, controls, updates }),
             classes: classes(&config.settings),
             shutdown_time: config.settings.longest_deadline().min(MAX_COUNTED_DEADLINE) + KILL_DELAY
                 - KILL_MARGIN,
@@ -237,6 +215,44 @@
     listener.map(|listener| admin::open(listener, service)).transpose()
 }
 
+/// Sends the core the lists that are known before discovery answers. What the predecessor holds is newer than
+/// the platform's cached list. The watch goes on from the latter's version: what it reports again changes
+/// nothing.
+async fn send_first_lists(
+    core: &CoreHandle,
+    config: &Config,
+    welcome: Option<Box<Welcome>>,
+    iscsi: Option<&Iscsi>,
+) {
+    let cached_list = welcome.map(|welcome| welcome.list).or_else(|| config.known.clone());
+    http::send_cached_list(core, cached_list.unwrap_or_default()).await;
+    if let Some(iscsi) = iscsi {
+        core.send(portals(iscsi)).await;
+    }
+}
+
+/// Starts polling discovery. Returns where its address can be changed.
+fn start_discovery(
+    config: &mut Config,
+    core: &CoreHandle,
+    clock: Clock,
+) -> watch::Sender<http::DiscoveryAddress> {
+    let (address, changes) = watch::channel(config.discovery);
+    let seed = config.seed;
+    let gossip = config.peers.take().map(|peers| DrainGossipLink::new(peers, seed, clock.now()));
+    let poller = http::DiscoveryPoller::new(
+        changes,
+        config.settings.connect_timeout(),
+        core.clone(),
+        clock,
+        |now| config.settings.discovery_schedule(WatchMode::LongPoll, seed, now),
+        config.known.as_ref(),
+        gossip,
+    );
+    actix_rt::spawn(poller.run());
+    address
+}
+
 /// Starts the exchange of quota with the other initiators.
 fn start_quota_exchange(
     peers: fleet::Peers,
--- a/src/initiator/channels.rs
+++ b/src/initiator/channels.rs
@@ -12,7 +12,19 @@
 const OBJECT_SIGHTINGS: usize = 1_024;
 
 /// Both ends of a channel.
-type Channel<T> = (mpsc::Sender<T>, mpsc::Receiver<T>);
+pub struct Channel<T> {
+    /// Where messages are sent.
+    pub sender: mpsc::Sender<T>,
+    /// Where they arrive.
+    pub receiver: mpsc::Receiver<T>,
+}
+
+impl<T> Channel<T> {
+    fn with_capacity(messages: usize) -> Channel<T> {
+        let (sender, receiver) = mpsc::channel(messages);
+        Channel { sender, receiver }
+    }
+}
 
 /// The channels, by what they carry.
 pub struct CoreChannels {
@@ -30,10 +42,10 @@
     /// Channels that carry nothing yet.
     pub fn new() -> CoreChannels {
         CoreChannels {
-            admin_requests: mpsc::channel(REQUESTS),
-            handover_requests: mpsc::channel(REQUESTS),
-            admin_commands: mpsc::channel(REQUESTS),
-            object_sightings: mpsc::channel(OBJECT_SIGHTINGS),
+            admin_requests: Channel::with_capacity(REQUESTS),
+            handover_requests: Channel::with_capacity(REQUESTS),
+            admin_commands: Channel::with_capacity(REQUESTS),
+            object_sightings: Channel::with_capacity(OBJECT_SIGHTINGS),
         }
     }
 }
--- a/src/initiator/handover.rs
+++ b/src/initiator/handover.rs
@@ -2,7 +2,9 @@
 
 use super::Error;
 use crate::config::Config;
-use crate::handover::{HandoverActor, HandoverPaths, HandoverStart, Listeners, Welcome};
+use crate::handover::{
+    CoreUpdates, HandoverActor, HandoverControls, HandoverPaths, HandoverStart, Listeners, Welcome,
+};
 
 /// What this process has from its predecessor.
 pub struct Received {
@@ -32,6 +34,24 @@
     }
 }
 
+/// The handover's actor with all that it runs with.
+pub struct HandoverTask {
+    /// The actor, which has not begun to run.
+    pub actor: HandoverActor,
+    /// What it turns.
+    pub controls: HandoverControls,
+    /// What it passes on to the other process.
+    pub updates: CoreUpdates,
+}
+
+impl HandoverTask {
+    /// Runs the actor for as long as the process does. It changes the phase once this process owns what its
+    /// predecessor had.
+    pub fn spawn(self) {
+        actix_rt::spawn(self.actor.run(self.controls, self.updates));
+    }
+}
+
 /// Contacts the process of this initiator that serves. `None`: this process can neither replace nor be
 /// replaced.
 async fn contact(config: &Config) -> Option<(HandoverActor, HandoverStart)> {
--- a/src/initiator/run.rs
+++ b/src/initiator/run.rs
@@ -55,8 +55,7 @@
         };
         let mut front = Box::pin(http::serve(self.http, front));
         match self.handover {
-            // It changes the phase once this process owns what its predecessor had.
-            Some((actor, controls, updates)) => drop(actix_rt::spawn(actor.run(controls, updates))),
+            Some(handover) => handover.spawn(),
             None => drop(self.phase.send_replace(Phase::Serving)),
         }
         actix_rt::spawn(end_sessions_when_leaving(self.phase.subscribe(), ending.clone()));
