--- a/crates/handover/src/machine.rs
+++ b/crates/handover/src/machine.rs
@@ -76,7 +76,7 @@
     Ready(LinkId),
     /// Holds the state, not yet as its owner.
     AwaitingOwnership(LinkId),
-    /// Was told that it is the owner, and acquires the lock.
+    /// Was granted ownership, and acquires the lock.
     AcquiringLock,
     Owner(Option<Successor>),
     /// Has handed the state over; the link to its successor, while that holds.
@@ -163,7 +163,7 @@
     fn handle_awaiting_welcome(&mut self, link: LinkId, event: Event) -> Option<Vec<Action>> {
         match input_on(link, event)? {
             // One that had got ready before needs only the state.
-            LinkInput::Message(MessageKind::Welcome) if self.prepared => Some(self.tell_ready(link)),
+            LinkInput::Message(MessageKind::Welcome) if self.prepared => Some(self.send_ready(link)),
             LinkInput::Message(MessageKind::Welcome) => {
                 Some(self.transition(State::Preparing(link), vec![Action::Prepare]))
             }
@@ -182,7 +182,7 @@
 
     fn handle_preparing(&mut self, link: LinkId, event: Event) -> Option<Vec<Action>> {
         if event == Event::Prepared {
-            return Some(self.tell_ready(link));
+            return Some(self.send_ready(link));
         }
         match input_on(link, event)? {
             LinkInput::Message(_) => None,
@@ -216,7 +216,7 @@
             Event::LockAcquired => {
                 Some(self.transition(State::Owner(None), vec![Action::Serve { with_state: true }]))
             }
-            // Whoever holds the lock acquired it after this one was told; from it all is to be had.
+            // Whoever holds the lock acquired it after this one was granted ownership; all is to be had from it.
             Event::LockUnavailable => Some(self.transition(State::Seeking, vec![Action::Connect])),
             _ => None,
         }
@@ -261,14 +261,14 @@
             (Some(link), Event::LinkClosed(closed)) if closed == link => {
                 Some(self.transition(State::Retired(None), vec![Action::TryLock]))
             }
-            // The link broke and the successor lives: should it die later, no link would tell.
+            // The link broke and the successor lives: should it die later, no link would show that.
             (None, Event::LockUnavailable) => Some(vec![Action::SetTimer(RETRY_DELAY)]),
             (None, Event::TimerFired) => Some(vec![Action::TryLock]),
             _ => None,
         }
     }
 
-    fn tell_ready(&mut self, link: LinkId) -> Vec<Action> {
+    fn send_ready(&mut self, link: LinkId) -> Vec<Action> {
         self.transition(State::Ready(link), vec![Action::Send(link, MessageKind::Ready)])
     }
 
@@ -297,7 +297,7 @@
     Closed,
 }
 
-/// What an event tells of the link; `None`: nothing.
+/// What an event means for the link; `None`: nothing.
 fn input_on(link: LinkId, event: Event) -> Option<LinkInput> {
     match event {
         Event::Received(on, message) if on == link => Some(LinkInput::Message(message)),
--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -15,7 +15,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A time in microseconds, on the clock in which discovery tells starts.
+/// A time in microseconds, on the clock in which discovery reports starts.
 pub type Micros = u64;
 
 /// The states that discovery reports of a target, in the order in which less and less may be sent to it.
--- a/src/core/access_log/writer.rs
+++ b/src/core/access_log/writer.rs
@@ -30,7 +30,7 @@
     logged: LoggedLosses,
 }
 
-/// The losses that the program's log has told of.
+/// The losses that the program's log has reported.
 struct LoggedLosses {
     dropped: u64,
     failed: u64,
--- a/src/core/actor/attempts.rs
+++ b/src/core/actor/attempts.rs
@@ -24,7 +24,7 @@
         let permit = reserve(&self.mailbox_sender);
         let (Some(mailbox), Some(permit)) = (self.endpoints.mailbox(target), permit) else { return false };
         let probe = Probe { until, report: ProbeReporter::new(target, now, self.clock, permit) };
-        // A probe that finds no place tells so by its drop.
+        // A probe that finds no place reports that by its drop.
         let _ = mailbox.try_send(TargetMessage::Probe(probe));
         true
     }
@@ -103,7 +103,7 @@
         let same_addr = self.endpoints.get(target).is_some_and(|listed| listed.reported.addr == attempt.addr);
         let started = wanted && same_addr && !attempt.is_cancelled();
         attempt.started = started;
-        // A streamed body's last byte comes much later: the end of its attempt tells.
+        // A streamed body's last byte comes much later: the end of its attempt settles that.
         if started && !streamed {
             self.scheduler.commit_reserved(now, id);
         }
@@ -155,7 +155,7 @@
         // What a response takes on its way, once it has begun, says nothing of its target.
         let answered = attempt.response_started.filter(|at| *at >= complete).unwrap_or(now);
         let elapsed = answered.saturating_sub(attempt.sent.max(complete));
-        // One whose client left tells nothing of its target.
+        // One whose client left says nothing of its target.
         if !(request_over && outcome == Outcome::Cancelled)
             && let Some((sites, name)) = self.endpoints.site_of(attempt.target)
         {
@@ -175,7 +175,7 @@
         self.remove_if_settled(id);
     }
 
-    /// What an attempt's outcome tells of where its object is.
+    /// Learns from an attempt's outcome where its object is.
     fn learn_location(
         &mut self,
         target: TargetId,
@@ -199,7 +199,7 @@
     mailbox.upgrade()?.try_reserve_owned().ok()
 }
 
-/// Places in the core's mailbox for all that an attempt must tell. `None`: there are too few.
+/// Places in the core's mailbox for all that an attempt must report. `None`: there are too few.
 fn permits(open: &OpenRequest, mailbox: &mpsc::WeakSender<Message>) -> Option<AttemptPermits> {
     let start = reserve(mailbox)?;
     let end = reserve(mailbox)?;
--- a/src/core/actor/endpoint_updates.rs
+++ b/src/core/actor/endpoint_updates.rs
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Peers report that these targets drain: nothing new goes to them until discovery is heard.
+    /// Peers report that these targets drain: nothing new goes to them until discovery answers.
     pub(super) fn peers_report_draining(&mut self, targets: &[String]) {
         let changed = self.endpoints.report_draining(self.clock.now(), &self.names, targets);
         self.diagnostics.counters.drain_gossip_applied += changed.len() as u64;
@@ -41,7 +41,7 @@
             return;
         }
         let entries = self.endpoints.entries(&self.names, changed);
-        // Who may be reached is told before the entries, which may dispatch what waits.
+        // The scheduler gets the target sets before the entries, which may dispatch queued requests.
         self.routes.apply_changes(self.endpoints.effective_of(changed));
         self.publish_target_sets();
         self.endpoints.bump_revision();
--- a/src/core/actor/handover.rs
+++ b/src/core/actor/handover.rs
@@ -61,7 +61,7 @@
         let HandoverState { maintenance, scheduler, object_locations } = state;
         self.endpoints.set_maintenance(maintenance);
         self.object_locations.learn(object_locations);
-        // What maintenance changes of the targets is told before what was learned of them, which is void for
+        // The scheduler learns what maintenance changes of the targets before what was learned of them, which is void for
         // another start.
         self.refresh_all_targets();
         let names = &mut self.names;
--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -63,7 +63,7 @@
     pub(super) response_started: Option<OwnedPermit<Message>>,
 }
 
-/// The duty to ask before an attempt's first byte, and to tell how the attempt ended. Dropped without a
+/// The duty to ask before an attempt's first byte, and to report how the attempt ended. Dropped without a
 /// result, the attempt counts as broken if it had started: it may have run.
 #[derive(Debug)]
 pub struct AttemptReporter {
@@ -72,7 +72,7 @@
     start: RefCell<Option<OwnedPermit<Message>>>,
     body_started: RefCell<Option<OwnedPermit<Message>>>,
     response_started: RefCell<Option<OwnedPermit<Message>>>,
-    /// Absent once the end was told.
+    /// Absent once the end was reported.
     end: Option<OwnedPermit<Message>>,
 }
 
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Tells how the attempt ended.
+    /// Reports how the attempt ended.
     pub fn finish(mut self, result: AttemptResult) {
         self.send(result);
     }
@@ -134,13 +134,13 @@
     }
 }
 
-/// The duty to tell how a probe ended. Dropped without an outcome, the probe was not sent.
+/// The duty to report how a probe ended. Dropped without an outcome, the probe was not sent.
 #[derive(Debug)]
 pub struct ProbeReporter {
     target: TargetId,
     sent: Micros,
     clock: Clock,
-    /// Absent once the end was told.
+    /// Absent once the end was reported.
     end: Option<OwnedPermit<Message>>,
 }
 
@@ -154,7 +154,7 @@
         ProbeReporter { target, sent, clock, end: Some(end) }
     }
 
-    /// Tells how the probe ended, and the load that the target reported with it.
+    /// Reports how the probe ended, and the load that the target reported with it.
     pub fn finish(mut self, outcome: Outcome, load: LoadReport) {
         self.send(outcome, load);
     }
--- a/src/core/body.rs
+++ b/src/core/body.rs
@@ -19,7 +19,7 @@
 /// What follows the buffered bytes of a long request, as its client sends it. One attempt reads it: what was
 /// read is not there for another.
 pub struct Upload {
-    /// Bytes of the whole body, where its head tells it.
+    /// Bytes of the whole body, where its head says it.
     length: Option<u64>,
     /// Absent while a reader has it, and once some of it was read.
     chunks: RefCell<Option<Chunks>>,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Bytes of the whole body; `None` where its head does not tell.
+    /// Bytes of the whole body; `None` where its head does not say.
     pub fn length(&self) -> Option<u64> {
         self.length
     }
@@ -133,7 +133,7 @@
 /// The body of a long response, as its target sends it.
 #[derive(Debug)]
 pub struct BodyStream {
-    /// Bytes of the whole body, where its head tells it.
+    /// Bytes of the whole body, where its head says it.
     pub length: Option<u64>,
     /// An error: the rest will not come. The same holds for an end before `length`.
     pub chunks: mpsc::Receiver<Result<Bytes, IncompleteBody>>,
--- a/src/core/clock.rs
+++ b/src/core/clock.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// Monotonic microseconds that begin at the Unix time of the program's start, so that what lists tell in
+/// Monotonic microseconds that begin at the Unix time of the program's start, so that what lists report in
 /// Unix time compares with them, and a step of the system's clock does not move them.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
--- a/src/core/endpoint.rs
+++ b/src/core/endpoint.rs
@@ -23,7 +23,7 @@
     pub addr: SocketAddr,
     /// Its failure domain.
     pub zone: String,
-    /// The kind of machine; empty: not told.
+    /// The kind of machine; empty: not known.
     pub kind: String,
     /// The part of the data that it holds.
     pub shard: u32,
--- a/src/core/endpoints.rs
+++ b/src/core/endpoints.rs
@@ -40,7 +40,7 @@
 /// All listed targets. What a change costs goes with what has changed, beyond a look at each entry that came.
 pub(super) struct Endpoints {
     targets: BTreeMap<TargetId, Target>,
-    /// Targets that peers report as draining, while discovery itself has not been heard.
+    /// Targets that peers report as draining, while discovery itself does not answer.
     draining_by_gossip: BTreeSet<TargetId>,
     /// Absent: no part of a snapshot has come.
     partial_snapshot: Option<PartialSnapshot>,
@@ -120,7 +120,7 @@
         self.maintenance = maintenance;
     }
 
-    /// Peers report that these targets drain: nothing new goes to them until discovery is heard. Returns the
+    /// Peers report that these targets drain: nothing new goes to them until discovery answers. Returns the
     /// targets that this changed.
     pub(super) fn report_draining(
         &mut self,
@@ -160,7 +160,7 @@
     }
 
     /// Whether maintenance or a lost site keeps requests from a target. One that discovery has drain is not
-    /// held by its site: nobody would tell its connections that it is back.
+    /// held by its site: nobody would inform its connections that it is back.
     pub(super) fn is_held_out(&self, now: Micros, id: TargetId) -> bool {
         self.targets.get(&id).is_some_and(|target| {
             let held_by_site = target.reported.state == TargetState::Active
@@ -170,7 +170,7 @@
     }
 
     /// Works out anew what holds for targets, of which others than discovery have said that they drain or are
-    /// back, and tells their actors. Returns the targets that this changed.
+    /// back, and informs their actors. Returns the targets that this changed.
     pub(super) fn refresh(&mut self, now: Micros, targets: &[TargetId], draining: bool) -> Vec<TargetId> {
         let mut changed = Vec::with_capacity(targets.len());
         for id in targets {
@@ -181,7 +181,7 @@
                 target.effective = effective;
                 changed.push(*id);
             }
-            // An actor that begins later is told then.
+            // An actor that starts later is informed then.
             if let Some(mailbox) = &target.mailbox
                 && mailbox.try_send(TargetMessage::SetDraining(draining)).is_err()
             {
@@ -220,7 +220,7 @@
         ids.iter().filter_map(|id| Some((*id, &self.targets.get(id)?.effective)))
     }
 
-    /// The same, as the scheduler is told.
+    /// The same, as the scheduler takes it.
     pub(super) fn entries(&self, names: &Names, ids: &[TargetId]) -> Vec<EndpointEntry> {
         let entry = |(target, endpoint): (TargetId, &Endpoint)| EndpointEntry {
             target,
--- a/src/core/endpoints/updates.rs
+++ b/src/core/endpoints/updates.rs
@@ -55,7 +55,7 @@
             .collect()
     }
 
-    /// The targets that peers reported as draining, and of which discovery, which has been heard now, tells no
+    /// The targets that peers reported as draining, and of which discovery, which has answered now, reports no
     /// change: as discovery had them.
     fn gossip_refuted_by(&self, changes: &[Endpoint]) -> Vec<Endpoint> {
         let changed: HashSet<&str> = changes.iter().map(|change| change.name.as_str()).collect();
--- a/src/core/handover_port.rs
+++ b/src/core/handover_port.rs
@@ -1,4 +1,4 @@
-//! What the core and the handover's actor tell each other.
+//! The core's channels to and from the handover's actor.
 
 use crate::core::admin::AdminCommand;
 use crate::core::handover_request::HandoverRequest;
@@ -35,12 +35,12 @@
         self.handed_over = handed_over;
     }
 
-    /// Tells the other process an admin command that holds here. Without another process nobody takes it.
+    /// Sends the other process an admin command that holds here. Without another process nobody takes it.
     pub(super) fn send_admin_command(&self, command: AdminCommand) {
         let _ = self.admin_commands.try_send(command);
     }
 
-    /// Tells the other process where an object was seen. Without another process nobody takes it; what finds
+    /// Sends the other process the location at which an object was seen. Without another process nobody takes it; what finds
     /// no room is learned there by asking.
     pub(super) fn send_sighting(&self, sighting: (Object, Seen)) {
         let _ = self.sightings.try_send(sighting);
--- a/src/core/handover_request.rs
+++ b/src/core/handover_request.rs
@@ -27,7 +27,7 @@
 pub enum HandoverRequest {
     /// The time, and the endpoint list as discovery reported it.
     Describe(oneshot::Sender<(Micros, Vec<Endpoint>)>),
-    /// To spend nothing that is owned from now on, and to tell all of it.
+    /// To spend nothing that is owned from now on, and to report all of it.
     Freeze(oneshot::Sender<Box<HandoverState>>),
     /// To spend it again.
     Resume(oneshot::Sender<()>),
--- a/src/core/mailbox.rs
+++ b/src/core/mailbox.rs
@@ -175,7 +175,7 @@
     }
 }
 
-/// The response to a submitted request. Dropped before it has come, it tells the core that the client has
+/// The response to a submitted request. Dropped before it has come, it informs the core that the client has
 /// gone.
 #[derive(Debug)]
 pub struct PendingResponse {
--- a/src/core/open_requests.rs
+++ b/src/core/open_requests.rs
@@ -1,5 +1,5 @@
 //! The requests that are not settled: each has one response for its client, and is removed once that is
-//! given and none of its attempts is in flight. Their deadlines are watched here.
+//! sent and none of its attempts is in flight. Their deadlines are watched here.
 
 use crate::core::request::{Request, Response};
 use crate::interface::{AttemptNumber, Micros, Outcome, RequestId, TargetId, TargetSetId};
@@ -26,7 +26,7 @@
     pub(super) started: bool,
     /// When the head of its response came.
     pub(super) response_started: Option<Micros>,
-    /// Absent once the attempt is cancelled: its drop is the signal, and the attempt still tells its end.
+    /// Absent once the attempt is cancelled: its drop is the signal, and the attempt still reports its end.
     pub(super) cancel: Option<oneshot::Sender<()>>,
 }
 
@@ -58,7 +58,7 @@
     /// When the core took it up.
     pub(super) submitted: Micros,
     pub(super) deadline: Micros,
-    /// Absent once the response is given, or the client has gone.
+    /// Absent once the response is sent, or the client has gone.
     pub(super) response: Option<oneshot::Sender<Response>>,
     /// By their numbers; absent: it has ended.
     pub(super) attempts: Vec<Option<InFlightAttempt>>,
@@ -69,7 +69,7 @@
 }
 
 impl OpenRequest {
-    /// Whether its response is given or its client has gone.
+    /// Whether its response is sent or its client has gone.
     pub(super) fn is_finished(&self) -> bool {
         self.response.is_none()
     }
--- a/src/core/quota.rs
+++ b/src/core/quota.rs
@@ -77,7 +77,7 @@
 
 /// The scheduler's token buckets, as the exchange needs them.
 pub(super) trait Buckets {
-    /// Takes unused units out of a volume's bucket, `max_units` at most, and tells how many they were.
+    /// Takes unused units out of a volume's bucket, `max_units` at most, and returns how many they were.
     fn offer(&mut self, volume: VolumeId, max_units: f64) -> f64;
     /// Adds units to a volume's bucket, as many as it has room for.
     fn receive(&mut self, volume: VolumeId, units: f64);
@@ -102,7 +102,7 @@
     }
 }
 
-/// Thousandths of a unit, rounded down: what is told is never more than there was.
+/// Thousandths of a unit, rounded down: what is reported is never more than there was.
 fn milli(units: f64) -> Milli {
     (units * 1e3).clamp(0.0, f64::from(Milli::MAX)) as Milli
 }
--- a/src/core/readiness.rs
+++ b/src/core/readiness.rs
@@ -1,4 +1,4 @@
-//! Whether requests can be served: a target is active, and either discovery has been heard or it has had its
+//! Whether requests can be served: a target is active, and either discovery has answered or it has had its
 //! time, after which the cached list must do.
 
 use crate::core::clock::micros;
--- a/src/core/routes.rs
+++ b/src/core/routes.rs
@@ -48,7 +48,7 @@
     sets: BTreeMap<TargetSetId, TargetSet>,
     by_key: HashMap<TargetSetKey, TargetSetId>,
     next_id: u32,
-    /// What the scheduler has not been told yet.
+    /// What the scheduler has not taken yet.
     events: Vec<Event>,
 }
 
@@ -170,7 +170,7 @@
         }
     }
 
-    /// What the scheduler has not been told yet, in its order.
+    /// What the scheduler has not taken yet, in its order.
     pub fn take_events(&mut self) -> Vec<Event> {
         std::mem::take(&mut self.events)
     }
--- a/src/core/site_monitor.rs
+++ b/src/core/site_monitor.rs
@@ -1,4 +1,4 @@
-//! What attempts, probes and the endpoint list tell of sites, and what follows for a site's targets.
+//! What attempts, probes and the endpoint list reveal of sites, and what follows for a site's targets.
 
 use crate::core::endpoint::Endpoint;
 use crate::interface::{Micros, Outcome, TargetState};
--- a/src/core/start_times.rs
+++ b/src/core/start_times.rs
@@ -1,6 +1,6 @@
 //! When targets started, on the core's clock.
 //!
-//! Endpoint lists tell starts in Unix time, and the core's clock begins with the system's wall clock at the start
+//! Endpoint lists report starts in Unix time, and the core's clock begins with the system's wall clock at the start
 //! of the process and is monotonic from then on. If that wall clock was wrong just then, every start looks
 //! far past or far in the future: a target that has just started would get its full load at once, or next to
 //! none for an hour.
--- a/src/core/validation.rs
+++ b/src/core/validation.rs
@@ -21,7 +21,7 @@
     keyed: bool,
 }
 
-/// Why a request is none that the settings have, or cannot be told from another.
+/// Why a request is none that the settings have, or cannot be distinguished from another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidRequest {
     /// The settings have no such request class.
--- a/src/handover/actor.rs
+++ b/src/handover/actor.rs
@@ -18,7 +18,7 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// How often a retired predecessor tells what it still uses.
+/// How often a retired predecessor reports what it still uses.
 const SHARE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How a process starts.
@@ -35,7 +35,7 @@
     },
 }
 
-/// What the core tells for the other process.
+/// What the core has for the other process.
 #[derive(Debug)]
 pub struct CoreUpdates {
     /// Admin commands that it has applied.
@@ -63,7 +63,7 @@
     received_state: Option<Box<HandoverState>>,
     /// All that is owned here, on its way to the successor.
     frozen_state: Option<Box<HandoverState>>,
-    /// What the core is to be told of the other process's commands and objects.
+    /// The other process's commands and object sightings, on their way to the core.
     core_requests: VecDeque<HandoverRequest>,
     /// Absent until this process has all that it needs to serve.
     controls: Option<HandoverControls>,
@@ -138,13 +138,13 @@
                     prepared = true;
                     self.handle(Event::Prepared);
                 }
-                _ = share.tick(), if self.machine.is_retired() => self.tell_share(),
+                _ = share.tick(), if self.machine.is_retired() => self.send_share(),
                 () = self.next_event() => {}
             }
         }
     }
 
-    /// Executes all actions, then passes on what the other process told for the core.
+    /// Executes all actions, then passes on to the core what the other process sent for it.
     async fn execute_all(&mut self) {
         while let Some(action) = self.actions.pop_front() {
             if let Err(error) = self.execute(action).await {
@@ -153,7 +153,7 @@
         }
         while let Some(request) = self.core_requests.pop_front() {
             if let Some(controls) = &self.controls {
-                controls.tell(request).await;
+                controls.notify(request).await;
             }
         }
     }
--- a/src/handover/actor/actions.rs
+++ b/src/handover/actor/actions.rs
@@ -65,7 +65,7 @@
         if let Some(controls) = &self.controls {
             controls.retire();
         }
-        self.tell_share();
+        self.send_share();
         tracing::info!("handover completed, finishing open requests");
     }
 
@@ -108,8 +108,8 @@
         Ok(())
     }
 
-    /// Tells the successor what this process still uses.
-    pub(super) fn tell_share(&self) {
+    /// Reports to the successor what this process still uses.
+    pub(super) fn send_share(&self) {
         let Some(controls) = &self.controls else { return };
         let share = Some(controls.retired_share());
         self.links.broadcast(&Message { share, ..Message::default() });
--- a/src/handover/controls.rs
+++ b/src/handover/controls.rs
@@ -42,13 +42,13 @@
         answered.await.ok()
     }
 
-    /// Tells the core something that it does not answer.
-    pub(super) async fn tell(&self, request: HandoverRequest) {
+    /// Sends the core a request that it does not answer.
+    pub(super) async fn notify(&self, request: HandoverRequest) {
         // A core that has ended needs it no more.
         let _ = self.core.send(request).await;
     }
 
-    /// Makes room for a successor, and tells it all that may be known early. `None`: the core has ended.
+    /// Makes room for a successor, and collects all that it may know early. `None`: the core has ended.
     pub(super) async fn welcome(&self) -> Option<Welcome> {
         let (now, list) = self.ask(HandoverRequest::Describe).await?;
         self.budget.share(SUCCESSOR_DESCRIPTORS);
