--- a/crates/handover/src/machine.rs
+++ b/crates/handover/src/machine.rs
@@ -216,7 +216,8 @@
             Event::LockAcquired => {
                 Some(self.transition(State::Owner(None), vec![Action::Serve { with_state: true }]))
             }
-            // Whoever holds the lock acquired it after this one was granted ownership; all is to be had from it.
+            // Whoever holds the lock acquired it after this one was granted ownership; all is to be had from
+            // it.
             Event::LockUnavailable => Some(self.transition(State::Seeking, vec![Action::Connect])),
             _ => None,
         }
--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -32,7 +32,8 @@
 /// A target that is back from maintenance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Returned {
-    /// When its maintenance began. A start that discovery reports from before that is from before its restart.
+    /// When its maintenance began. A start that discovery reports from before that is from before its
+    /// restart.
     #[serde(rename = "out")]
     began: Micros,
     /// When it ended.
--- a/src/core/actor/attempts.rs
+++ b/src/core/actor/attempts.rs
@@ -168,8 +168,8 @@
             outcome,
             elapsed,
             request_over,
-            used: result.used,
-            elsewhere: result.elsewhere,
+            used_fraction: result.used,
+            units_elsewhere: result.elsewhere,
             load: result.load,
         });
         self.remove_if_settled(id);
@@ -228,8 +228,8 @@
         outcome: Outcome::NotSent,
         elapsed: 0,
         request_over,
-        used: None,
-        elsewhere: 0.0,
+        used_fraction: None,
+        units_elsewhere: 0.0,
         load: LoadReport::default(),
     }
 }
--- a/src/core/actor/endpoint_updates.rs
+++ b/src/core/actor/endpoint_updates.rs
@@ -101,7 +101,8 @@
         if moved.all && !mine.is_empty() {
             tracing::warn!(targets = mine.len(), "subset holds all targets, none preferred");
         } else {
-            tracing::info!(preferred = ?mine, came = moved.came.len(), left = moved.left.len(), "preferred targets changed");
+            let (came, left) = (moved.came.len(), moved.left.len());
+            tracing::info!(preferred = ?mine, came, left, "preferred targets changed");
         }
         let preferred = mine.iter().filter(|_| !moved.all).filter_map(|name| self.names.target(name));
         let event = Event::PreferredTargets(preferred.collect());
--- a/src/core/diagnostics.rs
+++ b/src/core/diagnostics.rs
@@ -2,8 +2,8 @@
 //! how long an endpoint list takes from its arrival until it is in force.
 //!
 //! One thread gives every response. A step that takes long holds up the last responses of all open requests
-//! and the changes of targets that drain, so the log says what the step was for. [`Counters`] go to the log with
-//! SIGUSR1, and at the end.
+//! and the changes of targets that drain, so the log says what the step was for. [`Counters`] go to the log
+//! with SIGUSR1, and at the end.
 
 use std::time::Duration;
 use tokio::time::Instant;
--- a/src/core/handover_port.rs
+++ b/src/core/handover_port.rs
@@ -40,8 +40,8 @@
         let _ = self.admin_commands.try_send(command);
     }
 
-    /// Sends the other process the location at which an object was seen. Without another process nobody takes it; what finds
-    /// no room is learned there by asking.
+    /// Sends the other process the location at which an object was seen. Without another process nobody takes
+    /// it; what finds no room is learned there by asking.
     pub(super) fn send_sighting(&self, sighting: (Object, Seen)) {
         let _ = self.sightings.try_send(sighting);
     }
--- a/src/core/mailbox.rs
+++ b/src/core/mailbox.rs
@@ -1,5 +1,5 @@
-//! The core's mailbox, the handle by which fronts submit requests, and the guarantee that the core learns of a
-//! client that has gone.
+//! The core's mailbox, the handle by which fronts submit requests, and the guarantee that the core learns of
+//! a client that has gone.
 
 use crate::core::access_log::{AccessLog, LogEntry};
 use crate::core::endpoint::{Endpoint, Protocol};
