--- a/crates/lab/src/scale/lists.rs
+++ b/crates/lab/src/scale/lists.rs
@@ -202,7 +202,7 @@
         let (inbox, handle) = mailbox(&settings, None);
         let (_routes, table) = watch::channel(Arc::default());
         let (_operators, operations) = mpsc::channel(1);
-        let (_keeper, upgrades) = mpsc::channel(1);
+        let (_handover, upgrades) = mpsc::channel(1);
         let (calls, _calls) = mpsc::channel(1);
         let (seen, _seen) = mpsc::channel(1);
         let subset = subset.map(|rule| Subset::new(rule, 0, size.instances));
