--- a/tests/compatibility/handover.rs
+++ b/tests/compatibility/handover.rs
@@ -9,9 +9,9 @@
 use tokio::net::UnixStream;
 
 /// One message a line.
-const WORDS: &str = include_str!("samples/handover-words.jsonl");
+const KINDS: &str = include_str!("samples/handover-words.jsonl");
 const WELCOME: &str = include_str!("samples/handover-welcome.json");
-const GIVEN: &str = include_str!("samples/handover-given.json");
+const STATE: &str = include_str!("samples/handover-given.json");
 
 fn decoded(line: &str) -> Message {
     serde_json::from_str(line).unwrap_or_else(|e| panic!("{e}: {line}"))
@@ -21,7 +21,7 @@
     serde_json::to_string(message).expect("JSON")
 }
 
-/// Every word, and what is told beside them, each with all fields set.
+/// Every kind, and what is sent beside them, each with all fields set.
 fn messages() -> Vec<Message> {
     let kinds = [
         MessageKind::Hello { version: 1 },
@@ -33,25 +33,25 @@
         MessageKind::StateReceived,
         MessageKind::OwnershipGranted,
     ];
-    let calls = [AdminCommand::Maint("box-1".into()), AdminCommand::Ready("box-2".into())];
+    let commands = [AdminCommand::Maint("box-1".into()), AdminCommand::Ready("box-2".into())];
     let seen = [((11, 12), Seen::At(3)), ((13, 14), Seen::NotAt(4))];
     let mut all: Vec<Message> =
         kinds.into_iter().map(|kind| Message { kind: Some(kind), ..Message::default() }).collect();
-    all.extend(calls.map(|call| Message { admin_command: Some(call), ..Message::default() }));
+    all.extend(commands.map(|command| Message { admin_command: Some(command), ..Message::default() }));
     all.extend(seen.map(|seen| Message { object_seen: Some(seen), ..Message::default() }));
     all.push(Message { share: Some(DescriptorShare { descriptors: 5 }), ..Message::default() });
     all
 }
 
 #[test]
-fn words_calls_and_places_are_written_as_recorded() {
+fn kinds_commands_and_locations_are_written_as_recorded() {
     let written: Vec<String> = messages().iter().map(encoded).collect();
-    assert_eq!(written, WORDS.lines().collect::<Vec<_>>());
+    assert_eq!(written, KINDS.lines().collect::<Vec<_>>());
 }
 
 #[test]
-fn words_calls_and_places_are_read_without_loss() {
-    for (line, message) in WORDS.lines().zip(messages()) {
+fn kinds_commands_and_locations_are_read_without_loss() {
+    for (line, message) in KINDS.lines().zip(messages()) {
         let read = decoded(line);
         assert_eq!(
             (read.kind, &read.admin_command, read.object_seen, read.share),
@@ -73,12 +73,12 @@
 
 // What is learned and owned has private fields: a name that is lost comes back as a default, or not at all.
 #[test]
-fn what_is_given_keeps_every_field() {
-    let read = decoded(GIVEN.trim_end());
-    let given = read.state.as_ref().expect("what is given");
-    assert!(given.maintenance.is_out("box-1"));
-    assert_eq!(given.object_locations, [((21, 22), Seen::At(1)), ((23, 24), Seen::NotAt(2))]);
-    assert_eq!(encoded(&read), GIVEN.trim_end());
+fn the_handed_over_state_keeps_every_field() {
+    let read = decoded(STATE.trim_end());
+    let state = read.state.as_ref().expect("a state");
+    assert!(state.maintenance.is_out("box-1"));
+    assert_eq!(state.object_locations, [((21, 22), Seen::At(1)), ((23, 24), Seen::NotAt(2))]);
+    assert_eq!(encoded(&read), STATE.trim_end());
 }
 
 #[tokio::test(flavor = "current_thread")]
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -1,5 +1,5 @@
-//! The core beside targets that are no more than a mailbox: what it owes its requests whatever becomes of
-//! those.
+//! The core with targets that are no more than a mailbox: each request gets its one response, whatever the
+//! targets do.
 
 use bytes::Bytes;
 use rowanglade::core::{
@@ -17,11 +17,11 @@
 
 const EXAMPLE: &str = include_str!("../deploy/example.json");
 
-/// Runs a story beside a core whose targets are made by `connect`. Time is the test's own: it passes when
-/// nothing is left to do, so a core that spins hangs, which the watchdog tells.
-fn story<F: Future<Output = ()>>(
+/// Runs `test` with a core whose targets are made by `connect`. Time is the test's own: it passes when nothing
+/// is left to do, so a core that spins hangs, which the time-out shows.
+fn with_core<F: Future<Output = ()>>(
     connect: impl FnOnce() -> Connect + Send + 'static,
-    with: impl FnOnce(CoreHandle) -> F + Send + 'static,
+    test: impl FnOnce(CoreHandle) -> F + Send + 'static,
 ) {
     let (done, finished) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
@@ -57,12 +57,12 @@
             );
             tokio::select! {
                 () = core.run() => panic!("the core ended"),
-                () = with(handle) => {}
+                () = test(handle) => {}
             }
         });
         let _ = done.send(());
     });
-    finished.recv_timeout(Duration::from_secs(10)).expect("the story ends");
+    finished.recv_timeout(Duration::from_secs(10)).expect("the test ends");
 }
 
 fn request() -> Request {
@@ -86,7 +86,7 @@
     }
 }
 
-async fn list(core: &CoreHandle) {
+async fn send_cached_list(core: &CoreHandle) {
     let entries = vec![Endpoint {
         kind: String::new(),
         name: "s".into(),
@@ -101,27 +101,27 @@
 }
 
 /// Targets whose actors have ended.
-fn dead() -> Connect {
+fn ended_actors() -> Connect {
     Box::new(|_| mpsc::channel(1).0)
 }
 
 // A core without any target waited again and again for a time that had passed, and took the whole processor.
 #[test]
 fn without_a_target_it_is_not_ready_and_does_not_spin() {
-    story(dead, async |core| {
+    with_core(ended_actors, async |core| {
         tokio::time::sleep(Duration::from_secs(60)).await;
         assert!(!core.ready());
-        list(&core).await;
+        send_cached_list(&core).await;
         core.readiness().wait_for(|ready| *ready).await.expect("it runs");
     });
 }
 
 // After a release that killed most instances, each was away for 1.5 s longer than it took to start.
 #[test]
-fn without_discovery_a_remembered_list_must_do_soon() {
-    story(dead, async |core| {
+fn without_discovery_the_cached_list_must_do_soon() {
+    with_core(ended_actors, async |core| {
         let start = tokio::time::Instant::now();
-        list(&core).await;
+        send_cached_list(&core).await;
         assert!(!core.ready(), "discovery may just be about to answer");
         core.readiness().wait_for(|ready| *ready).await.expect("it runs");
         assert!(start.elapsed() <= Duration::from_millis(310), "{:?}", start.elapsed());
@@ -129,19 +129,19 @@
 }
 
 #[test]
-fn a_target_that_takes_nothing_leaves_no_request_without_its_answer() {
-    story(dead, async |core| {
-        list(&core).await;
+fn a_target_that_takes_nothing_leaves_no_request_without_its_response() {
+    with_core(ended_actors, async |core| {
+        send_cached_list(&core).await;
         let answer = core.submit(request()).await.expect("fit").response().await;
         assert!(matches!(answer, Response::Rejected { retry_after } if !retry_after.is_zero()), "{answer:?}");
         assert_eq!(core.open_requests(), 0);
     });
 }
 
-// An attempt whose actor drops it untold may have run: a keyed write must not be refused as harmless. Dropped
+// An attempt whose actor drops it without a result may have run: a keyed write must not be rejected as harmless. Dropped
 // before it asked whether its first byte may go out, it never ran.
 #[test]
-fn an_attempt_dropped_untold_counts_as_broken_once_it_may_have_started() {
+fn an_attempt_dropped_without_a_result_counts_as_broken_once_it_may_have_started() {
     let drops = |started: bool| -> Connect {
         Box::new(move |_| {
             let (tx, mut rx) = mpsc::channel(8);
@@ -157,17 +157,17 @@
     };
     let write =
         || Request { class: "deposit".into(), write: true, idempotency_key: Some("k".into()), ..request() };
-    story(
+    with_core(
         move || drops(true),
         async move |core| {
-            list(&core).await;
+            send_cached_list(&core).await;
             assert_eq!(core.submit(write()).await.expect("fit").response().await, Response::Failed);
         },
     );
-    story(
+    with_core(
         move || drops(false),
         async move |core| {
-            list(&core).await;
+            send_cached_list(&core).await;
             let answer = core.submit(write()).await.expect("fit").response().await;
             assert!(matches!(answer, Response::Rejected { .. }), "{answer:?}");
         },
@@ -176,7 +176,7 @@
 
 // What has no answer when the program must end would be lost with it.
 #[test]
-fn at_the_end_whatever_is_open_fails() {
+fn at_shutdown_every_open_request_fails() {
     let holds = || -> Connect {
         Box::new(|_| {
             let (tx, mut rx) = mpsc::channel(8);
@@ -189,8 +189,8 @@
             tx
         })
     };
-    story(holds, async |core| {
-        list(&core).await;
+    with_core(holds, async |core| {
+        send_cached_list(&core).await;
         let pending = core.submit(request()).await.expect("fit");
         core.send(Message::Shutdown).await;
         assert_eq!(pending.response().await, Response::Failed);
