--- a/src/core/actor.rs
+++ b/src/core/actor.rs
@@ -1,6 +1,7 @@
 //! The core's actor: it alone owns the [`Scheduler`] and all state beside it, and assembles the parts.
 
 mod admin;
+mod attempt_results;
 mod attempts;
 mod endpoint_updates;
 mod handover;
--- /dev/null
+++ b/src/core/actor/attempt_results.rs
@@ -0,0 +1,112 @@
+//! What attempts report: the start of a body or a response, and how they ended.
+
+use super::Core;
+use crate::core::body::ResponseBody;
+use crate::core::open_requests::{InFlightAttempt, OpenRequest};
+use crate::core::request::{AttemptResult, Request, Response};
+use crate::interface::{AttemptNumber, Event, Micros, Outcome, RequestId, TargetId};
+use std::rc::Rc;
+use std::time::Duration;
+
+impl Core {
+    /// The streamed part of a request's body is being sent. Its deadline runs from the last byte on, which
+    /// the attempt itself keeps.
+    pub(super) fn body_started(&mut self, id: RequestId, number: AttemptNumber) {
+        if self.open_requests.get(id).is_some() {
+            self.open_requests.stop_watching(id);
+            self.apply_event(Event::TransferStarted { id, attempt: number, deadline_applies: false });
+        }
+    }
+
+    /// The head of an attempt's response has come.
+    pub(super) fn response_started(&mut self, id: RequestId, number: AttemptNumber) {
+        let now = self.clock.now();
+        let Some(open) = self.open_requests.get_mut(id) else { return };
+        open.trace(number, |trace| trace.response_started = Some(now));
+        if let Some(attempt) = open.attempt_mut(number) {
+            attempt.response_started = Some(now);
+            self.apply_event(Event::TransferStarted { id, attempt: number, deadline_applies: true });
+        }
+    }
+
+    /// An attempt's end. The first served one is the client's response.
+    pub(super) fn attempt_ended(&mut self, id: RequestId, number: AttemptNumber, result: AttemptResult) {
+        let Some(open) = self.open_requests.get_mut(id) else { return };
+        let Some(attempt) = open.take_attempt(number) else { return };
+        let result = before_start_means_not_sent(&attempt, result);
+        let outcome = result.outcome;
+        let now = self.clock.now();
+        open.trace(number, |trace| trace.ended = Some((now, outcome)));
+        let request = Rc::clone(&open.request);
+        self.learn_location(attempt.target, &request, outcome);
+        let consumed = request.body_rest.as_ref().is_some_and(|upload| upload.is_consumed());
+        if let Some(response) = response_to(outcome, consumed, result.body) {
+            self.finish_request(id, Some(response));
+        }
+        tracing::debug!(request = id.0, attempt = number.0, ?outcome, "attempt ended");
+        let request_over = self.open_requests.get(id).is_none_or(OpenRequest::is_finished);
+        let elapsed = self.response_time(&attempt, &request, now);
+        // One whose client left says nothing of its target.
+        if !(request_over && outcome == Outcome::Cancelled)
+            && let Some((sites, name)) = self.endpoints.site_of(attempt.target)
+        {
+            sites.attempt_ended(now, name, outcome, attempt.response_started.is_some(), Some(elapsed));
+        }
+        self.apply_event(Event::AttemptEnded {
+            id,
+            attempt: number,
+            target: attempt.target,
+            outcome,
+            elapsed,
+            request_over,
+            used_fraction: result.used_fraction,
+            units_elsewhere: result.units_elsewhere,
+            load: result.load,
+        });
+        self.remove_if_settled(id);
+    }
+
+    /// What the target took for an attempt that has ended now. A streamed request counts from its last byte;
+    /// what a response takes on its way, once it has begun, says nothing of the target.
+    fn response_time(&self, attempt: &InFlightAttempt, request: &Request, now: Micros) -> Micros {
+        let completed_at = request.body_rest.as_ref().and_then(|upload| upload.completed_at());
+        let complete = completed_at.map_or(0, |at| self.clock.at(at));
+        let answered = attempt.response_started.filter(|at| *at >= complete).unwrap_or(now);
+        answered.saturating_sub(attempt.sent.max(complete))
+    }
+
+    /// Learns from an attempt's outcome where its object is.
+    fn learn_location(&mut self, target: TargetId, request: &Request, outcome: Outcome) {
+        let Some(shard) = self.endpoints.get(target).map(|target| target.reported.shard) else { return };
+        let object = (request.volume, request.object);
+        let sighting = match outcome {
+            Outcome::Served => self.object_locations.served(object, request.shard, shard),
+            Outcome::DeadlineExceeded => self.object_locations.turned_away(object, shard),
+            _ => None,
+        };
+        if let Some(sighting) = sighting {
+            self.handover.send_sighting(sighting);
+        }
+    }
+}
+
+/// Whatever its target's actor took it for: before its start nothing of an attempt was sent.
+fn before_start_means_not_sent(attempt: &InFlightAttempt, result: AttemptResult) -> AttemptResult {
+    match attempt.started || result.outcome.proves_not_executed() {
+        true => result,
+        false => AttemptResult::without_response(Outcome::NotSent),
+    }
+}
+
+/// The response that an attempt's outcome is for its client. `None`: the scheduler may try again. What was
+/// read of a streamed body (`consumed`) is not there for another attempt.
+fn response_to(outcome: Outcome, consumed: bool, body: ResponseBody) -> Option<Response> {
+    match outcome {
+        Outcome::Served => Some(Response::Served(body)),
+        outcome if consumed && outcome.proves_not_executed() => {
+            Some(Response::Rejected { retry_after: Duration::ZERO })
+        }
+        _ if consumed => Some(Response::Failed),
+        _ => None,
+    }
+}
--- a/src/core/request.rs
+++ b/src/core/request.rs
@@ -97,9 +97,9 @@
     /// Of a served attempt.
     pub body: ResponseBody,
     /// Units served for the volume everywhere in a finished period, as a part of the plan's rate.
-    pub used: Option<f64>,
+    pub used_fraction: Option<f64>,
     /// Units that the shard served for the volume through other initiators.
-    pub elsewhere: f64,
+    pub units_elsewhere: f64,
     /// The target's load.
     pub load: LoadReport,
 }
@@ -110,8 +110,8 @@
         AttemptResult {
             outcome,
             body: Bytes::new().into(),
-            used: None,
-            elsewhere: 0.0,
+            used_fraction: None,
+            units_elsewhere: 0.0,
             load: LoadReport::default(),
         }
     }
--- a/src/net/http/message.rs
+++ b/src/net/http/message.rs
@@ -198,8 +198,8 @@
     AttemptResult {
         outcome,
         body: if outcome == Outcome::Served { body } else { Bytes::new().into() },
-        used: number::<f64>(headers, &USED).filter(likely).map(|u| u / 100.0),
-        elsewhere: number::<f64>(headers, &ELSEWHERE).filter(likely).unwrap_or(0.0),
+        used_fraction: number::<f64>(headers, &USED).filter(likely).map(|u| u / 100.0),
+        units_elsewhere: number::<f64>(headers, &ELSEWHERE).filter(likely).unwrap_or(0.0),
         load: text(headers, &LOAD).map(load).unwrap_or_default(),
     }
 }
