--- a/src/core/start_times.rs
+++ b/src/core/start_times.rs
@@ -1,9 +1,9 @@
 //! When targets started, on the core's clock.
 //!
-//! Endpoint lists tell starts in Unix time, and the core's clock begins with the system's wall clock at the start
-//! of the process and is monotonic from then on. If that wall clock was wrong just then, every start looks
-//! far past or far in the future: a target that has just started would get its full load at once, or next to
-//! none for an hour.
+//! Endpoint lists report starts in Unix time, and the core's clock begins with the system's wall clock at the
+//! start of the process and is monotonic from then on. If that wall clock was wrong just then, every start
+//! looks far past or far in the future: a target that has just started would get its full load at once, or
+//! next to none for an hour.
 
 use crate::interface::Micros;
 
@@ -29,8 +29,8 @@
         true
     }
 
-    /// A reported start on the core's clock. It never lies in the future: a clock that is behind makes it just
-    /// now.
+    /// A reported start on the core's clock. It never lies in the future: a clock that is behind makes it
+    /// just now.
     pub fn on_clock(&self, now: Micros, reported: Micros) -> Micros {
         reported.saturating_add(self.ahead).min(now)
     }
