--- a/crates/checker/src/drains.rs
+++ b/crates/checker/src/drains.rs
@@ -1,22 +1,26 @@
-//! The rule on departures: no new work for a target once its departure was told and the grace is over.
+//! The rule on drains: no new work for a target once its drain is known and the grace is over.
 
-use crate::{Breach, BreachKind, Change, Delivery, History, Micros, Outage, ProcessId, Rules, TargetState};
+use crate::{
+    Breach, BreachKind, Delivery, EndpointChange, History, Interval, Micros, ProcessId, Rules, TargetState,
+};
 use std::collections::HashMap;
 
-/// Attempts that began too late at targets that were leaving.
+/// Attempts that began too late at draining or removed targets.
 pub fn check(history: &History, rules: &Rules) -> Vec<Breach> {
-    let news = News::of(history, rules);
+    let knowledge = EndpointKnowledge::of(history, rules);
     let processes: HashMap<&str, ProcessId> =
         history.requests.iter().map(|request| (request.id.as_str(), request.process)).collect();
     let mut breaches = Vec::new();
     for attempt in &history.attempts {
         let Some(process) = processes.get(attempt.request.as_str()) else { continue };
-        let Some(told) = news.leaving_since(*process, &attempt.target, attempt.begun) else { continue };
-        let stalled = history.stalled(told, attempt.begun);
-        if attempt.begun > told + rules.drain_grace + rules.socket_slack + stalled {
+        let Some(known_at) = knowledge.draining_since(*process, &attempt.target, attempt.started_at) else {
+            continue;
+        };
+        let stalled = history.stalled(known_at, attempt.started_at);
+        if attempt.started_at > known_at + rules.drain_grace + rules.socket_slack + stalled {
             breaches.push(Breach {
-                at: attempt.begun,
-                kind: BreachKind::SentToLeaving,
+                at: attempt.started_at,
+                kind: BreachKind::SentToDraining,
                 request: attempt.request.clone(),
                 process: Some(*process),
                 target: attempt.target.clone(),
@@ -26,18 +30,20 @@
     breaches
 }
 
-/// What was told to whom.
-struct News<'a> {
-    changes: HashMap<&'a str, Vec<&'a Change>>,
+/// Which changes of the endpoint list each process knows, and since when.
+struct EndpointKnowledge<'a> {
+    /// By target, in the order of their versions.
+    changes: HashMap<&'a str, Vec<&'a EndpointChange>>,
+    /// In the order of their times.
     deliveries: HashMap<ProcessId, Vec<&'a Delivery>>,
     starts: HashMap<ProcessId, Micros>,
-    outages: &'a [Outage],
-    heard_within: Micros,
+    outages: &'a [Interval],
+    discovery_propagation: Micros,
 }
 
-impl<'a> News<'a> {
-    fn of(history: &'a History, rules: &Rules) -> News<'a> {
-        let mut changes: HashMap<&str, Vec<&Change>> = HashMap::new();
+impl<'a> EndpointKnowledge<'a> {
+    fn of(history: &'a History, rules: &Rules) -> EndpointKnowledge<'a> {
+        let mut changes: HashMap<&str, Vec<&EndpointChange>> = HashMap::new();
         for change in &history.changes {
             changes.entry(&change.target).or_default().push(change);
         }
@@ -47,37 +53,42 @@
         }
         changes.values_mut().for_each(|list| list.sort_by_key(|change| change.version));
         deliveries.values_mut().for_each(|list| list.sort_by_key(|delivery| delivery.at));
-        let starts = history.starts.iter().copied().collect();
-        News { changes, deliveries, starts, outages: &history.outages, heard_within: rules.heard_within }
+        EndpointKnowledge {
+            changes,
+            deliveries,
+            starts: history.starts.iter().copied().collect(),
+            outages: &history.outages,
+            discovery_propagation: rules.discovery_propagation,
+        }
     }
 
-    /// Since when a process knows that a target is out of use, as of a time; none: it does not, or the target
-    /// has been in use again since.
-    fn leaving_since(&self, process: ProcessId, target: &str, at: Micros) -> Option<Micros> {
+    /// Since when a process knows that a target takes no new work, as of a time; none: it does not, or the
+    /// target has been active again since.
+    fn draining_since(&self, process: ProcessId, target: &str, at: Micros) -> Option<Micros> {
         let mut since = None;
         for change in self.changes.get(target)? {
             if change.at > at {
                 break;
             }
             match change.state {
-                // In use again from the change itself on, told or not.
-                TargetState::InUse { .. } => since = None,
-                TargetState::Leaving | TargetState::Left => {
-                    let told = self.told_at(process, change);
-                    since = Some(since.map_or(told, |earlier: Micros| earlier.min(told)));
+                // Active again from the change itself on, known or not.
+                TargetState::Active { .. } => since = None,
+                TargetState::Draining | TargetState::Removed => {
+                    let known_at = self.known_at(process, change);
+                    since = Some(since.map_or(known_at, |earlier: Micros| earlier.min(known_at)));
                 }
             }
         }
-        since.filter(|told| *told <= at)
+        since.filter(|known_at| *known_at <= at)
     }
 
-    /// When a change counts as told to a process: written to it, or so long after discovery had it and could
+    /// When a change counts as known to a process: written to it, or so long after discovery had it and could
     /// be reached by the process.
-    fn told_at(&self, process: ProcessId, change: &Change) -> Micros {
+    fn known_at(&self, process: ProcessId, change: &EndpointChange) -> Micros {
         let deliveries = self.deliveries.get(&process).map_or(&[][..], Vec::as_slice);
         let written = deliveries.iter().filter(|d| d.version >= change.version).map(|d| d.at).min();
-        let begun = self.starts.get(&process).copied().unwrap_or(0).max(change.at);
-        let latest = self.reachable_from(begun) + self.heard_within;
+        let started = self.starts.get(&process).copied().unwrap_or(0).max(change.at);
+        let latest = self.reachable_from(started) + self.discovery_propagation;
         written.map_or(latest, |at| at.min(latest))
     }
 
--- a/crates/checker/src/history.rs
+++ b/crates/checker/src/history.rs
@@ -7,159 +7,215 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProcessId(pub u32);
 
-/// How often the effect of a request may happen.
+/// How often a request may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// It may run again at any time.
-    Repeatable,
-    /// Targets of one group drop a repeat for this long after the first attempt was sent.
-    Keyed { span: Micros },
+    Idempotent,
+    /// Targets of one deduplication scope drop a repeat within a window.
+    KeyedWithin {
+        /// How long after the first attempt was sent.
+        window: Micros,
+    },
     /// It may not run twice.
-    Once,
+    NonIdempotent,
 }
 
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ClientEnd {
-    /// The last byte of an answer came.
-    Answered { at: Micros, status: u16 },
-    /// The client closed its connection before it had an answer.
-    Left { at: Micros },
+pub enum ClientOutcome {
+    /// The last byte of a response came.
+    Answered {
+        /// When it came.
+        at: Micros,
+        /// The status code of HTTP.
+        status: u16,
+    },
+    /// The client closed its connection before it had a response.
+    Disconnected {
+        /// When it closed.
+        at: Micros,
+    },
     /// The client waited for as long as it said and half a second more.
-    WaitedInVain { at: Micros },
-    /// The initiator closed the connection, on which the whole request had been written. `first`: nothing had
-    /// been asked on it before.
-    Closed { at: Micros, first: bool },
+    TimedOut {
+        /// When it gave up.
+        at: Micros,
+    },
+    /// The initiator closed the connection, on which the whole request had been written.
+    Closed {
+        /// When it closed.
+        at: Micros,
+        /// No other request had been sent on the connection before.
+        first: bool,
+    },
     /// The request never was an initiator's: no connection came up, or it was not written whole.
-    NotTaken,
-    /// An answer began and its connection was reset, so its client can tell that it is not whole.
-    CutShort { at: Micros },
+    NotAccepted,
+    /// A response began and its connection was reset, so its client can tell that it is not whole.
+    Truncated {
+        /// When the connection was reset.
+        at: Micros,
+    },
 }
 
 /// A request as its client saw it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
+    /// The same at the client and in all attempts.
     pub id: String,
+    /// The initiator that it was sent to.
     pub process: ProcessId,
-    pub effect: Effect,
+    /// How often it may run.
+    pub idempotency: Idempotency,
     /// When its last byte was written.
-    pub sent: Micros,
+    pub sent_at: Micros,
     /// How long the client said that it waits, from then.
     pub wait: Micros,
-    pub end: ClientEnd,
+    /// How it ended.
+    pub outcome: ClientOutcome,
 }
 
 impl Request {
     /// When no attempt of it may begin any more; none: it has not ended for its client.
     pub fn ended_at(&self) -> Option<Micros> {
-        match self.end {
-            ClientEnd::Answered { at, .. }
-            | ClientEnd::Left { at }
-            | ClientEnd::WaitedInVain { at }
-            | ClientEnd::Closed { at, .. }
-            | ClientEnd::CutShort { at } => Some(at),
-            ClientEnd::NotTaken => None,
+        match self.outcome {
+            ClientOutcome::Answered { at, .. }
+            | ClientOutcome::Disconnected { at }
+            | ClientOutcome::TimedOut { at }
+            | ClientOutcome::Closed { at, .. }
+            | ClientOutcome::Truncated { at } => Some(at),
+            ClientOutcome::NotAccepted => None,
         }
     }
 }
 
 /// What became of an attempt at its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum AttemptOutcome {
     /// It is being worked on, or was never answered.
-    Open,
+    InFlight,
+    /// It ran.
     Served,
     /// It failed, and may have run.
     Failed,
-    /// It was turned away unseen.
-    TurnedAway,
+    /// It was rejected with the promise that it did not run.
+    Rejected,
     /// Its connection broke before its last byte had come.
-    NeverWhole,
+    Incomplete,
 }
 
 /// An attempt as its target saw it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Attempt {
+    /// The id of its request.
     pub request: String,
+    /// The target's name.
     pub target: String,
     /// The targets among which a repeat is known.
-    pub group: String,
-    pub begun: Micros,
+    pub deduplication_scope: String,
+    /// When its head had come.
+    pub started_at: Micros,
+    /// Its size, in requests of usual work.
     pub units: f64,
     /// The time that the initiator says it will wait.
     pub time_left: Option<Micros>,
-    pub fate: Fate,
-    /// When its answer was written, or its connection ended.
-    pub ended: Option<Micros>,
+    /// What became of it.
+    pub outcome: AttemptOutcome,
+    /// When its response was written, or its connection ended.
+    pub ended_at: Option<Micros>,
 }
 
-/// What the list says of a target.
+/// What the endpoint list says of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetState {
-    /// In use; `started`: when it started, unless that was long ago.
-    InUse {
+    /// It takes new work.
+    Active {
+        /// When it started, unless that was long ago.
         started: Option<Micros>,
     },
-    Leaving,
-    Left,
+    /// It takes no new work.
+    Draining,
+    /// It is no longer listed.
+    Removed,
 }
 
-/// A change of the list.
+/// A change of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Change {
+pub struct EndpointChange {
+    /// The version of the list that has it.
     pub version: u64,
+    /// When discovery had it.
     pub at: Micros,
+    /// The target's name.
     pub target: String,
+    /// The target's state from then on.
     pub state: TargetState,
 }
 
 /// Discovery wrote the list as of a version, or all changes up to it, to a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Delivery {
+    /// Who read it.
     pub process: ProcessId,
+    /// The version of the list.
     pub version: u64,
+    /// When it was written.
     pub at: Micros,
 }
 
-/// A time in which discovery could not be reached.
+/// A span of time, such as one in which discovery could not be reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Outage {
+pub struct Interval {
+    /// Its first instant.
     pub from: Micros,
+    /// The first instant behind it.
     pub to: Micros,
 }
 
+impl Interval {
+    /// How much of the span from `from` to `to` lies in this one.
+    fn overlap(&self, from: Micros, to: Micros) -> Micros {
+        self.to.min(to).saturating_sub(self.from.max(from))
+    }
+}
+
 /// How the test ended a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProcessEnd {
+    /// The process.
     pub process: ProcessId,
-    /// When it was told to end (SIGTERM); none: it never was.
-    pub told: Option<Micros>,
-    /// When it was killed (SIGKILL); none: it ended by itself.
-    pub killed: Option<Micros>,
-}
-
-impl History {
-    /// How much of a span the rig stood still.
-    pub fn stalled(&self, from: Micros, to: Micros) -> Micros {
-        let overlap = |stall: &Outage| stall.to.min(to).saturating_sub(stall.from.max(from));
-        self.stalls.iter().map(overlap).sum()
-    }
+    /// When it got SIGTERM; none: it never did.
+    pub terminated_at: Option<Micros>,
+    /// When it got SIGKILL; none: it ended by itself.
+    pub killed_at: Option<Micros>,
 }
 
 /// All that a test recorded.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct History {
+    /// Every request, as its client saw it.
     pub requests: Vec<Request>,
+    /// Every attempt, as its target saw it.
     pub attempts: Vec<Attempt>,
-    pub changes: Vec<Change>,
+    /// Every change of the endpoint list.
+    pub changes: Vec<EndpointChange>,
+    /// Every answer of discovery that was read whole.
     pub deliveries: Vec<Delivery>,
-    pub outages: Vec<Outage>,
+    /// When discovery could not be reached.
+    pub outages: Vec<Interval>,
     /// When each process started; one that is not here was there from the beginning.
     pub starts: Vec<(ProcessId, Micros)>,
+    /// The processes that the test ended.
     pub ends: Vec<ProcessEnd>,
     /// Times in which the rig itself stood still, so that what it recorded then is late by as much.
-    pub stalls: Vec<Outage>,
-    /// Processes whose descriptors idle clients fill, and since when: new connections may be shut unread
+    pub stalls: Vec<Interval>,
+    /// Processes whose descriptors idle clients fill, and since when: new connections may be closed unread
     /// then.
     pub crowds: Vec<(ProcessId, Micros)>,
 }
+
+impl History {
+    /// How much of a span the rig stood still.
+    pub fn stalled(&self, from: Micros, to: Micros) -> Micros {
+        self.stalls.iter().map(|stall| stall.overlap(from, to)).sum()
+    }
+}
--- a/crates/checker/src/requests.rs
+++ b/crates/checker/src/requests.rs
@@ -1,12 +1,12 @@
 //! The rules on requests: one final answer in time, nothing after the end, and repeats as the class permits.
 
 use crate::{
-    Attempt, Breach, BreachKind, ClientEnd, Effect, Fate, History, Micros, ProcessEnd, ProcessId, Request,
-    Rules,
+    Attempt, AttemptOutcome, Breach, BreachKind, ClientOutcome, History, Idempotency, Micros, ProcessEnd,
+    ProcessId, Request, Rules,
 };
 use std::collections::HashMap;
 
-const SERVED: u16 = 200;
+const STATUS_OK: u16 = 200;
 
 /// Breaches of each request.
 pub fn check(history: &History, rules: &Rules) -> Vec<Breach> {
@@ -16,37 +16,40 @@
     }
     let mut breaches = Vec::new();
     for request in &history.requests {
-        if excused(request, &history.ends, rules) || crowded_out(request, &history.crowds) {
+        if ended_by_kill(request, &history.ends, rules) || closed_in_crowd(request, &history.crowds) {
             continue;
         }
         let mut own = attempts.remove(request.id.as_str()).unwrap_or_default();
-        own.sort_by_key(|attempt| attempt.begun);
-        let checked = Checked { request, attempts: own, rules, history };
-        breaches.extend(checked.answer());
-        breaches.extend(checked.after_the_end());
-        breaches.extend(checked.time_left());
-        breaches.extend(checked.repeats());
+        own.sort_by_key(|attempt| attempt.started_at);
+        let checks = RequestCheck { request, attempts: own, rules, history };
+        breaches.extend(checks.response());
+        breaches.extend(checks.attempts_after_end());
+        breaches.extend(checks.time_left());
+        breaches.extend(checks.retries());
     }
     breaches
 }
 
-/// Whether a request ended without an answer since its process was killed, as the rules allow: it was not
-/// told to end before, or the request came so soon after it was told that nobody counts it.
-fn excused(request: &Request, ends: &[ProcessEnd], rules: &Rules) -> bool {
+/// Whether a request ended without a response since its process was killed, as the rules allow: it got no
+/// SIGTERM before, or the request came so soon after that that nobody counts it.
+fn ended_by_kill(request: &Request, ends: &[ProcessEnd], rules: &Rules) -> bool {
     let Some(end) = ends.iter().find(|end| end.process == request.process) else { return false };
-    let Some(killed) = end.killed else { return false };
-    let unanswered = !matches!(request.end, ClientEnd::Answered { .. } | ClientEnd::Left { .. });
-    let owed = end.told.is_some_and(|told| request.sent > told + rules.kept_after_told);
+    let Some(killed) = end.killed_at else { return false };
+    let unanswered =
+        !matches!(request.outcome, ClientOutcome::Answered { .. } | ClientOutcome::Disconnected { .. });
+    let owed =
+        end.terminated_at.is_some_and(|terminated_at| request.sent_at > terminated_at + rules.sigterm_grace);
     unanswered && !owed && request.ended_at().is_none_or(|at| at >= killed)
 }
 
-/// Whether a request was the first on a connection that was shut while idle clients filled the descriptors.
-fn crowded_out(request: &Request, crowds: &[(ProcessId, Micros)]) -> bool {
-    let shut = matches!(request.end, ClientEnd::Closed { first: true, .. });
-    shut && crowds.iter().any(|(process, since)| *process == request.process && *since <= request.sent)
+/// Whether a request was the first on a connection that was closed while idle clients filled the descriptors.
+fn closed_in_crowd(request: &Request, crowds: &[(ProcessId, Micros)]) -> bool {
+    let closed = matches!(request.outcome, ClientOutcome::Closed { first: true, .. });
+    closed && crowds.iter().any(|(process, since)| *process == request.process && *since <= request.sent_at)
 }
 
-struct Checked<'a> {
+/// A request with its attempts, and what it is checked against.
+struct RequestCheck<'a> {
     request: &'a Request,
     /// In the order in which they began.
     attempts: Vec<&'a Attempt>,
@@ -54,7 +57,7 @@
     history: &'a History,
 }
 
-impl Checked<'_> {
+impl RequestCheck<'_> {
     fn breach(&self, at: Micros, kind: BreachKind, target: &str) -> Breach {
         Breach {
             at,
@@ -65,56 +68,59 @@
         }
     }
 
-    fn answer(&self) -> Option<Breach> {
+    fn response(&self) -> Option<Breach> {
         let request = self.request;
-        let latest = request.sent + request.wait + self.rules.answer_slack;
-        let stalled = |at| self.history.stalled(request.sent, at);
-        let served = || self.attempts.iter().any(|attempt| attempt.fate == Fate::Served);
-        match request.end {
-            ClientEnd::Answered { at, .. } if at > latest + stalled(at) => {
+        let latest = request.sent_at + request.wait + self.rules.response_slack;
+        let stalled = |at| self.history.stalled(request.sent_at, at);
+        let served = || self.attempts.iter().any(|attempt| attempt.outcome == AttemptOutcome::Served);
+        match request.outcome {
+            ClientOutcome::Answered { at, .. } if at > latest + stalled(at) => {
                 Some(self.breach(at, BreachKind::Unanswered, ""))
             }
-            ClientEnd::Answered { at, status: SERVED } if !served() => {
-                Some(self.breach(at, BreachKind::InventedAnswer, ""))
+            ClientOutcome::Answered { at, status: STATUS_OK } if !served() => {
+                Some(self.breach(at, BreachKind::FabricatedResponse, ""))
             }
-            ClientEnd::WaitedInVain { at } if at > latest + stalled(at) => {
+            ClientOutcome::TimedOut { at } if at > latest + stalled(at) => {
                 Some(self.breach(at, BreachKind::Unanswered, ""))
             }
-            ClientEnd::Closed { at, .. } => Some(self.breach(at, BreachKind::ClosedUnanswered, "")),
+            ClientOutcome::Closed { at, .. } => Some(self.breach(at, BreachKind::ClosedWithoutResponse, "")),
             _ => None,
         }
     }
 
-    fn after_the_end(&self) -> Vec<Breach> {
+    fn attempts_after_end(&self) -> Vec<Breach> {
         let Some(end) = self.request.ended_at() else { return Vec::new() };
-        let allowed = |a: &Attempt| end + self.rules.leave_slack + self.history.stalled(end, a.begun);
-        let late = self.attempts.iter().filter(|a| a.begun > allowed(a));
-        late.map(|a| self.breach(a.begun, BreachKind::AttemptAfterEnd, &a.target)).collect()
+        let allowed =
+            |a: &Attempt| end + self.rules.disconnect_slack + self.history.stalled(end, a.started_at);
+        let late = self.attempts.iter().filter(|a| a.started_at > allowed(a));
+        late.map(|a| self.breach(a.started_at, BreachKind::AttemptAfterEnd, &a.target)).collect()
     }
 
     fn time_left(&self) -> Vec<Breach> {
-        let sent = self.request.sent;
+        let sent = self.request.sent_at;
         let deadline = sent + self.request.wait;
-        let longer = |attempt: &&&Attempt| {
-            let left = deadline.saturating_sub(attempt.begun) + self.rules.time_left_slack;
-            let left = left + self.history.stalled(sent, attempt.begun);
-            attempt.time_left.is_some_and(|told| told > left)
+        let exceeds = |attempt: &&&Attempt| {
+            let left = deadline.saturating_sub(attempt.started_at) + self.rules.time_left_slack;
+            let left = left + self.history.stalled(sent, attempt.started_at);
+            attempt.time_left.is_some_and(|time_left| time_left > left)
         };
-        let longer = self.attempts.iter().filter(longer);
-        longer.map(|a| self.breach(a.begun, BreachKind::TimeLeftTooLong, &a.target)).collect()
+        let longer = self.attempts.iter().filter(exceeds);
+        longer.map(|a| self.breach(a.started_at, BreachKind::TimeLeftTooLong, &a.target)).collect()
     }
 
     /// Each attempt behind one that may have run.
-    fn repeats(&self) -> Vec<Breach> {
+    fn retries(&self) -> Vec<Breach> {
         let mut breaches = Vec::new();
         for (place, attempt) in self.attempts.iter().enumerate() {
             for earlier in &self.attempts[..place] {
-                let kind = match self.request.effect {
-                    Effect::Repeatable => None,
-                    Effect::Once => once(earlier, attempt),
-                    Effect::Keyed { span } => keyed(earlier, attempt, span + self.rules.socket_slack),
+                let kind = match self.request.idempotency {
+                    Idempotency::Idempotent => None,
+                    Idempotency::NonIdempotent => non_idempotent(earlier, attempt),
+                    Idempotency::KeyedWithin { window } => {
+                        keyed(earlier, attempt, window + self.rules.socket_slack)
+                    }
                 };
-                breaches.extend(kind.map(|kind| self.breach(attempt.begun, kind, &attempt.target)));
+                breaches.extend(kind.map(|kind| self.breach(attempt.started_at, kind, &attempt.target)));
             }
         }
         breaches
@@ -122,19 +128,20 @@
 }
 
 fn may_have_run(attempt: &Attempt) -> bool {
-    !matches!(attempt.fate, Fate::TurnedAway | Fate::NeverWhole)
+    !matches!(attempt.outcome, AttemptOutcome::Rejected | AttemptOutcome::Incomplete)
 }
 
-fn once(earlier: &Attempt, attempt: &Attempt) -> Option<BreachKind> {
-    let open = earlier.ended.is_none_or(|ended| ended > attempt.begun);
+fn non_idempotent(earlier: &Attempt, attempt: &Attempt) -> Option<BreachKind> {
+    let open = earlier.ended_at.is_none_or(|ended| ended > attempt.started_at);
     match (may_have_run(earlier) && may_have_run(attempt), open) {
-        (true, true) => Some(BreachKind::ForbiddenCopy),
-        (true, false) => Some(BreachKind::ForbiddenRepeat),
+        (true, true) => Some(BreachKind::ConcurrentAttempts),
+        (true, false) => Some(BreachKind::ForbiddenRetry),
         _ => None,
     }
 }
 
-fn keyed(earlier: &Attempt, attempt: &Attempt, span: Micros) -> Option<BreachKind> {
-    let known = earlier.group == attempt.group && attempt.begun <= earlier.begun + span;
-    (may_have_run(earlier) && may_have_run(attempt) && !known).then_some(BreachKind::ForbiddenRepeat)
+fn keyed(earlier: &Attempt, attempt: &Attempt, window: Micros) -> Option<BreachKind> {
+    let known = earlier.deduplication_scope == attempt.deduplication_scope
+        && attempt.started_at <= earlier.started_at + window;
+    (may_have_run(earlier) && may_have_run(attempt) && !known).then_some(BreachKind::ForbiddenRetry)
 }
--- a/crates/checker/src/slow_start.rs
+++ b/crates/checker/src/slow_start.rs
@@ -1,9 +1,9 @@
 //! The rule on targets that have just started: what all processes together may send them in a window.
 
-use crate::{Breach, BreachKind, Fate, History, Micros, SlowStart, TargetState};
+use crate::{AttemptOutcome, Breach, BreachKind, History, Micros, SlowStart, TargetState};
 
 /// Below so many requests chance weighs more, and the allowance has a larger part for it.
-const FEW: f64 = 30.0;
+const FEW_REQUESTS: f64 = 30.0;
 
 impl SlowStart {
     /// The requests of usual work that a target bears in the window that ends at `at`, with the part for
@@ -11,10 +11,10 @@
     fn allowance(&self, started: Micros, at: Micros) -> f64 {
         let begin = at.saturating_sub(self.window).max(started);
         let warmed = (begin - started) as f64 / self.warm_within.max(1) as f64;
-        let capacity = self.from + (1.0 - self.from) * warmed.min(1.0);
-        let allowed = self.requests * capacity / self.from;
-        let (factor, base) = if allowed < FEW { (3.0, 3.0) } else { (2.0, 2.0) };
-        allowed + factor * allowed.sqrt() + base
+        let capacity = self.initial_capacity + (1.0 - self.initial_capacity) * warmed.min(1.0);
+        let allowed = self.requests * capacity / self.initial_capacity;
+        let (root_factor, base) = if allowed < FEW_REQUESTS { (3.0, 3.0) } else { (2.0, 2.0) };
+        allowed + root_factor * allowed.sqrt() + base
     }
 }
 
@@ -23,14 +23,14 @@
 pub fn check(history: &History, rule: &SlowStart) -> Vec<Breach> {
     let mut breaches = Vec::new();
     for change in &history.changes {
-        let TargetState::InUse { started: Some(started) } = change.state else { continue };
+        let TargetState::Active { started: Some(started) } = change.state else { continue };
         let end = started + rule.warm_within;
         let mut sends: Vec<(Micros, f64)> = history
             .attempts
             .iter()
-            .filter(|a| a.target == change.target && (started..end).contains(&a.begun))
-            .filter(|a| a.fate != Fate::NeverWhole)
-            .map(|a| (a.begun, a.units))
+            .filter(|a| a.target == change.target && (started..end).contains(&a.started_at))
+            .filter(|a| a.outcome != AttemptOutcome::Incomplete)
+            .map(|a| (a.started_at, a.units))
             .collect();
         sends.sort_by_key(|(at, _)| *at);
         breaches.extend(first_excess(&sends, started, rule).map(|at| Breach {
--- a/crates/checker/tests/planted.rs
+++ b/crates/checker/tests/planted.rs
@@ -10,36 +10,36 @@
         slow_start: Some(SlowStart {
             requests: 25.0,
             window: 3 * SECOND,
-            from: 0.25,
+            initial_capacity: 0.25,
             warm_within: 15 * SECOND,
         }),
         ..Rules::with_grace(GRACE)
     }
 }
 
-fn request(id: &str, effect: Effect, end: ClientEnd) -> Request {
-    Request { id: id.into(), process: ProcessId(0), effect, sent: SECOND, wait: 2 * SECOND, end }
+fn request(id: &str, idempotency: Idempotency, outcome: ClientOutcome) -> Request {
+    Request { id: id.into(), process: ProcessId(0), idempotency, sent_at: SECOND, wait: 2 * SECOND, outcome }
 }
 
-fn attempt(request: &str, begun: Micros) -> Attempt {
+fn attempt(request: &str, started_at: Micros) -> Attempt {
     Attempt {
         request: request.into(),
         target: "s-1".into(),
-        group: "cell-1".into(),
-        begun,
+        deduplication_scope: "cell-1".into(),
+        started_at,
         units: 1.0,
         time_left: None,
-        fate: Fate::Served,
-        ended: Some(begun + 1_000),
+        outcome: AttemptOutcome::Served,
+        ended_at: Some(started_at + 1_000),
     }
 }
 
-fn change(version: u64, at: Micros, state: TargetState) -> Change {
-    Change { version, at, target: "s-1".into(), state }
+fn change(version: u64, at: Micros, state: TargetState) -> EndpointChange {
+    EndpointChange { version, at, target: "s-1".into(), state }
 }
 
-fn answered(at: Micros) -> ClientEnd {
-    ClientEnd::Answered { at, status: 200 }
+fn answered(at: Micros) -> ClientOutcome {
+    ClientOutcome::Answered { at, status: 200 }
 }
 
 /// The kinds of what is found.
@@ -52,27 +52,30 @@
 }
 
 #[test]
-fn an_answer_in_time_is_no_breach_and_one_half_a_second_late_is() {
-    let served = |at| one(request("a", Effect::Once, answered(at)), vec![attempt("a", SECOND)]);
+fn a_response_up_to_half_a_second_after_the_deadline_is_in_time() {
+    let served = |at| one(request("a", Idempotency::NonIdempotent, answered(at)), vec![attempt("a", SECOND)]);
     assert_eq!(found(&served(3 * SECOND + 500_000)), []);
     assert_eq!(found(&served(3 * SECOND + 500_001)), [BreachKind::Unanswered]);
 }
 
 #[test]
-fn no_answer_a_close_and_an_invented_answer_are_breaches() {
-    let ended = |end| found(&one(request("a", Effect::Once, end), Vec::new()));
-    assert_eq!(ended(ClientEnd::WaitedInVain { at: 4 * SECOND }), [BreachKind::Unanswered]);
-    assert_eq!(ended(ClientEnd::Closed { at: 2 * SECOND, first: true }), [BreachKind::ClosedUnanswered]);
-    assert_eq!(ended(answered(2 * SECOND)), [BreachKind::InventedAnswer]);
-    assert_eq!(ended(ClientEnd::Answered { at: 2 * SECOND, status: 503 }), []);
-    assert_eq!(ended(ClientEnd::Left { at: 2 * SECOND }), []);
-    assert_eq!(ended(ClientEnd::NotTaken), []);
+fn a_missing_response_a_closed_connection_and_a_fabricated_response_are_breaches() {
+    let ended = |end| found(&one(request("a", Idempotency::NonIdempotent, end), Vec::new()));
+    assert_eq!(ended(ClientOutcome::TimedOut { at: 4 * SECOND }), [BreachKind::Unanswered]);
+    assert_eq!(
+        ended(ClientOutcome::Closed { at: 2 * SECOND, first: true }),
+        [BreachKind::ClosedWithoutResponse]
+    );
+    assert_eq!(ended(answered(2 * SECOND)), [BreachKind::FabricatedResponse]);
+    assert_eq!(ended(ClientOutcome::Answered { at: 2 * SECOND, status: 503 }), []);
+    assert_eq!(ended(ClientOutcome::Disconnected { at: 2 * SECOND }), []);
+    assert_eq!(ended(ClientOutcome::NotAccepted), []);
 }
 
 #[test]
-fn an_attempt_may_begin_a_tenth_of_a_second_after_the_client_left_and_no_later() {
+fn an_attempt_may_begin_a_tenth_of_a_second_after_the_client_disconnected_and_no_later() {
     let left = |begun| {
-        let request = request("a", Effect::Repeatable, ClientEnd::Left { at: 2 * SECOND });
+        let request = request("a", Idempotency::Idempotent, ClientOutcome::Disconnected { at: 2 * SECOND });
         found(&one(request, vec![attempt("a", begun)]))
     };
     assert_eq!(left(2 * SECOND + 100_000), []);
@@ -80,101 +83,107 @@
 }
 
 #[test]
-fn the_time_told_to_a_target_is_what_is_left_at_most() {
+fn the_time_left_in_an_attempt_is_at_most_that_of_its_request() {
     let told = |time_left| {
         let attempt = Attempt { time_left: Some(time_left), ..attempt("a", 2 * SECOND) };
-        found(&one(request("a", Effect::Once, answered(2 * SECOND + 5)), vec![attempt]))
+        found(&one(request("a", Idempotency::NonIdempotent, answered(2 * SECOND + 5)), vec![attempt]))
     };
     assert_eq!(told(SECOND + 150_000), []);
     assert_eq!(told(SECOND + 150_001), [BreachKind::TimeLeftTooLong]);
 }
 
 #[test]
-fn what_may_have_run_is_not_sent_again_where_its_class_forbids() {
-    let twice = |effect, first: Fate, second: Micros, group: &str| {
-        let earlier = Attempt { fate: first, ..attempt("a", SECOND) };
-        let later = Attempt { group: group.into(), ..attempt("a", second) };
-        found(&one(request("a", effect, answered(2 * SECOND)), vec![earlier, later]))
+fn a_request_that_may_have_run_is_retried_only_as_its_idempotency_permits() {
+    let twice = |idempotency, first: AttemptOutcome, second: Micros, group: &str| {
+        let earlier = Attempt { outcome: first, ..attempt("a", SECOND) };
+        let later = Attempt { deduplication_scope: group.into(), ..attempt("a", second) };
+        found(&one(request("a", idempotency, answered(2 * SECOND)), vec![earlier, later]))
     };
     let (soon, late) = (SECOND + 200_000, SECOND + 700_001);
-    let keyed = Effect::Keyed { span: 650_000 };
-    assert_eq!(twice(Effect::Once, Fate::Failed, soon, "cell-1"), [BreachKind::ForbiddenRepeat]);
-    assert_eq!(twice(Effect::Once, Fate::TurnedAway, soon, "cell-1"), []);
-    assert_eq!(twice(Effect::Once, Fate::NeverWhole, soon, "cell-1"), []);
-    assert_eq!(twice(Effect::Repeatable, Fate::Failed, soon, "cell-2"), []);
-    assert_eq!(twice(keyed, Fate::Failed, soon, "cell-1"), []);
-    assert_eq!(twice(keyed, Fate::Failed, soon, "cell-2"), [BreachKind::ForbiddenRepeat]);
-    assert_eq!(twice(keyed, Fate::Failed, late, "cell-1"), [BreachKind::ForbiddenRepeat]);
+    let keyed = Idempotency::KeyedWithin { window: 650_000 };
+    assert_eq!(
+        twice(Idempotency::NonIdempotent, AttemptOutcome::Failed, soon, "cell-1"),
+        [BreachKind::ForbiddenRetry]
+    );
+    assert_eq!(twice(Idempotency::NonIdempotent, AttemptOutcome::Rejected, soon, "cell-1"), []);
+    assert_eq!(twice(Idempotency::NonIdempotent, AttemptOutcome::Incomplete, soon, "cell-1"), []);
+    assert_eq!(twice(Idempotency::Idempotent, AttemptOutcome::Failed, soon, "cell-2"), []);
+    assert_eq!(twice(keyed, AttemptOutcome::Failed, soon, "cell-1"), []);
+    assert_eq!(twice(keyed, AttemptOutcome::Failed, soon, "cell-2"), [BreachKind::ForbiddenRetry]);
+    assert_eq!(twice(keyed, AttemptOutcome::Failed, late, "cell-1"), [BreachKind::ForbiddenRetry]);
 }
 
 #[test]
-fn two_attempts_of_what_may_run_once_are_never_out_together() {
-    let open = Attempt { fate: Fate::Open, ended: None, ..attempt("a", SECOND) };
-    let history = one(request("a", Effect::Once, answered(2 * SECOND)), vec![open, attempt("a", SECOND + 9)]);
-    assert_eq!(found(&history), [BreachKind::ForbiddenCopy]);
+fn a_non_idempotent_request_never_has_two_attempts_in_flight() {
+    let open = Attempt { outcome: AttemptOutcome::InFlight, ended_at: None, ..attempt("a", SECOND) };
+    let history = one(
+        request("a", Idempotency::NonIdempotent, answered(2 * SECOND)),
+        vec![open, attempt("a", SECOND + 9)],
+    );
+    assert_eq!(found(&history), [BreachKind::ConcurrentAttempts]);
 }
 
-/// A target leaves at 10 s, told at `told`, and is sent to at `begun`.
-fn departure(told: Option<Micros>, begun: Micros, outages: Vec<Outage>) -> Vec<BreachKind> {
+/// A target drains at 10 s, which is delivered at `known_at`, and is sent to at `begun`.
+fn drained(known_at: Option<Micros>, begun: Micros, outages: Vec<Interval>) -> Vec<BreachKind> {
     let mut history = one(
-        Request { sent: begun, ..request("a", Effect::Once, answered(begun + SECOND)) },
+        Request { sent_at: begun, ..request("a", Idempotency::NonIdempotent, answered(begun + SECOND)) },
         vec![attempt("a", begun)],
     );
-    history.changes = vec![change(2, 10 * SECOND, TargetState::Leaving)];
+    history.changes = vec![change(2, 10 * SECOND, TargetState::Draining)];
     let delivery = |at| Delivery { process: ProcessId(0), version: 2, at };
-    history.deliveries = told.map(delivery).into_iter().collect();
+    history.deliveries = known_at.map(delivery).into_iter().collect();
     history.outages = outages;
     found(&history)
 }
 
 #[test]
-fn a_target_told_as_leaving_gets_new_work_within_the_grace_only() {
+fn a_draining_target_gets_new_work_within_the_grace_only() {
     let told = 11 * SECOND;
-    assert_eq!(departure(Some(told), told + GRACE + 50_000, Vec::new()), []);
-    assert_eq!(departure(Some(told), told + GRACE + 50_001, Vec::new()), [BreachKind::SentToLeaving]);
+    assert_eq!(drained(Some(told), told + GRACE + 50_000, Vec::new()), []);
+    assert_eq!(drained(Some(told), told + GRACE + 50_001, Vec::new()), [BreachKind::SentToDraining]);
 }
 
 #[test]
-fn a_departure_counts_as_told_six_seconds_after_discovery_could_be_reached() {
+fn a_drain_counts_as_known_six_seconds_after_discovery_could_be_reached() {
     let latest = 16 * SECOND + GRACE + 50_000;
-    assert_eq!(departure(None, latest, Vec::new()), []);
-    assert_eq!(departure(None, latest + 1, Vec::new()), [BreachKind::SentToLeaving]);
-    let outage = Outage { from: 9 * SECOND, to: 14 * SECOND };
-    assert_eq!(departure(None, latest + 4 * SECOND, vec![outage]), []);
-    assert_eq!(departure(None, latest + 4 * SECOND + 1, vec![outage]), [BreachKind::SentToLeaving]);
+    assert_eq!(drained(None, latest, Vec::new()), []);
+    assert_eq!(drained(None, latest + 1, Vec::new()), [BreachKind::SentToDraining]);
+    let outage = Interval { from: 9 * SECOND, to: 14 * SECOND };
+    assert_eq!(drained(None, latest + 4 * SECOND, vec![outage]), []);
+    assert_eq!(drained(None, latest + 4 * SECOND + 1, vec![outage]), [BreachKind::SentToDraining]);
 }
 
 #[test]
-fn a_process_that_starts_later_counts_from_its_start() {
+fn a_process_that_starts_later_knows_of_a_drain_from_its_start_on() {
     let mut history = one(
-        Request { sent: 18 * SECOND, ..request("a", Effect::Once, answered(19 * SECOND)) },
+        Request { sent_at: 18 * SECOND, ..request("a", Idempotency::NonIdempotent, answered(19 * SECOND)) },
         vec![attempt("a", 18 * SECOND)],
     );
-    history.changes = vec![change(2, 10 * SECOND, TargetState::Leaving)];
-    assert_eq!(found(&history), [BreachKind::SentToLeaving]);
+    history.changes = vec![change(2, 10 * SECOND, TargetState::Draining)];
+    assert_eq!(found(&history), [BreachKind::SentToDraining]);
     history.starts = vec![(ProcessId(0), 12 * SECOND)];
     assert_eq!(found(&history), []);
 }
 
 #[test]
-fn a_target_that_is_back_may_be_sent_to() {
+fn a_target_that_is_listed_again_may_be_sent_to() {
     let mut history = one(
-        Request { sent: 30 * SECOND, ..request("a", Effect::Once, answered(31 * SECOND)) },
+        Request { sent_at: 30 * SECOND, ..request("a", Idempotency::NonIdempotent, answered(31 * SECOND)) },
         vec![attempt("a", 30 * SECOND)],
     );
     history.changes = vec![
-        change(2, 10 * SECOND, TargetState::Left),
-        change(3, 20 * SECOND, TargetState::InUse { started: None }),
+        change(2, 10 * SECOND, TargetState::Removed),
+        change(3, 20 * SECOND, TargetState::Active { started: None }),
     ];
     assert_eq!(found(&history), []);
 }
 
 #[test]
-fn a_cold_target_is_sent_no_more_than_its_allowance_by_all_together() {
+fn all_initiators_together_keep_to_the_allowance_of_a_target_in_slow_start() {
     // 25 requests, three times their root and three: 43 in the first window.
     let sent = |count: u64| {
         let attempts = (0..count).map(|i| attempt(&format!("r{i}"), 20 * SECOND + i * 1_000)).collect();
-        let start = TargetState::InUse { started: Some(20 * SECOND) };
+        let start = TargetState::Active { started: Some(20 * SECOND) };
         History { attempts, changes: vec![change(2, 20 * SECOND, start)], ..History::default() }
     };
     assert_eq!(found(&sent(43)), []);
@@ -184,43 +193,49 @@
 // A killed process answers no more; one that had been told to end before owes what came later than 0.7 s
 // after that.
 #[test]
-fn what_a_killed_process_had_taken_is_a_breach_only_after_it_was_told_to_end() {
-    let closed = |told: Option<Micros>, killed| {
-        let mut history =
-            one(request("a", Effect::Once, ClientEnd::Closed { at: 2 * SECOND, first: true }), Vec::new());
-        history.ends = vec![ProcessEnd { process: ProcessId(0), told, killed }];
+fn a_killed_process_owes_responses_only_to_requests_that_came_after_sigterm() {
+    let closed = |terminated_at: Option<Micros>, killed_at| {
+        let mut history = one(
+            request("a", Idempotency::NonIdempotent, ClientOutcome::Closed { at: 2 * SECOND, first: true }),
+            Vec::new(),
+        );
+        history.ends = vec![ProcessEnd { process: ProcessId(0), terminated_at, killed_at }];
         found(&history)
     };
     let kill = Some(2 * SECOND);
     assert_eq!(closed(None, kill), []);
     assert_eq!(closed(Some(500_000), kill), []);
-    assert_eq!(closed(Some(200_000), kill), [BreachKind::ClosedUnanswered]);
-    assert_eq!(closed(Some(500_000), None), [BreachKind::ClosedUnanswered]);
-    assert_eq!(closed(None, Some(2 * SECOND + 1)), [BreachKind::ClosedUnanswered], "it was closed before");
+    assert_eq!(closed(Some(200_000), kill), [BreachKind::ClosedWithoutResponse]);
+    assert_eq!(closed(Some(500_000), None), [BreachKind::ClosedWithoutResponse]);
+    assert_eq!(
+        closed(None, Some(2 * SECOND + 1)),
+        [BreachKind::ClosedWithoutResponse],
+        "it was closed before"
+    );
 }
 
 // While idle clients fill the descriptors a new connection may be shut unread, and no other.
 #[test]
-fn only_new_connections_may_be_shut_in_a_crowd() {
+fn only_new_connections_may_be_closed_unread_in_a_crowd() {
     let shut = |first, since| {
-        let end = ClientEnd::Closed { at: 2 * SECOND, first };
+        let end = ClientOutcome::Closed { at: 2 * SECOND, first };
         let crowds = vec![(ProcessId(0), since)];
-        found(&History { crowds, ..one(request("a", Effect::Once, end), Vec::new()) })
+        found(&History { crowds, ..one(request("a", Idempotency::NonIdempotent, end), Vec::new()) })
     };
     assert_eq!(shut(true, SECOND), []);
-    assert_eq!(shut(false, SECOND), [BreachKind::ClosedUnanswered]);
-    assert_eq!(shut(true, SECOND + 1), [BreachKind::ClosedUnanswered], "it was asked before the crowd");
+    assert_eq!(shut(false, SECOND), [BreachKind::ClosedWithoutResponse]);
+    assert_eq!(shut(true, SECOND + 1), [BreachKind::ClosedWithoutResponse], "it was asked before the crowd");
 }
 
 // Where the rig itself stood still, what it recorded is late by as much, and no later.
 #[test]
-fn what_the_rig_was_late_to_see_is_no_breach() {
+fn a_stall_of_the_rig_excuses_as_much_delay_and_no_more() {
     let stalled = |span: Micros| {
         let mut history = one(
-            request("a", Effect::Repeatable, ClientEnd::Left { at: 2 * SECOND }),
+            request("a", Idempotency::Idempotent, ClientOutcome::Disconnected { at: 2 * SECOND }),
             vec![attempt("a", 2 * SECOND + 300_000)],
         );
-        history.stalls = vec![Outage { from: 2 * SECOND, to: 2 * SECOND + span }];
+        history.stalls = vec![Interval { from: 2 * SECOND, to: 2 * SECOND + span }];
         found(&history)
     };
     assert_eq!(stalled(200_000), []);
--- a/crates/lab/src/cold.rs
+++ b/crates/lab/src/cold.rs
@@ -7,7 +7,7 @@
 use rand_pcg::Pcg64Mcg;
 use rowanglade_capture::{Record, TraceWriter};
 use rowanglade_replay::Replay;
-use rowanglade_test_fleet::{BoxPlan, Daemon, Meeting, Signal, Site, Start, settings};
+use rowanglade_test_fleet::{Daemon, DaemonPlan, HandoverPaths, Signal, StubSite, TargetPlan, settings};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Duration;
@@ -80,15 +80,20 @@
     Ok(())
 }
 
-fn start(site: &Site, folder: &Path, number: usize, listen: Option<SocketAddr>) -> Result<Daemon, Failure> {
-    let mut settings = settings(&world::header(), DAEMONS, ZONE, site.boxes.len());
+fn start(
+    site: &StubSite,
+    folder: &Path,
+    number: usize,
+    listen: Option<SocketAddr>,
+) -> Result<Daemon, Failure> {
+    let mut settings = settings(&world::header(), DAEMONS, ZONE, site.targets.len());
     settings["my-number"] = number.into();
     settings["rules"]["warm-within"] = ((WARM_WITHIN * 1e6) as u64).into();
     settings["family-info"]["cold-units"] = (TOLD * allowed(0.0) * UNITS).into();
     settings["family-info"]["usual-units"] = UNITS.into();
     let meeting = folder.join(format!("daemon-{number}"));
     std::fs::create_dir_all(&meeting)?;
-    Ok(Daemon::start(&Start {
+    Ok(Daemon::start(&DaemonPlan {
         name: format!("lab-{number}"),
         program: std::env::current_exe()?,
         args: vec!["rowanglade".into()],
@@ -97,7 +102,7 @@
         sockets: 1_024,
         memory_mb: 192,
         operator: None,
-        meeting: Some(Meeting { folder: meeting, listen }),
+        handover: Some(HandoverPaths { folder: meeting, listen }),
         env: Vec::new(),
     })?)
 }
@@ -117,21 +122,21 @@
         let folder = tempfile::tempdir()?;
         let trace = folder.path().join("made.trace");
         make(&trace)?;
-        let plan = BoxPlan {
-            remember: true,
+        let plan = TargetPlan {
+            keeps_requests: true,
             slots: SLOTS,
-            cold_from: COLD_FROM,
+            initial_capacity: COLD_FROM,
             warm_within: Duration::from_secs_f64(WARM_WITHIN),
             ..world::plan(WORK_MS, WORK_MS, WORK_MS)
         };
-        let site = Site::start(&vec![plan; SHARDS as usize], ZONE, SEED).await?;
+        let site = StubSite::start(&vec![plan; SHARDS as usize], ZONE, SEED).await?;
         let mut daemons =
             (0..DAEMONS).map(|n| start(&site, folder.path(), n, None)).collect::<Result<Vec<_>, _>>()?;
         let to = world::addresses(&daemons);
-        let cold = &site.boxes[0];
+        let cold = &site.targets[0];
         let faults = async {
             // The first request is the beginning.
-            while site.boxes.iter().all(|b| b.counters().taken == 0) {
+            while site.targets.iter().all(|b| b.counters().received == 0) {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
             let begun = Instant::now();
@@ -154,7 +159,7 @@
         let ask = Replay::to(to.clone());
         let (report, back) = tokio::join!(world::run(&trace, &ask), faults);
         let (report, back) = (report?, back?);
-        let seen: Vec<f64> = (cold.seen().iter())
+        let seen: Vec<f64> = (cold.received().iter())
             .filter(|(at, _)| *at >= back)
             .map(|(at, _)| at.duration_since(back).as_secs_f64())
             .filter(|at| *at < WARM_WITHIN)
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -4,7 +4,7 @@
 use crate::world::{self, ZONE, block_on};
 use rowanglade_capture::{Record, TraceWriter};
 use rowanglade_replay::Replay;
-use rowanglade_test_fleet::{BoxPlan, Site};
+use rowanglade_test_fleet::{StubSite, TargetPlan};
 use std::net::{SocketAddr, UdpSocket};
 use std::path::Path;
 
@@ -61,8 +61,8 @@
         let mut out = Outcome::default();
         let mut used = Vec::new();
         for exchange in [false, true] {
-            let plan = BoxPlan { remember: true, ..world::plan(2, 2, 2) };
-            let site = Site::start(&[plan], ZONE, 5).await?;
+            let plan = TargetPlan { keeps_requests: true, ..world::plan(2, 2, 2) };
+            let site = StubSite::start(&[plan], ZONE, 5).await?;
             let peers = free(3)?;
             let list: Vec<String> = peers.iter().map(|p| format!("\"{p}\"")).collect();
             let daemons = world::daemons(&site, &world::header(), 3, |me| {
@@ -73,11 +73,11 @@
             for addr in &all {
                 world::run(&warm, &Replay { retries: false, ..Replay::to(vec![*addr]) }).await?;
             }
-            let before = site.boxes[0].seen().len();
+            let before = site.targets[0].received().len();
             // All of it through the first.
             let report = world::run(&trace, &Replay { retries: false, ..Replay::to(vec![all[0]]) }).await?;
             let seen: Vec<f64> = {
-                let seen = site.boxes[0].seen();
+                let seen = site.targets[0].received();
                 let first = seen[0].0;
                 seen.iter().map(|(at, _)| at.duration_since(first).as_secs_f64()).collect()
             };
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -65,8 +65,11 @@
         Some("rowanglade") => rowanglade::cli::run(rest),
         Some("measured") => {
             let code = rowanglade::cli::run(rest);
-            let usage = rowanglade_test_fleet::Usage::of("self");
-            println!("{}", serde_json::json!({"memory": usage.memory, "processor": usage.processor}));
+            let usage = rowanglade_test_fleet::ProcessUsage::of("self");
+            println!(
+                "{}",
+                serde_json::json!({"memory": usage.peak_memory_bytes, "processor": usage.processor_seconds})
+            );
             code
         }
         Some("box") => world::run_box(),
--- a/crates/lab/src/many_targets.rs
+++ b/crates/lab/src/many_targets.rs
@@ -3,10 +3,10 @@
 
 use crate::outcome::{Experiment, Failure, Outcome, Run, Seeds};
 use crate::world::{ZONE, block_on, header};
-use rowanglade_checker::{Attempt, Breach, ClientEnd, History, Micros, Rules, TargetState, check};
+use rowanglade_checker::{Attempt, Breach, ClientOutcome, History, Micros, Rules, TargetState, check};
 use rowanglade_test_fleet::{
-    BoxPlan, Counts, Fault, Fleet, FleetPlan, LoadPlan, Patience, Signal, Start, Trouble, settings,
-    usual_classes,
+    DaemonPlan, DiscoveryFault, Fleet, FleetPlan, LoadPlan, RequestCounts, Signal, TargetFault, TargetPlan,
+    settings, usual_classes,
 };
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -60,7 +60,7 @@
     let mut settings = settings(&header(), PROCESSES, ZONE, targets);
     settings["ceilings"]["second-copies"] = false.into();
     Ok(FleetPlan {
-        start: Start {
+        daemon: DaemonPlan {
             name: String::new(),
             program: std::env::current_exe()?,
             args: vec!["rowanglade".into()],
@@ -69,13 +69,13 @@
             sockets: 1_024,
             memory_mb: 192,
             operator: None,
-            meeting: None,
+            handover: None,
             env: Vec::new(),
         },
         zone: ZONE.to_string(),
         processes: PROCESSES,
         targets,
-        target: BoxPlan { other: Duration::from_millis(30), ..BoxPlan::default() },
+        target: TargetPlan { default_service_time: Duration::from_millis(30), ..TargetPlan::default() },
         load: LoadPlan {
             rate: RATE,
             classes: usual_classes(),
@@ -83,11 +83,11 @@
             volumes: Vec::new(),
             units: 2.0,
             hosts: 1,
-            patience: Patience::default(),
+            disconnect_share: 0.0,
         },
         volumes: 6,
         shards_of_volume: 4,
-        share: Some(SHARE),
+        core_share: Some(SHARE),
         peers: true,
         seed,
     })
@@ -96,14 +96,16 @@
 async fn play(targets: usize, seed: u64) -> Result<Play, Failure> {
     let mut fleet = Fleet::start(plan(targets, seed)?).await?;
     sleep(QUIET).await;
-    let list_bytes = fleet.discovery.bytes();
+    let list_bytes = fleet.discovery.list_bytes();
     let mut descriptors = 0;
     let mut leaving = Vec::new();
     for step in 0..STEPS {
         leaving.push(fleet.replace(targets / 2 / STEPS).await?);
         if step == 1 {
-            let hanging = fleet.in_use(targets / HANGING);
-            hanging.iter().for_each(|target| target.misbehave(Fault { silent: true, ..Fault::default() }));
+            let hanging = fleet.draw_active(targets / HANGING);
+            hanging
+                .iter()
+                .for_each(|target| target.inject(TargetFault { silent: true, ..TargetFault::default() }));
         }
         sleep(STEP).await;
         if leaving.len() > 2 {
@@ -111,25 +113,26 @@
         }
         descriptors = fleet.usage().iter().map(|usage| usage.descriptors).max().unwrap_or(0).max(descriptors);
     }
-    let list_bytes = (fleet.discovery.bytes() - list_bytes) as f64 / PROCESSES as f64;
+    let list_bytes = (fleet.discovery.list_bytes() - list_bytes) as f64 / PROCESSES as f64;
     // An outage, at whose end a further step is told while half of the processes start anew.
-    fleet.discovery.trouble(Trouble::Refusing);
+    fleet.discovery.inject(DiscoveryFault::Refusing);
     sleep(OUTAGE).await;
     leaving.push(fleet.replace(targets / 2 / STEPS).await?);
-    fleet.discovery.trouble(Trouble::None);
+    fleet.discovery.inject(DiscoveryFault::None);
     for place in 0..PROCESSES / 2 {
         fleet.restart(place, Signal::SIGTERM, PATIENCE).await?;
     }
     sleep(QUIET).await;
     fleet.settle().await;
     descriptors = fleet.usage().iter().map(|usage| usage.descriptors).max().unwrap_or(0).max(descriptors);
-    let all: Vec<_> = fleet.usage().into_iter().chain(fleet.ended().iter().copied()).collect();
+    let all: Vec<_> = fleet.usage().into_iter().chain(fleet.ended_usage().iter().copied()).collect();
     let history = fleet.history();
-    let counts: Counts = fleet.counts();
+    let counts: RequestCounts = fleet.counts();
     Ok(Play {
         targets,
-        processor: all.iter().map(|usage| usage.processor).sum::<f64>() / PROCESSES as f64,
-        memory: all.iter().map(|usage| usage.memory).max().unwrap_or(0) as f64 / f64::from(1 << 20),
+        processor: all.iter().map(|usage| usage.processor_seconds).sum::<f64>() / PROCESSES as f64,
+        memory: all.iter().map(|usage| usage.peak_memory_bytes).max().unwrap_or(0) as f64
+            / f64::from(1 << 20),
         descriptors: descriptors as f64,
         connections: fleet.connections() as f64 / PROCESSES as f64,
         list_bytes: list_bytes / 1024.0,
@@ -146,9 +149,10 @@
 fn latest_send(history: &History) -> f64 {
     let processes: HashMap<&str, _> = history.requests.iter().map(|r| (r.id.as_str(), r.process)).collect();
     let mut departures: HashMap<&str, u64> = HashMap::new();
-    for change in history.changes.iter().filter(|change| change.state != TargetState::InUse { started: None })
+    for change in
+        history.changes.iter().filter(|change| change.state != TargetState::Active { started: None })
     {
-        if matches!(change.state, TargetState::Leaving | TargetState::Left) {
+        if matches!(change.state, TargetState::Draining | TargetState::Removed) {
             departures.entry(&change.target).or_insert(change.version);
         }
     }
@@ -156,15 +160,15 @@
         let (process, version) =
             (processes.get(attempt.request.as_str())?, departures.get(attempt.target.as_str())?);
         let told = history.deliveries.iter().filter(|d| d.process == *process && d.version >= *version);
-        attempt.begun.checked_sub(told.map(|d| d.at).min()?)
+        attempt.started_at.checked_sub(told.map(|d| d.at).min()?)
     };
     history.attempts.iter().filter_map(late).max().unwrap_or(0) as f64 / 1e6
 }
 
 /// The longest time from a request's deadline to its answer, in seconds.
 fn latest_answer(history: &History) -> f64 {
-    let late = |request: &rowanglade_checker::Request| match request.end {
-        ClientEnd::Answered { at, .. } => at.checked_sub(request.sent + request.wait),
+    let late = |request: &rowanglade_checker::Request| match request.outcome {
+        ClientOutcome::Answered { at, .. } => at.checked_sub(request.sent_at + request.wait),
         _ => None,
     };
     history.requests.iter().filter_map(late).max().unwrap_or(0) as f64 / 1e6
--- a/crates/lab/src/replays.rs
+++ b/crates/lab/src/replays.rs
@@ -3,7 +3,7 @@
 use crate::outcome::{Experiment, Failure, Outcome, Run};
 use crate::world::{self, Sink, Traffic, ZONE, block_on};
 use rowanglade_replay::{Front, Replay, Report, pick};
-use rowanglade_test_fleet::{Fault, Site, Usage};
+use rowanglade_test_fleet::{ProcessUsage, StubSite, TargetFault};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use tokio::time::Instant;
@@ -42,7 +42,7 @@
         let header = rowanglade_capture::TraceReader::open(&trace)?.header().clone();
         let mut reports = Vec::new();
         for _ in 0..2 {
-            let site = Site::start(&vec![world::plan(12, 20, 40); 4], ZONE, 1).await?;
+            let site = StubSite::start(&vec![world::plan(12, 20, 40); 4], ZONE, 1).await?;
             let daemons = world::daemons(&site, &header, 1, |_| None)?;
             reports.push(world::run(&trace, &Replay::to(world::addresses(&daemons))).await?);
         }
@@ -75,25 +75,30 @@
         let mut out = Outcome::default();
         out.figure("writes in the trace", keys.len() as f64, "");
         out.figure("distinct keys", distinct as f64, "");
-        for (round, fault) in
-            [("calm", Fault::default()), ("resets", Fault { resets: 0.15, slow: 2.0, ..Fault::default() })]
-        {
-            let site = Site::start(&vec![world::plan(8, 12, 25); 4], ZONE, 2).await?;
-            site.boxes.iter().for_each(|b| b.misbehave(fault.clone()));
+        for (round, fault) in [
+            ("calm", TargetFault::default()),
+            ("resets", TargetFault { reset_share: 0.15, slowdown: 2.0, ..TargetFault::default() }),
+        ] {
+            let site = StubSite::start(&vec![world::plan(8, 12, 25); 4], ZONE, 2).await?;
+            site.targets.iter().for_each(|b| b.inject(fault.clone()));
             let daemons = world::daemons(&site, &header, 1, |_| None)?;
             let report = world::run(&trace, &Replay::to(world::addresses(&daemons))).await?;
             let seen = site.counters();
-            let ran = site.boxes.iter().map(|b| b.rack().ran()).fold((0, 0), |a, b| (a.0 + b.0, a.1 + b.1));
-            out.figure(format!("{round}: writes that ran"), seen.writes as f64, "");
-            out.figure(format!("{round}: repeats dropped"), seen.repeats as f64, "");
+            let ran = site
+                .targets
+                .iter()
+                .map(|b| b.deduplication_scope().executed_keys())
+                .fold((0, 0), |a, b| (a.0 + b.0, a.1 + b.1));
+            out.figure(format!("{round}: writes that ran"), seen.writes_executed as f64, "");
+            out.figure(format!("{round}: repeats dropped"), seen.writes_suppressed as f64, "");
             out.figure(format!("{round}: connections reset by boxes"), seen.resets as f64, "");
             out.figure(format!("{round}: deposits served"), report.classes["deposit"].served as f64, "");
-            out.claim(format!("{round}: no key ran twice"), ran.1 == 0 && seen.writes == ran.0);
+            out.claim(format!("{round}: no key ran twice"), ran.1 == 0 && seen.writes_executed == ran.0);
             if round == "calm" {
-                out.claim("calm: writes at the boxes equal distinct keys", seen.writes == distinct);
+                out.claim("calm: writes at the boxes equal distinct keys", seen.writes_executed == distinct);
             } else {
                 out.claim("resets: connections broke", seen.resets > 20);
-                out.claim("resets: no more writes than keys", seen.writes <= distinct);
+                out.claim("resets: no more writes than keys", seen.writes_executed <= distinct);
             }
         }
         Ok(out)
@@ -109,14 +114,14 @@
         let mut out = Outcome::default();
         let mut served = Vec::new();
         for stalls in [false, true] {
-            let site = Site::start(&vec![world::plan(6, 10, 20); 3], ZONE, 3).await?;
+            let site = StubSite::start(&vec![world::plan(6, 10, 20); 3], ZONE, 3).await?;
             let daemons = world::daemons(&site, &world::header(), 1, |_| None)?;
-            let target = std::rc::Rc::clone(&site.boxes[0]);
+            let target = std::rc::Rc::clone(&site.targets[0]);
             let breaks = actix_rt::spawn(async move {
                 tokio::time::sleep(Duration::from_secs(4)).await;
                 if stalls {
                     let until = Some(Instant::now() + Duration::from_secs(2));
-                    target.misbehave(Fault { stalled_until: until, ..Fault::default() });
+                    target.inject(TargetFault { stalled_until: until, ..TargetFault::default() });
                 }
             });
             let ask = Replay { retries: false, ..Replay::to(world::addresses(&daemons)) };
@@ -158,7 +163,7 @@
         let trace = folder.path().join("made.trace");
         let traffic = Traffic { rate: 600.0, seconds: 5.0, volumes: 30, shards: 2, hosts: 1, seed: 5 };
         let due = world::make(&trace, traffic)?;
-        let site = Site::start(&vec![world::plan(15, 25, 40); 2], ZONE, 3).await?;
+        let site = StubSite::start(&vec![world::plan(15, 25, 40); 2], ZONE, 3).await?;
         let daemons = world::daemons(&site, &world::header(), 1, |_| None)?;
         let ask = Replay { most_out: 48, ..Replay::to(world::addresses(&daemons)) };
         let report = world::run(&trace, &ask).await?;
@@ -183,7 +188,7 @@
         let trace = folder.path().join("made.trace");
         let traffic = Traffic { rate: 300.0, seconds: 6.0, volumes: 40, shards: 6, hosts: 2, seed: 6 };
         let due = world::make(&trace, traffic)?;
-        let site = Site::start(&vec![world::plan(4, 6, 12); 6], ZONE, 3).await?;
+        let site = StubSite::start(&vec![world::plan(4, 6, 12); 6], ZONE, 3).await?;
         let daemons = world::daemons(&site, &world::header(), 4, |_| Some(log()))?;
         let ask = Replay { retries: false, ..Replay::to(world::addresses(&daemons)) };
         let report = world::run(&trace, &ask).await?;
@@ -229,7 +234,7 @@
         let mut out = Outcome::default();
         let mut reports = Vec::new();
         for over_iscsi in [false, true] {
-            let site = Site::start(&vec![world::plan(12, 20, 40); 4], ZONE, 1).await?;
+            let site = StubSite::start(&vec![world::plan(12, 20, 40); 4], ZONE, 1).await?;
             let daemons = world::daemons(&site, &header, 1, |_| Some(operator.clone()))?;
             let mut ask = Replay::to(world::addresses(&daemons));
             // Both are ready once the platform's front says so.
@@ -269,9 +274,9 @@
                 Traffic { rate: per_second, seconds: 3.0, volumes: 200, shards: 1, hosts: 1, seed: 7 };
             let due = world::make(&trace, traffic)?;
             let ask = Replay { most_out: 800, ..Replay::to(vec![sink.addr]) };
-            let before = Usage::of("self").processor;
+            let before = ProcessUsage::of("self").processor_seconds;
             let report = world::run(&trace, &ask).await?;
-            let busy = (Usage::of("self").processor - before) / report.seconds;
+            let busy = (ProcessUsage::of("self").processor_seconds - before) / report.seconds;
             let total = report.total();
             out.figure(format!("{per_second} a second: behind p50"), ms(report.drift.at(0.5)), "ms");
             out.figure(format!("{per_second} a second: behind p99"), ms(report.drift.at(0.99)), "ms");
@@ -299,7 +304,7 @@
         let mut out = Outcome::default();
         let mut cost = Vec::new();
         for on in [false, true] {
-            let site = Site::start(&vec![world::plan(3, 4, 6); 8], ZONE, 3).await?;
+            let site = StubSite::start(&vec![world::plan(3, 4, 6); 8], ZONE, 3).await?;
             let daemons = world::daemons(&site, &world::header(), 1, |_| on.then(log))?;
             let report =
                 world::run(&trace, &Replay { retries: false, ..Replay::to(world::addresses(&daemons)) })
@@ -308,16 +313,20 @@
             let usage = daemons[0].usage();
             out.figure(
                 format!("{round} the log: processor time a request"),
-                usage.processor * 1e6 / due as f64,
+                usage.processor_seconds * 1e6 / due as f64,
                 "us",
             );
-            out.figure(format!("{round} the log: memory at most"), usage.memory as f64 / 1e6, "MB");
+            out.figure(
+                format!("{round} the log: memory at most"),
+                usage.peak_memory_bytes as f64 / 1e6,
+                "MB",
+            );
             out.figure(
                 format!("{round} the log: view latency p99"),
                 ms(report.classes["view"].latency.at(0.99)),
                 "ms",
             );
-            cost.push(usage.processor);
+            cost.push(usage.processor_seconds);
             if on {
                 let lines = world::logged(&daemons[0], due).await?;
                 let served = lines.iter().filter(|(_, status)| *status == 200).count() as u64;
--- a/crates/lab/src/routes.rs
+++ b/crates/lab/src/routes.rs
@@ -5,7 +5,7 @@
 use rowanglade_replay::Replay;
 use rowanglade_routing::check::Decision;
 use rowanglade_routing::{Front, RouteRequest, Rules, Source, TargetInfo, Terms, check, parse};
-use rowanglade_test_fleet::{Site, Usage};
+use rowanglade_test_fleet::{ProcessUsage, StubSite};
 use std::fmt::Write;
 use std::time::{Duration, Instant};
 
@@ -106,7 +106,7 @@
         );
         times.push(whole);
     }
-    let memory = Usage::of("self").memory as f64 / 1e6;
+    let memory = ProcessUsage::of("self").peak_memory_bytes as f64 / 1e6;
     out.figure("memory at most", memory, "MB");
     out.figure("ten times as many take", times[1] / times[0].max(1e-6), "times as long");
     out.claim("10,000 collections and 2,000 expectations in under 2 s", times[1] < 2.0);
@@ -167,8 +167,8 @@
         let trace = folder.path().join("made.trace");
         let traffic = Traffic { rate: 500.0, seconds: 12.0, volumes: 40, shards: 0, hosts: 1, seed: 9 };
         let due = world::make(&trace, traffic)?;
-        let plan = rowanglade_test_fleet::BoxPlan { remember: true, ..world::plan(3, 4, 6) };
-        let site = Site::start(&vec![plan; 4], ZONE, 5).await?;
+        let plan = rowanglade_test_fleet::TargetPlan { keeps_requests: true, ..world::plan(3, 4, 6) };
+        let site = StubSite::start(&vec![plan; 4], ZONE, 5).await?;
         let daemons = world::daemons(&site, &world::header(), 1, |_| Some(version(0)))?;
         let file = daemons[0].folder().join("operator.toml");
         let ask = Replay { retries: false, ..Replay::to(world::addresses(&daemons)) };
@@ -213,13 +213,13 @@
         out.figure("tables put in force", loaded as f64, "");
         out.figure("files not read", unread as f64, "");
         out.figure("files refused", refused as f64, "");
-        for (i, each) in site.boxes.iter().enumerate() {
-            out.figure(format!("requests at box {i}"), each.counters().taken as f64, "");
+        for (i, each) in site.targets.iter().enumerate() {
+            out.figure(format!("requests at box {i}"), each.counters().received as f64, "");
         }
         // Within a version's span the moved volumes go to its box alone.
         let (mut judged, mut astray) = (0, 0);
-        for (i, each) in site.boxes.iter().enumerate() {
-            for (at, target) in each.seen() {
+        for (i, each) in site.targets.iter().enumerate() {
+            for (at, target) in each.received() {
                 let volume = target.split('/').nth(2).and_then(|v| u64::from_str_radix(v, 16).ok());
                 let moved = volume.is_some_and(|v| v <= 0x14);
                 let span = spans.iter().find(|(from, until, _)| (*from..*until).contains(&at));
@@ -235,7 +235,10 @@
         out.claim("each request has one last word", total.due == due && lines == due);
         out.claim("none is lost", total.lost + total.failed + total.unsent == 0);
         out.claim("nearly all are served", total.served as f64 >= 0.98 * due as f64);
-        out.claim("none went to the box that every version forbids", site.boxes[0].counters().taken == 0);
+        out.claim(
+            "none went to the box that every version forbids",
+            site.targets[0].counters().received == 0,
+        );
         out.claim("eight tables were put in force, two files were not", (loaded, unread + refused) == (8, 2));
         Ok(out)
     })
--- a/crates/lab/src/scale/connections.rs
+++ b/crates/lab/src/scale/connections.rs
@@ -3,7 +3,7 @@
 use super::curve::Curve;
 use crate::outcome::{Experiment, Failure, Outcome, Run};
 use crate::world::{self, ZONE, block_on};
-use rowanglade_test_fleet::{BoxPlan, Daemon, Entry, Site, State};
+use rowanglade_test_fleet::{Daemon, Endpoint, EndpointState, StubSite, TargetPlan};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -25,8 +25,8 @@
 const WORK_MS: u64 = 700;
 const BOXES: usize = 40;
 
-async fn daemon(site: &Site) -> Result<Daemon, Failure> {
-    let shape = |_: usize, start: &mut rowanglade_test_fleet::Start| start.sockets = DESCRIPTORS;
+async fn daemon(site: &StubSite) -> Result<Daemon, Failure> {
+    let shape = |_: usize, start: &mut rowanglade_test_fleet::DaemonPlan| start.sockets = DESCRIPTORS;
     let daemon = world::shaped(site, &world::header(), 1, shape)?.pop().ok_or("one daemon")?;
     while !up(&daemon).await? {
         sleep(Duration::from_millis(20)).await;
@@ -43,14 +43,14 @@
 }
 
 fn descriptors(daemon: &Daemon) -> Result<f64, Failure> {
-    Ok(std::fs::read_dir(format!("/proc/{}/fd", daemon.process()))?.count() as f64)
+    Ok(std::fs::read_dir(format!("/proc/{}/fd", daemon.pid()))?.count() as f64)
 }
 
 /// Memory and descriptors beyond those before, for so many connections that have each had an answer.
 async fn idle(count: usize) -> Result<(f64, f64), Failure> {
-    let site = Site::start(&[world::plan(1, 1, 1)], ZONE, SEED).await?;
+    let site = StubSite::start(&[world::plan(1, 1, 1)], ZONE, SEED).await?;
     let daemon = daemon(&site).await?;
-    let before = (daemon.usage().memory as f64, descriptors(&daemon)?);
+    let before = (daemon.usage().peak_memory_bytes as f64, descriptors(&daemon)?);
     let mut clients = Vec::with_capacity(count);
     for _ in 0..count {
         let mut stream = TcpStream::connect(daemon.http).await?;
@@ -61,20 +61,21 @@
     for client in &mut clients {
         client.read_exact(&mut answer).await?;
     }
-    let after = (daemon.usage().memory as f64, descriptors(&daemon)?);
+    let after = (daemon.usage().peak_memory_bytes as f64, descriptors(&daemon)?);
     Ok((after.0 - before.0, after.1 - before.1))
 }
 
 /// Requests that are held, of so many, and the memory beyond that before.
 async fn held(count: usize) -> Result<(f64, f64), Failure> {
-    let plan = BoxPlan { room: 100_000, slots: 100_000, ..world::plan(WORK_MS, WORK_MS, WORK_MS) };
-    let site = Site::start(&vec![plan; BOXES], ZONE, SEED).await?;
-    for each in &site.boxes {
+    let plan =
+        TargetPlan { queue_capacity: 100_000, slots: 100_000, ..world::plan(WORK_MS, WORK_MS, WORK_MS) };
+    let site = StubSite::start(&vec![plan; BOXES], ZONE, SEED).await?;
+    for each in &site.targets {
         // One that has just started is sent little.
-        site.discovery.put(Entry { started_ms: 0, ..Entry::of(each, State::Active) });
+        site.discovery.upsert(Endpoint { started_ms: 0, ..Endpoint::of(each, EndpointState::Active) });
     }
     let daemon = daemon(&site).await?;
-    let before = daemon.usage().memory as f64;
+    let before = daemon.usage().peak_memory_bytes as f64;
     let mut clients = Vec::with_capacity(count);
     for number in 0..count {
         let request = format!(
@@ -88,7 +89,7 @@
         clients.push(stream);
     }
     sleep(Duration::from_millis(300)).await;
-    let memory = daemon.usage().memory as f64 - before;
+    let memory = daemon.usage().peak_memory_bytes as f64 - before;
     let mut held = 0;
     for client in &mut clients {
         let answered = timeout(Duration::from_millis(1), client.readable()).await.is_ok();
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -7,7 +7,9 @@
 use crate::world::{self, ZONE};
 use rowanglade::config::Config;
 use rowanglade::initiator::Initiator;
-use rowanglade_test_fleet::{Daemon, Discovery, Entry, Site, Start, State, Usage, settings};
+use rowanglade_test_fleet::{
+    Daemon, DaemonPlan, Discovery, Endpoint, EndpointState, ProcessUsage, StubSite, settings,
+};
 use serde_json::json;
 use std::io::Read;
 use std::process::{Child, Command, ExitCode, Stdio};
@@ -52,7 +54,7 @@
     fn processes(&self) -> Vec<u32> {
         match self {
             Fleet::Hollow(hollow, _) => vec![hollow.0.id()],
-            Fleet::Real(daemons) => daemons.iter().map(Daemon::process).collect(),
+            Fleet::Real(daemons) => daemons.iter().map(Daemon::pid).collect(),
         }
     }
 
@@ -68,7 +70,7 @@
     }
 
     fn memory(&self) -> f64 {
-        self.processes().into_iter().map(|p| Usage::of(&p.to_string()).memory as f64).sum()
+        self.processes().into_iter().map(|p| ProcessUsage::of(&p.to_string()).peak_memory_bytes as f64).sum()
     }
 
     fn descriptors(&self) -> Result<f64, Failure> {
@@ -130,32 +132,39 @@
 }
 
 /// A site whose list has so many targets. Nobody connects to them.
-pub async fn listed(targets: usize) -> Result<Site, Failure> {
-    let site = Site::start(&[], ZONE, 1).await?;
+pub async fn listed(targets: usize) -> Result<StubSite, Failure> {
+    let site = StubSite::start(&[], ZONE, 1).await?;
     for place in 0..targets {
-        site.discovery.put(entry(place, State::Active));
+        site.discovery.upsert(entry(place, EndpointState::Active));
     }
     Ok(site)
 }
 
-fn entry(place: usize, state: State) -> Entry {
+fn entry(place: usize, state: EndpointState) -> Endpoint {
     let line = lists::line(place);
-    Entry { id: line.name, addr: line.addr, shard: line.shard, state, started_ms: 0, zone: Some(line.zone) }
+    Endpoint {
+        id: line.name,
+        addr: line.addr,
+        shard: line.shard,
+        state,
+        started_ms: 0,
+        zone: Some(line.zone),
+    }
 }
 
 async fn calls_reach(discovery: &Rc<Discovery>, calls: u64) -> Result<(), Failure> {
     let reached = async {
-        while discovery.calls() < calls {
+        while discovery.responses() < calls {
             sleep(TICK).await;
         }
     };
     timeout(PATIENCE, reached)
         .await
-        .map_err(|_| format!("{} of {calls} calls came", discovery.calls()).into())
+        .map_err(|_| format!("{} of {calls} calls came", discovery.responses()).into())
 }
 
 /// Starts instances, has all read the list, and tells them changes, one after another.
-async fn measure(site: &Site, start: impl FnOnce() -> Result<Fleet, Failure>) -> Result<Each, Failure> {
+async fn measure(site: &StubSite, start: impl FnOnce() -> Result<Fleet, Failure>) -> Result<Each, Failure> {
     let discovery = &site.discovery;
     let begun = Instant::now();
     let fleet = start()?;
@@ -165,12 +174,12 @@
     let listed_after = begun.elapsed().as_secs_f64();
     sleep(Duration::from_millis(500)).await;
     let started = fleet.processor()?;
-    let (calls, bytes) = (discovery.calls(), discovery.bytes());
+    let (calls, bytes) = (discovery.responses(), discovery.list_bytes());
     let mut told_after = 0.0;
     for change in 0..CHANGES {
-        let state = if change % 2 == 0 { State::Leaving } else { State::Active };
-        let (told, before) = (Instant::now(), discovery.calls());
-        discovery.put(entry(change as usize / 2, state));
+        let state = if change % 2 == 0 { EndpointState::Draining } else { EndpointState::Active };
+        let (told, before) = (Instant::now(), discovery.responses());
+        discovery.upsert(entry(change as usize / 2, state));
         calls_reach(discovery, before + count as u64).await?;
         told_after += told.elapsed().as_secs_f64() / f64::from(CHANGES);
         sleep(TICK).await;
@@ -181,8 +190,8 @@
         listed_after,
         start: started / count,
         change: (fleet.processor()? - started) / changes,
-        change_bytes: (discovery.bytes() - bytes) as f64 / changes,
-        change_calls: (discovery.calls() - calls) as f64 / changes,
+        change_bytes: (discovery.list_bytes() - bytes) as f64 / changes,
+        change_calls: (discovery.responses() - calls) as f64 / changes,
         told_after,
         memory: fleet.memory() / count,
         descriptors: fleet.descriptors()? / count,
@@ -208,7 +217,8 @@
 pub fn real(instances: u32, targets: usize) -> Result<Each, Failure> {
     world::block_on(async {
         let site = listed(targets).await?;
-        let shape = |_: usize, start: &mut Start| start.settings["family-info"]["n-shards"] = targets.into();
+        let shape =
+            |_: usize, start: &mut DaemonPlan| start.settings["family-info"]["n-shards"] = targets.into();
         let daemons = || world::shaped(&site, &world::header(), instances as usize, shape);
         let start = || Ok(Fleet::Real(daemons()?));
         measure(&site, start).await
--- a/crates/lab/src/sites.rs
+++ b/crates/lab/src/sites.rs
@@ -3,7 +3,7 @@
 use crate::outcome::{Experiment, Failure, Outcome, Run};
 use crate::world::{self, Traffic, ZONE, block_on};
 use rowanglade_replay::Replay;
-use rowanglade_test_fleet::{BoxPlan, DiskBox, Entry, Fault, Site, State};
+use rowanglade_test_fleet::{Endpoint, EndpointState, StubSite, StubTarget, TargetFault, TargetPlan};
 use std::path::Path;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -35,9 +35,9 @@
 const MULTIPLE: f64 = 2.5;
 const RESERVE: f64 = 4.0;
 
-fn entry(each: &DiskBox, place: usize) -> Entry {
+fn entry(each: &StubTarget, place: usize) -> Endpoint {
     let zone = if FAR.contains(&place) { "negril" } else { ZONE };
-    Entry { zone: Some(zone.into()), ..Entry::of(each, State::Active) }
+    Endpoint { zone: Some(zone.into()), ..Endpoint::of(each, EndpointState::Active) }
 }
 
 /// Units that a box that returned at 0 bears in the window that begins then, if the rule on cold boxes is
@@ -67,36 +67,36 @@
 }
 
 async fn round(trace: &Path, judged: bool) -> Result<Round, Failure> {
-    let plan = BoxPlan {
-        remember: true,
-        cold_from: COLD_FROM,
+    let plan = TargetPlan {
+        keeps_requests: true,
+        initial_capacity: COLD_FROM,
         warm_within: Duration::from_secs_f64(WARM_WITHIN),
-        room: 512,
+        queue_capacity: 512,
         slots: 4,
         ..world::plan(4, 6, 8)
     };
-    let site = Site::start(&vec![plan; FAR.end], ZONE, SEED).await?;
-    for (place, each) in site.boxes.iter().enumerate() {
-        site.discovery.put(entry(each, place));
+    let site = StubSite::start(&vec![plan; FAR.end], ZONE, SEED).await?;
+    for (place, each) in site.targets.iter().enumerate() {
+        site.discovery.upsert(entry(each, place));
     }
     let daemons = world::shaped(&site, &world::header(), INSTANCES, |_, start| {
         start.settings["azs"] = serde_json::json!([ZONE, "negril"]);
         start.settings["rules"]["warm-within"] = ((WARM_WITHIN * 1e6) as u64).into();
         start.operator = judged.then(|| "[sites]\nhold_ms = 3000\n".to_string());
     })?;
-    let boxes = site.boxes.clone();
+    let boxes = site.targets.clone();
     let faults = async move {
         // The first request is the beginning.
-        while boxes.iter().all(|b| b.counters().taken == 0) {
+        while boxes.iter().all(|b| b.counters().received == 0) {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         let begun = Instant::now();
         tokio::time::sleep_until(begun + Duration::from_secs_f64(GONE)).await;
-        FAR.for_each(|place| boxes[place].misbehave(Fault { silent: true, ..Fault::default() }));
+        FAR.for_each(|place| boxes[place].inject(TargetFault { silent: true, ..TargetFault::default() }));
         tokio::time::sleep_until(begun + Duration::from_secs_f64(BACK)).await;
         // Its processes were started again; the list does not know.
         for place in FAR {
-            boxes[place].misbehave(Fault::default());
+            boxes[place].inject(TargetFault::default());
             boxes[place].restart().await?;
         }
         Ok::<_, Failure>(begun)
@@ -106,10 +106,10 @@
     let (report, begun) = (report?, begun?);
 
     let seen = |places: std::ops::Range<usize>| -> Vec<Vec<f64>> {
-        let times = |b: &DiskBox| {
-            b.seen().iter().map(|(at, _)| at.duration_since(begun).as_secs_f64()).collect::<Vec<f64>>()
+        let times = |b: &StubTarget| {
+            b.received().iter().map(|(at, _)| at.duration_since(begun).as_secs_f64()).collect::<Vec<f64>>()
         };
-        places.map(|place| times(&site.boxes[place])).collect()
+        places.map(|place| times(&site.targets[place])).collect()
     };
     let per_second = |all: &[Vec<f64>]| -> Vec<(f64, f64)> {
         let count = |s: usize| all.iter().flatten().filter(|at| **at as usize == s).count();
--- a/crates/lab/src/soak.rs
+++ b/crates/lab/src/soak.rs
@@ -12,8 +12,8 @@
 use rowanglade_checker::{Breach, Rules, check};
 use rowanglade_fault_shim::{COUNTS, VARIABLE};
 use rowanglade_test_fleet::{
-    BoxPlan, Counts, Fault, Fleet, FleetPlan, LoadPlan, Patience, Signal, Start, Trouble, settings,
-    usual_classes,
+    DaemonPlan, DiscoveryFault, Fleet, FleetPlan, LoadPlan, RequestCounts, Signal, TargetFault, TargetPlan,
+    settings, usual_classes,
 };
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -48,7 +48,7 @@
         part: f64,
     },
     Outage {
-        trouble: Trouble,
+        trouble: DiscoveryFault,
         span: Duration,
     },
     /// A part of the targets misbehaves.
@@ -186,9 +186,9 @@
         match random.random_range(0..10) {
             0..=2 => Event::Release { part: random.random_range(0.05..0.3) },
             3 => {
-                let hanging = Trouble::Hanging(Duration::from_secs(2));
-                let kinds = [Trouble::Refusing, Trouble::Resetting, hanging];
-                Event::Outage { trouble: *kinds.choose(random).unwrap_or(&Trouble::Refusing), span }
+                let hanging = DiscoveryFault::Hanging(Duration::from_secs(2));
+                let kinds = [DiscoveryFault::Refusing, DiscoveryFault::Resetting, hanging];
+                Event::Outage { trouble: *kinds.choose(random).unwrap_or(&DiscoveryFault::Refusing), span }
             }
             4 | 5 => {
                 use Misbehaviour::*;
@@ -222,7 +222,7 @@
         (COUNTS.to_string(), counts.display().to_string()),
     ];
     Ok(FleetPlan {
-        start: Start {
+        daemon: DaemonPlan {
             name: String::new(),
             program: std::env::current_exe()?,
             args: vec!["rowanglade".into()],
@@ -231,13 +231,13 @@
             sockets: 512,
             memory_mb: 192,
             operator: None,
-            meeting: None,
+            handover: None,
             env,
         },
         zone: ZONE.to_string(),
         processes: plan.processes,
         targets: plan.targets,
-        target: BoxPlan { other: Duration::from_millis(20), ..BoxPlan::default() },
+        target: TargetPlan { default_service_time: Duration::from_millis(20), ..TargetPlan::default() },
         load: LoadPlan {
             rate: 15.0,
             classes: usual_classes(),
@@ -245,11 +245,11 @@
             volumes: Vec::new(),
             units: 2.0,
             hosts: 1,
-            patience: Patience { leaves: plan.leaves },
+            disconnect_share: plan.leaves,
         },
         volumes: 6,
         shards_of_volume: 4,
-        share: plan.share,
+        core_share: plan.share,
         peers: true,
         seed: plan.seed,
     })
@@ -257,7 +257,7 @@
 
 /// What a play showed.
 struct Play {
-    counts: Counts,
+    counts: RequestCounts,
     breaches: Vec<Breach>,
     crashed: usize,
     /// How often the rig itself stood still.
@@ -282,9 +282,9 @@
         carry_out(&mut fleet, event, plan.targets, &mut leaving, &mut crowd).await?;
     }
     sleep_until(begun + PLAY).await;
-    fleet.discovery.trouble(Trouble::None);
+    fleet.discovery.inject(DiscoveryFault::None);
     fleet.settle().await;
-    let crashed = fleet.crashed();
+    let crashed = fleet.crashes();
     Ok(Play {
         counts: fleet.counts(),
         breaches: check(&fleet.history(), &Rules::with_grace(GRACE)),
@@ -312,26 +312,26 @@
         }
         Event::Outage { trouble, span } => {
             let (discovery, span) = (fleet.discovery.clone(), *span);
-            discovery.trouble(*trouble);
+            discovery.inject(*trouble);
             tokio::task::spawn_local(async move {
                 sleep(span).await;
-                discovery.trouble(Trouble::None);
+                discovery.inject(DiscoveryFault::None);
             });
         }
         Event::Targets { part, kind, span } => {
             let fault = match kind {
-                Misbehaviour::Silent => Fault { silent: true, ..Fault::default() },
-                Misbehaviour::Slow => Fault { slow: 20.0, ..Fault::default() },
-                Misbehaviour::Resets => Fault { resets: 0.5, ..Fault::default() },
-                Misbehaviour::Errors => Fault { errors: 0.5, ..Fault::default() },
-                Misbehaviour::Full => Fault { full: true, ..Fault::default() },
+                Misbehaviour::Silent => TargetFault { silent: true, ..TargetFault::default() },
+                Misbehaviour::Slow => TargetFault { slowdown: 20.0, ..TargetFault::default() },
+                Misbehaviour::Resets => TargetFault { reset_share: 0.5, ..TargetFault::default() },
+                Misbehaviour::Errors => TargetFault { error_share: 0.5, ..TargetFault::default() },
+                Misbehaviour::Full => TargetFault { rejects: true, ..TargetFault::default() },
             };
-            let bad = fleet.in_use((targets as f64 * part) as usize + 1);
-            bad.iter().for_each(|target| target.misbehave(fault.clone()));
+            let bad = fleet.draw_active((targets as f64 * part) as usize + 1);
+            bad.iter().for_each(|target| target.inject(fault.clone()));
             let span = *span;
             tokio::task::spawn_local(async move {
                 sleep(span).await;
-                bad.iter().for_each(|target| target.misbehave(Fault::default()));
+                bad.iter().for_each(|target| target.inject(TargetFault::default()));
             });
         }
         Event::Terminate { process, twice, hangup } => {
@@ -400,7 +400,7 @@
     let (mut played, mut failed) = (0u32, 0u32);
     let mut kinds: BTreeMap<String, u64> = BTreeMap::new();
     let mut events: BTreeMap<String, u64> = BTreeMap::new();
-    let mut counts = Counts::default();
+    let mut counts = RequestCounts::default();
     for seed in seeds.range.clone().unwrap_or(SHORT) {
         if begun.elapsed() > seeds.most {
             out.claim(format!("seed {seed} and those behind it are not played: the time is up"), false);
@@ -412,7 +412,7 @@
         }
         let result = block_on(play(&plan))?;
         played += 1;
-        counts = counts.and(result.counts);
+        counts = counts.merge(result.counts);
         for (kind, count) in &result.injected {
             *kinds.entry(kind.clone()).or_default() += count;
         }
@@ -443,7 +443,7 @@
     }
     out.figure("seeds played", f64::from(played), "");
     out.figure("seeds with a breach", f64::from(failed), "");
-    out.figure("requests", counts.asked as f64, "");
+    out.figure("requests", counts.sent as f64, "");
     out.figure("share served", counts.share_served(), "");
     for (kind, count) in kinds.iter().chain(&events) {
         out.figure(format!("injected: {kind}"), *count as f64, "");
--- a/crates/lab/src/subsets.rs
+++ b/crates/lab/src/subsets.rs
@@ -4,7 +4,7 @@
 use crate::world::{self, Traffic, ZONE, block_on};
 use rowanglade_replay::{Replay, pick};
 use rowanglade_subset::{Rule, difference, table};
-use rowanglade_test_fleet::{BoxPlan, Site};
+use rowanglade_test_fleet::{StubSite, TargetPlan};
 use std::collections::BTreeSet;
 use std::path::Path;
 
@@ -41,15 +41,15 @@
 }
 
 async fn round(trace: &Path, instances: u32, preferred: bool) -> Result<Round, Failure> {
-    let plan = |place: usize| BoxPlan {
-        remember: true,
-        room: 512,
+    let plan = |place: usize| TargetPlan {
+        keeps_requests: true,
+        queue_capacity: 512,
         slots: 4,
         // A sixth of them is faster: whoever looks for the fastest finds these.
         ..if place.is_multiple_of(6) { world::plan(2, 3, 4) } else { world::plan(4, 6, 8) }
     };
-    let plans: Vec<BoxPlan> = (0..BOXES).map(plan).collect();
-    let site = Site::start(&plans, ZONE, SEED).await?;
+    let plans: Vec<TargetPlan> = (0..BOXES).map(plan).collect();
+    let site = StubSite::start(&plans, ZONE, SEED).await?;
     let table = format!("[subset]\nsize = {}\nspread = {}\n", RULE.size, RULE.spread);
     let daemons =
         world::daemons(&site, &world::header(), instances as usize, |_| preferred.then(|| table.clone()))?;
@@ -58,8 +58,8 @@
     let (total, deposits) = (report.total(), report.classes.get("deposit"));
     let mut pairs = BTreeSet::new();
     let mut got = Vec::new();
-    for (place, each) in site.boxes.iter().enumerate() {
-        let seen = each.seen();
+    for (place, each) in site.targets.iter().enumerate() {
+        let seen = each.received();
         got.push(seen.len() as f64);
         for (_, target) in seen {
             let volume = target.split('/').nth(2).and_then(|v| u64::from_str_radix(v, 16).ok());
--- a/crates/lab/src/upgrade.rs
+++ b/crates/lab/src/upgrade.rs
@@ -4,7 +4,7 @@
 use crate::world::{self, ZONE, block_on};
 use rowanglade_capture::{Record, TraceWriter};
 use rowanglade_replay::Replay;
-use rowanglade_test_fleet::{BoxPlan, Daemon, Meeting, Signal, Site, Start, settings};
+use rowanglade_test_fleet::{Daemon, DaemonPlan, HandoverPaths, Signal, StubSite, TargetPlan, settings};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::path::Path;
@@ -82,11 +82,11 @@
         let folder = tempfile::tempdir()?;
         let trace = folder.path().join("made.trace");
         make(&trace)?;
-        let remember = |plan| BoxPlan { remember: true, ..plan };
+        let remember = |plan| TargetPlan { keeps_requests: true, ..plan };
         let plans = [remember(world::plan(2, 3, 5)), remember(world::plan(2, 3, 5))];
-        let site = Site::start(&plans, ZONE, 5).await?;
+        let site = StubSite::start(&plans, ZONE, 5).await?;
         let start = |listen: Option<SocketAddr>| -> Result<Daemon, Failure> {
-            Ok(Daemon::start(&Start {
+            Ok(Daemon::start(&DaemonPlan {
                 name: "lab".into(),
                 program: std::env::current_exe()?,
                 args: vec!["rowanglade".into()],
@@ -95,7 +95,7 @@
                 sockets: SOCKETS,
                 memory_mb: 192,
                 operator: None,
-                meeting: Some(Meeting { folder: folder.path().to_path_buf(), listen }),
+                handover: Some(HandoverPaths { folder: folder.path().to_path_buf(), listen }),
                 env: Vec::new(),
             })?)
         };
@@ -103,7 +103,7 @@
         let first = start(None)?;
         let addr = first.http;
         healthy(first.admin.ok_or("nobody answers operators")?).await?;
-        let processes = Rc::new(RefCell::new(vec![first.process()]));
+        let processes = Rc::new(RefCell::new(vec![first.pid()]));
         let peak = Rc::new(Cell::new((0, 0)));
         let watch = {
             let (processes, peak) = (Rc::clone(&processes), Rc::clone(&peak));
@@ -124,7 +124,7 @@
                 tokio::time::sleep(Duration::from_secs_f64(wait)).await;
                 let begun = tokio::time::Instant::now();
                 let next = start(Some(addr))?;
-                processes.borrow_mut().push(next.process());
+                processes.borrow_mut().push(next.pid());
                 healthy(next.admin.ok_or("nobody answers operators")?).await?;
                 took.push(begun.elapsed().as_secs_f64() * 1e3);
                 serving.signal(Signal::SIGTERM)?;
@@ -149,7 +149,7 @@
         // Of the limited volume, whose box nobody else uses: the store is empty when the first process
         // starts, so no more may have come at any time than what has filled it since, and the slack.
         let seen: Vec<f64> = {
-            let seen = site.boxes[0].seen();
+            let seen = site.targets[0].received();
             seen.iter().map(|(at, _)| at.duration_since(born).as_secs_f64()).collect()
         };
         let over = seen.iter().enumerate().map(|(i, at)| (i + 1) as f64 - LIMIT * at - SLACK);
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -9,7 +9,9 @@
     import,
 };
 use rowanglade_replay::{Replay, Report, replay};
-use rowanglade_test_fleet::{BoxPlan, Daemon, DiskBox, Rack, Site, Start, settings};
+use rowanglade_test_fleet::{
+    Daemon, DaemonPlan, DeduplicationScope, StubSite, StubTarget, TargetPlan, settings,
+};
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read};
 use std::net::SocketAddr;
@@ -113,17 +115,17 @@
 }
 
 /// A box whose requests take so many milliseconds each, by class.
-pub fn plan(view: u64, deposit: u64, export: u64) -> BoxPlan {
+pub fn plan(view: u64, deposit: u64, export: u64) -> TargetPlan {
     let work = [("view", view), ("deposit", deposit), ("export", export)];
-    BoxPlan {
-        work: work.map(|(class, ms)| (class.to_string(), Duration::from_millis(ms))).into(),
-        ..BoxPlan::default()
+    TargetPlan {
+        service_times: work.map(|(class, ms)| (class.to_string(), Duration::from_millis(ms))).into(),
+        ..TargetPlan::default()
     }
 }
 
 /// Starts daemons over a site's boxes. `operator` makes the text of an operator's file for each.
 pub fn daemons(
-    site: &Site,
+    site: &StubSite,
     header: &Header,
     count: usize,
     operator: impl Fn(usize) -> Option<String>,
@@ -133,15 +135,15 @@
 
 /// The same, with what they are started with changed.
 pub fn shaped(
-    site: &Site,
+    site: &StubSite,
     header: &Header,
     count: usize,
-    shape: impl Fn(usize, &mut Start),
+    shape: impl Fn(usize, &mut DaemonPlan),
 ) -> Result<Vec<Daemon>, Failure> {
-    let settings = settings(header, count, ZONE, site.boxes.len());
+    let settings = settings(header, count, ZONE, site.targets.len());
     let mut made = Vec::new();
     for number in 0..count {
-        let mut start = Start {
+        let mut start = DaemonPlan {
             name: format!("lab-{number}"),
             program: std::env::current_exe()?,
             args: vec!["rowanglade".into()],
@@ -150,7 +152,7 @@
             sockets: 1_024,
             memory_mb: 192,
             operator: None,
-            meeting: None,
+            handover: None,
             env: Vec::new(),
         };
         start.settings["my-number"] = number.into();
@@ -237,15 +239,15 @@
         std::process::exit(0);
     });
     block_on(async {
-        let plan = BoxPlan {
+        let plan = TargetPlan {
             slots: 100_000,
-            room: 100_000,
-            work: HashMap::new(),
-            other: Duration::ZERO,
-            ..BoxPlan::default()
+            queue_capacity: 100_000,
+            service_times: HashMap::new(),
+            default_service_time: Duration::ZERO,
+            ..TargetPlan::default()
         };
-        let rack = Rack::new(Duration::from_secs(3));
-        match DiskBox::start("sink".into(), 0, plan, rack, 1).await {
+        let rack = DeduplicationScope::new(Duration::from_secs(3));
+        match StubTarget::start("sink".into(), 0, plan, rack, 1).await {
             Ok(made) => println!("{}", made.addr()),
             Err(error) => {
                 eprintln!("{error}");
--- a/crates/test-fleet/src/http.rs
+++ b/crates/test-fleet/src/http.rs
@@ -1,4 +1,4 @@
-//! As much of an HTTP/1.1 server (RFC 9112) as a stand-in needs: one request at a time, lengths by
+//! As much of an HTTP/1.1 server (RFC 9112) as a stub needs: one request at a time, lengths by
 //! `Content-Length` only.
 
 use bytes::{Buf, BytesMut};
@@ -6,37 +6,40 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// The longest head and the longest body, in bytes.
-const LONGEST_HEAD: usize = 16 << 10;
-const LONGEST_BODY: usize = 64 << 10;
+/// The longest head, in bytes.
+const MAX_HEAD_BYTES: usize = 16 << 10;
+/// The longest body, in bytes.
+const MAX_BODY_BYTES: usize = 64 << 10;
+const MAX_HEADERS: usize = 32;
 
-/// A request, whole.
+/// A request's head.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
     pub method: String,
+    /// The path with its query.
     pub target: String,
     headers: Vec<(String, String)>,
-    /// Bytes of the body, which nobody looks at.
-    pub body: usize,
+    /// Bytes of the body, whose content nobody looks at.
+    pub body_bytes: usize,
 }
 
 impl Request {
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
+        self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, value)| value.as_str())
     }
 }
 
-/// An answer.
+/// A response.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct Response {
     pub status: u16,
     pub headers: Vec<(&'static str, String)>,
     pub body: Vec<u8>,
 }
 
-impl Answer {
-    pub fn new(status: u16) -> Answer {
-        Answer { status, headers: Vec::new(), body: Vec::new() }
+impl Response {
+    pub fn new(status: u16) -> Response {
+        Response { status, headers: Vec::new(), body: Vec::new() }
     }
 }
 
@@ -46,7 +49,7 @@
     buffer: BytesMut,
 }
 
-fn bad(problem: &str) -> io::Error {
+fn invalid_data(problem: &str) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, problem)
 }
 
@@ -55,14 +58,14 @@
         Connection { stream, buffer: BytesMut::new() }
     }
 
-    /// The head of the next request, and how long its body is; none where the stream ends before one.
-    pub async fn head(&mut self) -> io::Result<Option<(Request, usize)>> {
+    /// The head of the next request; none where the stream ends before one. Its body is still to be skipped.
+    pub async fn read_head(&mut self) -> io::Result<Option<Request>> {
         loop {
-            if let Some(found) = self.parse()? {
-                return Ok(Some(found));
+            if let Some(request) = self.parse_head()? {
+                return Ok(Some(request));
             }
-            if self.buffer.len() > LONGEST_HEAD {
-                return Err(bad("too long a head"));
+            if self.buffer.len() > MAX_HEAD_BYTES {
+                return Err(invalid_data("too long a head"));
             }
             if self.stream.read_buf(&mut self.buffer).await? == 0 {
                 return if self.buffer.is_empty() {
@@ -74,32 +77,35 @@
         }
     }
 
-    fn parse(&mut self) -> io::Result<Option<(Request, usize)>> {
-        let mut headers = [httparse::EMPTY_HEADER; 32];
+    fn parse_head(&mut self) -> io::Result<Option<Request>> {
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut head = httparse::Request::new(&mut headers);
-        let length = match head.parse(&self.buffer).map_err(|e| bad(&e.to_string()))? {
+        let length = match head.parse(&self.buffer).map_err(|error| invalid_data(&error.to_string()))? {
             httparse::Status::Complete(length) => length,
             httparse::Status::Partial => return Ok(None),
         };
         let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
-        let request = Request {
+        let mut request = Request {
             method: head.method.unwrap_or_default().to_string(),
             target: head.path.unwrap_or_default().to_string(),
             headers: head.headers.iter().map(|h| (h.name.to_string(), text(h.value))).collect(),
-            body: 0,
+            body_bytes: 0,
         };
-        let body = request.header("content-length").map_or(Ok(0), str::parse::<usize>);
-        let body = body.ok().filter(|b| *b <= LONGEST_BODY).ok_or_else(|| bad("the body's length"))?;
+        let body_bytes = request.header("content-length").map_or(Ok(0), str::parse::<usize>);
+        request.body_bytes = body_bytes
+            .ok()
+            .filter(|bytes| *bytes <= MAX_BODY_BYTES)
+            .ok_or_else(|| invalid_data("the body's length"))?;
         self.buffer.advance(length);
-        Ok(Some((request, body)))
+        Ok(Some(request))
     }
 
     /// Reads this much of a body away.
-    pub async fn skip(&mut self, mut bytes: usize) -> io::Result<()> {
+    pub async fn skip_body(&mut self, mut bytes: usize) -> io::Result<()> {
         loop {
-            let here = bytes.min(self.buffer.len());
-            self.buffer.advance(here);
-            bytes -= here;
+            let buffered = bytes.min(self.buffer.len());
+            self.buffer.advance(buffered);
+            bytes -= buffered;
             if bytes == 0 {
                 return Ok(());
             }
@@ -109,14 +115,15 @@
         }
     }
 
-    pub async fn answer(&mut self, answer: Answer) -> io::Result<()> {
-        let mut head = format!("HTTP/1.1 {} -\r\nContent-Length: {}\r\n", answer.status, answer.body.len());
-        for (name, value) in &answer.headers {
+    pub async fn respond(&mut self, response: Response) -> io::Result<()> {
+        let length = response.body.len();
+        let mut head = format!("HTTP/1.1 {} -\r\nContent-Length: {length}\r\n", response.status);
+        for (name, value) in &response.headers {
             head.push_str(&format!("{name}: {value}\r\n"));
         }
         head.push_str("\r\n");
         let mut bytes = head.into_bytes();
-        bytes.extend_from_slice(&answer.body);
+        bytes.extend_from_slice(&response.body);
         self.stream.write_all(&bytes).await
     }
 
--- a/crates/test-fleet/src/recorder.rs
+++ b/crates/test-fleet/src/recorder.rs
@@ -1,8 +1,8 @@
 //! Records what clients, targets and discovery see, on one clock, for the checker.
 
-use crate::http::{Answer, Request};
+use crate::http::{Request, Response};
 use rowanglade_checker::{
-    Attempt, Change, Delivery, Fate, History, Micros, Outage, ProcessEnd, ProcessId,
+    Attempt, AttemptOutcome, Delivery, EndpointChange, History, Interval, Micros, ProcessEnd, ProcessId,
     Request as ClientRequest, TargetState,
 };
 use std::cell::{Cell, RefCell};
@@ -10,45 +10,49 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// How often it is looked whether this thread stands still, and from when on it does.
-const BEAT: Duration = Duration::from_millis(5);
-const STALL: Duration = Duration::from_millis(30);
+/// How often it is checked whether this thread stands still.
+const STALL_CHECK_PERIOD: Duration = Duration::from_millis(5);
+/// A pause this long counts as a stall of the thread.
+const MIN_STALL: Duration = Duration::from_millis(30);
 
 /// The record of one test. Its clock begins with it.
 #[derive(Debug)]
 pub struct Recorder {
-    begun: Instant,
+    started_at: Instant,
     /// The same in Unix time.
-    begun_unix: Micros,
+    started_unix: Micros,
     history: RefCell<History>,
-    processes: Cell<u32>,
+    next_process: Cell<u32>,
     /// What one request of usual work asks, in units.
     usual_units: f64,
 }
 
 impl Recorder {
+    /// An empty record, whose clock begins now. `usual_units`: the units of one request of usual work.
     pub fn new(usual_units: f64) -> Rc<Recorder> {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Rc::new(Recorder {
-            begun: Instant::now(),
-            begun_unix: unix.as_micros() as Micros,
+            started_at: Instant::now(),
+            started_unix: unix.as_micros() as Micros,
             history: RefCell::default(),
-            processes: Cell::new(0),
+            next_process: Cell::new(0),
             usual_units,
         })
     }
 
+    /// The time on the clock of this record.
     pub fn now(&self) -> Micros {
         self.at(Instant::now())
     }
 
     /// A Unix time on the clock of this record.
     pub fn at_unix_ms(&self, unix_ms: u64) -> Micros {
-        (unix_ms * 1_000).saturating_sub(self.begun_unix)
+        (unix_ms * 1_000).saturating_sub(self.started_unix)
     }
 
+    /// An instant on the clock of this record; 0 for one before it.
     pub fn at(&self, instant: Instant) -> Micros {
-        instant.saturating_duration_since(self.begun).as_micros() as Micros
+        instant.saturating_duration_since(self.started_at).as_micros() as Micros
     }
 
     /// A copy of all that is recorded so far.
@@ -58,25 +62,29 @@
 
     /// The number of a process that starts now.
     pub fn process(&self) -> ProcessId {
-        let process = ProcessId(self.processes.get());
-        self.processes.set(process.0 + 1);
+        let process = ProcessId(self.next_process.get());
+        self.next_process.set(process.0 + 1);
         self.history.borrow_mut().starts.push((process, self.now()));
         process
     }
 
+    /// A request has ended for its client.
     pub fn request(&self, request: ClientRequest) {
         self.history.borrow_mut().requests.push(request);
     }
 
+    /// The endpoint list changes now.
     pub fn change(&self, version: u64, target: &str, state: TargetState) {
-        let change = Change { version, at: self.now(), target: target.to_string(), state };
+        let change = EndpointChange { version, at: self.now(), target: target.to_string(), state };
         self.history.borrow_mut().changes.push(change);
     }
 
+    /// Discovery has written a version to a process.
     pub fn delivery(&self, process: ProcessId, version: u64, at: Micros) {
         self.history.borrow_mut().deliveries.push(Delivery { process, version, at });
     }
 
+    /// The test has ended a process.
     pub fn end(&self, end: ProcessEnd) {
         self.history.borrow_mut().ends.push(end);
     }
@@ -85,12 +93,12 @@
     pub async fn watch_stalls(recorder: Weak<Recorder>) {
         let mut last = Instant::now();
         loop {
-            tokio::time::sleep(BEAT).await;
+            tokio::time::sleep(STALL_CHECK_PERIOD).await;
             let Some(recorder) = recorder.upgrade() else { return };
             let now = Instant::now();
-            if now.saturating_duration_since(last) >= STALL {
+            if now.saturating_duration_since(last) >= MIN_STALL {
                 let (from, to) = (recorder.at(last), recorder.at(now));
-                recorder.history.borrow_mut().stalls.push(Outage { from, to });
+                recorder.history.borrow_mut().stalls.push(Interval { from, to });
             }
             last = now;
         }
@@ -102,8 +110,9 @@
         self.history.borrow_mut().crowds.push((process, now));
     }
 
+    /// Discovery could not be reached for a while.
     pub fn outage(&self, from: Micros, to: Micros) {
-        self.history.borrow_mut().outages.push(Outage { from, to });
+        self.history.borrow_mut().outages.push(Interval { from, to });
     }
 
     /// An attempt begins at a target. None: it is no attempt of a request.
@@ -112,7 +121,7 @@
         request: &Request,
         target: &str,
         shard: u32,
-    ) -> Option<AttemptSlot> {
+    ) -> Option<AttemptRecord> {
         let id = request.header("x-correlation-id")?;
         let time_left = request.header("x-time-left-ms").and_then(|ms| ms.parse::<Micros>().ok());
         let placement = request.header("x-placement").unwrap_or_default();
@@ -123,48 +132,49 @@
         history.attempts.push(Attempt {
             request: id.to_string(),
             target: target.to_string(),
-            group: format!("cell-{shard}"),
-            begun: self.now(),
+            deduplication_scope: format!("cell-{shard}"),
+            started_at: self.now(),
             units: units / self.usual_units,
             time_left: time_left.map(|ms| ms * 1_000),
-            fate: Fate::NeverWhole,
-            ended: None,
+            outcome: AttemptOutcome::Incomplete,
+            ended_at: None,
         });
-        Some(AttemptSlot { recorder: Rc::clone(self), place })
+        Some(AttemptRecord { recorder: Rc::clone(self), place })
     }
 }
 
 /// An attempt that is recorded. Dropped, its connection has ended.
-pub(crate) struct AttemptSlot {
+pub(crate) struct AttemptRecord {
     recorder: Rc<Recorder>,
     place: usize,
 }
 
-impl AttemptSlot {
+impl AttemptRecord {
     fn change(&self, change: impl FnOnce(&mut Attempt)) {
         change(&mut self.recorder.history.borrow_mut().attempts[self.place]);
     }
 
     /// Its last byte has come.
-    pub fn whole(&self) {
-        self.change(|attempt| attempt.fate = Fate::Open);
+    pub fn received(&self) {
+        self.change(|attempt| attempt.outcome = AttemptOutcome::InFlight);
     }
 
-    pub fn answered(&self, answer: &Answer) {
-        let unseen = answer.headers.iter().any(|(name, _)| *name == "X-Unprocessed");
-        let fate = match answer.status {
-            200 => Fate::Served,
-            _ if unseen => Fate::TurnedAway,
-            _ => Fate::Failed,
+    /// Its response is written.
+    pub fn answered(&self, response: &Response) {
+        let unprocessed = response.headers.iter().any(|(name, _)| *name == "X-Unprocessed");
+        let outcome = match response.status {
+            200 => AttemptOutcome::Served,
+            _ if unprocessed => AttemptOutcome::Rejected,
+            _ => AttemptOutcome::Failed,
         };
         let now = self.recorder.now();
-        self.change(|attempt| (attempt.fate, attempt.ended) = (fate, Some(now)));
+        self.change(|attempt| (attempt.outcome, attempt.ended_at) = (outcome, Some(now)));
     }
 }
 
-impl Drop for AttemptSlot {
+impl Drop for AttemptRecord {
     fn drop(&mut self) {
         let now = self.recorder.now();
-        self.change(|attempt| attempt.ended = attempt.ended.or(Some(now)));
+        self.change(|attempt| attempt.ended_at = attempt.ended_at.or(Some(now)));
     }
 }
--- a/crates/test-fleet/tests/boxes.rs
+++ b/crates/test-fleet/tests/targets.rs
@@ -1,6 +1,6 @@
-//! Boxes do what they are told, and say what they saw.
+//! Stub targets misbehave on command, and count what they receive.
 
-use rowanglade_test_fleet::{BoxPlan, Fault, Site};
+use rowanglade_test_fleet::{StubSite, TargetFault, TargetPlan};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -22,7 +22,7 @@
     }
 }
 
-async fn list(site: &Site, from: Option<u64>) -> String {
+async fn list(site: &StubSite, from: Option<u64>) -> String {
     let mut stream = TcpStream::connect(site.discovery.addr()).await.expect("connected");
     let query = from.map_or(String::new(), |v| format!("?from={v}&hold_ms=5000"));
     let request = format!("GET /discovery/hosts{query} HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -38,32 +38,32 @@
 }
 
 #[test]
-fn boxes_misbehave_on_command_and_count_it() {
+fn targets_misbehave_on_command_and_count_what_they_receive() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
-        let plan = BoxPlan {
-            cold_from: 0.25,
+        let plan = TargetPlan {
+            initial_capacity: 0.25,
             warm_within: Duration::from_secs(3_600),
-            other: Duration::from_millis(1),
-            ..BoxPlan::default()
+            default_service_time: Duration::from_millis(1),
+            ..TargetPlan::default()
         };
-        let site = Site::start(&[plan], "kingston", 1).await.expect("started");
-        let (target, addr) = (&site.boxes[0], site.boxes[0].addr());
+        let site = StubSite::start(&[plan], "kingston", 1).await.expect("started");
+        let (target, addr) = (&site.targets[0], site.targets[0].addr());
         assert_eq!(ask(addr, "PUT /deposit/1/2", 10).await, Some(200));
         assert_eq!(ask(addr, "PUT /deposit/1/2", 10).await, Some(200));
-        assert_eq!((target.counters().writes, target.counters().repeats), (1, 1));
+        assert_eq!((target.counters().writes_executed, target.counters().writes_suppressed), (1, 1));
         for (fault, answer) in [
-            (Fault { errors: 1.0, ..Fault::default() }, 500),
-            (Fault { full: true, ..Fault::default() }, 503),
-            (Fault { resets: 1.0, ..Fault::default() }, 0),
+            (TargetFault { error_share: 1.0, ..TargetFault::default() }, 500),
+            (TargetFault { rejects: true, ..TargetFault::default() }, 503),
+            (TargetFault { reset_share: 1.0, ..TargetFault::default() }, 0),
         ] {
-            target.misbehave(fault);
+            target.inject(fault);
             assert_eq!(ask(addr, "PUT /deposit/1/3", 10).await, Some(answer));
         }
-        target.misbehave(Fault::default());
+        target.inject(TargetFault::default());
         let seen = target.counters();
         assert_eq!(
-            (seen.errors, seen.full, seen.resets, seen.taken),
+            (seen.errors, seen.rejected, seen.resets, seen.received),
             (1, 1, 1, 4),
             "a reset one is not taken"
         );
@@ -71,7 +71,7 @@
         assert!(list(&site, None).await.contains("\"active\""));
         site.drain(0);
         assert_eq!(ask(addr, "GET /view/1/2", 0).await, Some(503));
-        assert_eq!(target.counters().after_drain, 1);
+        assert_eq!(target.counters().received_draining, 1);
         assert!(list(&site, Some(2)).await.contains("\"leaving\""));
         site.kill(0);
         assert!(list(&site, Some(3)).await.contains("\"left\""));
@@ -81,7 +81,7 @@
         };
         let (news, ()) = tokio::join!(list(&site, Some(4)), restarted);
         assert!(news.contains("\"active\"") && target.started_ms() > 0, "{news}");
-        assert!(target.power() < 0.3, "it starts cold: {}", target.power());
+        assert!(target.capacity() < 0.3, "it starts cold: {}", target.capacity());
         assert_eq!(ask(addr, "GET /view/1/2", 0).await, Some(200));
     });
 }
--- a/src/cli/replay.rs
+++ b/src/cli/replay.rs
@@ -5,7 +5,7 @@
 use rowanglade_capture::{Import, Mapping, TraceReader, import};
 use rowanglade_replay::compare::compare;
 use rowanglade_replay::{Front, Replay, Report, page, replay};
-use rowanglade_test_fleet::{BoxPlan, Daemon, Site, Start, settings};
+use rowanglade_test_fleet::{Daemon, DaemonPlan, StubSite, TargetPlan, settings};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -177,22 +177,22 @@
     let imported = import(&mapping, &ask, &mut |_, _| {}).map_err(|(e, _)| Failure::running(e))?;
     eprintln!("the sample capture: {} requests over {:.1} s", imported.records, imported.span as f64 / 1e6);
     let work = [("view", 12), ("deposit", 20), ("export", 40)];
-    let plan = BoxPlan {
-        work: work.map(|(class, ms)| (class.to_string(), Duration::from_millis(ms))).into(),
-        ..BoxPlan::default()
+    let plan = TargetPlan {
+        service_times: work.map(|(class, ms)| (class.to_string(), Duration::from_millis(ms))).into(),
+        ..TargetPlan::default()
     };
-    let site = Site::start(&vec![plan; 4], "kingston", 1).await.map_err(Failure::running)?;
+    let site = StubSite::start(&vec![plan; 4], "kingston", 1).await.map_err(Failure::running)?;
     let header = TraceReader::open(&trace).map_err(Failure::running)?.header().clone();
-    let start = Start {
+    let start = DaemonPlan {
         name: "try".into(),
         program: std::env::current_exe().map_err(Failure::running)?,
         args: Vec::new(),
-        settings: settings(&header, 1, "kingston", site.boxes.len()),
+        settings: settings(&header, 1, "kingston", site.targets.len()),
         discovery: site.discovery.addr(),
         sockets: 1_024,
         memory_mb: 192,
         operator: None,
-        meeting: None,
+        handover: None,
         env: Vec::new(),
     };
     let daemon = Daemon::start(&start).map_err(Failure::running)?;
@@ -203,6 +203,6 @@
     }
     let report = report?;
     let seen = site.counters();
-    eprintln!("the boxes ran {} writes and dropped {} repeats", seen.writes, seen.repeats);
+    eprintln!("the boxes ran {} writes and dropped {} repeats", seen.writes_executed, seen.writes_suppressed);
     Ok(report)
 }
--- a/tests/fleets/faults.rs
+++ b/tests/fleets/faults.rs
@@ -4,7 +4,7 @@
 use crate::many_targets::{by_kind, plan};
 use rowanglade_checker::{Rules, check};
 use rowanglade_fault_shim::{COUNTS, VARIABLE};
-use rowanglade_test_fleet::{Counts, Fleet, FleetPlan};
+use rowanglade_test_fleet::{Fleet, FleetPlan, RequestCounts};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -22,10 +22,10 @@
 }
 
 /// A small fleet whose processes suffer these faults, through a release in steps.
-async fn release_under(faults: &str) -> Counts {
+async fn release_under(faults: &str) -> RequestCounts {
     let folder = tempfile::tempdir().expect("a folder");
     let mut plan: FleetPlan = plan(TARGETS);
-    plan.start.env = vec![
+    plan.daemon.env = vec![
         ("LD_PRELOAD".to_string(), library().display().to_string()),
         (VARIABLE.to_string(), format!("seed=39;{faults}")),
         (COUNTS.to_string(), folder.path().join("counts").display().to_string()),
@@ -40,7 +40,7 @@
     let counts = fleet.counts();
     println!("{faults}: {counts:?}");
     fleet.warnings().iter().take(10).for_each(|line| println!("{line}"));
-    assert_eq!(fleet.crashed(), 0, "{faults}");
+    assert_eq!(fleet.crashes(), 0, "{faults}");
     let breaches = check(&fleet.history(), &Rules::with_grace(1_000_000));
     assert_eq!(by_kind(&breaches), BTreeMap::new(), "{faults}: first {:?}", breaches.first());
     let injected = std::fs::read_dir(folder.path()).expect("there").count();
--- a/tests/fleets/many_targets.rs
+++ b/tests/fleets/many_targets.rs
@@ -3,7 +3,7 @@
 
 use rowanglade_checker::{Breach, Rules, check};
 use rowanglade_test_fleet::{
-    BoxPlan, Counts, Fleet, FleetPlan, LoadPlan, Patience, Start, standard_settings, usual_classes,
+    DaemonPlan, Fleet, FleetPlan, LoadPlan, RequestCounts, TargetPlan, standard_settings, usual_classes,
 };
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -30,14 +30,14 @@
         volumes: Vec::new(),
         units: 2.0,
         hosts: 1,
-        patience: Patience::default(),
+        disconnect_share: 0.0,
     }
 }
 
 pub fn plan(targets: usize) -> FleetPlan {
     let processes = 2;
     FleetPlan {
-        start: Start {
+        daemon: DaemonPlan {
             name: String::new(),
             program: env!("CARGO_BIN_EXE_rowanglade").into(),
             args: Vec::new(),
@@ -46,24 +46,24 @@
             sockets: 1_024,
             memory_mb: 192,
             operator: None,
-            meeting: None,
+            handover: None,
             env: Vec::new(),
         },
         zone: "kingston".to_string(),
         processes,
         targets,
-        target: BoxPlan { other: Duration::from_millis(30), ..BoxPlan::default() },
+        target: TargetPlan { default_service_time: Duration::from_millis(30), ..TargetPlan::default() },
         load: load(),
         volumes: 6,
         shards_of_volume: 4,
-        share: None,
+        core_share: None,
         peers: true,
         seed: SEED,
     }
 }
 
 /// Plays a release of a part of the targets, and returns what was served and which rules were broken.
-async fn release(targets: usize) -> (Counts, Vec<Breach>) {
+async fn release(targets: usize) -> (RequestCounts, Vec<Breach>) {
     let mut fleet = Fleet::start(plan(targets)).await.expect("it starts");
     tokio::time::sleep(SETTLED).await;
     let mut leaving = Vec::new();
@@ -76,8 +76,10 @@
     }
     fleet.settle().await;
     let counts = fleet.counts();
-    let (processor, memory) =
-        fleet.usage().iter().fold((0.0, 0), |(p, m), u| (p + u.processor, m.max(u.memory)));
+    let (processor, memory) = fleet
+        .usage()
+        .iter()
+        .fold((0.0, 0), |(p, m), u| (p + u.processor_seconds, m.max(u.peak_memory_bytes)));
     println!("{targets} targets: {counts:?}, {processor:.2} s of processor, {} KiB at most", memory >> 10);
     fleet.warnings().iter().take(MOST_WARNINGS).for_each(|line| println!("{line}"));
     (counts, check(&fleet.history(), &Rules::with_grace(1_000_000)))
--- a/tests/network/discovery.rs
+++ b/tests/network/discovery.rs
@@ -3,7 +3,7 @@
 
 use crate::processes::told;
 use crate::site::{ask, ok, peer, request, story};
-use rowanglade_test_fleet::{Daemon, Discovery, Entry, Start, State, Trouble};
+use rowanglade_test_fleet::{Daemon, DaemonPlan, Discovery, DiscoveryFault, Endpoint, EndpointState};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
@@ -20,14 +20,14 @@
 const KEPT: u32 = 0;
 const LEAVING: u32 = 1;
 
-fn entry(shard: u32, addr: SocketAddr, state: State) -> Entry {
-    Entry { id: format!("s-{shard}"), addr, shard, state, started_ms: 0, zone: None }
+fn entry(shard: u32, addr: SocketAddr, state: EndpointState) -> Endpoint {
+    Endpoint { id: format!("s-{shard}"), addr, shard, state, started_ms: 0, zone: None }
 }
 
 fn start(number: u32, discovery: SocketAddr) -> Daemon {
     let mut settings = told(FLEET as usize, 2);
     settings["my-number"] = (number * FLEET / PROCESSES).into();
-    let start = Start {
+    let start = DaemonPlan {
         name: format!("n{number}"),
         program: env!("CARGO_BIN_EXE_rowanglade").into(),
         args: Vec::new(),
@@ -36,7 +36,7 @@
         sockets: 256,
         memory_mb: 64,
         operator: None,
-        meeting: None,
+        handover: None,
         env: Vec::new(),
     };
     Daemon::start(&start).expect("it serves")
@@ -50,13 +50,13 @@
     }
 }
 
-async fn nothing_goes_to_what_leaves_at_the_return(trouble: Trouble) {
+async fn nothing_goes_to_what_leaves_at_the_return(trouble: DiscoveryFault) {
     let mut kept = peer(vec![ok("kept"); 100]).await;
     let mut leaving = peer(vec![ok("leaving"); 100]).await;
     let discovery = Discovery::start("kingston").await.expect("bound");
-    discovery.work(WORK);
-    discovery.put(entry(KEPT, kept.addr, State::Active));
-    discovery.put(entry(LEAVING, leaving.addr, State::Active));
+    discovery.set_service_time(WORK);
+    discovery.upsert(entry(KEPT, kept.addr, EndpointState::Active));
+    discovery.upsert(entry(LEAVING, leaving.addr, EndpointState::Active));
     let processes: Vec<Daemon> = (0..PROCESSES).map(|number| start(number, discovery.addr())).collect();
     for process in &processes {
         ready(process.http).await;
@@ -64,10 +64,10 @@
         assert_eq!(ask(process.http, &request("view", &id, LEAVING as i32, "")).await, "200 leaving");
         leaving.seen.recv().await.expect("it lives");
     }
-    discovery.trouble(trouble);
+    discovery.inject(trouble);
     tokio::time::sleep(OUTAGE).await;
-    discovery.put(entry(LEAVING, leaving.addr, State::Leaving));
-    discovery.trouble(Trouble::None);
+    discovery.upsert(entry(LEAVING, leaving.addr, EndpointState::Draining));
+    discovery.inject(DiscoveryFault::None);
     tokio::time::sleep(KNOWN_AFTER).await;
     for process in &processes {
         let id = format!("after-{}", process.http.port());
@@ -83,20 +83,20 @@
 // a large fleet whose call had failed waited for 5 to 15 s, and longer the next time.
 #[test]
 fn after_refusals_the_list_is_heard_before_what_it_says_counts() {
-    story(nothing_goes_to_what_leaves_at_the_return(Trouble::Refusing));
+    story(nothing_goes_to_what_leaves_at_the_return(DiscoveryFault::Refusing));
 }
 
 #[test]
 fn after_resets_the_list_is_heard_before_what_it_says_counts() {
-    story(nothing_goes_to_what_leaves_at_the_return(Trouble::Resetting));
+    story(nothing_goes_to_what_leaves_at_the_return(DiscoveryFault::Resetting));
 }
 
 #[test]
 fn after_calls_that_hung_the_list_is_heard_before_what_it_says_counts() {
-    story(nothing_goes_to_what_leaves_at_the_return(Trouble::Hanging(Duration::from_secs(2))));
+    story(nothing_goes_to_what_leaves_at_the_return(DiscoveryFault::Hanging(Duration::from_secs(2))));
 }
 
 #[test]
 fn after_silence_the_list_is_heard_before_what_it_says_counts() {
-    story(nothing_goes_to_what_leaves_at_the_return(Trouble::Silent));
+    story(nothing_goes_to_what_leaves_at_the_return(DiscoveryFault::Silent));
 }
--- a/tests/network/lost_site.rs
+++ b/tests/network/lost_site.rs
@@ -2,7 +2,7 @@
 
 use crate::processes::{boxes, program};
 use crate::site::{header, read_message, request, story};
-use rowanglade_test_fleet::{BoxPlan, Daemon, DiskBox, Entry, Fault, Site, State};
+use rowanglade_test_fleet::{Daemon, Endpoint, EndpointState, StubSite, StubTarget, TargetFault, TargetPlan};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,25 +16,25 @@
 const FAR: std::ops::Range<usize> = 2..6;
 const INSTANCES: usize = 3;
 
-fn entry(each: &DiskBox, place: usize) -> Entry {
+fn entry(each: &StubTarget, place: usize) -> Endpoint {
     let zone = if NEAR.contains(&place) { "kingston" } else { "negril" };
-    Entry { zone: Some(zone.into()), ..Entry::of(each, State::Active) }
+    Endpoint { zone: Some(zone.into()), ..Endpoint::of(each, EndpointState::Active) }
 }
 
 /// The sites, and instances that judge them by what they saw within so many milliseconds.
-async fn two_sites(window: u64) -> (Site, Vec<Daemon>) {
+async fn two_sites(window: u64) -> (StubSite, Vec<Daemon>) {
     let table = format!("[sites]\nwindow_ms = {window}\nhold_ms = 1500\nprobe_every_ms = 100\n");
-    let plan = BoxPlan {
-        remember: true,
-        cold_from: 0.28,
+    let plan = TargetPlan {
+        keeps_requests: true,
+        initial_capacity: 0.28,
         warm_within: Duration::from_secs(15),
-        room: 256,
+        queue_capacity: 256,
         slots: 4,
-        ..BoxPlan::default()
+        ..TargetPlan::default()
     };
     let site = boxes(&vec![plan; FAR.end]).await;
-    for (place, each) in site.boxes.iter().enumerate() {
-        site.discovery.put(entry(each, place));
+    for (place, each) in site.targets.iter().enumerate() {
+        site.discovery.upsert(entry(each, place));
     }
     let daemons = (0..INSTANCES)
         .map(|me| {
@@ -135,14 +135,14 @@
 }
 
 /// Waits until each box of the far site has had its share.
-async fn busy(site: &Site) {
-    while FAR.map(|place| site.boxes[place].seen().len()).any(|seen| seen < 20) {
+async fn busy(site: &StubSite) {
+    while FAR.map(|place| site.targets[place].received().len()).any(|seen| seen < 20) {
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
 }
 
-fn taken(site: &Site) -> usize {
-    FAR.map(|place| site.boxes[place].seen().len()).sum()
+fn taken(site: &StubSite) -> usize {
+    FAR.map(|place| site.targets[place].received().len()).sum()
 }
 
 const LOST: &str = "site negril is lost";
@@ -157,7 +157,7 @@
         busy(&site).await;
         // The power goes: connections are reset and refused. The list knows of nothing.
         let lost = Instant::now();
-        FAR.for_each(|place| site.boxes[place].kill());
+        FAR.for_each(|place| site.targets[place].kill());
         logged(&daemons, "a site is lost").await;
         let noticed = lost.elapsed();
         assert!(noticed < Duration::from_secs(3), "after {noticed:?}");
@@ -173,7 +173,7 @@
         assert_eq!(taken(&site), before);
         // It comes back, cold; the list knows of that as little.
         for place in FAR {
-            site.boxes[place].restart().await.expect("its address");
+            site.targets[place].restart().await.expect("its address");
         }
         logged(&daemons, "a site returns").await;
         assert!(lost.elapsed() >= Duration::from_millis(1_500), "its hold stands");
@@ -186,7 +186,7 @@
         // At each box, in any window of 3 s: what the settings say that a cold box bears, as it grows with
         // its warming, whichever instances send. 51 units at 0.28 of its power; each request is two.
         for place in FAR {
-            let seen: Vec<f64> = (site.boxes[place].seen().iter())
+            let seen: Vec<f64> = (site.targets[place].received().iter())
                 .filter(|(at, _)| *at >= returned - Duration::from_secs(1))
                 .map(|(at, _)| at.duration_since(returned - Duration::from_secs(1)).as_secs_f64())
                 .collect();
@@ -209,7 +209,7 @@
         let load = Load::start(&daemons);
         busy(&site).await;
         for place in FAR.take(2) {
-            site.boxes[place].misbehave(Fault { slow: 40.0, ..Fault::default() });
+            site.targets[place].inject(TargetFault { slowdown: 40.0, ..TargetFault::default() });
         }
         tokio::time::sleep(Duration::from_secs(3)).await;
         assert_eq!(load.take(FAR, LOST), 0);
@@ -230,7 +230,9 @@
         let third = daemons.pop().expect("three");
         for round in 0..4 {
             let silent = round % 2 == 0;
-            FAR.for_each(|place| site.boxes[place].misbehave(Fault { silent, ..Fault::default() }));
+            FAR.for_each(|place| {
+                site.targets[place].inject(TargetFault { silent, ..TargetFault::default() })
+            });
             if round == 1 {
                 third.signal(rowanglade_test_fleet::Signal::SIGKILL).expect("it runs");
             }
@@ -268,16 +270,16 @@
             }
         };
         served(&load, 10).await;
-        FAR.for_each(|place| site.boxes[place].kill());
+        FAR.for_each(|place| site.targets[place].kill());
         logged(&daemons, "a site is lost").await;
         served(&load, 20).await;
         for place in FAR {
-            site.boxes[place].restart().await.expect("its address");
+            site.targets[place].restart().await.expect("its address");
         }
         logged(&daemons, "a site returns").await;
         served(&load, 20).await;
         load.end().await;
-        let mut seen: Vec<f64> = (site.boxes.iter().flat_map(|b| b.seen()))
+        let mut seen: Vec<f64> = (site.targets.iter().flat_map(|b| b.received()))
             .map(|(at, _)| at.duration_since(born).as_secs_f64())
             .collect();
         seen.sort_by(f64::total_cmp);
--- a/tests/network/processes.rs
+++ b/tests/network/processes.rs
@@ -2,7 +2,9 @@
 //! signals and clients come, bodies get stuck on both sides, descriptors run out.
 
 use crate::site::{ask, ask_on, line, ok, peer, read_message, request, story};
-use rowanglade_test_fleet::{BoxPlan, Daemon, Fault, Meeting, Signal, Site, Start, standard_settings};
+use rowanglade_test_fleet::{
+    Daemon, DaemonPlan, HandoverPaths, Signal, StubSite, TargetFault, TargetPlan, standard_settings,
+};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -14,8 +16,8 @@
 /// What operators may wait for an answer.
 const CALLER: Duration = Duration::from_secs(1);
 
-pub async fn boxes(plans: &[BoxPlan]) -> Site {
-    Site::start(plans, "kingston", 5).await.expect("started")
+pub async fn boxes(plans: &[TargetPlan]) -> StubSite {
+    StubSite::start(plans, "kingston", 5).await.expect("started")
 }
 
 /// What the platform would tell so many instances of classes, plans and shards.
@@ -23,25 +25,25 @@
     standard_settings(instances, "kingston", shards).expect("usable")
 }
 
-pub fn program(site: &Site, shape: impl FnOnce(&mut Start)) -> Daemon {
-    let mut start = Start {
+pub fn program(site: &StubSite, shape: impl FnOnce(&mut DaemonPlan)) -> Daemon {
+    let mut start = DaemonPlan {
         name: "n1".into(),
         program: env!("CARGO_BIN_EXE_rowanglade").into(),
         args: Vec::new(),
-        settings: told(1, site.boxes.len()),
+        settings: told(1, site.targets.len()),
         discovery: site.discovery.addr(),
         sockets: 256,
         memory_mb: 192,
         operator: None,
-        meeting: None,
+        handover: None,
         env: Vec::new(),
     };
     shape(&mut start);
     Daemon::start(&start).expect("it serves")
 }
 
-fn meets(folder: &Path, listen: Option<SocketAddr>) -> Option<Meeting> {
-    Some(Meeting { folder: folder.to_path_buf(), listen })
+fn meets(folder: &Path, listen: Option<SocketAddr>) -> Option<HandoverPaths> {
+    Some(HandoverPaths { folder: folder.to_path_buf(), listen })
 }
 
 async fn call(daemon: &Daemon, call: &str) -> String {
@@ -65,12 +67,12 @@
 }
 
 /// A client whose deposit the first box has taken, and does not go on with for a while.
-async fn under_way(site: &Site, daemon: &Daemon, body: &str) -> TcpStream {
+async fn under_way(site: &StubSite, daemon: &Daemon, body: &str) -> TcpStream {
     let until = tokio::time::Instant::now() + Duration::from_millis(800);
-    site.boxes[0].misbehave(Fault { stalled_until: Some(until), ..Fault::default() });
+    site.targets[0].inject(TargetFault { stalled_until: Some(until), ..TargetFault::default() });
     let mut open = TcpStream::connect(daemon.http).await.expect("connected");
     open.write_all(request("deposit", "open", 0, body).as_bytes()).await.expect("written");
-    while site.boxes[0].counters().taken == 0 {
+    while site.targets[0].counters().received == 0 {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
     open
@@ -81,9 +83,9 @@
 #[test]
 fn signals_and_a_burst_of_clients_during_the_overlap_turn_nobody_back() {
     story(async {
-        let site = boxes(&[BoxPlan::default(), BoxPlan::default()]).await;
+        let site = boxes(&[TargetPlan::default(), TargetPlan::default()]).await;
         let folder = tempfile::tempdir().expect("a folder");
-        let mut first = program(&site, |s| s.meeting = meets(folder.path(), None));
+        let mut first = program(&site, |s| s.handover = meets(folder.path(), None));
         healthy(&first).await;
         let http = first.http;
         let (stop, answered) = (Rc::new(Cell::new(false)), Rc::new(Cell::new(0)));
@@ -108,7 +110,7 @@
             }
         };
         progress(100).await;
-        let mut second = program(&site, |s| s.meeting = meets(folder.path(), Some(http)));
+        let mut second = program(&site, |s| s.handover = meets(folder.path(), Some(http)));
         first.signal(Signal::SIGHUP).expect("it runs");
         second.signal(Signal::SIGHUP).expect("it runs");
         healthy(&second).await;
@@ -133,19 +135,19 @@
 #[test]
 fn a_deposit_open_in_the_old_process_and_asked_again_at_the_new_one_runs_once() {
     story(async {
-        let site = boxes(&[BoxPlan::default()]).await;
+        let site = boxes(&[TargetPlan::default()]).await;
         let folder = tempfile::tempdir().expect("a folder");
-        let first = program(&site, |s| s.meeting = meets(folder.path(), None));
+        let first = program(&site, |s| s.handover = meets(folder.path(), None));
         healthy(&first).await;
         let mut open = under_way(&site, &first, "bytes").await;
-        let second = program(&site, |s| s.meeting = meets(folder.path(), Some(first.http)));
+        let second = program(&site, |s| s.handover = meets(folder.path(), Some(first.http)));
         healthy(&second).await;
         first.signal(Signal::SIGTERM).expect("it runs");
         assert_eq!(ask(second.http, &request("deposit", "d2", 0, "bytes")).await, "200 kept");
         let (head, body) = read_message(&mut open).await.expect("the old process answers what it took");
         assert!(head.starts_with("HTTP/1.1 200") && body == b"kept", "{head}");
-        let seen = site.boxes[0].counters();
-        assert_eq!((seen.writes, seen.repeats), (1, 1), "{seen:?}");
+        let seen = site.targets[0].counters();
+        assert_eq!((seen.writes_executed, seen.writes_suppressed), (1, 1), "{seen:?}");
     });
 }
 
@@ -156,15 +158,18 @@
 fn forty_stuck_bodies_stay_within_the_memory_and_hinder_nobody() {
     const LONG: usize = 24 << 20;
     story(async {
-        let site = boxes(&[BoxPlan::default()]).await;
+        let site = boxes(&[TargetPlan::default()]).await;
         // Another target, whose answers are long: for requests of shard 1, and stopped half way for those
         // named so.
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
-        site.discovery.put(rowanglade_test_fleet::Entry {
+        site.discovery.upsert(rowanglade_test_fleet::Endpoint {
             id: "long".into(),
             addr: listener.local_addr().expect("bound"),
             shard: 1,
-            ..rowanglade_test_fleet::Entry::of(&site.boxes[0], rowanglade_test_fleet::State::Active)
+            ..rowanglade_test_fleet::Endpoint::of(
+                &site.targets[0],
+                rowanglade_test_fleet::EndpointState::Active,
+            )
         });
         actix_rt::spawn(async move {
             while let Ok((mut stream, _)) = listener.accept().await {
@@ -207,7 +212,7 @@
             let answer = ask(daemon.http, &request("view", &format!("usual-{i}"), 0, "")).await;
             assert!(answer.starts_with("200"), "{answer}");
         }
-        let memory = daemon.usage().memory;
+        let memory = daemon.usage().peak_memory_bytes;
         assert!(memory < 32 << 20, "{memory} bytes");
     });
 }
@@ -217,11 +222,11 @@
 #[test]
 fn with_every_descriptor_taken_requests_calls_and_the_list_go_on() {
     story(async {
-        let site = boxes(&[BoxPlan::default(), BoxPlan::default()]).await;
+        let site = boxes(&[TargetPlan::default(), TargetPlan::default()]).await;
         let folder = tempfile::tempdir().expect("a folder");
         let daemon = program(&site, |s| {
             (s.sockets, s.memory_mb) = (96, 32);
-            s.meeting = meets(folder.path(), None);
+            s.handover = meets(folder.path(), None);
         });
         healthy(&daemon).await;
         // Under way all along.
@@ -243,7 +248,7 @@
             }
             crowd.push(stream);
         }
-        let held = std::fs::read_dir(format!("/proc/{}/fd", daemon.process())).expect("it runs").count();
+        let held = std::fs::read_dir(format!("/proc/{}/fd", daemon.pid())).expect("it runs").count();
         assert!(held <= 96, "{held} descriptors");
         assert_eq!(call(&daemon, "GET /healthcheck").await, "200 close");
         assert_eq!(call(&daemon, "PUT /targets/box-1/maint").await, "200 close");
@@ -359,7 +364,7 @@
         discovery.page.send_replace(None);
         let crowd: Vec<_> = (0..250).map(|_| actix_rt::spawn(idles(daemon.http))).collect();
         let descriptors =
-            || std::fs::read_dir(format!("/proc/{}/fd", daemon.process())).map_or(0, Iterator::count);
+            || std::fs::read_dir(format!("/proc/{}/fd", daemon.pid())).map_or(0, Iterator::count);
         let mut most = 0;
         for _ in 0..200 {
             tokio::time::sleep(Duration::from_millis(10)).await;
--- a/tests/network/replay.rs
+++ b/tests/network/replay.rs
@@ -6,7 +6,7 @@
     ClassTerms, Format, Header, Import, Mapping, PlanTerms, Record, Repeat, TraceReader, TraceWriter, import,
 };
 use rowanglade_replay::{Front, Replay, Report, replay};
-use rowanglade_test_fleet::{BoxPlan, Fault, Site};
+use rowanglade_test_fleet::{StubSite, TargetFault, TargetPlan};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 use tokio::sync::oneshot;
@@ -59,9 +59,9 @@
     path
 }
 
-async fn site() -> Site {
-    let plan = BoxPlan { other: Duration::from_millis(2), ..BoxPlan::default() };
-    Site::start(&[plan.clone(), plan], "kingston", 3).await.expect("started")
+async fn site() -> StubSite {
+    let plan = TargetPlan { default_service_time: Duration::from_millis(2), ..TargetPlan::default() };
+    StubSite::start(&[plan.clone(), plan], "kingston", 3).await.expect("started")
 }
 
 async fn run(path: &Path, ask: &Replay) -> Report {
@@ -89,7 +89,7 @@
             let report = run(&path, &Replay::to(vec![node.http])).await;
             let counts: Vec<_> = report.classes.iter().map(|(n, c)| (n.clone(), c.due, c.served)).collect();
             let boxes = site.counters();
-            seen.push((counts, boxes.writes, boxes.repeats, boxes.per_class));
+            seen.push((counts, boxes.writes_executed, boxes.writes_suppressed, boxes.per_class));
         }
         std::fs::remove_file(&path).expect("removed");
         assert_eq!(seen[0], seen[1]);
@@ -105,8 +105,8 @@
     story(async {
         let site = site().await;
         let until = Instant::now() + Duration::from_millis(700);
-        site.boxes.iter().for_each(|b| {
-            b.misbehave(Fault { stalled_until: Some(until), ..Fault::default() });
+        site.targets.iter().for_each(|b| {
+            b.inject(TargetFault { stalled_until: Some(until), ..TargetFault::default() });
         });
         let node = start(&[], Some(site.discovery.addr()), None).await;
         let path = trace("stall", (0..30).map(|i| record(i * 10, 0, None)).collect());
@@ -135,7 +135,7 @@
         let words = view.served + view.refused + view.failed + view.lost + view.unsent;
         assert_eq!((view.due, words), (200, 200));
         assert!(report.held > 100, "{}", report.held);
-        let most = site.boxes.iter().map(|b| b.counters().most_in_hand).sum::<u64>();
+        let most = site.targets.iter().map(|b| b.counters().max_in_flight).sum::<u64>();
         assert!(most <= 8, "{most}");
     });
 }
@@ -160,7 +160,7 @@
         std::fs::remove_file(&path).expect("removed");
         let served: Vec<u64> = report.classes.values().map(|c| c.served).collect();
         assert_eq!(served, [8, 20], "{report}");
-        assert_eq!(site.counters().writes, 8);
+        assert_eq!(site.counters().writes_executed, 8);
     });
 }
 
@@ -200,7 +200,7 @@
 fn a_replay_that_is_stopped_reports_all_that_came_due() {
     story(async {
         let site = site().await;
-        site.boxes.iter().for_each(|b| b.misbehave(Fault { silent: true, ..Fault::default() }));
+        site.targets.iter().for_each(|b| b.inject(TargetFault { silent: true, ..TargetFault::default() }));
         let node = start(&[], Some(site.discovery.addr()), None).await;
         let mut records: Vec<Record> = (0..10).map(|_| record(0, 0, None)).collect();
         records.push(record(60_000, 0, None));
--- a/tests/network/routes.rs
+++ b/tests/network/routes.rs
@@ -3,7 +3,7 @@
 use crate::processes::told;
 use crate::site::*;
 use rowanglade_routing::{Source, Table, Terms, parse};
-use rowanglade_test_fleet::{BoxPlan, Daemon, Entry, Signal, Site, Start, State};
+use rowanglade_test_fleet::{Daemon, DaemonPlan, Endpoint, EndpointState, Signal, StubSite, TargetPlan};
 use std::time::Duration;
 
 fn operator(pool: &str) -> String {
@@ -88,9 +88,10 @@
 #[test]
 fn a_file_is_held_back_until_the_list_names_its_box() {
     story(async {
-        let site =
-            Site::start(&[BoxPlan::default(), BoxPlan::default()], "kingston", 1).await.expect("started");
-        let daemon = Daemon::start(&Start {
+        let site = StubSite::start(&[TargetPlan::default(), TargetPlan::default()], "kingston", 1)
+            .await
+            .expect("started");
+        let daemon = Daemon::start(&DaemonPlan {
             name: "held".into(),
             program: env!("CARGO_BIN_EXE_rowanglade").into(),
             args: Vec::new(),
@@ -99,7 +100,7 @@
             sockets: 256,
             memory_mb: 192,
             operator: Some(String::new()),
-            meeting: None,
+            handover: None,
             env: Vec::new(),
         })
         .expect("it serves");
@@ -111,8 +112,8 @@
             )
         };
         let put = |name: &str| {
-            let entry = Entry { id: name.into(), ..Entry::of(&site.boxes[0], State::Active) };
-            site.discovery.put(entry);
+            let entry = Endpoint { id: name.into(), ..Endpoint::of(&site.targets[0], EndpointState::Active) };
+            site.discovery.upsert(entry);
         };
         let load = |text: String| {
             std::fs::write(daemon.folder().join("new"), text).expect("written");
--- a/tests/network/scale.rs
+++ b/tests/network/scale.rs
@@ -3,7 +3,7 @@
 
 use crate::processes::told;
 use crate::site::{Nobody, Peer, Step, ask, ask_on, ok, peer, read_message, request, story};
-use rowanglade_test_fleet::{Daemon, Entry, Start, State};
+use rowanglade_test_fleet::{Daemon, DaemonPlan, Endpoint, EndpointState};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -63,8 +63,8 @@
     }
 }
 
-fn start(name: &str, instances: usize, discovery: SocketAddr) -> Start {
-    Start {
+fn start(name: &str, instances: usize, discovery: SocketAddr) -> DaemonPlan {
+    DaemonPlan {
         name: name.to_string(),
         program: env!("CARGO_BIN_EXE_rowanglade").into(),
         args: Vec::new(),
@@ -73,7 +73,7 @@
         sockets: 1_024,
         memory_mb: 192,
         operator: None,
-        meeting: None,
+        handover: None,
         env: Vec::new(),
     }
 }
@@ -131,13 +131,13 @@
             let used = daemon.usage();
             println!(
                 "{what}: ready after {took:?}, {} KiB at most, {} s of the processor to be ready, {} s in all",
-                used.memory >> 10,
-                at_start.processor,
-                used.processor
+                used.peak_memory_bytes >> 10,
+                at_start.processor_seconds,
+                used.processor_seconds
             );
             assert!(took < READY, "{what}: ready after {took:?}");
             // Half of what the platform lets it use.
-            assert!(used.memory < 96 << 20, "{what}: {} KiB", used.memory >> 10);
+            assert!(used.peak_memory_bytes < 96 << 20, "{what}: {} KiB", used.peak_memory_bytes >> 10);
         }
     });
 }
@@ -218,7 +218,7 @@
         times.push(took);
     }
     times.sort();
-    let most = daemons.iter().map(|d| d.usage().memory).max().expect("some");
+    let most = daemons.iter().map(|d| d.usage().peak_memory_bytes).max().expect("some");
     println!(
         "discovery {kind:?}, {word}: {RESTARTED} of {FLEET} ready after {:?} to {:?}, {:?} for nine of ten; {} KiB at most",
         times[0],
@@ -264,7 +264,7 @@
     story(async {
         let target = peer(vec![ok("served")]).await;
         let discovery = rowanglade_test_fleet::Discovery::start("kingston").await.expect("started");
-        discovery.away(true);
+        discovery.set_refusing(true);
         let daemon = Daemon::start(&start("n0", 1, discovery.addr())).expect("it serves");
         tokio::time::sleep(Duration::from_millis(500)).await;
         assert!(ask(daemon.http, UP).await.starts_with("503"), "no target, not ready");
@@ -272,15 +272,15 @@
         let answer = ask(daemon.http, &request("view", "e1", 0, "")).await;
         assert!(answer.starts_with("503") && answer.contains("retry-after"), "{answer}");
         assert!(begun.elapsed() < Duration::from_secs(1), "refused after {:?}", begun.elapsed());
-        discovery.put(Entry {
+        discovery.upsert(Endpoint {
             id: "s-0".into(),
             addr: target.addr,
             shard: 0,
-            state: State::Active,
+            state: EndpointState::Active,
             started_ms: 0,
             zone: None,
         });
-        discovery.away(false);
+        discovery.set_refusing(false);
         let took = ready(daemon.http, Instant::now()).await;
         println!("nothing remembered: ready {took:?} after discovery served");
         assert!(took < Duration::from_secs(6), "{took:?}");
--- a/tests/network/subset.rs
+++ b/tests/network/subset.rs
@@ -3,7 +3,7 @@
 use crate::processes::{boxes, program};
 use crate::site::{ask_on, request, story};
 use rowanglade_subset::{Rule, table};
-use rowanglade_test_fleet::{BoxPlan, Daemon, Fault, Site};
+use rowanglade_test_fleet::{Daemon, StubSite, TargetFault, TargetPlan};
 use std::collections::BTreeSet;
 use std::time::Duration;
 use tokio::net::TcpStream;
@@ -16,14 +16,15 @@
 type Pairs = BTreeSet<(u32, usize)>;
 
 struct Fleet {
-    site: Site,
+    site: StubSite,
     daemons: Vec<Option<Daemon>>,
     round: usize,
 }
 
 impl Fleet {
     async fn start() -> Fleet {
-        let plan = BoxPlan { remember: true, room: 256, slots: 8, ..BoxPlan::default() };
+        let plan =
+            TargetPlan { keeps_requests: true, queue_capacity: 256, slots: 8, ..TargetPlan::default() };
         let site = boxes(&vec![plan; BOXES]).await;
         let daemons = (0..INSTANCES).map(|me| {
             program(&site, |start| {
@@ -62,8 +63,8 @@
             client.await.expect("every object is taken");
         }
         let mut seen = Vec::new();
-        for (place, each) in self.site.boxes.iter().enumerate() {
-            for (_, target) in each.seen() {
+        for (place, each) in self.site.targets.iter().enumerate() {
+            for (_, target) in each.received() {
                 let me = (0..INSTANCES as usize).find(|me| target.contains(&volume(*me)));
                 let piece = target.split('/').nth(3).and_then(|p| p.get(..16));
                 let piece =
@@ -78,7 +79,7 @@
 
     /// The pairs that all instances should have, with these boxes.
     fn expected(&self, places: &[usize]) -> Pairs {
-        let names: Vec<&str> = places.iter().map(|place| self.site.boxes[*place].name()).collect();
+        let names: Vec<&str> = places.iter().map(|place| self.site.targets[*place].name()).collect();
         let table = table(&RULE, INSTANCES, &names);
         let pairs = table.iter().enumerate().flat_map(|(me, mine)| mine.iter().map(move |t| (me as u32, *t)));
         pairs.map(|(me, t)| (me, places[t])).collect()
@@ -115,8 +116,8 @@
         assert!(seen.is_subset(&table) && seen.iter().all(|(me, _)| *me != 3), "{seen:?}");
         // A box dies and leaves the list. Until an instance has heard so, its objects go to any other.
         let gone = 5;
-        fleet.site.boxes[gone].kill();
-        let name = fleet.site.boxes[gone].name().to_string();
+        fleet.site.targets[gone].kill();
+        let name = fleet.site.targets[gone].name().to_string();
         fleet.site.discovery.remove(&name);
         let left: Vec<usize> = all.into_iter().filter(|place| *place != gone).collect();
         let after = fleet.expected(&left);
@@ -141,13 +142,13 @@
         }
         fleet.deposit(4).await;
         for place in &mine {
-            fleet.site.boxes[*place].misbehave(Fault { full: true, ..Fault::default() });
+            fleet.site.targets[*place].inject(TargetFault { rejects: true, ..TargetFault::default() });
         }
         let seen = fleet.deposit(20).await;
         let elsewhere = seen.iter().filter(|(_, at)| !mine.contains(at)).count();
         assert!(elsewhere >= 12, "{elsewhere} of 20 went elsewhere");
         for place in &mine {
-            fleet.site.boxes[*place].misbehave(Fault::default());
+            fleet.site.targets[*place].inject(TargetFault::default());
         }
         // Their rest ends, what was learned of them fades, and they are preferred again.
         let mut back = false;
