--- a/crates/capture/src/lib.rs
+++ b/crates/capture/src/lib.rs
@@ -21,7 +21,7 @@
 pub mod trace;
 
 pub use cut::Cut;
-pub use import::{Import, Imported, import};
+pub use import::{Import, ImportError, Imported, import};
 pub use mapping::{Mapping, MappingError};
 pub use offer::{Known, Offer};
 pub use read::{Format, ReadError, Stats, Tolerance};
--- a/crates/lab/src/capture.rs
+++ b/crates/lab/src/capture.rs
@@ -1,6 +1,8 @@
 //! Experiments on reading captures.
 
-use crate::outcome::{Experiment, Failure, Outcome, Run};
+use crate::experiment::{Experiment, Runner};
+use crate::failure::Failure;
+use crate::outcome::Outcome;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::fs::File;
@@ -11,7 +13,7 @@
 
 pub fn experiments() -> Vec<Experiment> {
     let about = "200 MB of log made on the fly: reading speed and peak memory";
-    vec![Experiment { name: "capture-speed", about, run: Run::Plain(speed) }]
+    vec![Experiment { name: "capture-speed", about, runner: Runner::Plain(speed) }]
 }
 
 /// Writes a combined log of about so many bytes; about 340 requests a second of its time.
@@ -46,7 +48,7 @@
     let output = Command::new(std::env::current_exe()?).arg("measured").args(args).output()?;
     let seconds = begun.elapsed().as_secs_f64();
     if !output.status.success() {
-        return Err(String::from_utf8_lossy(&output.stderr).into_owned().into());
+        return Err(Failure::Program(String::from_utf8_lossy(&output.stderr).into_owned()));
     }
     let text = String::from_utf8(output.stdout)?;
     let usage: serde_json::Value = serde_json::from_str(text.lines().last().unwrap_or_default())?;
--- a/crates/lab/src/cold.rs
+++ b/crates/lab/src/cold.rs
@@ -1,8 +1,12 @@
 //! A box starts again, cold, before a fleet of which some processes are killed just then: what the whole
 //! fleet sends it, counted where it arrives.
 
-use crate::outcome::{Experiment, Failure, Outcome, Run};
-use crate::world::{self, ZONE, block_on};
+use crate::experiment::{Experiment, Runner};
+use crate::failure::Failure;
+use crate::initiators::{self, ZONE};
+use crate::outcome::Outcome;
+use crate::runtime::block_on;
+use crate::traces;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rowanglade_capture::{Record, TraceWriter};
@@ -16,7 +20,7 @@
 pub fn experiments() -> Vec<Experiment> {
     let about =
         "a box returns cold before ten daemons, two of them killed then: requests a window, by all together";
-    vec![Experiment { name: "cold-start", about, run: Run::Plain(cold_start) }]
+    vec![Experiment { name: "cold-start", about, runner: Runner::Plain(cold_start) }]
 }
 
 const SEED: u64 = 32;
@@ -55,7 +59,7 @@
 /// Requests at even odds on each shard of their volume.
 fn make(path: &Path) -> Result<(), Failure> {
     let mut chance = Pcg64Mcg::seed_from_u64(SEED);
-    let mut writer = TraceWriter::create(path, &world::header())?;
+    let mut writer = TraceWriter::create(path, &traces::standard_header())?;
     for i in 0..(RATE * SECONDS) as u64 {
         let class: u16 = if chance.random_bool(0.3) { 1 } else { 0 };
         let volume = chance.random_range(0..VOLUMES);
@@ -86,7 +90,7 @@
     number: usize,
     listen: Option<SocketAddr>,
 ) -> Result<Daemon, Failure> {
-    let mut settings = settings(&world::header(), DAEMONS, ZONE, site.targets.len());
+    let mut settings = settings(&traces::standard_header(), DAEMONS, ZONE, site.targets.len());
     settings["my-number"] = number.into();
     settings["rules"]["warm-within"] = ((WARM_WITHIN * 1e6) as u64).into();
     settings["family-info"]["cold-units"] = (TOLD * allowed(0.0) * UNITS).into();
@@ -127,12 +131,12 @@
             slots: SLOTS,
             initial_capacity: COLD_FROM,
             warm_within: Duration::from_secs_f64(WARM_WITHIN),
-            ..world::plan(WORK_MS, WORK_MS, WORK_MS)
+            ..initiators::target_plan(WORK_MS, WORK_MS, WORK_MS)
         };
         let site = StubSite::start(&vec![plan; SHARDS as usize], ZONE, SEED).await?;
         let mut daemons =
             (0..DAEMONS).map(|n| start(&site, folder.path(), n, None)).collect::<Result<Vec<_>, _>>()?;
-        let to = world::addresses(&daemons);
+        let to = initiators::addresses(&daemons);
         let cold = &site.targets[0];
         let faults = async {
             // The first request is the beginning.
@@ -157,7 +161,7 @@
             Ok::<_, Failure>(back)
         };
         let ask = Replay::to(to.clone());
-        let (report, back) = tokio::join!(world::run(&trace, &ask), faults);
+        let (report, back) = tokio::join!(traces::replay_all(&trace, &ask), faults);
         let (report, back) = (report?, back?);
         let seen: Vec<f64> = (cold.received().iter())
             .filter(|(at, _)| *at >= back)
--- a/crates/lab/src/scale/curve.rs
+++ b/crates/lab/src/curve.rs
@@ -1,6 +1,6 @@
 //! A measured cost against a size, and the law that fits it.
 
-use crate::outcome::Failure;
+use crate::failure::Failure;
 use plotters::prelude::*;
 use serde::Serialize;
 use std::fmt;
@@ -75,7 +75,7 @@
     match *linregress::fit_low_level_regression_model_without_statistics(&rows, rows.len() / 3, 3)?.as_slice()
     {
         [base, slope] => Ok((base, slope)),
-        _ => Err("a line has two parameters".into()),
+        _ => Err(Failure::Unexpected("a line has two parameters")),
     }
 }
 
@@ -92,7 +92,7 @@
     ) -> Result<Curve, Failure> {
         let name = name.into();
         if points.len() < FEWEST_SIZES || points.iter().any(|(size, cost)| *size <= 0.0 || *cost <= 0.0) {
-            return Err(format!("{name}: {points:?} gives no slope").into());
+            return Err(Failure::NoSlope { name, points });
         }
         let (base, slope) = line(points.iter().copied())?;
         let (log_factor, exponent) = line(points.iter().map(|(size, cost)| (size.ln(), cost.ln())))?;
@@ -111,7 +111,7 @@
     ///
     /// # Errors
     /// The plot cannot be drawn.
-    pub fn draw(&self) -> Result<String, Box<dyn std::error::Error>> {
+    pub fn draw(&self) -> Result<String, Failure> {
         const STEPS: u32 = 60;
         let right = self.points.iter().map(|p| p.0).fold(0.0, f64::max) * 1.05;
         let top = self.points.iter().map(|p| p.1).fold(0.0, f64::max) * 1.15;
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -1,7 +1,11 @@
 //! Experiments on fleets of instances.
 
-use crate::outcome::{Experiment, Failure, Outcome, Run};
-use crate::world::{self, ZONE, block_on};
+use crate::experiment::{Experiment, Runner};
+use crate::failure::Failure;
+use crate::initiators::{self, ZONE};
+use crate::outcome::Outcome;
+use crate::runtime::block_on;
+use crate::traces;
 use rowanglade_capture::{Record, TraceWriter};
 use rowanglade_replay::Replay;
 use rowanglade_test_fleet::{StubSite, TargetPlan};
@@ -10,7 +14,7 @@
 
 pub fn experiments() -> Vec<Experiment> {
     let about = "a limited volume through one of three initiators: the limit used, against the even split";
-    vec![Experiment { name: "fleet-share", about, run: Run::Plain(share) }]
+    vec![Experiment { name: "fleet-share", about, runner: Runner::Plain(share) }]
 }
 
 /// Units a second, the store, and the slack of the plan `basic` in [`rowanglade_test_fleet::settings`].
@@ -27,7 +31,7 @@
 
 /// Requests of one unit of one volume on `basic`, evenly, all of whose time is short of a second try.
 fn make(path: &Path, rate: f64, seconds: f64) -> Result<u64, Failure> {
-    let mut writer = TraceWriter::create(path, &world::header())?;
+    let mut writer = TraceWriter::create(path, &traces::standard_header())?;
     for i in 0..(rate * seconds) as u64 {
         writer.push(Record {
             at: (i as f64 / rate * 1e6) as u64,
@@ -61,21 +65,22 @@
         let mut out = Outcome::default();
         let mut used = Vec::new();
         for exchange in [false, true] {
-            let plan = TargetPlan { keeps_requests: true, ..world::plan(2, 2, 2) };
+            let plan = TargetPlan { keeps_requests: true, ..initiators::target_plan(2, 2, 2) };
             let site = StubSite::start(&[plan], ZONE, 5).await?;
             let peers = free(3)?;
             let list: Vec<String> = peers.iter().map(|p| format!("\"{p}\"")).collect();
-            let daemons = world::daemons(&site, &world::header(), 3, |me| {
+            let daemons = initiators::start_daemons(&site, &traces::standard_header(), 3, |me| {
                 let (peers, key) = (list.join(", "), key.display());
                 exchange.then(|| format!("[fleet]\npeers = [{peers}]\nme = {me}\nkey_file = \"{key}\"\n"))
             })?;
-            let all = world::addresses(&daemons);
+            let all = initiators::addresses(&daemons);
             for addr in &all {
-                world::run(&warm, &Replay { retries: false, ..Replay::to(vec![*addr]) }).await?;
+                traces::replay_all(&warm, &Replay { retries: false, ..Replay::to(vec![*addr]) }).await?;
             }
             let before = site.targets[0].received().len();
             // All of it through the first.
-            let report = world::run(&trace, &Replay { retries: false, ..Replay::to(vec![all[0]]) }).await?;
+            let report =
+                traces::replay_all(&trace, &Replay { retries: false, ..Replay::to(vec![all[0]]) }).await?;
             let seen: Vec<f64> = {
                 let seen = site.targets[0].received();
                 let first = seen[0].0;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -4,20 +4,28 @@
 
 mod capture;
 mod cold;
+mod curve;
+mod experiment;
+mod failure;
 mod fleet;
+mod initiators;
 mod many_targets;
 mod outcome;
+mod plot;
 mod replays;
 mod routes;
+mod runtime;
 mod scale;
+mod sink;
 mod sites;
 mod soak;
 mod subsets;
+mod traces;
 mod upgrade;
-mod world;
 
+use experiment::{Experiment, Runner, Seeds};
 use lexopt::prelude::*;
-use outcome::{Experiment, Outcome, Run, Seeds};
+use outcome::Outcome;
 use std::ffi::OsString;
 use std::ops::RangeInclusive;
 use std::path::{Path, PathBuf};
@@ -72,7 +80,7 @@
             );
             code
         }
-        Some("box") => world::run_box(),
+        Some("box") => sink::run_sink(),
         Some("probe") => scale::run_probe(&rest),
         Some("hollow") => scale::run_hollow(&rest),
         Some("help" | "--help" | "-h") => {
@@ -87,7 +95,7 @@
 }
 
 fn run(args: Vec<OsString>) -> ExitCode {
-    let Asked { names, json, html, svg, seeds } = match parse(args) {
+    let RunOptions { names, json, html, svg, seeds } = match parse(args) {
         Ok(parsed) => parsed,
         Err(error) => {
             eprintln!("rowanglade-lab: {error}");
@@ -104,9 +112,9 @@
     let mut failed = false;
     for experiment in known.iter().filter(|e| all || names.iter().any(|n| n == e.name)) {
         eprintln!("{} ...", experiment.name);
-        let run = match experiment.run {
-            Run::Plain(run) => run(),
-            Run::Seeded(run) => run(&seeds),
+        let run = match experiment.runner {
+            Runner::Plain(run) => run(),
+            Runner::Seeded(run) => run(&seeds),
         };
         match run {
             Ok(mut outcome) => {
@@ -138,7 +146,7 @@
 }
 
 /// Writes each curve into a file of its own.
-fn draw(folder: &Path, outcomes: &[Outcome]) -> Result<(), outcome::Failure> {
+fn draw(folder: &Path, outcomes: &[Outcome]) -> Result<(), failure::Failure> {
     std::fs::create_dir_all(folder)?;
     for outcome in outcomes {
         for (name, svg) in outcome.drawings()? {
@@ -148,9 +156,9 @@
     Ok(())
 }
 
-/// What `run` is asked for.
+/// The command line of `run`.
 #[derive(Default)]
-struct Asked {
+struct RunOptions {
     names: Vec<String>,
     json: Option<PathBuf>,
     html: Option<PathBuf>,
@@ -164,22 +172,24 @@
     range.ok_or_else(|| format!("--seeds {text:?}: two numbers as A..B").into())
 }
 
-fn parse(args: Vec<OsString>) -> Result<Asked, lexopt::Error> {
+fn parse(args: Vec<OsString>) -> Result<RunOptions, lexopt::Error> {
     let mut parser = lexopt::Parser::from_args(args);
-    let mut asked = Asked::default();
+    let mut options = RunOptions::default();
     while let Some(arg) = parser.next()? {
         match arg {
-            Long("json") => asked.json = Some(PathBuf::from(parser.value()?)),
-            Long("html") => asked.html = Some(PathBuf::from(parser.value()?)),
-            Long("svg") => asked.svg = Some(PathBuf::from(parser.value()?)),
-            Long("seeds") => asked.seeds.range = Some(seeds(&parser.value()?.string()?)?),
-            Long("minutes") => asked.seeds.most = Duration::from_secs(60 * parser.value()?.parse::<u64>()?),
-            Value(name) => asked.names.push(name.string()?),
+            Long("json") => options.json = Some(PathBuf::from(parser.value()?)),
+            Long("html") => options.html = Some(PathBuf::from(parser.value()?)),
+            Long("svg") => options.svg = Some(PathBuf::from(parser.value()?)),
+            Long("seeds") => options.seeds.range = Some(seeds(&parser.value()?.string()?)?),
+            Long("minutes") => {
+                options.seeds.time_limit = Duration::from_secs(60 * parser.value()?.parse::<u64>()?)
+            }
+            Value(name) => options.names.push(name.string()?),
             other => return Err(other.unexpected()),
         }
     }
-    if asked.names.is_empty() {
+    if options.names.is_empty() {
         return Err("run needs a NAME, or `all`".into());
     }
-    Ok(asked)
+    Ok(options)
 }
--- a/crates/lab/src/many_targets.rs
+++ b/crates/lab/src/many_targets.rs
@@ -1,8 +1,12 @@
 //! What a process needs and serves before many targets: the same traffic before 200, 800, 1,600 and 3,200,
 //! with a small share of a core, through a release, an outage of discovery, restarts and targets that hang.
 
-use crate::outcome::{Experiment, Failure, Outcome, Run, Seeds};
-use crate::world::{ZONE, block_on, header};
+use crate::experiment::{Experiment, Runner, Seeds};
+use crate::failure::Failure;
+use crate::initiators::ZONE;
+use crate::outcome::Outcome;
+use crate::runtime::block_on;
+use crate::traces::standard_header;
 use rowanglade_checker::{Attempt, Breach, ClientOutcome, History, Micros, Rules, TargetState, check};
 use rowanglade_test_fleet::{
     DaemonPlan, DiscoveryFault, Fleet, FleetPlan, LoadPlan, RequestCounts, Signal, TargetFault, TargetPlan,
@@ -36,7 +40,7 @@
 
 pub fn experiments() -> Vec<Experiment> {
     let about = "the same traffic before 200 to 3,200 targets: processor, memory, connections, lists, rules";
-    vec![Experiment { name: "many-targets", about, run: Run::Seeded(many_targets) }]
+    vec![Experiment { name: "many-targets", about, runner: Runner::Seeded(many_targets) }]
 }
 
 /// What one play needed and served.
@@ -57,7 +61,7 @@
 }
 
 fn plan(targets: usize, seed: u64) -> Result<FleetPlan, Failure> {
-    let mut settings = settings(&header(), PROCESSES, ZONE, targets);
+    let mut settings = settings(&standard_header(), PROCESSES, ZONE, targets);
     settings["ceilings"]["second-copies"] = false.into();
     Ok(FleetPlan {
         daemon: DaemonPlan {
@@ -263,7 +267,7 @@
     // Further seeds are played at the two ends only.
     let sizes: &[usize] = if seeds.range.is_some() { &[SIZES[0], SIZES[3]] } else { &SIZES };
     for seed in range {
-        if begun.elapsed() > seeds.most {
+        if begun.elapsed() > seeds.time_limit {
             out.claim(format!("seed {seed} and those behind it are not played: the time is up"), false);
             break;
         }
--- a/crates/lab/src/outcome.rs
+++ b/crates/lab/src/outcome.rs
@@ -1,47 +1,12 @@
 //! What an experiment found, and whether its claims hold.
 
-use crate::scale::Curve;
-use plotters::prelude::*;
+use crate::curve::Curve;
+use crate::failure::Failure;
+use crate::plot::Plot;
 use serde::Serialize;
 use std::fmt;
-use std::ops::RangeInclusive;
-use std::time::Duration;
-
-/// Something to run.
-#[derive(Clone, Copy)]
-pub struct Experiment {
-    pub name: &'static str,
-    pub about: &'static str,
-    pub run: Run,
-}
-
-/// How an experiment is run.
-#[derive(Clone, Copy)]
-pub enum Run {
-    /// It takes no options.
-    Plain(fn() -> Result<Outcome, Failure>),
-    /// It plays what seeds draw.
-    Seeded(fn(&Seeds) -> Result<Outcome, Failure>),
-}
-
-/// The seeds that an experiment plays.
-#[derive(Clone, Debug)]
-pub struct Seeds {
-    /// None: the experiment's own.
-    pub range: Option<RangeInclusive<u64>>,
-    /// No further seed is begun after so long.
-    pub most: Duration,
-}
-
-impl Default for Seeds {
-    fn default() -> Seeds {
-        Seeds { range: None, most: Duration::from_secs(600) }
-    }
-}
-
-/// Why there is no outcome.
-pub type Failure = Box<dyn std::error::Error>;
 
+/// A measured figure.
 #[derive(Clone, Debug, Serialize)]
 struct Figure {
     name: String,
@@ -49,47 +14,7 @@
     unit: &'static str,
 }
 
-/// Lines over time, with their names.
-#[derive(Clone, Debug, Serialize)]
-struct Plot {
-    title: String,
-    lines: Vec<(&'static str, Vec<(f64, f64)>)>,
-}
-
-impl Plot {
-    /// As SVG.
-    fn draw(&self) -> Result<String, Box<dyn std::error::Error>> {
-        let points = || self.lines.iter().flat_map(|(_, points)| points);
-        let (right, top) = points().fold((1.0f64, 1e-9f64), |(x, y), p| (x.max(p.0), y.max(p.1)));
-        let mut svg = String::new();
-        {
-            let area = SVGBackend::with_string(&mut svg, (720, 280)).into_drawing_area();
-            let mut chart = ChartBuilder::on(&area)
-                .caption(&self.title, ("sans-serif", 15))
-                .margin(8)
-                .x_label_area_size(30)
-                .y_label_area_size(48)
-                .build_cartesian_2d(0.0..right, 0.0..top * 1.4)?;
-            chart.configure_mesh().x_desc("seconds").light_line_style(TRANSPARENT).draw()?;
-            for (i, (name, points)) in self.lines.iter().enumerate() {
-                let colour = Palette99::pick(i).to_rgba();
-                let line =
-                    chart.draw_series(LineSeries::new(points.iter().copied(), colour.stroke_width(2)))?;
-                line.label(*name)
-                    .legend(move |(x, y)| PathElement::new([(x, y), (x + 18, y)], colour.stroke_width(2)));
-            }
-            let mut labels = chart.configure_series_labels();
-            labels
-                .position(SeriesLabelPosition::UpperRight)
-                .background_style(WHITE)
-                .border_style(BLACK)
-                .draw()?;
-            area.present()?;
-        }
-        Ok(svg)
-    }
-}
-
+/// What an experiment says that has to hold.
 #[derive(Clone, Debug, Serialize)]
 struct Claim {
     text: String,
@@ -99,7 +24,9 @@
 /// Figures and claims.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Outcome {
+    /// The experiment.
     pub name: String,
+    /// What it is about.
     pub about: String,
     figures: Vec<Figure>,
     claims: Vec<Claim>,
@@ -108,18 +35,22 @@
 }
 
 impl Outcome {
+    /// Adds a measured figure.
     pub fn figure(&mut self, name: impl Into<String>, value: f64, unit: &'static str) {
         self.figures.push(Figure { name: name.into(), value, unit });
     }
 
+    /// Adds a claim, and whether it holds.
     pub fn claim(&mut self, text: impl Into<String>, holds: bool) {
         self.claims.push(Claim { text: text.into(), holds });
     }
 
+    /// Adds lines over time.
     pub fn plot(&mut self, title: impl Into<String>, lines: Vec<(&'static str, Vec<(f64, f64)>)>) {
         self.plots.push(Plot { title: title.into(), lines });
     }
 
+    /// Adds a cost by size.
     pub fn curve(&mut self, curve: Curve) {
         self.curves.push(curve);
     }
@@ -134,6 +65,7 @@
         self.curves.iter().map(|curve| Ok((file(curve), curve.draw()?))).collect()
     }
 
+    /// Whether all claims hold.
     pub fn holds(&self) -> bool {
         self.claims.iter().all(|c| c.holds)
     }
--- a/crates/lab/src/replays.rs
+++ b/crates/lab/src/replays.rs
@@ -1,7 +1,12 @@
 //! Experiments on traffic sent again.
 
-use crate::outcome::{Experiment, Failure, Outcome, Run};
-use crate::world::{self, Sink, Traffic, ZONE, block_on};
+use crate::experiment::{Experiment, Runner};
+use crate::failure::Failure;
+use crate::initiators::{self, ZONE};
+use crate::outcome::Outcome;
+use crate::runtime::block_on;
+use crate::sink::Sink;
+use crate::traces::{self, Traffic};
 use rowanglade_replay::{Front, Replay, Report, pick};
 use rowanglade_test_fleet::{ProcessUsage, StubSite, TargetFault};
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,7 +14,7 @@
 use tokio::time::Instant;
 
 pub fn experiments() -> Vec<Experiment> {
-    let made = |name, about, run| Experiment { name, about, run: Run::Plain(run) };
+    let made = |name, about, run| Experiment { name, about, runner: Runner::Plain(run) };
     vec![
         made("replay-twice", "the sample replayed twice: the same counts, sent when it was due", twice),
         made("replay-keyed", "writes at the boxes equal distinct keys, also when connections break", keyed),
@@ -38,13 +43,13 @@
 fn twice() -> Result<Outcome, Failure> {
     block_on(async {
         let folder = tempfile::tempdir()?;
-        let trace = world::sample(folder.path())?;
+        let trace = traces::import_sample(folder.path())?;
         let header = rowanglade_capture::TraceReader::open(&trace)?.header().clone();
         let mut reports = Vec::new();
         for _ in 0..2 {
-            let site = StubSite::start(&vec![world::plan(12, 20, 40); 4], ZONE, 1).await?;
-            let daemons = world::daemons(&site, &header, 1, |_| None)?;
-            reports.push(world::run(&trace, &Replay::to(world::addresses(&daemons))).await?);
+            let site = StubSite::start(&vec![initiators::target_plan(12, 20, 40); 4], ZONE, 1).await?;
+            let daemons = initiators::start_daemons(&site, &header, 1, |_| None)?;
+            reports.push(traces::replay_all(&trace, &Replay::to(initiators::addresses(&daemons))).await?);
         }
         let (a, b) = (&reports[0], &reports[1]);
         let mut out = Outcome::default();
@@ -68,9 +73,9 @@
 fn keyed() -> Result<Outcome, Failure> {
     block_on(async {
         let folder = tempfile::tempdir()?;
-        let trace = world::sample(folder.path())?;
+        let trace = traces::import_sample(folder.path())?;
         let header = rowanglade_capture::TraceReader::open(&trace)?.header().clone();
-        let keys: Vec<u64> = world::records(&trace)?.iter().filter_map(|r| r.key).collect();
+        let keys: Vec<u64> = traces::read_records(&trace)?.iter().filter_map(|r| r.key).collect();
         let distinct = keys.iter().collect::<BTreeSet<_>>().len() as u64;
         let mut out = Outcome::default();
         out.figure("writes in the trace", keys.len() as f64, "");
@@ -79,10 +84,10 @@
             ("calm", TargetFault::default()),
             ("resets", TargetFault { reset_share: 0.15, slowdown: 2.0, ..TargetFault::default() }),
         ] {
-            let site = StubSite::start(&vec![world::plan(8, 12, 25); 4], ZONE, 2).await?;
+            let site = StubSite::start(&vec![initiators::target_plan(8, 12, 25); 4], ZONE, 2).await?;
             site.targets.iter().for_each(|b| b.inject(fault.clone()));
-            let daemons = world::daemons(&site, &header, 1, |_| None)?;
-            let report = world::run(&trace, &Replay::to(world::addresses(&daemons))).await?;
+            let daemons = initiators::start_daemons(&site, &header, 1, |_| None)?;
+            let report = traces::replay_all(&trace, &Replay::to(initiators::addresses(&daemons))).await?;
             let seen = site.counters();
             let ran = site
                 .targets
@@ -110,12 +115,12 @@
         let folder = tempfile::tempdir()?;
         let trace = folder.path().join("made.trace");
         let traffic = Traffic { rate: 150.0, seconds: 9.0, volumes: 30, shards: 3, hosts: 1, seed: 4 };
-        world::make(&trace, traffic)?;
+        traces::generate(&trace, traffic)?;
         let mut out = Outcome::default();
         let mut served = Vec::new();
         for stalls in [false, true] {
-            let site = StubSite::start(&vec![world::plan(6, 10, 20); 3], ZONE, 3).await?;
-            let daemons = world::daemons(&site, &world::header(), 1, |_| None)?;
+            let site = StubSite::start(&vec![initiators::target_plan(6, 10, 20); 3], ZONE, 3).await?;
+            let daemons = initiators::start_daemons(&site, &traces::standard_header(), 1, |_| None)?;
             let target = std::rc::Rc::clone(&site.targets[0]);
             let breaks = actix_rt::spawn(async move {
                 tokio::time::sleep(Duration::from_secs(4)).await;
@@ -124,8 +129,8 @@
                     target.inject(TargetFault { stalled_until: until, ..TargetFault::default() });
                 }
             });
-            let ask = Replay { retries: false, ..Replay::to(world::addresses(&daemons)) };
-            let report = world::run(&trace, &ask).await?;
+            let ask = Replay { retries: false, ..Replay::to(initiators::addresses(&daemons)) };
+            let report = traces::replay_all(&trace, &ask).await?;
             breaks.abort();
             let round = if stalls { "stalled" } else { "calm" };
             let total = report.total();
@@ -162,11 +167,11 @@
         let folder = tempfile::tempdir()?;
         let trace = folder.path().join("made.trace");
         let traffic = Traffic { rate: 600.0, seconds: 5.0, volumes: 30, shards: 2, hosts: 1, seed: 5 };
-        let due = world::make(&trace, traffic)?;
-        let site = StubSite::start(&vec![world::plan(15, 25, 40); 2], ZONE, 3).await?;
-        let daemons = world::daemons(&site, &world::header(), 1, |_| None)?;
-        let ask = Replay { most_out: 48, ..Replay::to(world::addresses(&daemons)) };
-        let report = world::run(&trace, &ask).await?;
+        let due = traces::generate(&trace, traffic)?;
+        let site = StubSite::start(&vec![initiators::target_plan(15, 25, 40); 2], ZONE, 3).await?;
+        let daemons = initiators::start_daemons(&site, &traces::standard_header(), 1, |_| None)?;
+        let ask = Replay { most_out: 48, ..Replay::to(initiators::addresses(&daemons)) };
+        let report = traces::replay_all(&trace, &ask).await?;
         let total = report.total();
         let mut out = Outcome::default();
         out.figure("requests due", due as f64, "");
@@ -187,15 +192,15 @@
         let folder = tempfile::tempdir()?;
         let trace = folder.path().join("made.trace");
         let traffic = Traffic { rate: 300.0, seconds: 6.0, volumes: 40, shards: 6, hosts: 2, seed: 6 };
-        let due = world::make(&trace, traffic)?;
-        let site = StubSite::start(&vec![world::plan(4, 6, 12); 6], ZONE, 3).await?;
-        let daemons = world::daemons(&site, &world::header(), 4, |_| Some(log()))?;
-        let ask = Replay { retries: false, ..Replay::to(world::addresses(&daemons)) };
-        let report = world::run(&trace, &ask).await?;
+        let due = traces::generate(&trace, traffic)?;
+        let site = StubSite::start(&vec![initiators::target_plan(4, 6, 12); 6], ZONE, 3).await?;
+        let daemons = initiators::start_daemons(&site, &traces::standard_header(), 4, |_| Some(log()))?;
+        let ask = Replay { retries: false, ..Replay::to(initiators::addresses(&daemons)) };
+        let report = traces::replay_all(&trace, &ask).await?;
         let mut out = Outcome::default();
         let mut astray = 0;
         for (number, daemon) in daemons.iter().enumerate() {
-            let lines = world::logged(daemon, 0).await?;
+            let lines = initiators::access_log(daemon, 0).await?;
             out.figure(format!("requests through initiator {number}"), lines.len() as f64, "");
             for (volume, _) in &lines {
                 astray += usize::from(!pick::set(ask.seed, *volume, 2, 4).contains(&number));
@@ -220,12 +225,12 @@
 fn iscsi() -> Result<Outcome, Failure> {
     block_on(async {
         let folder = tempfile::tempdir()?;
-        let trace = world::sample(folder.path())?;
+        let trace = traces::import_sample(folder.path())?;
         let header = rowanglade_capture::TraceReader::open(&trace)?.header().clone();
         let target = "iqn.2026-12.example.kingston:lab";
         let mut operator = format!("[iscsi]\nlisten = \"127.0.0.1:0\"\nname = \"{target}\"\n");
         let luns: BTreeMap<u64, Option<u32>> =
-            world::records(&trace)?.iter().map(|r| (r.volume, r.shard)).collect();
+            traces::read_records(&trace)?.iter().map(|r| (r.volume, r.shard)).collect();
         for (lun, shard) in &luns {
             let shard = shard.map_or(String::new(), |s| format!("shard = {s}\n"));
             operator +=
@@ -234,18 +239,18 @@
         let mut out = Outcome::default();
         let mut reports = Vec::new();
         for over_iscsi in [false, true] {
-            let site = StubSite::start(&vec![world::plan(12, 20, 40); 4], ZONE, 1).await?;
-            let daemons = world::daemons(&site, &header, 1, |_| Some(operator.clone()))?;
-            let mut ask = Replay::to(world::addresses(&daemons));
+            let site = StubSite::start(&vec![initiators::target_plan(12, 20, 40); 4], ZONE, 1).await?;
+            let daemons = initiators::start_daemons(&site, &header, 1, |_| Some(operator.clone()))?;
+            let mut ask = Replay::to(initiators::addresses(&daemons));
             // Both are ready once the platform's front says so.
             let none = folder.path().join("none.trace");
             rowanglade_capture::TraceWriter::create(&none, &header)?.finish()?;
-            world::run(&none, &ask).await?;
+            traces::replay_all(&none, &ask).await?;
             if over_iscsi {
                 ask.front = Front::Iscsi { target: target.into(), blocks_per_unit: 8 };
-                ask.to = vec![daemons[0].iscsi.ok_or("the front is off")?];
+                ask.to = vec![daemons[0].iscsi.ok_or(Failure::Unexpected("the front is off"))?];
             }
-            let report = world::run(&trace, &ask).await?;
+            let report = traces::replay_all(&trace, &ask).await?;
             let front = report.front.clone();
             for (class, c) in &report.classes {
                 out.figure(format!("{front}: {class} served of {}", c.due), c.served as f64, "");
@@ -272,10 +277,10 @@
             let trace = folder.path().join(format!("{step}.trace"));
             let traffic =
                 Traffic { rate: per_second, seconds: 3.0, volumes: 200, shards: 1, hosts: 1, seed: 7 };
-            let due = world::make(&trace, traffic)?;
+            let due = traces::generate(&trace, traffic)?;
             let ask = Replay { most_out: 800, ..Replay::to(vec![sink.addr]) };
             let before = ProcessUsage::of("self").processor_seconds;
-            let report = world::run(&trace, &ask).await?;
+            let report = traces::replay_all(&trace, &ask).await?;
             let busy = (ProcessUsage::of("self").processor_seconds - before) / report.seconds;
             let total = report.total();
             out.figure(format!("{per_second} a second: behind p50"), ms(report.drift.at(0.5)), "ms");
@@ -300,15 +305,17 @@
         let folder = tempfile::tempdir()?;
         let trace = folder.path().join("made.trace");
         let traffic = Traffic { rate: 600.0, seconds: 8.0, volumes: 60, shards: 8, hosts: 1, seed: 8 };
-        let due = world::make(&trace, traffic)?;
+        let due = traces::generate(&trace, traffic)?;
         let mut out = Outcome::default();
         let mut cost = Vec::new();
         for on in [false, true] {
-            let site = StubSite::start(&vec![world::plan(3, 4, 6); 8], ZONE, 3).await?;
-            let daemons = world::daemons(&site, &world::header(), 1, |_| on.then(log))?;
-            let report =
-                world::run(&trace, &Replay { retries: false, ..Replay::to(world::addresses(&daemons)) })
-                    .await?;
+            let site = StubSite::start(&vec![initiators::target_plan(3, 4, 6); 8], ZONE, 3).await?;
+            let daemons = initiators::start_daemons(&site, &traces::standard_header(), 1, |_| on.then(log))?;
+            let report = traces::replay_all(
+                &trace,
+                &Replay { retries: false, ..Replay::to(initiators::addresses(&daemons)) },
+            )
+            .await?;
             let round = if on { "with" } else { "without" };
             let usage = daemons[0].usage();
             out.figure(
@@ -328,7 +335,7 @@
             );
             cost.push(usage.processor_seconds);
             if on {
-                let lines = world::logged(&daemons[0], due).await?;
+                let lines = initiators::access_log(&daemons[0], due).await?;
                 let served = lines.iter().filter(|(_, status)| *status == 200).count() as u64;
                 out.claim("a line for each request", lines.len() as u64 == due);
                 out.claim("as many served as clients saw", served == report.total().served);
--- a/crates/lab/src/routes.rs
+++ b/crates/lab/src/routes.rs
@@ -1,7 +1,11 @@
 //! Experiments on routes.
 
-use crate::outcome::{Experiment, Failure, Outcome, Run};
-use crate::world::{self, Traffic, ZONE, block_on};
+use crate::experiment::{Experiment, Runner};
+use crate::failure::Failure;
+use crate::initiators::{self, ZONE};
+use crate::outcome::Outcome;
+use crate::runtime::block_on;
+use crate::traces::{self, Traffic};
 use rowanglade_replay::Replay;
 use rowanglade_routing::check::Decision;
 use rowanglade_routing::{Front, RouteRequest, Rules, Source, TargetInfo, Terms, check, parse};
@@ -13,7 +17,7 @@
 const UNDER_WAY: Duration = Duration::from_millis(150);
 
 pub fn experiments() -> Vec<Experiment> {
-    let made = |name, about, run| Experiment { name, about, run: Run::Plain(run) };
+    let made = |name, about, run| Experiment { name, about, runner: Runner::Plain(run) };
     vec![
         made(
             "routes-check",
@@ -166,12 +170,13 @@
         let folder = tempfile::tempdir()?;
         let trace = folder.path().join("made.trace");
         let traffic = Traffic { rate: 500.0, seconds: 12.0, volumes: 40, shards: 0, hosts: 1, seed: 9 };
-        let due = world::make(&trace, traffic)?;
-        let plan = rowanglade_test_fleet::TargetPlan { keeps_requests: true, ..world::plan(3, 4, 6) };
+        let due = traces::generate(&trace, traffic)?;
+        let plan =
+            rowanglade_test_fleet::TargetPlan { keeps_requests: true, ..initiators::target_plan(3, 4, 6) };
         let site = StubSite::start(&vec![plan; 4], ZONE, 5).await?;
-        let daemons = world::daemons(&site, &world::header(), 1, |_| Some(version(0)))?;
+        let daemons = initiators::start_daemons(&site, &traces::standard_header(), 1, |_| Some(version(0)))?;
         let file = daemons[0].folder().join("operator.toml");
-        let ask = Replay { retries: false, ..Replay::to(world::addresses(&daemons)) };
+        let ask = Replay { retries: false, ..Replay::to(initiators::addresses(&daemons)) };
         let in_force = || daemons[0].log().iter().filter(|l| l.contains("routes are in force")).count();
         let swaps = async {
             // From when until when which version alone is in force.
@@ -200,7 +205,7 @@
             }
             Ok::<_, Failure>(spans)
         };
-        let (report, swapped) = tokio::join!(world::run(&trace, &ask), swaps);
+        let (report, swapped) = tokio::join!(traces::replay_all(&trace, &ask), swaps);
         let (report, spans) = (report?, swapped?);
         let total = report.total();
         let log = daemons[0].log();
@@ -231,7 +236,7 @@
         }
         out.figure("requests of moved volumes within one version's span", judged as f64, "");
         out.claim("none of them went to a box that its version forbids", judged > 1_000 && astray == 0);
-        let lines = world::logged(&daemons[0], due).await?.len() as u64;
+        let lines = initiators::access_log(&daemons[0], due).await?.len() as u64;
         out.claim("each request has one last word", total.due == due && lines == due);
         out.claim("none is lost", total.lost + total.failed + total.unsent == 0);
         out.claim("nearly all are served", total.served as f64 >= 0.98 * due as f64);
--- a/crates/lab/src/scale/connections.rs
+++ b/crates/lab/src/scale/connections.rs
@@ -1,8 +1,12 @@
 //! What a client's connection and a held request cost a real daemon.
 
-use super::curve::Curve;
-use crate::outcome::{Experiment, Failure, Outcome, Run};
-use crate::world::{self, ZONE, block_on};
+use crate::curve::Curve;
+use crate::experiment::{Experiment, Runner};
+use crate::failure::Failure;
+use crate::initiators::{self, ZONE};
+use crate::outcome::Outcome;
+use crate::runtime::block_on;
+use crate::traces;
 use rowanglade_test_fleet::{Daemon, Endpoint, EndpointState, StubSite, TargetPlan};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -12,7 +16,7 @@
 pub const EXPERIMENT: Experiment = Experiment {
     name: "scale-connections",
     about: "a real daemon's memory and descriptors by client connections, idle and with a request",
-    run: Run::Plain(run),
+    runner: Runner::Plain(run),
 };
 
 const SEED: u64 = 33;
@@ -27,7 +31,9 @@
 
 async fn daemon(site: &StubSite) -> Result<Daemon, Failure> {
     let shape = |_: usize, start: &mut rowanglade_test_fleet::DaemonPlan| start.sockets = DESCRIPTORS;
-    let daemon = world::shaped(site, &world::header(), 1, shape)?.pop().ok_or("one daemon")?;
+    let daemon = initiators::start_daemons_with(site, &traces::standard_header(), 1, shape)?
+        .pop()
+        .ok_or(Failure::Unexpected("one daemon"))?;
     while !up(&daemon).await? {
         sleep(Duration::from_millis(20)).await;
     }
@@ -48,7 +54,7 @@
 
 /// Memory and descriptors beyond those before, for so many connections that have each had an answer.
 async fn idle(count: usize) -> Result<(f64, f64), Failure> {
-    let site = StubSite::start(&[world::plan(1, 1, 1)], ZONE, SEED).await?;
+    let site = StubSite::start(&[initiators::target_plan(1, 1, 1)], ZONE, SEED).await?;
     let daemon = daemon(&site).await?;
     let before = (daemon.usage().peak_memory_bytes as f64, descriptors(&daemon)?);
     let mut clients = Vec::with_capacity(count);
@@ -67,8 +73,11 @@
 
 /// Requests that are held, of so many, and the memory beyond that before.
 async fn held(count: usize) -> Result<(f64, f64), Failure> {
-    let plan =
-        TargetPlan { queue_capacity: 100_000, slots: 100_000, ..world::plan(WORK_MS, WORK_MS, WORK_MS) };
+    let plan = TargetPlan {
+        queue_capacity: 100_000,
+        slots: 100_000,
+        ..initiators::target_plan(WORK_MS, WORK_MS, WORK_MS)
+    };
     let site = StubSite::start(&vec![plan; BOXES], ZONE, SEED).await?;
     for each in &site.targets {
         // One that has just started is sent little.
--- a/crates/lab/src/scale/cost.rs
+++ b/crates/lab/src/scale/cost.rs
@@ -1,6 +1,6 @@
 //! What a piece of work costs: measured in a process of its own, so that its peak of memory is its own.
 
-use crate::outcome::Failure;
+use crate::failure::Failure;
 use rustix::time::{ClockId, clock_gettime};
 use serde::{Deserialize, Serialize};
 use std::process::Command;
@@ -76,7 +76,8 @@
     let output =
         Command::new(std::env::current_exe()?).args(["probe", name, &instances, &targets]).output()?;
     if !output.status.success() {
-        return Err(format!("{name}: {}", String::from_utf8_lossy(&output.stderr)).into());
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+        return Err(Failure::Probe { name: name.to_string(), stderr });
     }
     Ok(serde_json::from_slice(&output.stdout)?)
 }
--- a/crates/lab/src/scale/distribution.rs
+++ b/crates/lab/src/scale/distribution.rs
@@ -1,10 +1,12 @@
 //! Distribution by relays at the size, in simulated time, against whole lists from one discovery.
 
 use super::cost::{Cost, SIZES, Size, measure, probe};
-use super::curve::Curve;
 use super::network::{Network, POISON, Shape};
 use super::reads::{all_served, service};
-use crate::outcome::{Experiment, Failure, Outcome, Run};
+use crate::curve::Curve;
+use crate::experiment::{Experiment, Runner};
+use crate::failure::Failure;
+use crate::outcome::Outcome;
 use rowanglade_distribution::{Change, Snapshot, State, Version};
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -13,7 +15,7 @@
 pub const EXPERIMENT: Experiment = Experiment {
     name: "scale-distribution",
     about: "2,200 hollow instances behind 16 relays, in simulated time, with cuts, deaths and restarts",
-    run: Run::Plain(run),
+    runner: Runner::Plain(run),
 };
 
 const SEED: u64 = 33;
@@ -171,9 +173,10 @@
     out.figure("faults: a change in force, median", at_part(&delays, 0.5), "s");
     out.figure("faults: 99th in a hundred", at_part(&delays, 0.99), "s");
     out.figure("faults: the worst of all instances and versions", worst, "s");
-    let mean = |seen: &super::network::Seen| seen.bytes as f64 / END as f64;
+    let mean = |seen: &super::observations::Observations| seen.bytes as f64 / END as f64;
     let most_mean = network.seen.iter().map(mean).fold(0.0, f64::max);
-    let most_window = network.seen.iter().map(super::network::Seen::most).fold(0.0, f64::max);
+    let most_window =
+        network.seen.iter().map(super::observations::Observations::peak_rate).fold(0.0, f64::max);
     let core = network.instance_time / f64::from(instances) / END as f64;
     let (silent, cut, snapshots) = network.left();
     out.figure("faults: bytes a second of the instance with the most", most_mean, "bytes/s");
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -1,13 +1,15 @@
 //! Whole initiators without clients: by instances and by targets, and hollow ones against real ones.
 
-use super::curve::Curve;
 use super::hollow::{Each, hollow, real};
-use crate::outcome::{Experiment, Failure, Outcome, Run};
+use crate::curve::Curve;
+use crate::experiment::{Experiment, Runner};
+use crate::failure::Failure;
+use crate::outcome::Outcome;
 
 pub const EXPERIMENT: Experiment = Experiment {
     name: "scale-fleet",
     about: "hollow and real instances on one discovery: start, one change, memory, descriptors",
-    run: Run::Plain(run),
+    runner: Runner::Plain(run),
 };
 
 /// Hollow instances in one process.
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -3,8 +3,10 @@
 
 use super::cost::process_time;
 use super::lists;
-use crate::outcome::Failure;
-use crate::world::{self, ZONE};
+use crate::failure::Failure;
+use crate::initiators::{self, ZONE};
+use crate::runtime::block_on;
+use crate::traces;
 use rowanglade::config::Config;
 use rowanglade::initiator::Initiator;
 use rowanglade_test_fleet::{
@@ -104,7 +106,7 @@
         let _ = std::io::stdin().read_to_end(&mut Vec::new());
         std::process::exit(0);
     });
-    world::block_on(async {
+    block_on(async {
         for number in 0..instances {
             if let Err(error) = start_one(number, instances, targets, discovery).await {
                 eprintln!("a hollow instance does not start: {error}");
@@ -118,7 +120,7 @@
 async fn start_one(number: u32, instances: u32, targets: usize, discovery: &str) -> Result<(), Failure> {
     let folder = tempfile::tempdir()?;
     let path = folder.path().join("config.json");
-    let mut settings = settings(&world::header(), instances as usize, ZONE, targets);
+    let mut settings = settings(&traces::standard_header(), instances as usize, ZONE, targets);
     settings["my-number"] = number.into();
     let text = json!({
         "name": format!("hollow-{number}"), "listen": "127.0.0.1:0", "discovery": discovery,
@@ -160,7 +162,7 @@
     };
     timeout(PATIENCE, reached)
         .await
-        .map_err(|_| format!("{} of {calls} calls came", discovery.responses()).into())
+        .map_err(|_| Failure::MissingPolls { answered: discovery.responses(), expected: calls })
 }
 
 /// Starts instances, has all read the list, and tells them changes, one after another.
@@ -203,7 +205,7 @@
 /// # Errors
 /// They do not start, or discovery is not asked.
 pub fn hollow(instances: u32, targets: usize) -> Result<Each, Failure> {
-    world::block_on(async {
+    block_on(async {
         let site = listed(targets).await?;
         let start = || Ok(Fleet::Hollow(Hollow::start(instances, targets, &site.discovery)?, instances));
         measure(&site, start).await
@@ -215,11 +217,12 @@
 /// # Errors
 /// As [`hollow`].
 pub fn real(instances: u32, targets: usize) -> Result<Each, Failure> {
-    world::block_on(async {
+    block_on(async {
         let site = listed(targets).await?;
         let shape =
             |_: usize, start: &mut DaemonPlan| start.settings["family-info"]["n-shards"] = targets.into();
-        let daemons = || world::shaped(&site, &world::header(), instances as usize, shape);
+        let daemons =
+            || initiators::start_daemons_with(&site, &traces::standard_header(), instances as usize, shape);
         let start = || Ok(Fleet::Real(daemons()?));
         measure(&site, start).await
     })
--- /dev/null
+++ b/crates/lab/src/scale/list_curves.rs
@@ -0,0 +1,50 @@
+//! What a list and its changes cost an initiator, by targets, without sockets.
+
+use super::cost::probe_all;
+use super::cost_curves::{BY_TARGETS, curve};
+use crate::experiment::{Experiment, Runner};
+use crate::failure::Failure;
+use crate::outcome::Outcome;
+
+/// The experiment.
+pub const EXPERIMENT: Experiment = Experiment {
+    name: "scale-lists",
+    about: "reading a list and taking changes of it, by targets, without sockets",
+    runner: Runner::Plain(list_curves),
+};
+
+fn list_curves() -> Result<Outcome, Failure> {
+    let mut out = Outcome::default();
+    let (decode, encode) = (probe_all("list-decode")?, probe_all("list-encode")?);
+    let (change, module) = (probe_all("list-change")?, probe_all("module-change")?);
+    let request = probe_all("module-request")?;
+    let (new_object, empty) = (probe_all("module-new-object")?, probe_all("module-empty-change")?);
+    let wire = curve("a whole list, compact JSON", BY_TARGETS, "KiB", &decode, |c| c.wire / 1024.0)?;
+    let read =
+        curve("a whole list is decoded", BY_TARGETS, "ms of processor", &decode, |c| c.processor * 1e3)?;
+    let kept = curve("a decoded list is kept", BY_TARGETS, "KiB", &decode, |c| c.state / 1024.0)?;
+    let written =
+        curve("a whole list is encoded", BY_TARGETS, "ms of processor", &encode, |c| c.processor * 1e3)?;
+    let taken =
+        curve("a change of one target", BY_TARGETS, "ms of processor", &change, |c| c.processor * 1e3)?;
+    let module =
+        curve("the module's part of it", BY_TARGETS, "ms of processor", &module, |c| c.processor * 1e3)?;
+    let core = curve("the core's state of the list", BY_TARGETS, "KiB", &change, |c| c.state / 1024.0)?;
+    let request =
+        curve("a request in the module", BY_TARGETS, "ms of processor", &request, |c| c.processor * 1e3)?;
+    let new_object = curve("a request for a new object", BY_TARGETS, "ms of processor", &new_object, |c| {
+        c.processor * 1e3
+    })?;
+    let empty = curve("an empty change", BY_TARGETS, "us of processor", &empty, |c| c.processor * 1e6)?;
+    out.claim("a request for a new object does not go with the list", new_object.exponent <= 0.5);
+    out.claim("an empty change does not go with the list", empty.exponent <= 0.5);
+    out.claim("bytes of a list grow in step with targets", (0.95..1.05).contains(&wire.exponent));
+    out.claim("decoding grows no faster than the list", read.exponent <= 1.2);
+    out.claim("the core's state grows no faster than the list", core.exponent <= 1.1);
+    out.claim("a change of one target does not go with the list", taken.exponent <= 0.5);
+    out.claim("a request does not go with the list", request.exponent <= 0.5);
+    for curve in [wire, read, kept, written, taken, module, request, new_object, empty, core] {
+        out.curve(curve);
+    }
+    Ok(out)
+}
--- a/crates/lab/src/scale/lists.rs
+++ b/crates/lab/src/scale/lists.rs
@@ -1,8 +1,9 @@
 //! The list of targets: what a whole one and a change of one target cost an instance.
 
 use super::cost::{Cost, Size, measure, thread_time};
-use crate::outcome::Failure;
-use crate::world::{self, ZONE};
+use crate::failure::Failure;
+use crate::initiators::ZONE;
+use crate::traces;
 use rowanglade::core::{Clock, Core, CoreDependencies, Endpoint, Message, Protocol, mailbox};
 use rowanglade::interface::{
     Action, AttemptNumber, ClassId, EndpointEntry, EndpointUpdateKind, Event, KeyId, LoadReport, Micros,
@@ -64,11 +65,18 @@
 
 /// The decision module that has heard the whole list.
 fn listed_module(size: Size) -> Result<(Scheduler, Vec<Action>), Failure> {
-    let settings =
-        rowanglade_test_fleet::settings(&world::header(), size.instances as usize, ZONE, size.targets);
+    let settings = rowanglade_test_fleet::settings(
+        &traces::standard_header(),
+        size.instances as usize,
+        ZONE,
+        size.targets,
+    );
     let settings: Settings = serde_json::from_value(settings)?;
-    let settings = settings.translate(&mut Names::default()).map_err(|e| format!("{e:?}"))?;
-    let mut scheduler = Scheduler::new(settings, SEED).map_err(|e| format!("{e:?}"))?;
+    let settings = settings
+        .translate(&mut Names::default())
+        .map_err(|error| Failure::Unreadable(format!("{error:?}")))?;
+    let mut scheduler =
+        Scheduler::new(settings, SEED).map_err(|error| Failure::Unreadable(format!("{error:?}")))?;
     let mut actions = Vec::new();
     let entries = (0..size.targets).map(|place| entry(place, TargetState::Active)).collect();
     scheduler.handle(
@@ -142,7 +150,7 @@
     }
     let (begun, mut served) = (thread_time(), 0);
     while served < REQUESTS {
-        let ((now, _), event) = due.pop_first().ok_or("a request has no end")?;
+        let ((now, _), event) = due.pop_first().ok_or(Failure::Unexpected("a request has no end"))?;
         served += u64::from(matches!(event, Event::AttemptEnded { .. }));
         scheduler.handle(now, event, &mut actions);
         for action in std::mem::take(&mut actions) {
@@ -152,7 +160,9 @@
                     scheduler.settle(now, id, true);
                     (SERVED_IN, answered(id, node))
                 }
-                Action::Reject { .. } | Action::Fail { .. } => return Err("a request is not served".into()),
+                Action::Reject { .. } | Action::Fail { .. } => {
+                    return Err(Failure::Unexpected("a request is not served"));
+                }
                 _ => continue,
             };
             due.insert((now + after, order), event);
@@ -191,12 +201,19 @@
 /// A core without sockets beside targets that are no more than a mailbox: the whole list once, then changes
 /// of one target each. The state is the list's, the processor time that of one change.
 fn core_changes(size: Size, subset: Option<Rule>) -> Result<Cost, Failure> {
-    let settings =
-        rowanglade_test_fleet::settings(&world::header(), size.instances as usize, ZONE, size.targets);
+    let settings = rowanglade_test_fleet::settings(
+        &traces::standard_header(),
+        size.instances as usize,
+        ZONE,
+        size.targets,
+    );
     let settings: Settings = serde_json::from_value(settings)?;
     let mut names = Names::default();
-    let scheduler = Scheduler::new(settings.translate(&mut names).map_err(|e| format!("{e:?}"))?, SEED);
-    let scheduler = scheduler.map_err(|e| format!("{e:?}"))?;
+    let scheduler = Scheduler::new(
+        settings.translate(&mut names).map_err(|error| Failure::Unreadable(format!("{error:?}")))?,
+        SEED,
+    );
+    let scheduler = scheduler.map_err(|error| Failure::Unreadable(format!("{error:?}")))?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build()?;
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let (inbox, handle) = mailbox(&settings, None);
--- a/crates/lab/src/scale/network.rs
+++ b/crates/lab/src/scale/network.rs
@@ -2,17 +2,18 @@
 //! delays, cuts, deaths and restarts, in simulated time.
 
 use super::cost::thread_time;
-use crate::outcome::Failure;
+use super::network_events::{Due, Event};
+use super::observations::Observations;
+use crate::failure::Failure;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rowanglade_distribution::relay::Limits;
 use rowanglade_distribution::{
-    Change, Follower, Key, Message, Millis, News, NodeId, Place, Relay, State, Topology, decode, encode,
+    Change, Follower, Key, Message, Millis, NodeId, Place, Relay, State, Topology, decode, encode,
 };
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::net::{Ipv4Addr, SocketAddr};
-use std::rc::Rc;
 
 const KEY: Key = [0x5a; 32];
 /// Bytes of a packet beside its message: a guess, of TCP over IPv4 with options.
@@ -23,8 +24,6 @@
 const FAR: std::ops::Range<Millis> = 20..80;
 /// How long an instance's watch waits for news.
 const HOLD: Millis = 4_000;
-/// Bytes are counted in windows of this many milliseconds.
-pub const WINDOW: Millis = 14_000;
 const LIMITS: Limits = Limits { followers: 220, rate: 4 << 20, burst: 512 << 10 };
 /// Instances start within this span.
 const START_WITHIN: Millis = 1_000;
@@ -44,66 +43,13 @@
     Dead,
 }
 
-enum Event {
-    /// On a connection, which ends with the life of whom it leads to.
-    Deliver {
-        from: NodeId,
-        to: NodeId,
-        life: u32,
-        bytes: Rc<[u8]>,
-    },
-    Poll(NodeId),
-}
-
-struct Due {
-    at: Millis,
-    order: u64,
-    event: Event,
-}
-
-impl PartialEq for Due {
-    fn eq(&self, other: &Due) -> bool {
-        (self.at, self.order) == (other.at, other.order)
-    }
-}
-
-impl Eq for Due {}
-
-impl PartialOrd for Due {
-    fn partial_cmp(&self, other: &Due) -> Option<std::cmp::Ordering> {
-        Some(self.cmp(other))
-    }
-}
-
-impl Ord for Due {
-    fn cmp(&self, other: &Due) -> std::cmp::Ordering {
-        (self.at, self.order).cmp(&(other.at, other.order))
-    }
-}
-
-/// What was seen of an instance.
-#[derive(Clone, Debug, Default)]
-pub struct Seen {
-    /// When each version, by its number, or a newer one was in force.
-    reached: Vec<Millis>,
-    /// Spans in which it could not be told anything.
-    away: Vec<(Millis, Millis)>,
-    /// Bytes in and out.
-    pub bytes: u64,
-    windows: Vec<u64>,
-    /// Versions that its check refused.
-    pub refused: u64,
-    /// A version that came after a newer one.
-    pub went_back: bool,
-}
-
 /// The fleet, and what was seen of it.
 pub struct Network {
     shape: Shape,
     now: Millis,
     nodes: Vec<Node>,
     /// How often each node has started.
-    lives: Vec<u32>,
+    incarnations: Vec<u32>,
     /// When each node is polled next.
     due: Vec<Millis>,
     queue: BinaryHeap<Reverse<Due>>,
@@ -113,7 +59,8 @@
     cut: Option<(u32, Millis)>,
     /// When each version was published, by its number.
     pub published: Vec<Millis>,
-    pub seen: Vec<Seen>,
+    /// What was observed of each initiator.
+    pub seen: Vec<Observations>,
     /// Processor seconds of all instances, and of all relays with the source.
     pub instance_time: f64,
     pub relay_time: f64,
@@ -133,7 +80,7 @@
 }
 
 impl Network {
-    /// All relays and instances have `known` from their last life, if it is given; the source has `first`.
+    /// All relays and instances have `known` from their last incarnation, if it is given; the source has `first`.
     pub fn new(shape: Shape, first: State, known: Option<&State>) -> Network {
         let place = |i: u32| Place {
             addr: SocketAddr::from((Ipv4Addr::from(0x7f02_0000 + i), 9)),
@@ -151,7 +98,7 @@
             shape,
             now: 0,
             nodes: Vec::with_capacity(count),
-            lives: vec![0; count],
+            incarnations: vec![0; count],
             due: vec![Millis::MAX; count],
             queue: BinaryHeap::new(),
             order: 0,
@@ -159,7 +106,7 @@
             topology,
             cut: None,
             published,
-            seen: vec![Seen::default(); shape.instances as usize],
+            seen: vec![Observations::default(); shape.instances as usize],
             instance_time: 0.0,
             relay_time: 0.0,
             relay_bytes: 0,
@@ -203,7 +150,7 @@
         }
     }
 
-    fn seen_of(&self, node: NodeId) -> Option<usize> {
+    fn observed(&self, node: NodeId) -> Option<usize> {
         (node.0 > self.shape.relays).then(|| (node.0 - 1 - self.shape.relays) as usize)
     }
 
@@ -218,7 +165,9 @@
                     self.poll(node)?;
                 }
                 Event::Poll(_) => {}
-                Event::Deliver { from, to, life, bytes } if self.lives[to.0 as usize] == life => {
+                Event::Deliver { from, to, incarnation, bytes }
+                    if self.incarnations[to.0 as usize] == incarnation =>
+                {
                     self.deliver(from, to, &bytes)?;
                 }
                 Event::Deliver { .. } => {}
@@ -272,7 +221,7 @@
 
     fn spent(&mut self, node: NodeId, begun: f64) {
         let spent = thread_time() - begun;
-        match self.seen_of(node) {
+        match self.observed(node) {
             Some(_) => self.instance_time += spent,
             None => self.relay_time += spent,
         }
@@ -284,15 +233,15 @@
         let length = bytes.len() as u64;
         let counted = length + PACKET * length.div_ceil(SEGMENT).max(1);
         for node in [from, to] {
-            match self.seen_of(node) {
+            match self.observed(node) {
                 Some(place) => self.seen[place].count(self.now, counted),
                 None if node == from => self.relay_bytes += counted,
                 None => {}
             }
         }
         self.messages += 1;
-        let life = self.lives[to.0 as usize];
-        self.schedule(at, Event::Deliver { from, to, life, bytes: bytes.into() });
+        let incarnation = self.incarnations[to.0 as usize];
+        self.schedule(at, Event::Deliver { from, to, incarnation, bytes: bytes.into() });
     }
 
     fn is_cut(&self, a: NodeId, b: NodeId) -> bool {
@@ -313,8 +262,8 @@
             _ => return Ok(()),
         }
         self.spent(to, begun);
-        if let (Some(news), Some(place)) = (news, self.seen_of(to)) {
-            self.seen[place].told(now, &news);
+        if let (Some(news), Some(place)) = (news, self.observed(to)) {
+            self.seen[place].event(now, &news);
         }
         if let Some(away) = turned_away {
             let bytes = encode(&KEY, to, &Message::Answer(away.answer))?;
@@ -325,8 +274,8 @@
 
     /// The source's next version.
     pub fn publish(&mut self, changes: Vec<Change>) -> Result<(), Failure> {
-        let Node::Relay(source) = &mut self.nodes[0] else { return Err("no source".into()) };
-        source.publish(changes).ok_or("only the source publishes")?;
+        let Node::Relay(source) = &mut self.nodes[0] else { return Err(Failure::Unexpected("no source")) };
+        source.publish(changes).ok_or(Failure::Unexpected("only the source publishes"))?;
         self.published.push(self.now);
         self.poll(NodeId(0))
     }
@@ -339,7 +288,7 @@
     /// It starts again, with what it kept.
     pub fn start_relay(&mut self, relay: u32, known: Option<State>) {
         self.nodes[(1 + relay) as usize] = self.relay(relay, known);
-        self.lives[(1 + relay) as usize] += 1;
+        self.incarnations[(1 + relay) as usize] += 1;
         self.poll_at(NodeId(1 + relay), self.now + 1);
     }
 
@@ -348,9 +297,9 @@
         for instance in (0..self.shape.instances).step_by(step as usize) {
             let node = 1 + self.shape.relays + instance;
             self.nodes[node as usize] = self.instance(instance, None);
-            self.lives[node as usize] += 1;
+            self.incarnations[node as usize] += 1;
             self.break_connections(NodeId(node));
-            self.seen[instance as usize].away.push((self.now, self.now));
+            self.seen[instance as usize].unreachable.push((self.now, self.now));
             self.poll_at(NodeId(node), self.now + 1);
         }
     }
@@ -373,7 +322,7 @@
         let Some((region, since)) = self.cut.take() else { return };
         for instance in 0..self.shape.instances {
             if self.region(NodeId(1 + self.shape.relays + instance)) == region {
-                self.seen[instance as usize].away.push((since, self.now));
+                self.seen[instance as usize].unreachable.push((since, self.now));
             }
         }
     }
@@ -422,42 +371,3 @@
         self.seen.iter().map(|seen| seen.reached.first().copied()).try_fold(0, |last, at| Some(last.max(at?)))
     }
 }
-
-impl Seen {
-    fn count(&mut self, now: Millis, bytes: u64) {
-        self.bytes += bytes;
-        let window = (now / WINDOW) as usize;
-        if self.windows.len() <= window {
-            self.windows.resize(window + 1, 0);
-        }
-        self.windows[window] += bytes;
-    }
-
-    /// The most bytes a second of a window.
-    pub fn most(&self) -> f64 {
-        self.windows.iter().max().copied().unwrap_or(0) as f64 * 1e3 / WINDOW as f64
-    }
-
-    fn told(&mut self, now: Millis, news: &News) {
-        match news {
-            News::InForce(state) => {
-                let number = state.version().number as usize;
-                // After a restart from nothing an older one than before may come, through a relay that is
-                // behind.
-                let restarted = self.away.iter().any(|(from, to)| from == to);
-                self.went_back |= number + 1 < self.reached.len() && !restarted;
-                if self.reached.len() <= number {
-                    self.reached.resize(number + 1, now);
-                }
-            }
-            News::Refused { .. } => self.refused += 1,
-        }
-    }
-
-    fn delay(&self, version: usize, published: Millis) -> Option<Millis> {
-        let reached = *self.reached.get(version)?;
-        let away = self.away.iter().filter(|(from, to)| *to > published && *from < reached);
-        let from = away.map(|(_, to)| *to).fold(published, Millis::max);
-        Some(reached.saturating_sub(from))
-    }
-}
--- a/crates/lab/src/scale/reads.rs
+++ b/crates/lab/src/scale/reads.rs
@@ -2,10 +2,12 @@
 //! sockets on one machine holds.
 
 use super::cost::{SIZES, Size, probe, thread_time};
-use super::curve::Curve;
 use super::hollow;
-use crate::outcome::{Experiment, Failure, Outcome, Run};
-use crate::world::block_on;
+use crate::curve::Curve;
+use crate::experiment::{Experiment, Runner};
+use crate::failure::Failure;
+use crate::outcome::Outcome;
+use crate::runtime::block_on;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cmp::{Ordering, Reverse};
@@ -16,7 +18,7 @@
 pub const EXPERIMENT: Experiment = Experiment {
     name: "scale-reads",
     about: "whole lists and news of one change from one discovery, by instances, in simulated time",
-    run: Run::Plain(run),
+    runner: Runner::Plain(run),
 };
 
 const SEED: u64 = 33;
--- a/crates/lab/src/scale/subsets.rs
+++ b/crates/lab/src/scale/subsets.rs
@@ -1,16 +1,19 @@
 //! The table of subsets: what it costs each instance at a change of the list, and what a change moves.
 
+use super::all_pairs;
 use super::cost::{Cost, Size, measure, probe_all, thread_time};
+use super::cost_curves::{BY_TARGETS, curve};
 use super::lists::lines;
-use super::{BY_TARGETS, all_pairs, curve};
-use crate::outcome::{Experiment, Failure, Outcome, Run};
+use crate::experiment::{Experiment, Runner};
+use crate::failure::Failure;
+use crate::outcome::Outcome;
 use rowanglade_subset::{Rule, Subset, difference, table};
 use std::collections::BTreeSet;
 
 pub const EXPERIMENT: Experiment = Experiment {
     name: "scale-subsets",
     about: "the table of subsets by instances and targets that grow together, against all pairs",
-    run: Run::Plain(run),
+    runner: Runner::Plain(run),
 };
 
 /// Twenty targets of an instance are about twelve instances of a target.
--- a/crates/lab/src/scale/tests.rs
+++ b/crates/lab/src/scale/tests.rs
@@ -1,6 +1,6 @@
-use super::curve::{Curve, Law};
 use super::distribution::{all_start, faults};
 use super::reads::all_served;
+use crate::curve::{Curve, Law};
 
 const SIZES: [f64; 4] = [100.0, 200.0, 400.0, 800.0];
 
@@ -57,7 +57,7 @@
     }
     assert_eq!(network.current(), INSTANCES as usize);
     assert!(network.seen.iter().all(|seen| !seen.went_back));
-    let most = network.seen.iter().map(|seen| seen.most()).fold(0.0, f64::max);
+    let most = network.seen.iter().map(|seen| seen.peak_rate()).fold(0.0, f64::max);
     assert!(most <= 11_000.0, "{most} bytes a second in 14 s");
     assert!(network.seen.iter().any(|seen| seen.refused > 0));
     assert_eq!(network.source().map(|source| source.refusing(130_000)), Some(0));
--- a/crates/lab/src/scale/units.rs
+++ b/crates/lab/src/scale/units.rs
@@ -1,10 +1,20 @@
 //! The exchange of units: what one instance that lacks units costs the fleet.
 
-use super::cost::{Cost, Size, measure};
-use crate::outcome::Failure;
+use super::cost::{Cost, Size, measure, probe_all};
+use super::cost_curves::{BY_INSTANCES, curve};
+use crate::experiment::{Experiment, Runner};
+use crate::failure::Failure;
+use crate::outcome::Outcome;
 use rowanglade_quota_exchange::exchange::Milli;
 use rowanglade_quota_exchange::{Exchange, Key, Message, Peer, Store, decode, encode};
 
+/// The experiment.
+pub const EXPERIMENT: Experiment = Experiment {
+    name: "scale-units",
+    about: "the exchange of units when one instance lacks some, by instances",
+    runner: Runner::Plain(unit_curves),
+};
+
 const KEY: Key = [0x5a; 32];
 const VOLUME: u64 = 7;
 const LACK: Milli = 20_000;
@@ -30,12 +40,15 @@
         let message = asker.poll(now);
         (asker, message.map(|message| encode(&KEY, Peer(0), &message)))
     };
-    let asked = ask().1.ok_or("an instance that lacks units asks")?;
+    let asked = ask().1.ok_or(Failure::Unexpected("an instance that lacks units asks"))?;
     let heard = decode(&KEY, Peer(0), &asked)?;
     let peers = 1..u16::try_from(size.instances)?;
     let answer = |peer: u16| -> Result<(Peer, Vec<u8>), Failure> {
         let given: Option<Message> = Exchange::new(u64::from(peer)).heard(now, Peer(0), &heard, &mut Spare);
-        Ok((Peer(peer), encode(&KEY, Peer(peer), &given.ok_or("a peer that can spare units gives")?)))
+        Ok((
+            Peer(peer),
+            encode(&KEY, Peer(peer), &given.ok_or(Failure::Unexpected("a peer that can spare units gives"))?),
+        ))
     };
     let answers: Vec<(Peer, Vec<u8>)> = peers.map(answer).collect::<Result<_, _>>()?;
     let cost = measure(8, || {
@@ -51,3 +64,16 @@
     let received: usize = answers.iter().map(|(_, given)| given.len()).sum();
     Ok(Cost { wire: (sent + received) as f64, ..cost })
 }
+
+fn unit_curves() -> Result<Outcome, Failure> {
+    let mut out = Outcome::default();
+    let lack = probe_all("unit-lack")?;
+    let bytes = curve("one lack, asked and answered", BY_INSTANCES, "KiB", &lack, |c| c.wire / 1024.0)?;
+    let time = curve("one lack at the asker", BY_INSTANCES, "ms of processor", &lack, |c| c.processor * 1e3)?;
+    out.claim("bytes of a lack grow in step with instances", (0.95..1.05).contains(&bytes.exponent));
+    out.claim("its time grows no faster", time.exponent <= 1.2);
+    for curve in [bytes, time] {
+        out.curve(curve);
+    }
+    Ok(out)
+}
--- a/crates/lab/src/sites.rs
+++ b/crates/lab/src/sites.rs
@@ -1,7 +1,11 @@
 //! A whole site is lost under load, and returns.
 
-use crate::outcome::{Experiment, Failure, Outcome, Run};
-use crate::world::{self, Traffic, ZONE, block_on};
+use crate::experiment::{Experiment, Runner};
+use crate::failure::Failure;
+use crate::initiators::{self, ZONE};
+use crate::outcome::Outcome;
+use crate::runtime::block_on;
+use crate::traces::{self, Traffic};
 use rowanglade_replay::Replay;
 use rowanglade_test_fleet::{Endpoint, EndpointState, StubSite, StubTarget, TargetFault, TargetPlan};
 use std::path::Path;
@@ -11,7 +15,7 @@
 pub fn experiments() -> Vec<Experiment> {
     let about =
         "a site of four boxes falls silent under load and returns cold: each box by itself, against [sites]";
-    vec![Experiment { name: "site-loss", about, run: Run::Plain(loss) }]
+    vec![Experiment { name: "site-loss", about, runner: Runner::Plain(loss) }]
 }
 
 const SEED: u64 = 11;
@@ -73,17 +77,18 @@
         warm_within: Duration::from_secs_f64(WARM_WITHIN),
         queue_capacity: 512,
         slots: 4,
-        ..world::plan(4, 6, 8)
+        ..initiators::target_plan(4, 6, 8)
     };
     let site = StubSite::start(&vec![plan; FAR.end], ZONE, SEED).await?;
     for (place, each) in site.targets.iter().enumerate() {
         site.discovery.upsert(entry(each, place));
     }
-    let daemons = world::shaped(&site, &world::header(), INSTANCES, |_, start| {
-        start.settings["azs"] = serde_json::json!([ZONE, "negril"]);
-        start.settings["rules"]["warm-within"] = ((WARM_WITHIN * 1e6) as u64).into();
-        start.operator = judged.then(|| "[sites]\nhold_ms = 3000\n".to_string());
-    })?;
+    let daemons =
+        initiators::start_daemons_with(&site, &traces::standard_header(), INSTANCES, |_, start| {
+            start.settings["azs"] = serde_json::json!([ZONE, "negril"]);
+            start.settings["rules"]["warm-within"] = ((WARM_WITHIN * 1e6) as u64).into();
+            start.operator = judged.then(|| "[sites]\nhold_ms = 3000\n".to_string());
+        })?;
     let boxes = site.targets.clone();
     let faults = async move {
         // The first request is the beginning.
@@ -101,8 +106,8 @@
         }
         Ok::<_, Failure>(begun)
     };
-    let ask = Replay { retries: false, ..Replay::to(world::addresses(&daemons)) };
-    let (report, begun) = tokio::join!(world::run(trace, &ask), faults);
+    let ask = Replay { retries: false, ..Replay::to(initiators::addresses(&daemons)) };
+    let (report, begun) = tokio::join!(traces::replay_all(trace, &ask), faults);
     let (report, begun) = (report?, begun?);
 
     let seen = |places: std::ops::Range<usize>| -> Vec<Vec<f64>> {
@@ -160,7 +165,7 @@
             hosts: INSTANCES as u32,
             seed: SEED,
         };
-        world::make(&trace, shape)?;
+        traces::generate(&trace, shape)?;
         let mut out = Outcome::default();
         let mut rounds = Vec::new();
         for (judged, name) in [(false, "each box by itself"), (true, "[sites]")] {
@@ -184,7 +189,7 @@
             out.plot(format!("{name}: part served, by second"), vec![("served", round.served.clone())]);
             rounds.push(round);
         }
-        let [alone, judged] = rounds.as_slice() else { return Err("two rounds".into()) };
+        let [alone, judged] = rounds.as_slice() else { return Err(Failure::Unexpected("two rounds")) };
         out.claim("each request has one last word", alone.wordless + judged.wordless == 0.0);
         out.claim("a lost site is sent a tenth as much in vain", judged.in_vain * 10.0 <= alone.in_vain);
         out.claim("what returns gets no more than cold boxes bear", judged.worst <= 1.0);
--- /dev/null
+++ b/crates/lab/src/soak/mod.rs
@@ -0,0 +1,114 @@
+//! A seeded soak: real processes under faults that a seed draws, and the checker's word on what they did.
+//!
+//! Each seed draws the size of the fleet, the number of targets, the traffic, and a list of faults with their
+//! times. A seed that breaks a rule prints its timeline and is played again with one fault left out at a
+//! time, until no fault can be left out: what is left is the least that shows the breach.
+
+mod event;
+mod plan;
+mod play;
+
+use crate::experiment::{Experiment, Runner, Seeds};
+use crate::failure::Failure;
+use crate::outcome::Outcome;
+use crate::runtime::block_on;
+use plan::SoakPlan;
+use play::{Play, play};
+use rowanglade_test_fleet::RequestCounts;
+use std::collections::BTreeMap;
+
+/// The seeds of the short run.
+const SHORT_RUN: std::ops::RangeInclusive<u64> = 1..=4;
+/// A seed that fails is played again at most so often to find the least that shows it.
+const MAX_REPLAYS: usize = 8;
+
+pub fn experiments() -> Vec<Experiment> {
+    let about = "real processes under seeded faults of system calls, targets, discovery, signals and crowds";
+    vec![Experiment { name: "soak", about, runner: Runner::Seeded(soak) }]
+}
+
+/// Leaves faults out of a plan that failed for as long as it fails without them.
+fn shrink(plan: &SoakPlan) -> Result<SoakPlan, Failure> {
+    let mut least = plan.clone();
+    let (mut index, mut replays) = (0, 0);
+    while replays < MAX_REPLAYS
+        && let Some(smaller) = least.without(index)
+    {
+        replays += 1;
+        let played = block_on(play(&smaller))?;
+        match played.breaches.is_empty() && played.crashed == 0 {
+            true => index += 1,
+            false => least = smaller,
+        }
+    }
+    Ok(least)
+}
+
+fn soak(seeds: &Seeds) -> Result<Outcome, Failure> {
+    let mut out = Outcome::default();
+    let started_at = std::time::Instant::now();
+    let (mut played, mut failed) = (0u32, 0u32);
+    let mut kinds: BTreeMap<String, u64> = BTreeMap::new();
+    let mut events: BTreeMap<String, u64> = BTreeMap::new();
+    let mut counts = RequestCounts::default();
+    for seed in seeds.range.clone().unwrap_or(SHORT_RUN) {
+        if started_at.elapsed() > seeds.time_limit {
+            out.claim(format!("seed {seed} and those behind it are not played: the time is up"), false);
+            break;
+        }
+        let mut plan = SoakPlan::draw(seed);
+        if seeds.range.is_none() {
+            plan.remove_hold_ups();
+        }
+        let result = block_on(play(&plan))?;
+        played += 1;
+        counts = counts.merge(result.counts);
+        for (kind, count) in &result.injected {
+            *kinds.entry(kind.clone()).or_default() += count;
+        }
+        for (_, event) in &plan.events {
+            *events.entry(event.kind()).or_default() += 1;
+        }
+        eprintln!(
+            "  seed {seed}: {} processes, {} targets, {:?}, {} breaches, {} crashed, rig stalled {} times",
+            plan.processes,
+            plan.targets,
+            result.counts,
+            result.breaches.len(),
+            result.crashed,
+            result.stalls
+        );
+        if result.breaches.is_empty() && result.crashed == 0 {
+            continue;
+        }
+        failed += 1;
+        report(&plan, &result);
+        out.claim(format!("seed {seed} breaks no rule"), false);
+        if seeds.range.is_some() {
+            let least = shrink(&plan)?;
+            eprintln!("  seed {seed}, least: calls {:?}, events {:?}", least.calls, least.events);
+        }
+    }
+    out.figure("seeds played", f64::from(played), "");
+    out.figure("seeds with a breach", f64::from(failed), "");
+    out.figure("requests", counts.sent as f64, "");
+    out.figure("share served", counts.share_served(), "");
+    for (kind, count) in kinds.iter().chain(&events) {
+        out.figure(format!("injected: {kind}"), *count as f64, "");
+    }
+    out.claim("system calls failed", !kinds.is_empty());
+    out.claim("no seed breaks a rule", failed == 0);
+    Ok(out)
+}
+
+/// The timeline of a play that failed, and how to play it again.
+fn report(plan: &SoakPlan, play: &Play) {
+    eprintln!("  seed {}: again with `run soak --seeds {}..{}`", plan.seed, plan.seed, plan.seed);
+    eprintln!(
+        "    share {:?}, clients that leave {}, calls {:?}",
+        plan.core_share, plan.disconnect_share, plan.calls
+    );
+    play.timeline.iter().for_each(|line| eprintln!("    {line}"));
+    play.breaches.iter().take(10).for_each(|breach| eprintln!("    {breach}"));
+    play.warnings.iter().rev().take(15).rev().for_each(|line| eprintln!("    {line}"));
+}
--- /dev/null
+++ b/crates/lab/src/soak/plan.rs
@@ -0,0 +1,109 @@
+//! What a seed of the soak draws.
+
+use super::event::Event;
+use rand::seq::IndexedRandom;
+use rand::{Rng, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+use std::time::Duration;
+
+/// What a seed draws.
+#[derive(Clone, Debug)]
+pub struct SoakPlan {
+    /// The seed.
+    pub seed: u64,
+    /// How many initiators there are.
+    pub processes: usize,
+    /// How many targets there are.
+    pub targets: usize,
+    /// The share of a core that each process has; none: as the machine gives.
+    pub core_share: Option<f64>,
+    /// The part of requests whose client disconnects early.
+    pub disconnect_share: f64,
+    /// Faults of system calls, as the shim reads them.
+    pub calls: Vec<String>,
+    /// Other faults, with their times from the start.
+    pub events: Vec<(Duration, Event)>,
+}
+
+/// The kinds of system-call faults that a seed draws from. Each has its rate and the time in which it comes.
+const CALLS: [&str; 16] = [
+    "accept4:ECONNABORTED:0.2",
+    "accept4:ENETUNREACH:0.1",
+    "accept4:EMFILE:0.05:2000-4000",
+    "accept4:ENFILE:0.05:2000-4000",
+    "accept4:ENOBUFS:0.05:2000-4000",
+    "socket:ENOBUFS:0.02",
+    "connect:EADDRNOTAVAIL:0.05",
+    "connect:ENETUNREACH:0.05",
+    "connect:ETIMEDOUT:0.02",
+    "recv:ETIMEDOUT:0.01",
+    "recv:EHOSTUNREACH:0.01",
+    "recv:short:0.2",
+    "send:EPIPE:0.01",
+    "send:short:0.1",
+    "epoll_wait:EINTR:0.05",
+    "epoll_wait:late=100:0.01",
+];
+
+/// Steps of the wall clock while a process runs.
+const CLOCK_STEPS: [&str; 4] = [
+    "clock:step=3600000:1:3000-60000",
+    "clock:step=-3600000:1:3000-60000",
+    "clock:step=5000:1:2000-60000",
+    "clock:step=-5000:1:2000-60000",
+];
+
+impl SoakPlan {
+    /// Draws what a seed has.
+    pub fn draw(seed: u64) -> SoakPlan {
+        let mut random = Pcg64Mcg::seed_from_u64(seed);
+        let random = &mut random;
+        let processes = random.random_range(2..=6);
+        let targets = *[10, 40, 200, 800, 3_200].choose(random).unwrap_or(&40);
+        let count = random.random_range(2..=5);
+        let mut calls: Vec<String> =
+            CALLS.choose_multiple(random, count).map(|call| (*call).to_string()).collect();
+        if random.random_bool(0.5) {
+            calls.extend(CLOCK_STEPS.choose(random).map(|step| (*step).to_string()));
+        }
+        let core_share = random.random_bool(0.3).then_some(0.3);
+        if core_share.is_some() {
+            // A process that waits for its share is held up already; the rules allow for 0.15 s in all.
+            calls.retain(|call| !call.contains("late="));
+        }
+        let count = random.random_range(3..=6);
+        let mut events: Vec<(Duration, Event)> = (0..count)
+            .map(|_| (Duration::from_millis(random.random_range(500..7_000)), Event::draw(random, processes)))
+            .collect();
+        events.sort_by_key(|(at, _)| *at);
+        SoakPlan {
+            seed,
+            processes,
+            targets,
+            core_share,
+            disconnect_share: if random.random_bool(0.5) { 0.1 } else { 0.0 },
+            calls,
+            events,
+        }
+    }
+
+    /// Leaves out what holds processes up. The short run has to give the same verdict on a machine that is
+    /// busy, which holds them up by itself.
+    pub fn remove_hold_ups(&mut self) {
+        self.core_share = None;
+        self.calls.retain(|call| !call.contains("late="));
+    }
+
+    /// The plan with one of its faults left out; none: it has no such fault.
+    pub fn without(&self, index: usize) -> Option<SoakPlan> {
+        let mut plan = self.clone();
+        if index < plan.calls.len() {
+            plan.calls.remove(index);
+        } else if index - plan.calls.len() < plan.events.len() {
+            plan.events.remove(index - plan.calls.len());
+        } else {
+            return None;
+        }
+        Some(plan)
+    }
+}
--- /dev/null
+++ b/crates/lab/src/soak/play.rs
@@ -0,0 +1,205 @@
+//! Plays what a seed has drawn, with real processes.
+
+use super::event::Event;
+use super::plan::SoakPlan;
+use crate::failure::Failure;
+use crate::initiators::ZONE;
+use crate::traces::standard_header;
+use rowanglade_checker::{Breach, Rules, check};
+use rowanglade_fault_shim::{COUNTS, VARIABLE};
+use rowanglade_test_fleet::{
+    DaemonPlan, DiscoveryFault, Fleet, FleetPlan, LoadPlan, RequestCounts, Signal, TargetFault, TargetPlan,
+    settings, usual_classes,
+};
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+use tokio::net::TcpStream;
+use tokio::time::{Instant, sleep, sleep_until};
+
+/// How long clients send requests.
+const PLAY: Duration = Duration::from_secs(9);
+/// How long after its drain a target may be sent new work, in microseconds.
+const GRACE: u64 = 1_000_000;
+/// SIGKILL comes this long after SIGTERM at the earliest: the longest deadline, counted as 3 s at most, and
+/// 0.7 s.
+const EARLIEST_KILL: Duration = Duration::from_millis(3_700);
+/// The file name of the shim's library.
+const LIBRARY: &str = "librowanglade_fault_shim.so";
+/// Connections of a crowd.
+const IDLE_CLIENTS: usize = 400;
+
+/// Where the shim's library lies: beside this program's own parts.
+fn library() -> Result<PathBuf, Failure> {
+    let program = std::env::current_exe()?;
+    let folder = program.parent().ok_or(Failure::Unexpected("the program lies in no folder"))?;
+    let path = folder.join("deps").join(LIBRARY);
+    if path.exists() { Ok(path) } else { Err(Failure::NotBuilt(path)) }
+}
+
+fn fleet_plan(plan: &SoakPlan, counts: &Path) -> Result<FleetPlan, Failure> {
+    let library = library()?.display().to_string();
+    let faults = format!("seed={};{}", plan.seed, plan.calls.join(";"));
+    let env = vec![
+        ("LD_PRELOAD".to_string(), library),
+        (VARIABLE.to_string(), faults),
+        (COUNTS.to_string(), counts.display().to_string()),
+    ];
+    Ok(FleetPlan {
+        daemon: DaemonPlan {
+            name: String::new(),
+            program: std::env::current_exe()?,
+            args: vec!["rowanglade".into()],
+            settings: settings(&standard_header(), plan.processes, ZONE, plan.targets),
+            discovery: SocketAddr::from(([127, 0, 0, 1], 9)),
+            sockets: 512,
+            memory_mb: 192,
+            operator: None,
+            handover: None,
+            env,
+        },
+        zone: ZONE.to_string(),
+        processes: plan.processes,
+        targets: plan.targets,
+        target: TargetPlan { default_service_time: Duration::from_millis(20), ..TargetPlan::default() },
+        load: LoadPlan {
+            rate: 15.0,
+            classes: usual_classes(),
+            plan: "full",
+            volumes: Vec::new(),
+            units: 2.0,
+            hosts: 1,
+            disconnect_share: plan.disconnect_share,
+        },
+        volumes: 6,
+        shards_of_volume: 4,
+        core_share: plan.core_share,
+        peers: true,
+        seed: plan.seed,
+    })
+}
+
+/// What a play showed.
+pub struct Play {
+    /// What became of all requests.
+    pub counts: RequestCounts,
+    /// Rules that were broken.
+    pub breaches: Vec<Breach>,
+    /// How many processes ended by themselves.
+    pub crashed: usize,
+    /// How often the rig itself stood still.
+    pub stalls: usize,
+    /// Injected faults of system calls, by kind.
+    pub injected: BTreeMap<String, u64>,
+    /// When each event came.
+    pub timeline: Vec<String>,
+    /// Warnings in the processes' logs.
+    pub warnings: Vec<String>,
+}
+
+/// Plays a plan.
+///
+/// # Errors
+/// The fleet cannot be started, or a process that is started anew does not serve.
+pub async fn play(plan: &SoakPlan) -> Result<Play, Failure> {
+    let folder = tempfile::tempdir()?;
+    let counts_file = folder.path().join("counts");
+    let mut fleet = Fleet::start(fleet_plan(plan, &counts_file)?).await?;
+    let started_at = Instant::now();
+    let mut timeline = Vec::new();
+    let mut draining: Vec<Vec<String>> = Vec::new();
+    let mut crowd: Vec<TcpStream> = Vec::new();
+    for (at, event) in &plan.events {
+        sleep_until(started_at + *at).await;
+        timeline.push(format!("{:>8} us {event:?}", fleet.recorder.now()));
+        carry_out(&mut fleet, event, plan.targets, &mut draining, &mut crowd).await?;
+    }
+    sleep_until(started_at + PLAY).await;
+    fleet.discovery.inject(DiscoveryFault::None);
+    fleet.settle().await;
+    let crashed = fleet.crashes();
+    Ok(Play {
+        counts: fleet.counts(),
+        breaches: check(&fleet.history(), &Rules::with_grace(GRACE)),
+        crashed,
+        stalls: fleet.history().stalls.len(),
+        injected: read_counts(folder.path()),
+        timeline,
+        warnings: fleet.warnings(),
+    })
+}
+
+async fn carry_out(
+    fleet: &mut Fleet,
+    event: &Event,
+    targets: usize,
+    draining: &mut Vec<Vec<String>>,
+    crowd: &mut Vec<TcpStream>,
+) -> Result<(), Failure> {
+    match event {
+        Event::Release { part } => {
+            draining.push(fleet.replace((targets as f64 * part) as usize + 1).await?);
+            if draining.len() > 1 {
+                fleet.remove(&draining.remove(0));
+            }
+        }
+        Event::Outage { fault, span } => {
+            let (discovery, span) = (fleet.discovery.clone(), *span);
+            discovery.inject(*fault);
+            tokio::task::spawn_local(async move {
+                sleep(span).await;
+                discovery.inject(DiscoveryFault::None);
+            });
+        }
+        Event::Targets { part, kind, span } => {
+            let bad = fleet.draw_active((targets as f64 * part) as usize + 1);
+            bad.iter().for_each(|target| target.inject(kind.fault()));
+            let span = *span;
+            tokio::task::spawn_local(async move {
+                sleep(span).await;
+                bad.iter().for_each(|target| target.inject(TargetFault::default()));
+            });
+        }
+        Event::Terminate { process, twice, hangup } => {
+            if *hangup {
+                fleet.signal(*process, Signal::SIGHUP)?;
+            }
+            if *twice {
+                fleet.signal(*process, Signal::SIGTERM)?;
+            }
+            fleet.restart(*process, Signal::SIGTERM, EARLIEST_KILL).await?;
+        }
+        Event::Kill { process } => fleet.restart(*process, Signal::SIGKILL, Duration::ZERO).await?,
+        Event::Reload { process, times } => {
+            for _ in 0..*times {
+                fleet.signal(*process, Signal::SIGHUP)?;
+                sleep(Duration::from_millis(50)).await;
+            }
+        }
+        Event::Crowd { process } => {
+            let addr = fleet.members[*process].daemon.http;
+            fleet.recorder.crowd(fleet.members[*process].process);
+            for _ in 0..IDLE_CLIENTS {
+                // One that is not let in is part of the crowd too.
+                let connected =
+                    tokio::time::timeout(Duration::from_millis(20), TcpStream::connect(addr)).await;
+                crowd.extend(connected.ok().and_then(Result::ok));
+            }
+        }
+    }
+    Ok(())
+}
+
+/// The shim's counts of all processes. A process writes its file every so many faults, and none where there
+/// was no fault.
+fn read_counts(folder: &Path) -> BTreeMap<String, u64> {
+    let mut counts: BTreeMap<String, u64> = BTreeMap::new();
+    let files = std::fs::read_dir(folder).into_iter().flatten().flatten();
+    for text in files.filter_map(|file| std::fs::read_to_string(file.path()).ok()) {
+        for (name, count) in text.lines().filter_map(|line| line.rsplit_once(' ')) {
+            *counts.entry(name.to_string()).or_default() += count.parse::<u64>().unwrap_or(0);
+        }
+    }
+    counts
+}
--- a/crates/lab/src/subsets.rs
+++ b/crates/lab/src/subsets.rs
@@ -1,7 +1,11 @@
 //! Where many instances place new objects: each by itself, against subsets.
 
-use crate::outcome::{Experiment, Failure, Outcome, Run};
-use crate::world::{self, Traffic, ZONE, block_on};
+use crate::experiment::{Experiment, Runner};
+use crate::failure::Failure;
+use crate::initiators::{self, ZONE};
+use crate::outcome::Outcome;
+use crate::runtime::block_on;
+use crate::traces::{self, Traffic};
 use rowanglade_replay::{Replay, pick};
 use rowanglade_subset::{Rule, difference, table};
 use rowanglade_test_fleet::{StubSite, TargetPlan};
@@ -10,7 +14,7 @@
 
 pub fn experiments() -> Vec<Experiment> {
     let about = "4 to 48 instances place new objects at 24 boxes: each by itself, against [subset]";
-    vec![Experiment { name: "subsets", about, run: Run::Plain(place) }]
+    vec![Experiment { name: "subsets", about, runner: Runner::Plain(place) }]
 }
 
 const SEED: u64 = 5;
@@ -46,15 +50,20 @@
         queue_capacity: 512,
         slots: 4,
         // A sixth of them is faster: whoever looks for the fastest finds these.
-        ..if place.is_multiple_of(6) { world::plan(2, 3, 4) } else { world::plan(4, 6, 8) }
+        ..if place.is_multiple_of(6) {
+            initiators::target_plan(2, 3, 4)
+        } else {
+            initiators::target_plan(4, 6, 8)
+        }
     };
     let plans: Vec<TargetPlan> = (0..BOXES).map(plan).collect();
     let site = StubSite::start(&plans, ZONE, SEED).await?;
     let table = format!("[subset]\nsize = {}\nspread = {}\n", RULE.size, RULE.spread);
-    let daemons =
-        world::daemons(&site, &world::header(), instances as usize, |_| preferred.then(|| table.clone()))?;
-    let ask = Replay { retries: false, seed: SEED, ..Replay::to(world::addresses(&daemons)) };
-    let report = world::run(trace, &ask).await?;
+    let daemons = initiators::start_daemons(&site, &traces::standard_header(), instances as usize, |_| {
+        preferred.then(|| table.clone())
+    })?;
+    let ask = Replay { retries: false, seed: SEED, ..Replay::to(initiators::addresses(&daemons)) };
+    let report = traces::replay_all(trace, &ask).await?;
     let (total, deposits) = (report.total(), report.classes.get("deposit"));
     let mut pairs = BTreeSet::new();
     let mut got = Vec::new();
@@ -63,7 +72,7 @@
         got.push(seen.len() as f64);
         for (_, target) in seen {
             let volume = target.split('/').nth(2).and_then(|v| u64::from_str_radix(v, 16).ok());
-            let volume = volume.ok_or("a target without its volume")?;
+            let volume = volume.ok_or(Failure::Unexpected("a target without its volume"))?;
             let of = pick::set(SEED, volume, 1, instances as usize);
             pairs.insert((of.first().copied().unwrap_or(0), place));
         }
@@ -106,7 +115,7 @@
         let trace = folder.path().join("made.trace");
         let shape =
             Traffic { rate: RATE, seconds: SECONDS, volumes: VOLUMES, shards: 0, hosts: 1, seed: SEED };
-        world::make(&trace, shape)?;
+        traces::generate(&trace, shape)?;
         let mut out = Outcome::default();
         let mut lines: [Vec<Vec<(f64, f64)>>; 2] = [vec![Vec::new(); 2], vec![Vec::new(); 2]];
         let (mut fewer, mut within, mut served) = (true, true, true);
@@ -125,7 +134,7 @@
                 lines[which][1].push((f64::from(instances), round.even));
                 rounds.push(round);
             }
-            let [alone, subset] = rounds.as_slice() else { return Err("two rounds".into()) };
+            let [alone, subset] = rounds.as_slice() else { return Err(Failure::Unexpected("two rounds")) };
             let (_, most) = RULE.bounds(instances, BOXES);
             fewer &= subset.boxes <= RULE.size as f64;
             within &= subset.most <= (most + 1) as f64;
--- a/crates/lab/src/upgrade.rs
+++ b/crates/lab/src/upgrade.rs
@@ -1,7 +1,11 @@
 //! The process is replaced under load, twice.
 
-use crate::outcome::{Experiment, Failure, Outcome, Run};
-use crate::world::{self, ZONE, block_on};
+use crate::experiment::{Experiment, Runner};
+use crate::failure::Failure;
+use crate::initiators::{self, ZONE};
+use crate::outcome::Outcome;
+use crate::runtime::block_on;
+use crate::traces;
 use rowanglade_capture::{Record, TraceWriter};
 use rowanglade_replay::Replay;
 use rowanglade_test_fleet::{Daemon, DaemonPlan, HandoverPaths, Signal, StubSite, TargetPlan, settings};
@@ -16,7 +20,7 @@
 pub fn experiments() -> Vec<Experiment> {
     let about =
         "the process replaced twice under load: requests lost, units over the limit, what both take up";
-    vec![Experiment { name: "replace", about, run: Run::Plain(replace) }]
+    vec![Experiment { name: "replace", about, runner: Runner::Plain(replace) }]
 }
 
 const SECONDS: f64 = 12.0;
@@ -27,7 +31,7 @@
 
 /// Requests of many volumes without a limit, a write among four, and of one that asks for twice its limit.
 fn make(path: &Path) -> Result<u64, Failure> {
-    let mut writer = TraceWriter::create(path, &world::header())?;
+    let mut writer = TraceWriter::create(path, &traces::standard_header())?;
     let rate = 220.0;
     for i in 0..(rate * SECONDS) as u64 {
         let limited = i % 11 < 3;
@@ -62,7 +66,7 @@
         }
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    Err("it does not get ready".into())
+    Err(Failure::Unexpected("it does not get ready"))
 }
 
 /// Descriptors that a process holds.
@@ -83,14 +87,14 @@
         let trace = folder.path().join("made.trace");
         make(&trace)?;
         let remember = |plan| TargetPlan { keeps_requests: true, ..plan };
-        let plans = [remember(world::plan(2, 3, 5)), remember(world::plan(2, 3, 5))];
+        let plans = [remember(initiators::target_plan(2, 3, 5)), remember(initiators::target_plan(2, 3, 5))];
         let site = StubSite::start(&plans, ZONE, 5).await?;
         let start = |listen: Option<SocketAddr>| -> Result<Daemon, Failure> {
             Ok(Daemon::start(&DaemonPlan {
                 name: "lab".into(),
                 program: std::env::current_exe()?,
                 args: vec!["rowanglade".into()],
-                settings: settings(&world::header(), 1, ZONE, 2),
+                settings: settings(&traces::standard_header(), 1, ZONE, 2),
                 discovery: site.discovery.addr(),
                 sockets: SOCKETS,
                 memory_mb: 192,
@@ -102,7 +106,7 @@
         let born = tokio::time::Instant::now();
         let first = start(None)?;
         let addr = first.http;
-        healthy(first.admin.ok_or("nobody answers operators")?).await?;
+        healthy(first.admin.ok_or(Failure::Unexpected("nobody answers operators"))?).await?;
         let processes = Rc::new(RefCell::new(vec![first.pid()]));
         let peak = Rc::new(Cell::new((0, 0)));
         let watch = {
@@ -125,7 +129,7 @@
                 let begun = tokio::time::Instant::now();
                 let next = start(Some(addr))?;
                 processes.borrow_mut().push(next.pid());
-                healthy(next.admin.ok_or("nobody answers operators")?).await?;
+                healthy(next.admin.ok_or(Failure::Unexpected("nobody answers operators"))?).await?;
                 took.push(begun.elapsed().as_secs_f64() * 1e3);
                 serving.signal(Signal::SIGTERM)?;
                 for _ in 0..500 {
@@ -141,7 +145,7 @@
             Ok::<_, Failure>((took, ended, serving))
         };
         let ask = Replay { retries: false, ..Replay::to(vec![addr]) };
-        let (report, replaced) = tokio::join!(world::run(&trace, &ask), replacing);
+        let (report, replaced) = tokio::join!(traces::replay_all(&trace, &ask), replacing);
         let (report, (took, ended, _serving)) = (report?, replaced?);
         watch.abort();
 
