--- a/crates/lab/src/scale/lists.rs
+++ b/crates/lab/src/scale/lists.rs
@@ -10,7 +10,7 @@
     Outcome, PlanId, RequestId, RequestProfile, ShardId, TargetId, TargetState, VolumeId, ZoneId,
 };
 use rowanglade::names::Names;
-use rowanglade::net::http::Page;
+use rowanglade::net::http::EndpointPage;
 use rowanglade::scheduler::Scheduler;
 use rowanglade::settings::Settings;
 use rowanglade_subset::{Rule, Subset};
@@ -49,15 +49,15 @@
 
 /// A whole list, read from its JSON.
 pub fn decode(size: Size) -> Result<Cost, Failure> {
-    let text = serde_json::to_vec(&Page::of(lines(size.targets)))?;
-    serde_json::from_slice::<Page>(&text)?;
-    let cost = measure(RUNS, || serde_json::from_slice::<Page>(&text));
+    let text = serde_json::to_vec(&EndpointPage::snapshot(lines(size.targets)))?;
+    serde_json::from_slice::<EndpointPage>(&text)?;
+    let cost = measure(RUNS, || serde_json::from_slice::<EndpointPage>(&text));
     Ok(Cost { wire: text.len() as f64, ..cost })
 }
 
 /// A whole list, written as JSON: the least that whoever serves it spends on each reader.
 pub fn encode(size: Size) -> Result<Cost, Failure> {
-    let page = Page::of(lines(size.targets));
+    let page = EndpointPage::snapshot(lines(size.targets));
     let text = serde_json::to_vec(&page)?;
     let cost = measure(RUNS, || serde_json::to_vec(&page));
     Ok(Cost { wire: text.len() as f64, ..cost })
@@ -157,7 +157,7 @@
             let (after, event) = match action {
                 Action::SetTimer { token, after } => (after, Event::TimerFired { token }),
                 Action::StartAttempt { id, target: node, .. } => {
-                    scheduler.settle(now, id, true);
+                    scheduler.commit_reserved(now, id);
                     (SERVED_IN, answered(id, node))
                 }
                 Action::Reject { .. } | Action::Fail { .. } => {
@@ -180,8 +180,8 @@
         outcome: Outcome::Served,
         elapsed: SERVED_IN,
         request_over: true,
-        used: None,
-        elsewhere: 0.0,
+        used_fraction: None,
+        units_elsewhere: 0.0,
         load: LoadReport::default(),
     }
 }
@@ -223,14 +223,22 @@
         let (calls, _calls) = mpsc::channel(1);
         let (seen, _seen) = mpsc::channel(1);
         let subset = subset.map(|rule| Subset::new(rule, 0, size.instances));
-        let beside =
-            CoreDependencies { table, fleet: None, operations, upgrades, calls, seen, sites: None, subset };
+        let beside = CoreDependencies {
+            routes: table,
+            quota: None,
+            admin_requests: operations,
+            handover_requests: upgrades,
+            admin_commands: calls,
+            object_sightings: seen,
+            sites: None,
+            subset,
+        };
         let connect = Box::new(|_: &Endpoint| mpsc::channel(1).0);
         let core = Core::new(scheduler, names, Clock::start(), inbox, connect, beside);
         tokio::task::spawn_local(core.run());
         let mut listed = handle.endpoint_revision();
         let entries = lines(size.targets);
-        let whole = Message::list(Protocol::Http, EndpointUpdateKind::Snapshot, entries);
+        let whole = Message::endpoints(Protocol::Http, EndpointUpdateKind::Snapshot, entries);
         let memory = super::cost::allocated();
         handle.send(whole).await;
         listed.changed().await?;
@@ -244,7 +252,7 @@
             entry.started = Some(1_000_000 * change as u64);
             // One that had left comes back: the subset hears of it too.
             entry.state = if change % 2 == 0 { TargetState::Draining } else { TargetState::Active };
-            let news = Message::list(Protocol::Http, EndpointUpdateKind::Delta, vec![entry]);
+            let news = Message::endpoints(Protocol::Http, EndpointUpdateKind::Delta, vec![entry]);
             handle.send(news).await;
             listed.changed().await?;
         }
--- a/src/bin/simulator-adapter/wire.rs
+++ b/src/bin/simulator-adapter/wire.rs
@@ -187,7 +187,7 @@
                     .unwrap_or_default()
                     .into_iter()
                     .map(|r| api::EndpointEntry {
-                        target: names.listed(&r.store),
+                        target: names.intern_target(&r.store),
                         shard: ShardId(r.bay.max(0) as u32),
                         zone: names.zone(r.hall.as_deref().unwrap_or_default()),
                         state: match r.state.as_str() {
@@ -218,8 +218,8 @@
                 outcome: outcome(&r.state_code),
                 elapsed: r.delay_seen,
                 request_over: r.last,
-                used: r.metered.filter(|m| *m > 0.0).map(|m| (m - 1.0) / 100.0),
-                elsewhere: r.others_got.unwrap_or(0.0),
+                used_fraction: r.metered.filter(|m| *m > 0.0).map(|m| (m - 1.0) / 100.0),
+                units_elsewhere: r.others_got.unwrap_or(0.0),
                 load: load(r.metrics, names),
             },
             Event::FirstByte(f) => api::Event::TransferStarted {
