--- a/crates/lab/src/sites.rs
+++ b/crates/lab/src/sites.rs
@@ -1,9 +1,13 @@
 //! A whole site is lost under load, and returns.
 
-use crate::outcome::{Experiment, Failure, Outcome, Run};
-use crate::world::{self, Traffic, ZONE, block_on};
+use crate::experiment::{Experiment, Runner};
+use crate::failure::Failure;
+use crate::initiators::{self, ZONE};
+use crate::outcome::Outcome;
+use crate::runtime::block_on;
+use crate::traces::{self, Traffic};
 use rowanglade_replay::Replay;
-use rowanglade_test_fleet::{BoxPlan, DiskBox, Entry, Fault, Site, State};
+use rowanglade_test_fleet::{Endpoint, EndpointState, StubSite, StubTarget, TargetFault, TargetPlan};
 use std::path::Path;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -11,7 +15,7 @@
 pub fn experiments() -> Vec<Experiment> {
     let about =
         "a site of four boxes falls silent under load and returns cold: each box by itself, against [sites]";
-    vec![Experiment { name: "site-loss", about, run: Run::Plain(loss) }]
+    vec![Experiment { name: "site-loss", about, runner: Runner::Plain(loss) }]
 }
 
 const SEED: u64 = 11;
@@ -35,9 +39,9 @@
 const MULTIPLE: f64 = 2.5;
 const RESERVE: f64 = 4.0;
 
-fn entry(each: &DiskBox, place: usize) -> Entry {
+fn entry(each: &StubTarget, place: usize) -> Endpoint {
     let zone = if FAR.contains(&place) { "negril" } else { ZONE };
-    Entry { zone: Some(zone.into()), ..Entry::of(each, State::Active) }
+    Endpoint { zone: Some(zone.into()), ..Endpoint::of(each, EndpointState::Active) }
 }
 
 /// Units that a box that returned at 0 bears in the window that begins then, if the rule on cold boxes is
@@ -67,49 +71,50 @@
 }
 
 async fn round(trace: &Path, judged: bool) -> Result<Round, Failure> {
-    let plan = BoxPlan {
-        remember: true,
-        cold_from: COLD_FROM,
+    let plan = TargetPlan {
+        keeps_requests: true,
+        initial_capacity: COLD_FROM,
         warm_within: Duration::from_secs_f64(WARM_WITHIN),
-        room: 512,
+        queue_capacity: 512,
         slots: 4,
-        ..world::plan(4, 6, 8)
+        ..initiators::target_plan(4, 6, 8)
     };
-    let site = Site::start(&vec![plan; FAR.end], ZONE, SEED).await?;
-    for (place, each) in site.boxes.iter().enumerate() {
-        site.discovery.put(entry(each, place));
+    let site = StubSite::start(&vec![plan; FAR.end], ZONE, SEED).await?;
+    for (place, each) in site.targets.iter().enumerate() {
+        site.discovery.upsert(entry(each, place));
     }
-    let daemons = world::shaped(&site, &world::header(), INSTANCES, |_, start| {
-        start.settings["azs"] = serde_json::json!([ZONE, "negril"]);
-        start.settings["rules"]["warm-within"] = ((WARM_WITHIN * 1e6) as u64).into();
-        start.operator = judged.then(|| "[sites]\nhold_ms = 3000\n".to_string());
-    })?;
-    let boxes = site.boxes.clone();
+    let daemons =
+        initiators::start_daemons_with(&site, &traces::standard_header(), INSTANCES, |_, start| {
+            start.settings["azs"] = serde_json::json!([ZONE, "negril"]);
+            start.settings["rules"]["warm-within"] = ((WARM_WITHIN * 1e6) as u64).into();
+            start.operator = judged.then(|| "[sites]\nhold_ms = 3000\n".to_string());
+        })?;
+    let boxes = site.targets.clone();
     let faults = async move {
         // The first request is the beginning.
-        while boxes.iter().all(|b| b.counters().taken == 0) {
+        while boxes.iter().all(|b| b.counters().received == 0) {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         let begun = Instant::now();
         tokio::time::sleep_until(begun + Duration::from_secs_f64(GONE)).await;
-        FAR.for_each(|place| boxes[place].misbehave(Fault { silent: true, ..Fault::default() }));
+        FAR.for_each(|place| boxes[place].inject(TargetFault { silent: true, ..TargetFault::default() }));
         tokio::time::sleep_until(begun + Duration::from_secs_f64(BACK)).await;
         // Its processes were started again; the list does not know.
         for place in FAR {
-            boxes[place].misbehave(Fault::default());
+            boxes[place].inject(TargetFault::default());
             boxes[place].restart().await?;
         }
         Ok::<_, Failure>(begun)
     };
-    let ask = Replay { retries: false, ..Replay::to(world::addresses(&daemons)) };
-    let (report, begun) = tokio::join!(world::run(trace, &ask), faults);
+    let ask = Replay { retries: false, ..Replay::to(initiators::addresses(&daemons)) };
+    let (report, begun) = tokio::join!(traces::replay_all(trace, &ask), faults);
     let (report, begun) = (report?, begun?);
 
     let seen = |places: std::ops::Range<usize>| -> Vec<Vec<f64>> {
-        let times = |b: &DiskBox| {
-            b.seen().iter().map(|(at, _)| at.duration_since(begun).as_secs_f64()).collect::<Vec<f64>>()
+        let times = |b: &StubTarget| {
+            b.received().iter().map(|(at, _)| at.duration_since(begun).as_secs_f64()).collect::<Vec<f64>>()
         };
-        places.map(|place| times(&site.boxes[place])).collect()
+        places.map(|place| times(&site.targets[place])).collect()
     };
     let per_second = |all: &[Vec<f64>]| -> Vec<(f64, f64)> {
         let count = |s: usize| all.iter().flatten().filter(|at| **at as usize == s).count();
@@ -160,7 +165,7 @@
             hosts: INSTANCES as u32,
             seed: SEED,
         };
-        world::make(&trace, shape)?;
+        traces::generate(&trace, shape)?;
         let mut out = Outcome::default();
         let mut rounds = Vec::new();
         for (judged, name) in [(false, "each box by itself"), (true, "[sites]")] {
@@ -184,7 +189,7 @@
             out.plot(format!("{name}: part served, by second"), vec![("served", round.served.clone())]);
             rounds.push(round);
         }
-        let [alone, judged] = rounds.as_slice() else { return Err("two rounds".into()) };
+        let [alone, judged] = rounds.as_slice() else { return Err(Failure::Unexpected("two rounds")) };
         out.claim("each request has one last word", alone.wordless + judged.wordless == 0.0);
         out.claim("a lost site is sent a tenth as much in vain", judged.in_vain * 10.0 <= alone.in_vain);
         out.claim("what returns gets no more than cold boxes bear", judged.worst <= 1.0);
