--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -15,7 +15,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A time in microseconds, on the clock in which discovery tells starts.
+/// A time in microseconds, on the clock in which discovery reports starts.
 pub type Micros = u64;
 
 /// The states that discovery reports of a target, in the order in which less and less may be sent to it.
@@ -32,7 +32,8 @@
 /// A target that is back from maintenance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Returned {
-    /// When its maintenance began. A start that discovery reports from before that is from before its restart.
+    /// When its maintenance began. A start that discovery reports from before that is from before its
+    /// restart.
     #[serde(rename = "out")]
     began: Micros,
     /// When it ended.
--- a/src/core/endpoints/updates.rs
+++ b/src/core/endpoints/updates.rs
@@ -55,8 +55,8 @@
             .collect()
     }
 
-    /// The targets that peers reported as draining, and of which discovery, which has been heard now, tells no
-    /// change: as discovery had them.
+    /// The targets that peers reported as draining, and of which discovery, which has answered now, reports
+    /// no change: as discovery had them.
     fn gossip_refuted_by(&self, changes: &[Endpoint]) -> Vec<Endpoint> {
         let changed: HashSet<&str> = changes.iter().map(|change| change.name.as_str()).collect();
         let draining = self.draining_by_gossip.iter().filter_map(|id| self.targets.get(id));
--- a/src/core/mailbox.rs
+++ b/src/core/mailbox.rs
@@ -1,5 +1,5 @@
-//! The core's mailbox, the handle by which fronts submit requests, and the guarantee that the core learns of a
-//! client that has gone.
+//! The core's mailbox, the handle by which fronts submit requests, and the guarantee that the core learns of
+//! a client that has gone.
 
 use crate::core::access_log::{AccessLog, LogEntry};
 use crate::core::endpoint::{Endpoint, Protocol};
@@ -175,7 +175,7 @@
     }
 }
 
-/// The response to a submitted request. Dropped before it has come, it tells the core that the client has
+/// The response to a submitted request. Dropped before it has come, it informs the core that the client has
 /// gone.
 #[derive(Debug)]
 pub struct PendingResponse {
--- a/src/net/http/message/target.rs
+++ b/src/net/http/message/target.rs
@@ -58,8 +58,10 @@
     AttemptResult {
         outcome,
         body: if outcome == Outcome::Served { body } else { Bytes::new().into() },
-        used: header_number::<f64>(headers, &USED_PERCENT).filter(is_plausible).map(|used| used / 100.0),
-        elsewhere: header_number::<f64>(headers, &USED_ELSEWHERE).filter(is_plausible).unwrap_or(0.0),
+        used_fraction: header_number::<f64>(headers, &USED_PERCENT)
+            .filter(is_plausible)
+            .map(|used| used / 100.0),
+        units_elsewhere: header_number::<f64>(headers, &USED_ELSEWHERE).filter(is_plausible).unwrap_or(0.0),
         load: header_text(headers, &LOAD_REPORT).map(load_report).unwrap_or_default(),
     }
 }
