--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -4,6 +4,7 @@
 mod progress;
 mod replay;
 mod routes;
+mod try_out;
 
 use crate::config::{Config, Decided, Reload};
 use crate::initiator;
@@ -106,7 +107,7 @@
         "load" => load(parser),
         "capture" => capture::run(parser),
         "replay" => replay::run(parser),
-        "try" => replay::run_try(parser),
+        "try" => try_out::run(parser),
         "routes" => routes::run(parser),
         "version" => {
             println!("rowanglade {}", env!("CARGO_PKG_VERSION"));
--- a/src/cli/replay.rs
+++ b/src/cli/replay.rs
@@ -1,16 +1,14 @@
-//! `rowanglade replay` and `rowanglade try`: traces sent again, and what became of them.
+//! `rowanglade replay`: traces sent again, and what became of them.
 
 use super::{Failure, progress};
 use lexopt::prelude::*;
-use rowanglade_capture::{Import, Mapping, TraceReader, import};
 use rowanglade_replay::compare::compare;
 use rowanglade_replay::{Front, Replay, Report, page, replay};
-use rowanglade_test_fleet::{Daemon, DaemonPlan, StubSite, TargetPlan, settings};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use std::time::Duration;
 use tokio::sync::oneshot;
 
+/// What `rowanglade help replay` prints.
 pub const HELP: &str = "\
 usage: rowanglade replay TRACE --to ADDR[,ADDR...] [--speed TIMES] [--no-retries] [--most TRIES] [--seed N]
                          [--iscsi TARGET [--blocks-per-unit N]] [--json FILE] [--html FILE]
@@ -28,20 +26,21 @@
   rowanglade replay monday.trace --to 127.0.0.1:7070 --speed 2 --json monday.json --html monday.html
 ";
 
-/// The capture that is shipped, for `try`.
-const SAMPLE: &[u8] = include_bytes!("../../samples/viewers.har.gz");
-
 /// Where a report goes beside the terminal.
 #[derive(Default)]
-struct Outputs {
-    json: Option<PathBuf>,
-    html: Option<PathBuf>,
+pub(super) struct Outputs {
+    /// Where the report goes as JSON.
+    pub(super) json: Option<PathBuf>,
+    /// Where the report goes as a page.
+    pub(super) html: Option<PathBuf>,
 }
 
 impl Outputs {
-    fn write(&self, report: &Report) -> Result<(), Failure> {
+    /// Writes the report where it was asked for.
+    pub(super) fn write(&self, report: &Report) -> Result<(), Failure> {
         let write = |path: &Path, text: String| {
-            std::fs::write(path, text).map_err(|e| Failure::Running(format!("{}: {e}", path.display())))
+            std::fs::write(path, text)
+                .map_err(|error| Failure::Running(format!("{}: {error}", path.display())))
         };
         if let Some(path) = &self.json {
             write(path, serde_json::to_string_pretty(report).map_err(Failure::running)?)?;
@@ -53,21 +52,24 @@
     }
 }
 
+/// Logical blocks of a unit of the iSCSI-style front where the arguments do not say: as that front's default.
+const DEFAULT_BLOCKS_PER_UNIT: u32 = 8;
+
+/// Runs `rowanglade replay`.
+///
+/// # Errors
+/// The usage is wrong, a file cannot be used, or the replay failed.
 pub fn run(mut parser: lexopt::Parser) -> Result<(), Failure> {
-    let (mut trace, mut to, mut outputs) = (None, Vec::new(), Outputs::default());
-    let (mut target, mut blocks_per_unit) = (None, 8);
+    let mut trace = None;
+    let mut to = Vec::new();
+    let mut outputs = Outputs::default();
+    let mut target = None;
+    let mut blocks_per_unit = DEFAULT_BLOCKS_PER_UNIT;
     let mut ask = Replay::to(Vec::new());
     while let Some(arg) = parser.next()? {
         match arg {
             Value(word) if trace.is_none() && word == "compare" => return run_compare(parser),
-            Long("to") => {
-                let text = parser.value()?.string()?;
-                for addr in text.split(',') {
-                    let addr: SocketAddr =
-                        addr.trim().parse().map_err(|e| Failure::Usage(format!("--to {addr:?}: {e}")))?;
-                    to.push(addr);
-                }
-            }
+            Long("to") => to.extend(parse_addresses(&parser.value()?.string()?)?),
             Long("speed") => ask.speed = parser.value()?.parse()?,
             Long("no-retries") => ask.retries = false,
             Long("most") => ask.most_out = parser.value()?.parse()?,
@@ -97,8 +99,17 @@
     outputs.write(&report)
 }
 
-/// Replays, shows how far it is, and ends it at Ctrl-C.
-async fn replay_shown(trace: &Path, ask: &Replay) -> Result<Report, Failure> {
+/// The addresses of initiators, between commas.
+fn parse_addresses(text: &str) -> Result<Vec<SocketAddr>, Failure> {
+    let parse = |addr: &str| {
+        let parsed = addr.trim().parse();
+        parsed.map_err(|error| Failure::Usage(format!("--to {addr:?}: {error}")))
+    };
+    text.split(',').map(parse).collect()
+}
+
+/// Replays, shows the progress, and ends it at Ctrl-C.
+pub(super) async fn replay_shown(trace: &Path, ask: &Replay) -> Result<Report, Failure> {
     let (stop, stopped) = oneshot::channel();
     let mut interrupt = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::interrupt())
         .map_err(Failure::running)?;
@@ -125,7 +136,8 @@
 }
 
 fn run_compare(mut parser: lexopt::Parser) -> Result<(), Failure> {
-    let (mut files, mut json) = (Vec::new(), false);
+    let mut files = Vec::new();
+    let mut json = false;
     while let Some(arg) = parser.next()? {
         match arg {
             Long("json") => json = true,
@@ -152,57 +164,3 @@
         false => Ok(()),
     }
 }
-
-/// One command for a newcomer: everything on loopback, nothing to set up.
-pub fn run_try(mut parser: lexopt::Parser) -> Result<(), Failure> {
-    let mut outputs = Outputs::default();
-    while let Some(arg) = parser.next()? {
-        match arg {
-            Long("json") => outputs.json = Some(PathBuf::from(parser.value()?)),
-            Long("html") => outputs.html = Some(PathBuf::from(parser.value()?)),
-            other => return Err(other.unexpected().into()),
-        }
-    }
-    let report = actix_rt::System::new().block_on(try_it())?;
-    print!("{report}");
-    outputs.write(&report)
-}
-
-async fn try_it() -> Result<Report, Failure> {
-    let folder = tempfile::tempdir().map_err(Failure::running)?;
-    let (har, trace) = (folder.path().join("viewers.har.gz"), folder.path().join("viewers.trace"));
-    std::fs::write(&har, SAMPLE).map_err(Failure::running)?;
-    let mapping = Mapping::standard().map_err(Failure::running)?;
-    let ask = Import::new(std::slice::from_ref(&har), &trace);
-    let imported = import(&mapping, &ask, &mut |_, _| {}).map_err(|(e, _)| Failure::running(e))?;
-    eprintln!("the sample capture: {} requests over {:.1} s", imported.records, imported.span as f64 / 1e6);
-    let work = [("view", 12), ("deposit", 20), ("export", 40)];
-    let plan = TargetPlan {
-        service_times: work.map(|(class, ms)| (class.to_string(), Duration::from_millis(ms))).into(),
-        ..TargetPlan::default()
-    };
-    let site = StubSite::start(&vec![plan; 4], "kingston", 1).await.map_err(Failure::running)?;
-    let header = TraceReader::open(&trace).map_err(Failure::running)?.header().clone();
-    let start = DaemonPlan {
-        name: "try".into(),
-        program: std::env::current_exe().map_err(Failure::running)?,
-        args: Vec::new(),
-        settings: settings(&header, 1, "kingston", site.targets.len()),
-        discovery: site.discovery.addr(),
-        sockets: 1_024,
-        memory_mb: 192,
-        operator: None,
-        handover: None,
-        env: Vec::new(),
-    };
-    let daemon = Daemon::start(&start).map_err(Failure::running)?;
-    eprintln!("one initiator on {}, 4 stand-in boxes; replaying", daemon.http);
-    let report = replay_shown(&trace, &Replay::to(vec![daemon.http])).await;
-    if report.is_err() {
-        eprintln!("the initiator's log:\n{}", daemon.log().join("\n"));
-    }
-    let report = report?;
-    let seen = site.counters();
-    eprintln!("the boxes ran {} writes and dropped {} repeats", seen.writes_executed, seen.writes_suppressed);
-    Ok(report)
-}
--- /dev/null
+++ b/src/cli/try_out.rs
@@ -0,0 +1,98 @@
+//! `rowanglade try`: the sample capture replayed to an initiator and stub targets on loopback.
+
+use super::Failure;
+use super::replay::{Outputs, replay_shown};
+use lexopt::prelude::*;
+use rowanglade_capture::{Import, Mapping, TraceReader, import};
+use rowanglade_replay::{Replay, Report};
+use rowanglade_test_fleet::{Daemon, DaemonPlan, StubSite, TargetPlan, settings};
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+/// The capture that is shipped.
+const SAMPLE: &[u8] = include_bytes!("../../samples/viewers.har.gz");
+/// The zone of the stub targets.
+const ZONE: &str = "kingston";
+/// The number of stub targets.
+const TARGETS: usize = 4;
+/// How long a stub target takes for a request of each class, in milliseconds.
+const SERVICE_TIMES_MS: [(&str, u64); 3] = [("view", 12), ("deposit", 20), ("export", 40)];
+/// The seed of the stub targets' random numbers.
+const SEED: u64 = 1;
+/// What the initiator may use: the defaults of a configuration.
+const DESCRIPTORS: usize = 1_024;
+const MEMORY_MB: usize = 192;
+
+/// Runs `rowanglade try`: one command for a newcomer, with everything on loopback and nothing to set up.
+///
+/// # Errors
+/// The usage is wrong, or one of the processes failed.
+pub fn run(mut parser: lexopt::Parser) -> Result<(), Failure> {
+    let mut outputs = Outputs::default();
+    while let Some(arg) = parser.next()? {
+        match arg {
+            Long("json") => outputs.json = Some(PathBuf::from(parser.value()?)),
+            Long("html") => outputs.html = Some(PathBuf::from(parser.value()?)),
+            other => return Err(other.unexpected().into()),
+        }
+    }
+    let report = actix_rt::System::new().block_on(replay_sample())?;
+    print!("{report}");
+    outputs.write(&report)
+}
+
+async fn replay_sample() -> Result<Report, Failure> {
+    let folder = tempfile::tempdir().map_err(Failure::running)?;
+    let trace = import_sample(folder.path())?;
+    let site = start_targets().await?;
+    let daemon = start_daemon(&trace, &site)?;
+    eprintln!("one initiator on {}, {TARGETS} stand-in boxes; replaying", daemon.http);
+    let report = replay_shown(&trace, &Replay::to(vec![daemon.http])).await;
+    if report.is_err() {
+        eprintln!("the initiator's log:\n{}", daemon.log().join("\n"));
+    }
+    let report = report?;
+    let counters = site.counters();
+    eprintln!(
+        "the boxes ran {} writes and dropped {} repeats",
+        counters.writes_executed, counters.writes_suppressed
+    );
+    Ok(report)
+}
+
+/// Makes a trace of the sample capture.
+fn import_sample(folder: &Path) -> Result<PathBuf, Failure> {
+    let capture = folder.join("viewers.har.gz");
+    let trace = folder.join("viewers.trace");
+    std::fs::write(&capture, SAMPLE).map_err(Failure::running)?;
+    let mapping = Mapping::standard().map_err(Failure::running)?;
+    let request = Import::new(std::slice::from_ref(&capture), &trace);
+    let imported = import(&mapping, &request, &mut |_, _| {});
+    let imported = imported.map_err(|(error, _)| Failure::running(error))?;
+    eprintln!("the sample capture: {} requests over {:.1} s", imported.records, imported.span as f64 / 1e6);
+    Ok(trace)
+}
+
+async fn start_targets() -> Result<StubSite, Failure> {
+    let service_times =
+        SERVICE_TIMES_MS.map(|(class, millis)| (class.to_string(), Duration::from_millis(millis)));
+    let plan = TargetPlan { service_times: service_times.into(), ..TargetPlan::default() };
+    StubSite::start(&vec![plan; TARGETS], ZONE, SEED).await.map_err(Failure::running)
+}
+
+fn start_daemon(trace: &Path, site: &StubSite) -> Result<Daemon, Failure> {
+    let header = TraceReader::open(trace).map_err(Failure::running)?.header().clone();
+    let plan = DaemonPlan {
+        name: "try".into(),
+        program: std::env::current_exe().map_err(Failure::running)?,
+        args: Vec::new(),
+        settings: settings(&header, 1, ZONE, site.targets.len()),
+        discovery: site.discovery.addr(),
+        sockets: DESCRIPTORS,
+        memory_mb: MEMORY_MB,
+        operator: None,
+        handover: None,
+        env: Vec::new(),
+    };
+    Daemon::start(&plan).map_err(Failure::running)
+}
