--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -37,27 +37,27 @@
 pub use reload::Reload;
 pub use routing::{Decided, Routing};
 
-/// The name of an instance that the configuration does not name.
+/// The name of an initiator that the configuration does not name.
 const DEFAULT_NAME: &str = "rowanglade";
 
 /// The whole configuration, checked.
 #[derive(Debug)]
 pub struct Config {
-    /// The instance's name.
+    /// The initiator's name.
     pub name: String,
     /// Where clients of the HTTP front connect.
     pub listen: SocketAddr,
     /// Discovery's address; none where targets are listed by the configuration alone.
     pub discovery: Option<SocketAddr>,
-    /// Where operators call; none turns operators' calls off.
+    /// Where the admin listener is; none turns it off.
     pub admin: Option<SocketAddr>,
-    /// The folder through which this process and its replacement find each other; none turns replacement off.
+    /// The folder through which this process and its successor find each other; none turns handover off.
     pub meeting: Option<PathBuf>,
-    /// The seed of the instance's random numbers.
+    /// The seed of the initiator's random numbers.
     pub seed: u64,
-    /// The targets that were known before, for the time until discovery answers.
+    /// The endpoint list that was known before, for the time until discovery answers.
     pub known: Option<EndpointPage>,
-    /// The other instances as the platform gives them; none where this one tells them nothing.
+    /// The other initiators as the platform gives them; none where draining targets are not reported to them.
     pub peers: Option<PeerAddresses>,
     /// Classes, plans and rules.
     pub settings: Settings,
@@ -69,11 +69,11 @@
     pub access_log: Option<AccessLog>,
     /// Routes and their expectations.
     pub routing: Routing,
-    /// The other instances; none turns the exchange with them off.
+    /// The other initiators; none turns the exchange of quota with them off.
     pub fleet: Option<Peers>,
-    /// When a site counts as lost; none turns the watch of sites off.
+    /// When a site is ejected; none turns the monitoring of sites off.
     pub sites: Option<SiteSettings>,
-    /// The targets that this instance prefers; none prefers none.
+    /// The targets that this initiator prefers for new objects; none prefers none.
     pub subset: Option<Subset>,
 }
 
@@ -117,7 +117,7 @@
         Ok(config)
     }
 
-    /// Builds the decision module and the table of names from the settings.
+    /// Builds the scheduler and the table of names from the settings.
     ///
     /// # Errors
     /// The settings are not valid; the error names the key.
@@ -125,8 +125,8 @@
         let mut names = Names::default();
         let settings = self.settings.translate(&mut names);
         let scheduler = settings
-            .and_then(|s| Scheduler::new(s, self.seed))
-            .map_err(|e| ConfigError::new(format!("settings.{}", e.field), e.problem))?;
+            .and_then(|settings| Scheduler::new(settings, self.seed))
+            .map_err(|error| ConfigError::new(format!("settings.{}", error.field), error.problem))?;
         Ok((scheduler, names))
     }
 }
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -14,6 +14,7 @@
 /// What the operator's files have, before their tables are checked.
 #[derive(Default)]
 pub struct OperatorFiles {
+    /// The tables of all files.
     pub tables: OperatorTables,
     /// The files' texts in their order, of which the routing crate reads pools, routes and expectations:
     /// those of an earlier file come first.
@@ -24,10 +25,15 @@
 #[derive(Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OperatorTables {
+    /// The iSCSI-style front.
     pub iscsi: Option<IscsiTable>,
+    /// The access log.
     pub access_log: Option<AccessLog>,
+    /// The exchange of quota with other initiators.
     pub fleet: Option<FleetTable>,
+    /// The monitoring of sites.
     pub sites: Option<SitesTable>,
+    /// The preferred targets.
     pub subset: Option<SubsetTable>,
     // What the routing crate reads by itself.
     #[serde(rename = "pool")]
@@ -53,9 +59,9 @@
 
     fn add(&mut self, path: &Path) -> Result<(), ConfigError> {
         let name = path.display().to_string();
-        let text = std::fs::read_to_string(path).map_err(|e| ConfigError::new(&name, e))?;
+        let text = std::fs::read_to_string(path).map_err(|error| ConfigError::new(&name, error))?;
         // The parser's message shows the line and names the key.
-        let tables: OperatorTables = toml::from_str(&text).map_err(|e| ConfigError::new(&name, e))?;
+        let tables: OperatorTables = toml::from_str(&text).map_err(|error| ConfigError::new(&name, error))?;
         self.tables.merge(tables, &name)?;
         self.sources.push(Source { name, text });
         Ok(())
--- a/src/core/routes.rs
+++ b/src/core/routes.rs
@@ -5,7 +5,7 @@
 use crate::core::endpoint::{Endpoint, Protocol};
 use crate::core::request::Request;
 use crate::interface::{Event, TargetId, TargetSetId, TargetState};
-use rowanglade_routing::{BoxState, Front, RouteRequest, Table, TargetInfo};
+use rowanglade_routing::{Front, ListedState, RouteRequest, RouteTable, TargetInfo};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
@@ -18,7 +18,7 @@
     /// Grows with each table that is loaded.
     pub version: u64,
     /// The routes.
-    pub table: Table,
+    pub table: RouteTable,
 }
 
 /// What a target set is for: a table, a route in it, and the shard of the requests.
@@ -179,7 +179,7 @@
 /// The targets that are listed, also by their shards.
 #[derive(Debug, Default)]
 struct ListedTargets {
-    all: BTreeMap<TargetId, (TargetInfo, BoxState)>,
+    all: BTreeMap<TargetId, (TargetInfo, ListedState)>,
     by_shard: BTreeMap<u32, BTreeSet<TargetId>>,
 }
 
@@ -205,16 +205,16 @@
             addr: endpoint.addr.ip(),
         };
         let state = match endpoint.state {
-            TargetState::Active => BoxState::Active,
-            TargetState::Draining => BoxState::Draining,
-            TargetState::Removed => BoxState::Gone,
+            TargetState::Active => ListedState::Active,
+            TargetState::Draining => ListedState::Draining,
+            TargetState::Removed => ListedState::Removed,
         };
         self.by_shard.entry(endpoint.shard).or_default().insert(target);
         self.all.insert(target, (info, state));
     }
 
     /// The targets that a set holds: of a shard's targets where it is for one shard, else of all.
-    fn reachable(&self, table: &Table, key: TargetSetKey) -> Vec<TargetId> {
+    fn reachable(&self, table: &RouteTable, key: TargetSetKey) -> Vec<TargetId> {
         let known = |target: &TargetId| {
             let (info, state) = &self.all[target];
             (info, *state, *target)
@@ -222,9 +222,9 @@
         match key.shard {
             Some(shard) => {
                 let targets = self.by_shard.get(&shard).into_iter().flatten();
-                table.reach(Some(key.route), key.shard, targets.map(known))
+                table.reachable(Some(key.route), key.shard, targets.map(known))
             }
-            None => table.reach(Some(key.route), None, self.all.keys().map(known)),
+            None => table.reachable(Some(key.route), None, self.all.keys().map(known)),
         }
     }
 }
--- a/src/net/close.rs
+++ b/src/net/close.rs
@@ -8,7 +8,8 @@
 use tokio::io::Interest;
 use tokio::net::TcpStream;
 
-/// How long a connection that is being closed is read, at most: clients read a response within that.
+/// How long a connection that is being closed is read, at most: a client that never closes its side does not hold
+/// it for longer.
 pub const LINGER: Duration = Duration::from_secs(1);
 /// How much is read and dropped, at most: a client that goes on sending does not hold its connection.
 const MAX_DROPPED_BYTES: usize = 4 << 20;
--- a/src/net/http/server.rs
+++ b/src/net/http/server.rs
@@ -19,8 +19,8 @@
 
 /// Bytes of a response that may wait in its connection's buffer before more are fetched.
 const WRITE_BUFFER_BYTES: usize = 16 * 1024;
-/// How often connections are checked for those that have taken too long: well below the shortest timeout that
-/// applies to them.
+/// How often connections are checked for those that have taken too long: half of the shortest timeout that applies
+/// to them.
 const OVERDUE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// How long the rest of a request is read after a response that came before all of it: a reset would take the
 /// response with it.
