--- a/crates/lab/src/cold.rs
+++ b/crates/lab/src/cold.rs
@@ -1,13 +1,17 @@
 //! A box starts again, cold, before a fleet of which some processes are killed just then: what the whole
 //! fleet sends it, counted where it arrives.
 
-use crate::outcome::{Experiment, Failure, Outcome, Run};
-use crate::world::{self, ZONE, block_on};
+use crate::experiment::{Experiment, Runner};
+use crate::failure::Failure;
+use crate::initiators::{self, ZONE};
+use crate::outcome::Outcome;
+use crate::runtime::block_on;
+use crate::traces;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rowanglade_capture::{Record, TraceWriter};
 use rowanglade_replay::Replay;
-use rowanglade_test_fleet::{BoxPlan, Daemon, Meeting, Signal, Site, Start, settings};
+use rowanglade_test_fleet::{Daemon, DaemonPlan, HandoverPaths, Signal, StubSite, TargetPlan, settings};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Duration;
@@ -16,7 +20,7 @@
 pub fn experiments() -> Vec<Experiment> {
     let about =
         "a box returns cold before ten daemons, two of them killed then: requests a window, by all together";
-    vec![Experiment { name: "cold-start", about, run: Run::Plain(cold_start) }]
+    vec![Experiment { name: "cold-start", about, runner: Runner::Plain(cold_start) }]
 }
 
 const SEED: u64 = 32;
@@ -55,7 +59,7 @@
 /// Requests at even odds on each shard of their volume.
 fn make(path: &Path) -> Result<(), Failure> {
     let mut chance = Pcg64Mcg::seed_from_u64(SEED);
-    let mut writer = TraceWriter::create(path, &world::header())?;
+    let mut writer = TraceWriter::create(path, &traces::standard_header())?;
     for i in 0..(RATE * SECONDS) as u64 {
         let class: u16 = if chance.random_bool(0.3) { 1 } else { 0 };
         let volume = chance.random_range(0..VOLUMES);
@@ -80,15 +84,20 @@
     Ok(())
 }
 
-fn start(site: &Site, folder: &Path, number: usize, listen: Option<SocketAddr>) -> Result<Daemon, Failure> {
-    let mut settings = settings(&world::header(), DAEMONS, ZONE, site.boxes.len());
+fn start(
+    site: &StubSite,
+    folder: &Path,
+    number: usize,
+    listen: Option<SocketAddr>,
+) -> Result<Daemon, Failure> {
+    let mut settings = settings(&traces::standard_header(), DAEMONS, ZONE, site.targets.len());
     settings["my-number"] = number.into();
     settings["rules"]["warm-within"] = ((WARM_WITHIN * 1e6) as u64).into();
     settings["family-info"]["cold-units"] = (TOLD * allowed(0.0) * UNITS).into();
     settings["family-info"]["usual-units"] = UNITS.into();
     let meeting = folder.join(format!("daemon-{number}"));
     std::fs::create_dir_all(&meeting)?;
-    Ok(Daemon::start(&Start {
+    Ok(Daemon::start(&DaemonPlan {
         name: format!("lab-{number}"),
         program: std::env::current_exe()?,
         args: vec!["rowanglade".into()],
@@ -97,7 +106,7 @@
         sockets: 1_024,
         memory_mb: 192,
         operator: None,
-        meeting: Some(Meeting { folder: meeting, listen }),
+        handover: Some(HandoverPaths { folder: meeting, listen }),
         env: Vec::new(),
     })?)
 }
@@ -117,21 +126,21 @@
         let folder = tempfile::tempdir()?;
         let trace = folder.path().join("made.trace");
         make(&trace)?;
-        let plan = BoxPlan {
-            remember: true,
+        let plan = TargetPlan {
+            keeps_requests: true,
             slots: SLOTS,
-            cold_from: COLD_FROM,
+            initial_capacity: COLD_FROM,
             warm_within: Duration::from_secs_f64(WARM_WITHIN),
-            ..world::plan(WORK_MS, WORK_MS, WORK_MS)
+            ..initiators::target_plan(WORK_MS, WORK_MS, WORK_MS)
         };
-        let site = Site::start(&vec![plan; SHARDS as usize], ZONE, SEED).await?;
+        let site = StubSite::start(&vec![plan; SHARDS as usize], ZONE, SEED).await?;
         let mut daemons =
             (0..DAEMONS).map(|n| start(&site, folder.path(), n, None)).collect::<Result<Vec<_>, _>>()?;
-        let to = world::addresses(&daemons);
-        let cold = &site.boxes[0];
+        let to = initiators::addresses(&daemons);
+        let cold = &site.targets[0];
         let faults = async {
             // The first request is the beginning.
-            while site.boxes.iter().all(|b| b.counters().taken == 0) {
+            while site.targets.iter().all(|b| b.counters().received == 0) {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
             let begun = Instant::now();
@@ -152,9 +161,9 @@
             Ok::<_, Failure>(back)
         };
         let ask = Replay::to(to.clone());
-        let (report, back) = tokio::join!(world::run(&trace, &ask), faults);
+        let (report, back) = tokio::join!(traces::replay_all(&trace, &ask), faults);
         let (report, back) = (report?, back?);
-        let seen: Vec<f64> = (cold.seen().iter())
+        let seen: Vec<f64> = (cold.received().iter())
             .filter(|(at, _)| *at >= back)
             .map(|(at, _)| at.duration_since(back).as_secs_f64())
             .filter(|at| *at < WARM_WITHIN)
