--- a/crates/capture/src/access_log.rs
+++ b/crates/capture/src/access_log.rs
@@ -2,6 +2,7 @@
 //! the Combined Format's (or the Common one's) is read as the time that the answer took, in seconds if it has
 //! a decimal point and in microseconds if it is whole.
 
+use crate::entry_error::EntryError;
 use crate::offer::Offer;
 use jiff::fmt::strtime;
 use std::borrow::Cow;
@@ -40,20 +41,24 @@
 
 impl Parser {
     /// The request of a line; none for an empty line, a comment, and the line of a connection that never made
-    /// one. An error names the field.
-    pub fn parse<'a>(&mut self, line: &'a [u8]) -> Result<Option<Offer<'a>>, String> {
-        let line = std::str::from_utf8(line).map_err(|_| "is not UTF-8".to_string())?.trim();
+    /// one.
+    ///
+    /// # Errors
+    /// The line is none of these formats; the error names the field.
+    pub fn parse<'a>(&mut self, line: &'a [u8]) -> Result<Option<Offer<'a>>, EntryError> {
+        let line = std::str::from_utf8(line).map_err(|_| EntryError::NotUtf8)?.trim();
         if line.is_empty() || line.starts_with('#') {
             return Ok(None);
         }
         let mut rest = line;
-        let mut next = |name: &str| field(&mut rest).ok_or_else(|| format!("{name}: is missing"));
+        let mut next = |name: &'static str| field(&mut rest).ok_or(EntryError::Missing(name));
+        let invalid = |field, value: &str| EntryError::Invalid { field, value: value.to_string() };
         let (host, _identity, _user) = (next("host")?, next("identity")?, next("user")?);
         let time = next("time")?;
         if time != self.text || self.text.is_empty() {
             self.at = strtime::parse("%d/%b/%Y:%H:%M:%S %z", time)
                 .and_then(|t| t.to_timestamp())
-                .map_err(|e| format!("time: {time:?}: {e}"))?
+                .map_err(|source| EntryError::Time { value: time.to_string(), source })?
                 .as_microsecond();
             self.text = time.to_string();
         }
@@ -66,7 +71,7 @@
             (Some(method), Some(target), Some(version), None) if version.starts_with("HTTP/") => {
                 (method, target)
             }
-            _ => return Err(format!("request: {request:?} is not one")),
+            _ => return Err(invalid("request", request)),
         };
         let (status, size) = (next("status")?, next("size")?);
         let (referer, agent, taken) = (next("referer").ok(), next("agent").ok(), next("time taken").ok());
@@ -78,7 +83,7 @@
         };
         let received = match size {
             "-" => 0,
-            size => size.parse().map_err(|_| format!("size: {size:?} is not one"))?,
+            size => size.parse().map_err(|_| invalid("size", size))?,
         };
         Ok(Some(Offer {
             at: self.at,
@@ -91,7 +96,7 @@
                 .parse()
                 .ok()
                 .filter(|s| (100..1000).contains(s))
-                .ok_or_else(|| format!("status: {status:?} is not one"))?,
+                .ok_or_else(|| invalid("status", status))?,
             sent: 0,
             received,
             took: took.and_then(microseconds),
--- a/crates/capture/src/cut.rs
+++ b/crates/capture/src/cut.rs
@@ -2,6 +2,25 @@
 
 use crate::trace::{Header, Record};
 
+/// What is wrong with a cut for a trace.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum CutError {
+    /// It names a class that the trace does not have.
+    #[error("class {class:?} is not in the trace, which has {}", .known.join(", "))]
+    UnknownClass {
+        /// The class.
+        class: String,
+        /// The trace's classes.
+        known: Vec<String>,
+    },
+    /// Its share of the volumes is none.
+    #[error("a share lies above 0 and up to 1")]
+    Share,
+    /// It ends before it begins.
+    #[error("the time to begin at is not before the time to end at")]
+    Empty,
+}
+
 /// Which requests to keep. What is absent keeps all.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Cut {
@@ -17,18 +36,21 @@
 }
 
 impl Cut {
-    /// What is wrong with it for this trace, if anything.
-    pub fn check(&self, header: &Header) -> Result<(), String> {
-        let known = |name: &&String| !header.classes.iter().any(|c| c.name == **name);
-        if let Some(class) = self.classes.iter().find(known) {
-            let names: Vec<&str> = header.classes.iter().map(|c| c.name.as_str()).collect();
-            return Err(format!("class {class:?} is not in the trace, which has {}", names.join(", ")));
+    /// Checks it for a trace.
+    ///
+    /// # Errors
+    /// It names what the trace does not have, or can keep nothing.
+    pub fn check(&self, header: &Header) -> Result<(), CutError> {
+        let unknown = |name: &&String| !header.classes.iter().any(|c| c.name == **name);
+        if let Some(class) = self.classes.iter().find(unknown) {
+            let known = header.classes.iter().map(|c| c.name.clone()).collect();
+            return Err(CutError::UnknownClass { class: class.clone(), known });
         }
         if self.share.is_some_and(|s| !(s > 0.0 && s <= 1.0)) {
-            return Err("a share lies above 0 and up to 1".into());
+            return Err(CutError::Share);
         }
         if self.from.zip(self.until).is_some_and(|(from, until)| from >= until) {
-            return Err("the time to begin at is not before the time to end at".into());
+            return Err(CutError::Empty);
         }
         Ok(())
     }
--- a/crates/capture/src/har.rs
+++ b/crates/capture/src/har.rs
@@ -1,5 +1,6 @@
 //! HTTP Archive files, version 1.2, entry by entry: only the entry at hand is held.
 
+use crate::entry_error::EntryError;
 use crate::offer::Offer;
 use serde::Deserialize;
 use serde::de::{DeserializeSeed, Deserializer, IgnoredAny, MapAccess, SeqAccess, Visitor};
@@ -127,18 +128,20 @@
     }
 }
 
-/// The request of an entry; none for one that never went to a server (`data:` and the like). An error names
-/// the key.
-pub fn parse(text: &str) -> Result<Option<Offer<'_>>, String> {
-    let entry: Entry = serde_json::from_str(text).map_err(|e| e.to_string())?;
-    let at: jiff::Timestamp = entry.started_date_time.parse().map_err(|e| format!("startedDateTime: {e}"))?;
+/// The request of an entry; none for one that never went to a server (`data:` and the like).
+///
+/// # Errors
+/// The entry is none of HAR 1.2; the error names the key.
+pub fn parse(text: &str) -> Result<Option<Offer<'_>>, EntryError> {
+    let entry: Entry = serde_json::from_str(text)?;
+    let at: jiff::Timestamp = entry.started_date_time.parse().map_err(EntryError::StartedDateTime)?;
     let url = &entry.request.url;
     if ["data:", "blob:", "about:"].iter().any(|scheme| url.starts_with(scheme)) {
         return Ok(None);
     }
-    let uri: http::Uri = url.parse().map_err(|e| format!("request.url: {url:?}: {e}"))?;
+    let uri: http::Uri = url.parse().map_err(|source| EntryError::Url { url: url.to_string(), source })?;
     if uri.scheme().is_none() {
-        return Err(format!("request.url: {url:?} is not whole"));
+        return Err(EntryError::RelativeUrl(url.to_string()));
     }
     // -1 stands for what is not known.
     let size = |s: Option<i64>| s.and_then(|s| u64::try_from(s).ok());
@@ -153,7 +156,7 @@
         method: entry.request.method,
         client: None,
         status: u16::try_from(entry.response.status)
-            .map_err(|_| format!("response.status: {} is not one", entry.response.status))?,
+            .map_err(|_| EntryError::Status(entry.response.status))?,
         sent: size(entry.request.body_size).unwrap_or(0),
         received: received.unwrap_or(0),
         took: took.map(|ms| (ms * 1e3).round() as u64),
--- a/crates/capture/src/lib.rs
+++ b/crates/capture/src/lib.rs
@@ -9,6 +9,7 @@
 
 pub mod access_log;
 pub mod cut;
+mod entry_error;
 pub mod har;
 pub mod import;
 pub mod lines;
@@ -20,10 +21,11 @@
 pub mod summary;
 pub mod trace;
 
-pub use cut::Cut;
+pub use cut::{Cut, CutError};
+pub use entry_error::EntryError;
 pub use import::{Import, ImportError, Imported, import};
 pub use mapping::{Mapping, MappingError};
 pub use offer::{Known, Offer};
-pub use read::{Format, ReadError, Stats, Tolerance};
+pub use read::{Format, FormatError, ReadError, Stats, Tolerance};
 pub use summary::Summary;
 pub use trace::{ClassTerms, Header, PlanTerms, Record, Repeat, TraceError, TraceReader, TraceWriter};
--- a/crates/capture/src/own_log.rs
+++ b/crates/capture/src/own_log.rs
@@ -1,5 +1,6 @@
 //! The daemon's own access log: a line of JSON a request, written and read through one type.
 
+use crate::entry_error::EntryError;
 use crate::offer::{Known, Offer};
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
@@ -68,20 +69,25 @@
     *value == 0
 }
 
-/// The request of a line; none for an empty one. An error names the key.
-pub fn parse(line: &[u8]) -> Result<Option<Offer<'_>>, String> {
+/// The request of a line; none for an empty one.
+///
+/// # Errors
+/// The line is not one of this version; the error names the key.
+pub fn parse(line: &[u8]) -> Result<Option<Offer<'_>>, EntryError> {
     if line.iter().all(u8::is_ascii_whitespace) {
         return Ok(None);
     }
-    let line: AccessLine = serde_json::from_slice(line).map_err(|e| e.to_string())?;
+    let line: AccessLine = serde_json::from_slice(line)?;
     if line.rowanglade != VERSION {
-        return Err(format!("rowanglade: version {} is not {VERSION}", line.rowanglade));
+        return Err(EntryError::Version { found: line.rowanglade, expected: VERSION });
     }
-    let hex =
-        |name: &str, text: &str| u64::from_str_radix(text, 16).map_err(|e| format!("{name}: {text:?}: {e}"));
+    let hex = |key: &'static str, text: &str| {
+        let value = u64::from_str_radix(text, 16);
+        value.map_err(|source| EntryError::Hexadecimal { key, value: text.to_string(), source })
+    };
     let (volume, piece) = (hex("volume", &line.volume)?, hex("piece", &line.piece)?);
     if !(line.units > 0.0 && line.units <= 1e6) {
-        return Err(format!("units: {} is not a size", line.units));
+        return Err(EntryError::Units(line.units));
     }
     Ok(Some(Offer {
         at: line.at_us,
--- a/crates/capture/src/read.rs
+++ b/crates/capture/src/read.rs
@@ -2,6 +2,7 @@
 //! hands its requests on one by one. What cannot be read is counted, sampled with its place and its reason,
 //! and passed over, until it is more than a stated share.
 
+use crate::entry_error::EntryError;
 use crate::lines::{Line, Lines};
 use crate::offer::Offer;
 use crate::{access_log, har, own_log};
@@ -44,18 +45,23 @@
 }
 
 impl std::str::FromStr for Format {
-    type Err = String;
+    type Err = FormatError;
 
-    fn from_str(word: &str) -> Result<Format, String> {
+    fn from_str(word: &str) -> Result<Format, FormatError> {
         match word {
             "har" => Ok(Format::Har),
             "log" => Ok(Format::AccessLog),
             "own" => Ok(Format::Own),
-            other => Err(format!("format {other:?} is none of har, log, own")),
+            other => Err(FormatError(other.to_string())),
         }
     }
 }
 
+/// A word that names no format.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("format {0:?} is none of har, log, own")]
+pub struct FormatError(pub String);
+
 /// How much may be bad.
 #[derive(Clone, Copy, Debug)]
 pub struct Tolerance {
@@ -254,7 +260,7 @@
     fn take(
         &mut self,
         place: impl FnOnce() -> String,
-        entry: Result<Option<Offer<'_>>, String>,
+        entry: Result<Option<Offer<'_>>, EntryError>,
     ) -> Result<bool, ReadError> {
         let mut goes_on = true;
         match entry {
@@ -263,7 +269,7 @@
                 goes_on = (self.sink)(offer);
             }
             Ok(None) => self.stats.passed_over += 1,
-            Err(reason) => self.bad(place(), reason),
+            Err(error) => self.bad(place(), error.to_string()),
         }
         let entries = self.stats.read + self.stats.bad;
         if entries.is_multiple_of(TELL_EVERY) {
@@ -298,7 +304,7 @@
         from: impl BufRead,
         mut parse: impl FnMut(
             &[u8],
-            &mut dyn FnMut(Result<Option<Offer<'_>>, String>) -> Result<bool, ReadError>,
+            &mut dyn FnMut(Result<Option<Offer<'_>>, EntryError>) -> Result<bool, ReadError>,
         ) -> Result<bool, ReadError>,
     ) -> Result<(), ReadError> {
         let mut lines = Lines::new(from);
@@ -312,8 +318,7 @@
                     }
                 }
                 Ok(Some(Line::TooLong(length))) => {
-                    let long = format!("{length} bytes are too long for a line");
-                    self.take(place, Err(long))?;
+                    self.take(place, Err(EntryError::TooLong(length)))?;
                 }
                 Ok(None) => return Ok(()),
                 Err(error) => {
--- a/crates/capture/tests/modules/access_log.rs
+++ b/crates/capture/tests/modules/access_log.rs
@@ -1,9 +1,9 @@
 //! Tests of the access log reader.
 
-use rowanglade_capture::Offer;
 use rowanglade_capture::access_log::Parser;
+use rowanglade_capture::{EntryError, Offer};
 
-fn one(line: &str) -> Result<Offer<'_>, String> {
+fn one(line: &str) -> Result<Offer<'_>, EntryError> {
     Parser::default().parse(line.as_bytes()).map(|o| o.expect("a request"))
 }
 
@@ -18,7 +18,7 @@
     assert_eq!(one(&agent).expect("a line").took, Some(250_000));
     assert_eq!(one(&(PUT.to_string() + " 1500")).expect("a line").took, Some(1_500));
     let bracketed = PUT.replace("2001:db8::7", "[2001:db8::7]");
-    assert_eq!(one(&bracketed).map(|o| o.client.is_some()), Ok(true));
+    assert!(matches!(one(&bracketed).map(|o| o.client.is_some()), Ok(true)));
 }
 
 // The clocks go back at 02:00 +0100: the same wall time comes twice, and only the offset tells the two apart.
@@ -35,11 +35,11 @@
 
 #[test]
 fn a_bad_line_names_its_field() {
-    let bad = |from: &str, to: &str| one(&PUT.replace(from, to)).expect_err("bad");
+    let bad = |from: &str, to: &str| one(&PUT.replace(from, to)).expect_err("bad").to_string();
     assert!(bad("25/Oct", "32/Oct").starts_with("time: \"32/Oct"));
     assert!(bad(" 503 ", " 7 ").starts_with("status"));
     assert!(bad(" 503 -", "").starts_with("status: is missing"));
     assert!(bad("\"PUT /deposit/1/b HTTP/1.1\"", "\"PUT\"").starts_with("request"));
     assert!(bad("HTTP/1.1\"", "HTTP/1.1").starts_with("request: is missing"));
-    assert!(Parser::default().parse(b"caf\xe9 - -").expect_err("bad").contains("UTF-8"));
+    assert!(Parser::default().parse(b"caf\xe9 - -").expect_err("bad").to_string().contains("UTF-8"));
 }
--- a/crates/capture/tests/modules/har.rs
+++ b/crates/capture/tests/modules/har.rs
@@ -16,10 +16,17 @@
     let unknown = ENTRY.replace("12.5", "-1");
     assert_eq!(parse(&unknown).expect("an entry").expect("a request").took, None);
     let data = ENTRY.replace("http://store/deposit/1/b?x=1", "data:image/png;base64,AAAA");
-    assert_eq!(parse(&data), Ok(None));
-    assert!(parse(&ENTRY.replace("http://store", "")).expect_err("bad").starts_with("request.url"));
-    assert!(parse(&ENTRY.replace("2026-12-01T", "yesterday")).expect_err("bad").starts_with("startedDate"));
-    assert!(parse(&ENTRY.replace("\"status\":200,", "")).expect_err("bad").contains("status"));
+    assert!(matches!(parse(&data), Ok(None)));
+    assert!(
+        parse(&ENTRY.replace("http://store", "")).expect_err("bad").to_string().starts_with("request.url")
+    );
+    assert!(
+        parse(&ENTRY.replace("2026-12-01T", "yesterday"))
+            .expect_err("bad")
+            .to_string()
+            .starts_with("startedDate")
+    );
+    assert!(parse(&ENTRY.replace("\"status\":200,", "")).expect_err("bad").to_string().contains("status"));
 }
 
 #[test]
--- a/crates/lab/src/failure.rs
+++ b/crates/lab/src/failure.rs
@@ -2,7 +2,7 @@
 
 use plotters::drawing::DrawingAreaErrorKind;
 use rowanglade::config::ConfigError;
-use rowanglade_capture::{ImportError, MappingError, TraceError};
+use rowanglade_capture::{EntryError, ImportError, MappingError, TraceError};
 use rowanglade_replay::ReplayError;
 use rowanglade_routing::RouteError;
 use std::error::Error;
@@ -71,7 +71,10 @@
     /// A curve or plot cannot be drawn.
     #[error("{0}")]
     Drawing(String),
-    /// An endpoint list, or a line of an access log, cannot be read.
+    /// A line of an access log cannot be read.
+    #[error(transparent)]
+    AccessLog(#[from] EntryError),
+    /// An endpoint list, or settings, cannot be used.
     #[error("{0}")]
     Unreadable(String),
     /// What an experiment relies on did not happen.
@@ -112,13 +115,6 @@
     },
 }
 
-impl Failure {
-    /// Wraps what says why some text cannot be read.
-    pub fn unreadable(error: impl std::fmt::Display) -> Failure {
-        Failure::Unreadable(error.to_string())
-    }
-}
-
 impl<E: Error + Send + Sync> From<DrawingAreaErrorKind<E>> for Failure {
     fn from(error: DrawingAreaErrorKind<E>) -> Failure {
         Failure::Drawing(error.to_string())
--- a/crates/lab/src/initiators.rs
+++ b/crates/lab/src/initiators.rs
@@ -72,9 +72,7 @@
         let lines: Vec<&[u8]> = text.split_inclusive(|b| *b == b'\n').collect();
         if lines.len() as u64 >= least || Instant::now() >= until {
             let parse = |line: &&[u8]| -> Result<(u64, u16), Failure> {
-                let offer = own_log::parse(line)
-                    .map_err(Failure::unreadable)?
-                    .ok_or(Failure::Unexpected("an empty line"))?;
+                let offer = own_log::parse(line)?.ok_or(Failure::Unexpected("an empty line"))?;
                 let known = offer.known.as_ref().ok_or(Failure::Unexpected("a line without its volume"))?;
                 Ok((known.volume, offer.status))
             };
--- a/crates/replay/src/compare.rs
+++ b/crates/replay/src/compare.rs
@@ -5,7 +5,8 @@
 //! guess at the distribution (the binomial's normal approximation): where the intervals of the two do not
 //! meet, and the change is more than a twentieth and 0.5 ms, it is more than noise.
 
-use crate::report::{Class, Report, Times};
+use crate::latency::LatencyHistogram;
+use crate::report::{Class, Report};
 use serde::Serialize;
 use std::fmt;
 
@@ -57,15 +58,15 @@
 }
 
 /// Between which times a quantile lies, in microseconds.
-fn interval(times: &Times, part: f64) -> (u64, u64) {
+fn interval(times: &LatencyHistogram, part: f64) -> (u64, u64) {
     let count = times.count() as f64;
     let spread = BEYOND * (part * (1.0 - part) / count.max(1.0)).sqrt();
     (times.at((part - spread).max(0.0)), times.at((part + spread).min(1.0)))
 }
 
-fn times_differ(before: &Times, after: &Times, part: f64) -> bool {
+fn times_differ(before: &LatencyHistogram, after: &LatencyHistogram, part: f64) -> bool {
     // Fewer than five on either side of it tell nothing of a quantile.
-    let few = |times: &Times| (times.count() as f64) * part.min(1.0 - part) < 5.0;
+    let few = |times: &LatencyHistogram| (times.count() as f64) * part.min(1.0 - part) < 5.0;
     if few(before) || few(after) {
         return false;
     }
--- a/crates/replay/src/drive.rs
+++ b/crates/replay/src/drive.rs
@@ -1,7 +1,8 @@
 //! Gives the planner a clock and carries out what it says.
 
 use crate::plan::{Action, End, Micros, Number, Planner};
-use crate::report::{Recorder, Report};
+use crate::recorder::Recorder;
+use crate::report::Report;
 use futures_util::future::LocalBoxFuture;
 use rowanglade_capture::{ClassTerms, Record, TraceError};
 use std::time::Duration;
--- a/crates/replay/src/lib.rs
+++ b/crates/replay/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! [`plan`] decides what goes when, where, and whether a client tries again; it has no clock and no sockets.
 //! [`drive`] gives it a clock, and a [`Transport`] the sockets: [`http`] for the platform's front, [`iscsi`]
-//! for the iSCSI-style one. [`report`] sums up what became of the requests and [`compare`] sets two reports
+//! for the iSCSI-style one. [`recorder`] sums up in a [`report`] what became of the requests and [`compare`] sets two reports
 //! side by side. Latency counts from the moment a request was due, so that a stall is not hidden by requests
 //! that were never sent because of it.
 #![forbid(unsafe_code)]
@@ -12,13 +12,17 @@
 pub mod drive;
 pub mod http;
 pub mod iscsi;
+pub mod latency;
 pub mod page;
 pub mod pick;
 pub mod plan;
+pub mod recorder;
 pub mod report;
 pub mod run;
 
 pub use drive::{Outgoing, Transport, drive};
+pub use latency::LatencyHistogram;
+pub use page::PlotError;
 pub use plan::{End, Planner, Terms};
-pub use report::Report;
+pub use report::{Report, ReportError};
 pub use run::{Front, Replay, ReplayError, replay};
--- a/crates/replay/src/page.rs
+++ b/crates/replay/src/page.rs
@@ -14,6 +14,16 @@
     RGBColor(127, 127, 127),
 ];
 
+/// A plot that could not be drawn.
+#[derive(Debug, thiserror::Error)]
+#[error("{title}: {source}")]
+pub struct PlotError {
+    /// The plot's caption.
+    pub title: String,
+    /// The plotting library's own error.
+    pub source: Box<dyn std::error::Error>,
+}
+
 /// A line of a plot: its name and its points.
 type Line<'a> = (&'a str, Vec<(f64, f64)>);
 
@@ -21,7 +31,7 @@
 ///
 /// # Errors
 /// The plotting library's.
-fn lines(title: &str, x: &str, y: &str, lines: &[Line<'_>]) -> Result<String, String> {
+fn lines(title: &str, x: &str, y: &str, lines: &[Line<'_>]) -> Result<String, PlotError> {
     let points = || lines.iter().flat_map(|(_, points)| points);
     let most_x = points().map(|p| p.0).fold(1e-9, f64::max);
     let most_y = points().map(|p| p.1).fold(1e-9, f64::max) * 1.05;
@@ -51,7 +61,7 @@
             root.present()?;
             Ok(())
         };
-        draw().map_err(|e| format!("{title}: {e}"))?;
+        draw().map_err(|source| PlotError { title: title.to_string(), source })?;
     }
     Ok(svg)
 }
@@ -76,7 +86,7 @@
 ///
 /// # Errors
 /// A plot could not be drawn.
-pub fn page(report: &Report) -> Result<String, String> {
+pub fn page(report: &Report) -> Result<String, PlotError> {
     let mut plots = vec![lines(
         "Requests that came due in each second, and what became of them",
         "seconds",
--- a/crates/replay/tests/compatibility.rs
+++ b/crates/replay/tests/compatibility.rs
@@ -1,16 +1,17 @@
 //! A report against a recorded sample. Guards against a build that can no longer compare its replay with the
 //! report of an earlier one, and against tools that read reports finding other keys.
 
+use rowanglade_replay::LatencyHistogram;
 use rowanglade_replay::Report;
 use rowanglade_replay::compare::{Change, Comparison};
-use rowanglade_replay::report::{Class, Second, Times, VERSION, Volume};
+use rowanglade_replay::report::{Class, Second, VERSION, Volume};
 use std::collections::BTreeMap;
 
 const SAMPLE: &str = include_str!("samples/report.json");
 const COMPARISON: &str = include_str!("samples/comparison.json");
 
-fn times(micros: &[u64]) -> Times {
-    let mut times = Times::default();
+fn times(micros: &[u64]) -> LatencyHistogram {
+    let mut times = LatencyHistogram::default();
     micros.iter().for_each(|m| times.record(*m));
     times
 }
--- a/crates/replay/tests/modules/compare.rs
+++ b/crates/replay/tests/modules/compare.rs
@@ -3,8 +3,8 @@
 use rowanglade_capture::Header;
 use rowanglade_replay::Report;
 use rowanglade_replay::compare::compare;
+use rowanglade_replay::recorder::{Recorder, Subject};
 use rowanglade_replay::report::Class;
-use rowanglade_replay::report::{Recorder, Subject};
 use std::time::Duration;
 
 fn report(served: u64, of: u64, times: impl Fn(u64) -> u64) -> Report {
@@ -42,6 +42,11 @@
     let read = Report::parse(&text).expect("a report");
     assert!(!compare(&base, &read).changed() && compare(&base, &read).unlike.is_empty());
     assert_eq!(read.classes["view"].latency.at(0.9), base.classes["view"].latency.at(0.9));
-    assert!(Report::parse(&text.replace("\"version\":1", "\"version\":7")).expect_err("old").contains('7'));
-    assert!(Report::parse("{}").expect_err("none").contains("no report"));
+    assert!(
+        Report::parse(&text.replace("\"version\":1", "\"version\":7"))
+            .expect_err("old")
+            .to_string()
+            .contains('7')
+    );
+    assert!(Report::parse("{}").expect_err("none").to_string().contains("no report"));
 }
--- a/src/cli/replay.rs
+++ b/src/cli/replay.rs
@@ -136,7 +136,7 @@
     let read = |path: &PathBuf| {
         let named = |e: String| Failure::Usage(format!("{}: {e}", path.display()));
         let text = std::fs::read_to_string(path).map_err(|e| named(e.to_string()))?;
-        Report::parse(&text).map_err(named)
+        Report::parse(&text).map_err(|error| named(error.to_string()))
     };
     let [before, after] = files.as_slice() else {
         return Err(Failure::usage("replay compare needs BEFORE.json and AFTER.json"));
