--- a/src/core/actor/handover.rs
+++ b/src/core/actor/handover.rs
@@ -61,8 +61,8 @@
         let HandoverState { maintenance, scheduler, object_locations } = state;
         self.endpoints.set_maintenance(maintenance);
         self.object_locations.learn(object_locations);
-        // What maintenance changes of the targets is told before what was learned of them, which is void for
-        // another start.
+        // The scheduler learns what maintenance changes of the targets before what was learned of them, which
+        // is void for another start.
         self.refresh_all_targets();
         let names = &mut self.names;
         let targets: HashMap<&str, TargetId> =
@@ -86,6 +86,6 @@
     /// What is owned is another process's from now on, or this one's again.
     fn set_handed_over(&mut self, handed_over: bool) {
         self.handover.set_handed_over(handed_over);
-        self.apply_event(Event::OwnershipTransferred(handed_over));
+        self.apply_event(Event::OwnershipChanged { owned_here: !handed_over });
     }
 }
--- a/src/core/routes.rs
+++ b/src/core/routes.rs
@@ -48,7 +48,7 @@
     sets: BTreeMap<TargetSetId, TargetSet>,
     by_key: HashMap<TargetSetKey, TargetSetId>,
     next_id: u32,
-    /// What the scheduler has not been told yet.
+    /// What the scheduler has not taken yet.
     events: Vec<Event>,
 }
 
@@ -141,7 +141,7 @@
                 self.by_key.remove(&set.key);
                 let version = set.key.version;
                 if version != current && !self.sets.values().any(|s| s.key.version == version) {
-                    tracing::info!(version, "routes have ended with their last request");
+                    tracing::info!(version, "old routes dropped with their last request");
                 }
             }
             self.events.push(Event::TargetSetChanged { set: id, targets: None });
@@ -170,7 +170,7 @@
         }
     }
 
-    /// What the scheduler has not been told yet, in its order.
+    /// What the scheduler has not taken yet, in its order.
     pub fn take_events(&mut self) -> Vec<Event> {
         std::mem::take(&mut self.events)
     }
