--- a/crates/lab/src/scale/units.rs
+++ b/crates/lab/src/scale/units.rs
@@ -2,22 +2,23 @@
 
 use super::cost::{Cost, Size, measure};
 use crate::outcome::Failure;
-use rowanglade_quota_exchange::exchange::Milli;
-use rowanglade_quota_exchange::{Exchange, Key, Message, Peer, Store, decode, encode};
+use rowanglade_quota_exchange::{
+    Key, Message, MilliUnits, Peer, QuotaExchange, TokenBuckets, decode, encode,
+};
 
 const KEY: Key = [0x5a; 32];
 const VOLUME: u64 = 7;
-const LACK: Milli = 20_000;
+const LACK: MilliUnits = 20_000;
 
 /// A peer that can spare what is asked.
 struct Spare;
 
-impl Store for Spare {
-    fn give_up(&mut self, _volume: u64, most: Milli) -> Milli {
-        most
+impl TokenBuckets for Spare {
+    fn take_unused(&mut self, _volume: u64, max: MilliUnits) -> MilliUnits {
+        max
     }
 
-    fn add(&mut self, _volume: u64, _units: Milli) {}
+    fn add(&mut self, _volume: u64, _units: MilliUnits) {}
 }
 
 /// The asker's part in one lack of a volume that comes through all instances: it asks all others, and each
@@ -25,8 +26,8 @@
 pub fn lack(size: Size) -> Result<Cost, Failure> {
     let now = 1_000_000;
     let ask = || {
-        let mut asker = Exchange::new(1);
-        asker.lacks(now, VOLUME, LACK, size.instances);
+        let mut asker = QuotaExchange::new(1);
+        asker.record_need(now, VOLUME, LACK, size.instances);
         let message = asker.poll(now);
         (asker, message.map(|message| encode(&KEY, Peer(0), &message)))
     };
@@ -34,7 +35,8 @@
     let heard = decode(&KEY, Peer(0), &asked)?;
     let peers = 1..u16::try_from(size.instances)?;
     let answer = |peer: u16| -> Result<(Peer, Vec<u8>), Failure> {
-        let given: Option<Message> = Exchange::new(u64::from(peer)).heard(now, Peer(0), &heard, &mut Spare);
+        let given: Option<Message> =
+            QuotaExchange::new(u64::from(peer)).handle_message(now, Peer(0), &heard, &mut Spare);
         Ok((Peer(peer), encode(&KEY, Peer(peer), &given.ok_or("a peer that can spare units gives")?)))
     };
     let answers: Vec<(Peer, Vec<u8>)> = peers.map(answer).collect::<Result<_, _>>()?;
@@ -42,7 +44,7 @@
         let (mut asker, _) = ask();
         for (peer, given) in &answers {
             if let Ok(message) = decode(&KEY, *peer, given) {
-                asker.heard(now, *peer, &message, &mut Spare);
+                asker.handle_message(now, *peer, &message, &mut Spare);
             }
         }
         asker
--- a/crates/quota-exchange/src/exchange.rs
+++ b/crates/quota-exchange/src/exchange.rs
@@ -1,206 +1,219 @@
-//! Units of a limited volume, moved toward demand.
+//! The state machine that moves quota toward demand.
 //!
-//! Each of the `k` instances that a volume comes through has a store of its own that fills at a `k`th of the
-//! limit's rate and holds a `k`th of its burst at most. That is the even split, and what stands where nobody
-//! is heard. An instance that lacks units asks all others; one that has some to spare takes them out of its
-//! store and sends them.
+//! Each of the `k` instances that a volume comes through has a token bucket of its own that fills at a `k`th of
+//! the limit's rate and holds a `k`th of its burst at most. That is the even split, and what stands where no
+//! peer answers. An instance that needs units requests them from all others; one that has unused units takes
+//! them out of its bucket and sends them.
 //!
-//! **Invariant.** At any time, over all instances: units spent, plus units in all stores, plus units in
-//! grants that will still be accepted, are at most the units that the stores were ever filled with; and no
-//! store holds more than its `k`th of the burst. So what all spend in any window is at most the burst and
-//! what fills in the window.
+//! **Invariant.** At any time, over all instances: units spent, plus units in all buckets, plus units in grants
+//! that will still be accepted, are at most the units that the buckets were ever filled with; and no bucket
+//! holds more than its `k`th of the burst. So what all spend in any window is at most the burst and what fills
+//! in the window.
 //!
-//! *Proof.* Units enter a store by filling, or by accepting a grant; they leave by being spent, by being
-//! given up, or with an instance that ends. A grant is made only of units that its giver has taken out of its
-//! store in the same step ([`Store::give_up`] comes first), so making one moves units from a store into the
-//! grant. A grant answers one ask, named by a nonce that only the asker made: its incarnation, drawn at
-//! random at its start, and a number that it never uses twice. The asker accepts a grant only while it holds
-//! that ask open, and one from each peer; so a datagram that is doubled, or late beyond the asker's patience
-//! or its life, adds nothing, and what is accepted was given up once. A second grant of the same peer to the
-//! same ask (the ask was doubled) is dropped: its units are lost, never doubled. Lost datagrams lose units.
-//! An instance that starts has an empty store and no open ask. No step compares two instances' clocks: an
-//! asker closes its asks by its own, and closing early only loses units. Accepting adds to a store no more
-//! than its room. ∎
+//! *Proof.* Units enter a bucket by filling, or by accepting a grant; they leave by being spent, by being
+//! granted, or with an instance that ends. A grant is made only of units that its sender has taken out of its
+//! bucket in the same step ([`TokenBuckets::take_unused`] comes first), so making one moves units from a bucket
+//! into the grant. A grant answers one request, named by a nonce that only the requester made: its incarnation,
+//! drawn at random at its start, and a sequence number that it never uses twice. The requester accepts a grant
+//! only while that request is open, and one from each peer; so a datagram that is duplicated, or late beyond
+//! the request's timeout or the requester's life, adds nothing, and what is accepted was taken out once. A
+//! second grant of the same peer for the same request (the request was duplicated) is dropped: its units are
+//! lost, never doubled. Lost datagrams lose units. An instance that starts has empty buckets and no open
+//! request. No step compares two instances' clocks: a requester closes its requests by its own, and closing
+//! early only loses units. Accepting adds to a bucket no more than its capacity. ∎
 //!
-//! An instance gives up units of a volume only if requests of it come through it; otherwise it is none of the
-//! `k`, and what it would give was never filled.
+//! An instance grants units of a volume only if requests of it come through it; otherwise it is none of the
+//! `k`, and what it would grant was never filled.
 
+use crate::constants::*;
+use crate::{Message, Micros, MilliUnits, Nonce, Peer, VolumeUnits};
+use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Microseconds of the caller's clock.
-pub type Micros = u64;
-/// Thousandths of a unit.
-pub type Milli = u32;
-
-/// How often an instance asks at most.
-const EVERY: Micros = 50_000;
-/// How long it holds an ask open. An answer takes some milliseconds; later units are worth less than
-/// certainty.
-const OPEN_FOR: Micros = 500_000;
-/// What is lacked is forgotten after this long: the requests that lacked it are over.
-const LACK_FOR: Micros = 1_000_000;
-/// Volumes that one datagram tells of (see [`crate::wire`]).
-pub const MOST_VOLUMES: usize = 18;
-
-/// Another instance, by its number.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Peer(pub u16);
-
-/// Names an ask.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Nonce {
-    /// Drawn at random at the asker's start.
-    pub incarnation: u64,
-    /// Never used twice by it.
-    pub number: u32,
-}
-
-/// What passes between instances.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Message {
-    /// To all: units that the sender lacks, by volume.
-    Want { nonce: Nonce, lacks: Vec<(u64, Milli)> },
-    /// To the asker: units that are no longer the sender's, by volume.
-    Grant { nonce: Nonce, gives: Vec<(u64, Milli)> },
-}
-
-/// This instance's stores, which the decision module owns.
-pub trait Store {
-    /// Takes units that can be spared out of the volume's store, `most` at most, and tells how many they
-    /// were. None where no request of the volume has come through this instance.
-    fn give_up(&mut self, volume: u64, most: Milli) -> Milli;
-    /// Adds units to the volume's store, as many as it has room for.
-    fn add(&mut self, volume: u64, units: Milli);
+/// This instance's token buckets, which the scheduler owns.
+pub trait TokenBuckets {
+    /// Takes unused units out of the volume's bucket, `max` at most, and returns how many they were: 0 where no
+    /// request of the volume has come through this instance.
+    fn take_unused(&mut self, volume: u64, max: MilliUnits) -> MilliUnits;
+    /// Adds units to the volume's bucket, as many as it has capacity for.
+    fn add(&mut self, volume: u64, units: MilliUnits);
 }
 
+/// A request that still accepts grants.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Ask {
-    until: Micros,
+struct OpenRequest {
+    expires_at: Micros,
     volumes: BTreeSet<u64>,
-    granted: BTreeSet<Peer>,
+    granted_by: BTreeSet<Peer>,
 }
 
+/// Units that have been missing here and have not been requested yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Lack {
-    units: Milli,
-    until: Micros,
+struct Need {
+    /// What each peer is to be asked for.
+    units: MilliUnits,
+    expires_at: Micros,
 }
 
-/// Counts that tell whether it works.
+/// What was counted since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Counters {
-    pub asked: u64,
-    pub given: u64,
+    /// Requests sent; one goes to all others.
+    pub requests: u64,
+    /// Thousandths of units granted to peers.
+    pub granted: u64,
+    /// Thousandths of units accepted from peers.
     pub accepted: u64,
-    /// Grants for an ask that is not open, or doubled.
+    /// Grants for a request that is not open, or duplicates.
     pub dropped: u64,
 }
 
 /// One instance's part in the exchange.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Exchange {
+pub struct QuotaExchange {
     incarnation: u64,
-    next: u32,
-    asked_at: Option<Micros>,
-    lacks: BTreeMap<u64, Lack>,
-    asks: BTreeMap<u32, Ask>,
+    next_sequence: u32,
+    requested_at: Option<Micros>,
+    needs: BTreeMap<u64, Need>,
+    open_requests: BTreeMap<u32, OpenRequest>,
     counters: Counters,
 }
 
-impl Exchange {
+impl QuotaExchange {
     /// Of an instance that has just started. `incarnation` is drawn at random: two lives must not have the
     /// same.
-    pub fn new(incarnation: u64) -> Exchange {
-        Exchange {
+    pub fn new(incarnation: u64) -> QuotaExchange {
+        QuotaExchange {
             incarnation,
-            next: 0,
-            asked_at: None,
-            lacks: BTreeMap::new(),
-            asks: BTreeMap::new(),
+            next_sequence: 0,
+            requested_at: None,
+            needs: BTreeMap::new(),
+            open_requests: BTreeMap::new(),
             counters: Counters::default(),
         }
     }
 
+    /// What was counted since the start.
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// A request of a volume that comes through `hosts` instances lacks units here.
-    pub fn lacks(&mut self, now: Micros, volume: u64, units: Milli, hosts: u32) {
-        // Each of the others is asked for its part.
-        let Some(others) = hosts.checked_sub(1).filter(|o| *o > 0) else { return };
-        let lack = self.lacks.entry(volume).or_insert(Lack { units: 0, until: 0 });
-        lack.units = lack.units.saturating_add(units.div_ceil(others));
-        lack.until = now + LACK_FOR;
+    /// A request of a volume that comes through `initiators` instances misses units here. Each of the others is
+    /// asked for its part of them.
+    pub fn record_need(&mut self, now: Micros, volume: u64, units: MilliUnits, initiators: u32) {
+        let Some(others) = initiators.checked_sub(1).filter(|others| *others > 0) else { return };
+        let need = self.needs.entry(volume).or_insert(Need { units: 0, expires_at: 0 });
+        need.units = need.units.saturating_add(units.div_ceil(others));
+        need.expires_at = now + NEED_TIMEOUT;
     }
 
-    /// When to call [`Exchange::poll`] again, if anything is lacked.
-    pub fn wake(&self) -> Option<Micros> {
-        (!self.lacks.is_empty()).then(|| self.asked_at.map_or(0, |at| at + EVERY))
+    /// When to call [`QuotaExchange::poll`] again; none while nothing is needed.
+    pub fn next_timeout(&self) -> Option<Micros> {
+        let next_request_at = self.requested_at.map_or(0, |at| at + REQUEST_INTERVAL);
+        (!self.needs.is_empty()).then_some(next_request_at)
     }
 
     /// What to send to all others now, if anything.
     pub fn poll(&mut self, now: Micros) -> Option<Message> {
-        self.asks.retain(|_, ask| ask.until > now);
-        self.lacks.retain(|_, lack| lack.until > now);
-        if self.lacks.is_empty() || self.asked_at.is_some_and(|at| now < at + EVERY) {
+        self.open_requests.retain(|_, request| request.expires_at > now);
+        self.needs.retain(|_, need| need.expires_at > now);
+        let paused = self.requested_at.is_some_and(|at| now < at + REQUEST_INTERVAL);
+        if self.needs.is_empty() || paused {
             return None;
         }
-        // Those that lack most come first; the rest have their turn at the next ask.
-        let mut lacks: Vec<(u64, Milli)> = self.lacks.iter().map(|(v, l)| (*v, l.units)).collect();
-        lacks.sort_by_key(|(volume, units)| (std::cmp::Reverse(*units), *volume));
-        lacks.truncate(MOST_VOLUMES);
-        for (volume, _) in &lacks {
-            self.lacks.remove(volume);
-        }
-        let number = self.next;
-        // After four thousand million asks there are no more: a number that comes again could name an old
+        let needed = self.take_largest_needs();
+        let sequence = self.next_sequence;
+        // Once all sequence numbers are used there are no more requests: one that comes again could name an old
         // grant.
-        self.next = number.checked_add(1)?;
-        self.asked_at = Some(now);
-        self.counters.asked += 1;
-        let volumes = lacks.iter().map(|(v, _)| *v).collect();
-        self.asks.insert(number, Ask { until: now + OPEN_FOR, volumes, granted: BTreeSet::new() });
-        Some(Message::Want { nonce: Nonce { incarnation: self.incarnation, number }, lacks })
+        self.next_sequence = sequence.checked_add(1)?;
+        self.requested_at = Some(now);
+        self.counters.requests += 1;
+        let request = OpenRequest {
+            expires_at: now + REQUEST_TIMEOUT,
+            volumes: needed.iter().map(|need| need.volume).collect(),
+            granted_by: BTreeSet::new(),
+        };
+        self.open_requests.insert(sequence, request);
+        let nonce = Nonce { incarnation: self.incarnation, sequence };
+        Some(Message::Request { nonce, needed })
     }
 
-    /// A datagram came. The answer, if there is one, goes to its sender.
-    pub fn heard(
+    /// Takes out the largest needs that fit into a datagram; the others wait for the next request.
+    fn take_largest_needs(&mut self) -> Vec<VolumeUnits> {
+        let needs = self.needs.iter();
+        let mut needed: Vec<VolumeUnits> =
+            needs.map(|(volume, need)| VolumeUnits { volume: *volume, units: need.units }).collect();
+        needed.sort_by_key(|need| (Reverse(need.units), need.volume));
+        needed.truncate(MAX_VOLUMES_PER_DATAGRAM);
+        for need in &needed {
+            self.needs.remove(&need.volume);
+        }
+        needed
+    }
+
+    /// A datagram was received. The answer, if there is one, goes to its sender.
+    pub fn handle_message(
         &mut self,
         now: Micros,
         from: Peer,
         message: &Message,
-        store: &mut dyn Store,
+        buckets: &mut dyn TokenBuckets,
     ) -> Option<Message> {
         match message {
-            Message::Want { nonce, lacks } => {
-                let mut gives = Vec::new();
-                for (volume, units) in lacks {
-                    // Given up before anybody else has it.
-                    let given = store.give_up(*volume, *units);
-                    if given > 0 {
-                        self.counters.given += u64::from(given);
-                        gives.push((*volume, given));
-                    }
-                }
-                (!gives.is_empty()).then_some(Message::Grant { nonce: *nonce, gives })
-            }
-            Message::Grant { nonce, gives } => {
-                let ask = match nonce.incarnation == self.incarnation {
-                    true => self.asks.get_mut(&nonce.number).filter(|ask| ask.until > now),
-                    false => None,
-                };
-                let Some(ask) = ask.filter(|ask| !ask.granted.contains(&from)) else {
-                    self.counters.dropped += 1;
-                    return None;
-                };
-                ask.granted.insert(from);
-                for (volume, units) in gives.iter().filter(|(v, _)| ask.volumes.contains(v)) {
-                    self.counters.accepted += u64::from(*units);
-                    store.add(*volume, *units);
-                }
+            Message::Request { nonce, needed } => self.handle_request(*nonce, needed, buckets),
+            Message::Grant { nonce, granted } => {
+                self.handle_grant(now, from, *nonce, granted, buckets);
                 None
             }
         }
     }
+
+    fn handle_request(
+        &mut self,
+        nonce: Nonce,
+        needed: &[VolumeUnits],
+        buckets: &mut dyn TokenBuckets,
+    ) -> Option<Message> {
+        let mut granted = Vec::new();
+        for VolumeUnits { volume, units } in needed.iter().copied() {
+            // Out of this instance's bucket before anybody else has them.
+            let units = buckets.take_unused(volume, units);
+            if units > 0 {
+                self.counters.granted += u64::from(units);
+                granted.push(VolumeUnits { volume, units });
+            }
+        }
+        (!granted.is_empty()).then_some(Message::Grant { nonce, granted })
+    }
+
+    fn handle_grant(
+        &mut self,
+        now: Micros,
+        from: Peer,
+        nonce: Nonce,
+        granted: &[VolumeUnits],
+        buckets: &mut dyn TokenBuckets,
+    ) {
+        let Some(request) = self.request_awaiting(now, from, nonce) else {
+            self.counters.dropped += 1;
+            return;
+        };
+        request.granted_by.insert(from);
+        let mut requested = granted.to_vec();
+        requested.retain(|grant| request.volumes.contains(&grant.volume));
+        for grant in requested {
+            self.counters.accepted += u64::from(grant.units);
+            buckets.add(grant.volume, grant.units);
+        }
+    }
+
+    /// The open request of this nonce, if this peer has not answered it yet.
+    fn request_awaiting(&mut self, now: Micros, from: Peer, nonce: Nonce) -> Option<&mut OpenRequest> {
+        if nonce.incarnation != self.incarnation {
+            return None;
+        }
+        let request = self.open_requests.get_mut(&nonce.sequence)?;
+        let is_open = request.expires_at > now;
+        (is_open && !request.granted_by.contains(&from)).then_some(request)
+    }
 }
--- a/crates/quota-exchange/src/lib.rs
+++ b/crates/quota-exchange/src/lib.rs
@@ -1,12 +1,19 @@
-//! What the instances of a fleet tell each other, and what follows from it. Datagrams and times come in,
-//! datagrams and changes of an instance's own stores go out; there are no sockets and no clock here.
+//! Moves unused units of a volume's limit from initiators that do not need them to those that do.
 //!
-//! [`exchange`] moves units of limited volumes from instances that do not need them to those that lack them;
-//! [`wire`] is the form of the datagrams.
+//! [`QuotaExchange`] is the state machine: datagrams and times go in, datagrams and changes of this instance's
+//! own token buckets come out. [`wire`] is the form of the datagrams. There are no sockets and no clock here.
+
 #![forbid(unsafe_code)]
 
-pub mod exchange;
+mod constants;
+mod exchange;
+mod message;
 pub mod wire;
 
-pub use exchange::{Exchange, Message, Nonce, Peer, Store};
-pub use wire::{Key, Malformed, decode, encode};
+pub use constants::MAX_VOLUMES_PER_DATAGRAM;
+pub use exchange::{Counters, QuotaExchange, TokenBuckets};
+pub use message::{Message, MilliUnits, Nonce, Peer, VolumeUnits};
+pub use wire::{DecodeError, Key, decode, encode};
+
+/// A point in time or a span, in microseconds of the caller's monotonic clock.
+pub type Micros = u64;
--- a/crates/quota-exchange/tests/compatibility.rs
+++ b/crates/quota-exchange/tests/compatibility.rs
@@ -2,17 +2,20 @@
 //! drop what it tells them: a change of order, width or code that a round trip within one build does not
 //! show.
 
-use rowanglade_quota_exchange::{Message, Nonce, Peer, decode, encode};
+use rowanglade_quota_exchange::{Message, Nonce, Peer, VolumeUnits, decode, encode};
 
 /// A kind and the bytes of its datagram in hex.
 const SAMPLES: &str = include_str!("samples/datagrams.txt");
 
 fn messages() -> [(&'static str, Message); 2] {
-    let nonce = Nonce { incarnation: 0x1234_5678_9abc_def0, number: 77 };
-    let entries = vec![(0x0102_0304_0506_0708, 1_500), (9, u32::MAX)];
+    let nonce = Nonce { incarnation: 0x1234_5678_9abc_def0, sequence: 77 };
+    let entries = vec![
+        VolumeUnits { volume: 0x0102_0304_0506_0708, units: 1_500 },
+        VolumeUnits { volume: 9, units: u32::MAX },
+    ];
     [
-        ("want", Message::Want { nonce, lacks: entries.clone() }),
-        ("grant", Message::Grant { nonce, gives: entries }),
+        ("want", Message::Request { nonce, needed: entries.clone() }),
+        ("grant", Message::Grant { nonce, granted: entries }),
     ]
 }
 
--- a/crates/quota-exchange/tests/model.rs
+++ b/crates/quota-exchange/tests/model.rs
@@ -1,58 +1,57 @@
 //! The exchange itself, checked over every order of events of a small fleet: three instances and one volume,
 //! where datagrams are lost, doubled, late, and instances start anew from nothing.
 
-use rowanglade_quota_exchange::exchange::Milli;
-use rowanglade_quota_exchange::{Exchange, Message, Peer, Store};
+use rowanglade_quota_exchange::{Message, MilliUnits, Peer, QuotaExchange, TokenBuckets};
 use stateright::{Checker, Model, Property};
 
 const VOLUME: u64 = 1;
 const INSTANCES: usize = 3;
-/// What a store holds at most, and what all were ever filled with, in thousandths.
-const CAP: Milli = 2;
+/// What a bucket holds at most, and what all were ever filled with, in thousandths.
+const CAP: MilliUnits = 2;
 const FILLS: u32 = 3;
-const ASKS: u8 = 2;
+const REQUESTS: u8 = 2;
 const DOUBLES: u8 = 1;
 const STARTS: u8 = 1;
 const STEPS: u64 = 2;
-/// Longer than an ask is held open together with another of its kind.
+/// Two steps are longer than a request stays open.
 const STEP: u64 = 300_000;
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Mutation {
     None,
-    /// Units are given and kept as well.
-    KeptWhatIsGiven,
+    /// Units are granted and kept as well.
+    KeepsWhatIsGranted,
     /// Every grant that comes is accepted, again and again.
-    GrantsNotTold,
-    /// A store takes more than it has room for.
-    NoRoomNeeded,
+    EveryGrantAccepted,
+    /// A bucket takes more than its capacity.
+    NoCapacityLimit,
     /// An instance that starts owns its part at once.
     StartsFull,
-    /// It gives of volumes that do not come through it.
-    GivesWhatWasNeverFilled,
+    /// It grants units of volumes that do not come through it.
+    GrantsWhatWasNeverFilled,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Shelf {
-    level: Milli,
+struct Bucket {
+    level: MilliUnits,
     keeps: bool,
     bottomless: bool,
     invents: bool,
 }
 
-impl Store for Shelf {
-    fn give_up(&mut self, _volume: u64, most: Milli) -> Milli {
+impl TokenBuckets for Bucket {
+    fn take_unused(&mut self, _volume: u64, max: MilliUnits) -> MilliUnits {
         if self.invents && self.level == 0 {
-            return most.min(1);
+            return max.min(1);
         }
-        let given = self.level.min(most);
+        let given = self.level.min(max);
         if !self.keeps {
             self.level -= given;
         }
         given
     }
 
-    fn add(&mut self, _volume: u64, units: Milli) {
+    fn add(&mut self, _volume: u64, units: MilliUnits) {
         self.level += units;
         if !self.bottomless {
             self.level = self.level.min(CAP);
@@ -70,13 +69,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     now: u64,
-    exchanges: Vec<Exchange>,
-    shelves: Vec<Shelf>,
+    exchanges: Vec<QuotaExchange>,
+    buckets: Vec<Bucket>,
     /// In the order of their making; any may come next.
     network: Vec<Datagram>,
     filled: u32,
     spent: u32,
-    asks: u8,
+    requests: u8,
     doubles: u8,
     starts: u8,
     moved: bool,
@@ -85,7 +84,7 @@
 #[derive(Clone, Debug, PartialEq)]
 enum Event {
     Fill(usize),
-    Lack(usize),
+    Need(usize),
     Spend(usize),
     Deliver(usize),
     Double(usize),
@@ -98,24 +97,24 @@
 }
 
 impl Fleet {
-    fn shelf(&self, level: Milli) -> Shelf {
-        Shelf {
+    fn bucket(&self, level: MilliUnits) -> Bucket {
+        Bucket {
             level,
-            keeps: self.mutation == Mutation::KeptWhatIsGiven,
-            bottomless: self.mutation == Mutation::NoRoomNeeded,
-            invents: self.mutation == Mutation::GivesWhatWasNeverFilled,
+            keeps: self.mutation == Mutation::KeepsWhatIsGranted,
+            bottomless: self.mutation == Mutation::NoCapacityLimit,
+            invents: self.mutation == Mutation::GrantsWhatWasNeverFilled,
         }
     }
 
     fn deliver(&self, s: &mut State, datagram: &Datagram) {
         let Datagram { from, to, message } = datagram;
-        let before = s.shelves[*to].level;
-        if let (Mutation::GrantsNotTold, Message::Grant { gives, .. }) = (self.mutation, message) {
-            gives.iter().for_each(|(v, units)| s.shelves[*to].add(*v, *units));
+        let before = s.buckets[*to].level;
+        if let (Mutation::EveryGrantAccepted, Message::Grant { granted, .. }) = (self.mutation, message) {
+            granted.iter().for_each(|grant| s.buckets[*to].add(grant.volume, grant.units));
             return;
         }
-        let answer = s.exchanges[*to].heard(s.now, Peer(*from as u16), message, &mut s.shelves[*to]);
-        s.moved |= s.shelves[*to].level > before;
+        let answer = s.exchanges[*to].handle_message(s.now, Peer(*from as u16), message, &mut s.buckets[*to]);
+        s.moved |= s.buckets[*to].level > before;
         if let Some(message) = answer {
             s.network.push(Datagram { from: *to, to: *from, message });
         }
@@ -129,12 +128,12 @@
     fn init_states(&self) -> Vec<State> {
         vec![State {
             now: 0,
-            exchanges: (0..INSTANCES).map(|i| Exchange::new(100 + i as u64)).collect(),
-            shelves: (0..INSTANCES).map(|_| self.shelf(0)).collect(),
+            exchanges: (0..INSTANCES).map(|i| QuotaExchange::new(100 + i as u64)).collect(),
+            buckets: (0..INSTANCES).map(|_| self.bucket(0)).collect(),
             network: Vec::new(),
             filled: 0,
             spent: 0,
-            asks: 0,
+            requests: 0,
             doubles: 0,
             starts: 0,
             moved: false,
@@ -143,13 +142,13 @@
 
     fn actions(&self, s: &State, out: &mut Vec<Event>) {
         for i in 0..INSTANCES {
-            if s.filled < FILLS && s.shelves[i].level < CAP {
+            if s.filled < FILLS && s.buckets[i].level < CAP {
                 out.push(Event::Fill(i));
             }
-            if s.asks < ASKS {
-                out.push(Event::Lack(i));
+            if s.requests < REQUESTS {
+                out.push(Event::Need(i));
             }
-            if s.shelves[i].level > 0 {
+            if s.buckets[i].level > 0 {
                 out.push(Event::Spend(i));
             }
             if s.starts < STARTS {
@@ -172,19 +171,19 @@
         let mut s = last.clone();
         match event {
             Event::Fill(i) => {
-                s.shelves[i].level += 1;
+                s.buckets[i].level += 1;
                 s.filled += 1;
             }
-            Event::Lack(i) => {
-                s.exchanges[i].lacks(s.now, VOLUME, 4, INSTANCES as u32);
+            Event::Need(i) => {
+                s.exchanges[i].record_need(s.now, VOLUME, 4, INSTANCES as u32);
                 let message = s.exchanges[i].poll(s.now)?;
-                s.asks += 1;
+                s.requests += 1;
                 for to in (0..INSTANCES).filter(|to| *to != i) {
                     s.network.push(Datagram { from: i, to, message: message.clone() });
                 }
             }
             Event::Spend(i) => {
-                s.shelves[i].level -= 1;
+                s.buckets[i].level -= 1;
                 s.spent += 1;
             }
             Event::Deliver(i) => {
@@ -198,9 +197,9 @@
             }
             Event::Start(i) => {
                 s.starts += 1;
-                s.exchanges[i] = Exchange::new(200 + i as u64);
+                s.exchanges[i] = QuotaExchange::new(200 + i as u64);
                 let full = if self.mutation == Mutation::StartsFull { CAP } else { 0 };
-                s.shelves[i] = self.shelf(full);
+                s.buckets[i] = self.bucket(full);
             }
             Event::Pass => s.now += STEP,
         }
@@ -212,10 +211,10 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("nothing is minted", |_, s: &State| {
-                s.spent + s.shelves.iter().map(|shelf| shelf.level).sum::<u32>() <= s.filled
+                s.spent + s.buckets.iter().map(|bucket| bucket.level).sum::<u32>() <= s.filled
             }),
-            Property::always("no store holds more than its part", |_, s: &State| {
-                s.shelves.iter().all(|shelf| shelf.level <= CAP)
+            Property::always("no bucket holds more than its part", |_, s: &State| {
+                s.buckets.iter().all(|bucket| bucket.level <= CAP)
             }),
             Property::sometimes("units move", |_, s: &State| s.moved),
         ]
@@ -228,7 +227,7 @@
     if mutation == Mutation::None {
         assert!(found.contains_key("units move"), "no order of events moves a unit");
     }
-    let names = ["nothing is minted", "no store holds more than its part"];
+    let names = ["nothing is minted", "no bucket holds more than its part"];
     (names.into_iter().filter(|n| found.contains_key(n)).collect(), checker.unique_state_count())
 }
 
@@ -242,11 +241,11 @@
 #[test]
 fn each_mutation_is_caught() {
     for (mutation, property) in [
-        (Mutation::KeptWhatIsGiven, "nothing is minted"),
-        (Mutation::GrantsNotTold, "nothing is minted"),
-        (Mutation::NoRoomNeeded, "no store holds more than its part"),
+        (Mutation::KeepsWhatIsGranted, "nothing is minted"),
+        (Mutation::EveryGrantAccepted, "nothing is minted"),
+        (Mutation::NoCapacityLimit, "no bucket holds more than its part"),
         (Mutation::StartsFull, "nothing is minted"),
-        (Mutation::GivesWhatWasNeverFilled, "nothing is minted"),
+        (Mutation::GrantsWhatWasNeverFilled, "nothing is minted"),
     ] {
         let found = broken(mutation, 9).0;
         assert!(found.contains(&property), "{mutation:?}: {found:?}");
--- a/src/config/fleet.rs
+++ b/src/config/fleet.rs
@@ -1,9 +1,9 @@
 //! The operator's `fleet` table.
 
 use super::ConfigError;
-use crate::net::fleet::Peers;
+use crate::net::quota_exchange::FleetPeers;
 use rowanglade_quota_exchange::Peer;
-use rowanglade_quota_exchange::wire::{Key, key};
+use rowanglade_quota_exchange::wire::{Key, parse_key};
 use serde::Deserialize;
 use std::collections::HashSet;
 use std::fmt;
@@ -26,7 +26,7 @@
     /// # Errors
     /// `me` is no place in `peers`, a peer stands there twice, or the key file does not hold 64 hex digits. No error
     /// shows the key.
-    pub fn check(self) -> Result<Peers, ConfigError> {
+    pub fn check(self) -> Result<FleetPeers, ConfigError> {
         if self.peers.len() > usize::from(u16::MAX) || self.me >= self.peers.len() {
             return Err(ConfigError::new("fleet.me", format!("{} is no place in fleet.peers", self.me)));
         }
@@ -35,7 +35,7 @@
             return Err(ConfigError::new(format!("fleet.peers[{i}]"), "is there twice"));
         }
         let key = self.read_key()?;
-        Ok(Peers { addrs: self.peers, me: Peer(self.me as u16), key })
+        Ok(FleetPeers { addrs: self.peers, own: Peer(self.me as u16), key })
     }
 
     fn read_key(&self) -> Result<Key, ConfigError> {
@@ -44,6 +44,6 @@
         };
         let text = std::fs::read_to_string(&self.key_file).map_err(|e| error(&e))?;
         // The key itself is secret and stays out of the message.
-        key(text.trim()).ok_or_else(|| error(&"is not 64 hex digits"))
+        parse_key(text.trim()).ok_or_else(|| error(&"is not 64 hex digits"))
     }
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -20,8 +20,8 @@
 use crate::core::Watch;
 use crate::names::Names;
 use crate::net::drain_gossip::PeerAddresses;
-use crate::net::fleet::Peers;
 use crate::net::http::EndpointPage;
+use crate::net::quota_exchange::FleetPeers;
 use crate::scheduler::Scheduler;
 use crate::settings::Settings;
 use operator::OperatorFiles;
@@ -70,7 +70,7 @@
     /// Routes and their expectations.
     pub routing: Routing,
     /// The other instances; none turns the exchange with them off.
-    pub fleet: Option<Peers>,
+    pub fleet: Option<FleetPeers>,
     /// When a site counts as lost; none turns the watch of sites off.
     pub sites: Option<Watch>,
     /// The targets that this instance prefers; none prefers none.
--- a/src/core/actor.rs
+++ b/src/core/actor.rs
@@ -171,7 +171,7 @@
             let timer = self.timers.peek().map(|Reverse((at, _))| *at);
             let backstop = self.backstops.first().map(|(at, _)| *at);
             let trust_at = (!self.trusting).then_some(trust);
-            let ask = self.fleet.as_ref().filter(|_| !self.handed).and_then(|f| f.exchange.wake());
+            let ask = self.fleet.as_ref().filter(|_| !self.handed).and_then(|f| f.exchange.next_timeout());
             let sites = self.sites.as_ref().and_then(|s| s.wake(self.clock.now()));
             let until = [timer, backstop, trust_at, ask, sites].into_iter().flatten().min();
             let clock = self.clock;
--- a/src/core/fleet.rs
+++ b/src/core/fleet.rs
@@ -2,8 +2,7 @@
 
 use crate::core::actor::Core;
 use crate::interface::{Event, VolumeId};
-use rowanglade_quota_exchange::exchange::Milli;
-use rowanglade_quota_exchange::{Exchange, Message, Peer, Store};
+use rowanglade_quota_exchange::{Message, MilliUnits, Peer, QuotaExchange, TokenBuckets};
 use std::collections::HashMap;
 use tokio::sync::mpsc;
 
@@ -16,7 +15,7 @@
 /// The exchange, and what it needs to talk of volumes by their names.
 #[derive(Debug)]
 pub struct Fleet {
-    pub(super) exchange: Exchange,
+    pub(super) exchange: QuotaExchange,
     out: mpsc::Sender<Outgoing>,
     by_name: HashMap<u64, VolumeId>,
     names: HashMap<VolumeId, u64>,
@@ -25,7 +24,7 @@
 impl Fleet {
     /// Of an instance that has just started; datagrams go out by the mailbox.
     pub fn new(incarnation: u64, out: mpsc::Sender<Outgoing>) -> Fleet {
-        let exchange = Exchange::new(incarnation);
+        let exchange = QuotaExchange::new(incarnation);
         Fleet { exchange, out, by_name: HashMap::new(), names: HashMap::new() }
     }
 
@@ -41,7 +40,7 @@
 
     pub(super) fn lacks(&mut self, now: u64, id: VolumeId, units: f64, initiators: u32) {
         if let Some(volume) = self.names.get(&id) {
-            self.exchange.lacks(now, *volume, milli(units), initiators);
+            self.exchange.record_need(now, *volume, milli(units), initiators);
         }
     }
 
@@ -56,8 +55,8 @@
 }
 
 /// Thousandths, rounded down: what is told is never more than there was.
-pub(super) fn milli(units: f64) -> Milli {
-    (units * 1e3).clamp(0.0, f64::from(Milli::MAX)) as Milli
+pub(super) fn milli(units: f64) -> MilliUnits {
+    (units * 1e3).clamp(0.0, f64::from(MilliUnits::MAX)) as MilliUnits
 }
 
 /// The module's stores, as the exchange sees them.
@@ -66,15 +65,15 @@
     id: &'a dyn Fn(u64) -> Option<VolumeId>,
 }
 
-impl Store for Stores<'_> {
-    fn give_up(&mut self, volume: u64, most: Milli) -> Milli {
+impl TokenBuckets for Stores<'_> {
+    fn take_unused(&mut self, volume: u64, max: MilliUnits) -> MilliUnits {
         let Some(volume) = (self.id)(volume) else { return 0 };
         self.core.spared = 0.0;
-        self.core.feed(Event::OfferQuota { volume, max_units: f64::from(most) / 1e3 });
+        self.core.feed(Event::OfferQuota { volume, max_units: f64::from(max) / 1e3 });
         milli(self.core.spared)
     }
 
-    fn add(&mut self, volume: u64, units: Milli) {
+    fn add(&mut self, volume: u64, units: MilliUnits) {
         if let Some(volume) = (self.id)(volume) {
             self.core.feed(Event::QuotaReceived { volume, units: f64::from(units) / 1e3 });
         }
@@ -87,9 +86,9 @@
         let now = self.clock.now();
         // What others are given must be this process's to give.
         let Some(mut fleet) = self.fleet.take_if(|_| !self.handed) else { return };
-        let mut exchange = std::mem::replace(&mut fleet.exchange, Exchange::new(0));
+        let mut exchange = std::mem::replace(&mut fleet.exchange, QuotaExchange::new(0));
         let id = |volume| fleet.id(volume);
-        let answer = exchange.heard(now, from, message, &mut Stores { core: self, id: &id });
+        let answer = exchange.handle_message(now, from, message, &mut Stores { core: self, id: &id });
         fleet.exchange = exchange;
         if let Some(answer) = answer {
             fleet.send((Some(from), answer));
--- a/src/initiator.rs
+++ b/src/initiator.rs
@@ -9,7 +9,7 @@
 use crate::config::{Config, ConfigError, Decided, Iscsi, Reload, Routing};
 use crate::core::{self, AccessLog, Clock, Core, CoreDependencies, CoreHandle, Fleet, Loaded, Message};
 use crate::net::drain_gossip::DrainGossipLink;
-use crate::net::{Budget, Parts, Phase, Reservations, admin, fleet, http};
+use crate::net::{Budget, Parts, Phase, Reservations, admin, http, quota_exchange};
 use crate::upgrade::{Controls, Keeper, Listeners, Told};
 use handover::{Handover, bind_admin, bind_fleet, listen};
 use rowanglade_discovery_polling::WatchMode;
@@ -157,7 +157,7 @@
         let fleet = match config.fleet {
             None => None,
             Some(peers) => {
-                let socket = bind_fleet(&mut listeners, peers.addrs[usize::from(peers.me.0)]).await?;
+                let socket = bind_fleet(&mut listeners, peers.addrs[usize::from(peers.own.0)]).await?;
                 passed.push(("fleet".to_string(), socket.as_fd().try_clone_to_owned()?));
                 Some(exchange_with(peers, socket, &core, &phase))
             }
@@ -262,13 +262,13 @@
 
 /// Starts the exchange of units with the other instances.
 fn exchange_with(
-    peers: fleet::Peers,
+    peers: quota_exchange::FleetPeers,
     socket: UdpSocket,
     core: &CoreHandle,
     phase: &watch::Sender<Phase>,
 ) -> Fleet {
-    let (out, outgoing) = mpsc::channel(peers.queue());
-    actix_rt::spawn(fleet::run(socket, peers, core.clone(), outgoing, phase.subscribe()));
+    let (out, outgoing) = mpsc::channel(peers.queue_capacity());
+    actix_rt::spawn(quota_exchange::run(socket, peers, core.clone(), outgoing, phase.subscribe()));
     Fleet::new(incarnation(), out)
 }
 
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -5,8 +5,8 @@
 pub mod budget;
 pub mod close;
 pub mod drain_gossip;
-pub mod fleet;
 pub mod http;
 pub mod iscsi;
+pub mod quota_exchange;
 
 pub use budget::{Budget, Parts, Phase, Reservations};
--- a/tests/compatibility/configuration.rs
+++ b/tests/compatibility/configuration.rs
@@ -145,7 +145,7 @@
     assert_eq!(target.name, "iqn.2026-12.example.kingston:box-0");
     assert_eq!((target.addr, target.zone.as_str(), target.shard), (addr(3261), "kingston", 4));
     let fleet = config.fleet.expect("a fleet");
-    assert_eq!((fleet.me.0, fleet.key), (1, [7; 32]));
+    assert_eq!((fleet.own.0, fleet.key), (1, [7; 32]));
     assert_eq!(fleet.addrs, [addr(7946), addr(7947)]);
     let sites = config.sites.expect("sites");
     assert_eq!(sites.names.iter().collect::<Vec<_>>(), ["negril"]);
--- a/tests/network/fleet.rs
+++ b/tests/network/fleet.rs
@@ -1,7 +1,7 @@
 //! Stories on instances that talk to each other.
 
 use crate::site::*;
-use rowanglade_quota_exchange::{Message, Nonce, Peer, decode, encode};
+use rowanglade_quota_exchange::{Message, Nonce, Peer, VolumeUnits, decode, encode};
 use tokio::net::UdpSocket;
 
 const KEY: [u8; 32] = [0x5a; 32];
@@ -36,15 +36,15 @@
         let mut buffer = [0; 300];
         let (length, from) = other.recv_from(&mut buffer).await.expect("an ask");
         assert_eq!(from, addr);
-        let Ok(Message::Want { nonce, lacks }) = decode(&KEY, Peer(1), &buffer[..length]) else {
+        let Ok(Message::Request { nonce, needed }) = decode(&KEY, Peer(1), &buffer[..length]) else {
             panic!("no ask")
         };
-        assert!(lacks.iter().any(|(volume, units)| *volume == VOLUME && *units > 0), "{lacks:?}");
+        assert!(needed.iter().any(|need| need.volume == VOLUME && need.units > 0), "{needed:?}");
 
         // Forged, and of another ask: neither adds a unit. The true one does, and its doubles do not.
-        let gives = vec![(VOLUME, 12_000)];
-        let grant = |nonce| Message::Grant { nonce, gives: gives.clone() };
-        let other_ask = Nonce { number: nonce.number.wrapping_add(900), ..nonce };
+        let granted = vec![VolumeUnits { volume: VOLUME, units: 12_000 }];
+        let grant = |nonce| Message::Grant { nonce, granted: granted.clone() };
+        let other_ask = Nonce { sequence: nonce.sequence.wrapping_add(900), ..nonce };
         let true_one = encode(&KEY, Peer(0), &grant(nonce));
         let forged = encode(&[1; 32], Peer(0), &grant(nonce));
         for bytes in [&forged, &encode(&KEY, Peer(0), &grant(other_ask)), &true_one, &true_one, &true_one] {
@@ -52,16 +52,20 @@
         }
         // Asked behind them, it gives what it can do without: of 12 units less than 6 once its own part is
         // kept (its store fills by 16 a second meanwhile), of 24 and more it would be 18.
-        let mine = Nonce { incarnation: 9, number: 1 };
-        let want = Message::Want { nonce: mine, lacks: vec![(VOLUME, 100_000), (1, 5_000)] };
+        let mine = Nonce { incarnation: 9, sequence: 1 };
+        let needed = [(VOLUME, 100_000), (1, 5_000)].map(|(volume, units)| VolumeUnits { volume, units });
+        let want = Message::Request { nonce: mine, needed: needed.to_vec() };
         other.send_to(&encode(&KEY, Peer(0), &want), addr).await.expect("sent");
         let given = loop {
             let (length, _) = other.recv_from(&mut buffer).await.expect("an answer");
-            if let Ok(Message::Grant { nonce, gives }) = decode(&KEY, Peer(1), &buffer[..length]) {
+            if let Ok(Message::Grant { nonce, granted }) = decode(&KEY, Peer(1), &buffer[..length]) {
                 assert_eq!(nonce, mine);
-                break gives;
+                break granted;
             }
         };
-        assert!(matches!(given.as_slice(), [(VOLUME, 500..12_000)]), "{given:?}");
+        assert!(
+            matches!(given.as_slice(), [VolumeUnits { volume: VOLUME, units: 500..12_000 }]),
+            "{given:?}"
+        );
     });
 }
