--- a/src/config/sites.rs
+++ b/src/config/sites.rs
@@ -3,7 +3,7 @@
 use super::ConfigError;
 use crate::core::Watch;
 use crate::settings::Settings;
-use rowanglade_site_failover::Rules;
+use rowanglade_site_failover::FailoverConfig;
 use serde::Deserialize;
 
 /// The longest span, in milliseconds: far above any use, and well inside the range of times.
@@ -50,16 +50,16 @@
             let problem = "what returns has no ramp: settings.rules.warm-within is zero";
             return Err(ConfigError::new("sites", problem));
         }
-        let (me, instances) = settings.instances();
-        let rules = Rules {
-            window: micros(self.window_ms),
-            part: self.part,
-            hold: micros(self.hold_ms),
-            longest_hold: micros(self.longest_hold_ms),
-            probe_every: micros(self.probe_every_ms),
-            ramp: settings.warm_within(),
-            slow_times: self.slow_times,
-            me,
+        let (own_index, instances) = settings.instances();
+        let rules = FailoverConfig {
+            evidence_window: micros(self.window_ms),
+            quorum: self.part,
+            ejection_time: micros(self.hold_ms),
+            max_ejection_time: micros(self.longest_hold_ms),
+            probe_interval: micros(self.probe_every_ms),
+            recovery_ramp: settings.warm_within(),
+            slow_factor: self.slow_times,
+            own_index,
             instances,
         };
         let names = self.names.into_iter().collect();
--- a/src/core/sites.rs
+++ b/src/core/sites.rs
@@ -2,7 +2,9 @@
 
 use crate::core::message::Endpoint;
 use crate::interface::{Micros, Outcome, TargetState};
-use rowanglade_site_failover::{Change, Order, Rules, Sites, State};
+use rowanglade_site_failover::{
+    Command, FailoverConfig, SiteChange, SiteFailover, TargetState as SiteTargetState,
+};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,7 +14,7 @@
 pub struct Watch {
     /// The zones that are sites; empty: all.
     pub names: BTreeSet<String>,
-    pub rules: Rules,
+    pub rules: FailoverConfig,
     pub longest_advice: Duration,
 }
 
@@ -20,19 +22,19 @@
 #[derive(Debug)]
 pub(super) struct Watched {
     watch: Watch,
-    sites: Sites,
+    sites: SiteFailover,
 }
 
 impl Watched {
     pub fn new(watch: Watch) -> Watched {
-        let sites = Sites::new(watch.rules);
+        let sites = SiteFailover::new(watch.rules);
         Watched { watch, sites }
     }
 
     /// A line of the list, before anything else holds for it.
     pub fn listed(&mut self, now: Micros, line: &Endpoint) {
         if self.watch.names.is_empty() || self.watch.names.contains(&line.zone) {
-            self.sites.listed(now, &line.name, &line.zone, line.shard, state(line.state));
+            self.sites.handle_endpoint(now, &line.name, &line.zone, line.shard, state(line.state));
         }
     }
 
@@ -41,20 +43,20 @@
         match outcome {
             Outcome::NotSent => {}
             Outcome::Served | Outcome::Error | Outcome::QueueFull | Outcome::DeadlineExceeded => {
-                self.sites.answered(now, name, took.filter(|_| outcome == Outcome::Served));
+                self.sites.handle_response(now, name, took.filter(|_| outcome == Outcome::Served));
             }
-            _ if heard => self.sites.answered(now, name, None),
+            _ if heard => self.sites.handle_response(now, name, None),
             Outcome::TimedOut | Outcome::Unreachable | Outcome::Broken | Outcome::Cancelled => {
-                self.sites.failed(now, name);
+                self.sites.handle_failure(now, name);
             }
         }
     }
 
     /// What holds for a line of which all others say this.
     pub fn view(&self, mut line: Endpoint) -> Endpoint {
-        let (held, started) = self.sites.view(&line.name, state(line.state), line.started);
+        let (held, started) = self.sites.effective_state(&line.name, state(line.state), line.started);
         line.started = started;
-        if held == State::Draining && line.state == TargetState::Active {
+        if held == SiteTargetState::Draining && line.state == TargetState::Active {
             line.state = TargetState::Draining;
         }
         line
@@ -62,21 +64,21 @@
 
     /// The site without which a shard has nobody, and when to come back.
     pub fn refused(&self, now: Micros, shard: Option<u32>) -> Option<(Rc<str>, Duration)> {
-        let (site, wait) = self.sites.refused(now, shard?)?;
+        let (site, wait) = self.sites.lost_site_of_shard(now, shard?)?;
         Some((site.into(), Duration::from_micros(wait).min(self.watch.longest_advice)))
     }
 
     pub fn wake(&self, now: Micros) -> Option<Micros> {
-        self.sites.wake(now)
+        self.sites.next_timeout(now)
     }
 
     /// The targets to probe, and those for which something else holds now.
     pub fn poll(&mut self, now: Micros) -> (Vec<String>, Vec<String>) {
         let (mut probes, mut changed) = (Vec::new(), Vec::new());
-        for order in self.sites.poll(now) {
-            match order {
-                Order::Probe(name) => probes.push(name),
-                Order::Changed(site, change) => {
+        for command in self.sites.poll(now) {
+            match command {
+                Command::Probe(name) => probes.push(name),
+                Command::SiteChanged { site, change } => {
                     tell(&site, change);
                     changed.extend(self.sites.targets_of(&site).map(str::to_string));
                 }
@@ -86,23 +88,25 @@
     }
 }
 
-fn tell(site: &str, change: Change) {
+fn tell(site: &str, change: SiteChange) {
     match change {
-        Change::Lost { failing, of, hold } => {
-            tracing::warn!(site, failing, of, hold_ms = hold / 1_000, "a site is lost");
+        SiteChange::Lost { failing, targets, ejection_time } => {
+            tracing::warn!(site, failing, of = targets, hold_ms = ejection_time / 1_000, "a site is lost");
         }
-        Change::Returning { answering, of } => tracing::info!(site, answering, of, "a site returns"),
-        Change::Slowed { percent } => {
-            tracing::warn!(site, percent, "a returning site is slow; its ramp begins anew");
+        SiteChange::Returning { responding, targets } => {
+            tracing::info!(site, answering = responding, of = targets, "a site returns");
         }
-        Change::Back => tracing::info!(site, "a site is back"),
+        SiteChange::RampRestarted { latency_percent } => {
+            tracing::warn!(site, percent = latency_percent, "a returning site is slow; its ramp begins anew");
+        }
+        SiteChange::Recovered => tracing::info!(site, "a site is back"),
     }
 }
 
-fn state(told: TargetState) -> State {
-    match told {
-        TargetState::Active => State::In,
-        TargetState::Draining => State::Draining,
-        TargetState::Removed => State::Gone,
+fn state(listed: TargetState) -> SiteTargetState {
+    match listed {
+        TargetState::Active => SiteTargetState::Active,
+        TargetState::Draining => SiteTargetState::Draining,
+        TargetState::Removed => SiteTargetState::Removed,
     }
 }
--- a/tests/compatibility/configuration.rs
+++ b/tests/compatibility/configuration.rs
@@ -150,8 +150,11 @@
     let sites = config.sites.expect("sites");
     assert_eq!(sites.names.iter().collect::<Vec<_>>(), ["negril"]);
     let rules = sites.rules;
-    assert_eq!((rules.window, rules.part, rules.hold), (1_100_000, 0.875, 5_100_000));
-    assert_eq!((rules.longest_hold, rules.probe_every, rules.slow_times), (61_000_000, 510_000, 3.5));
+    assert_eq!((rules.evidence_window, rules.quorum, rules.ejection_time), (1_100_000, 0.875, 5_100_000));
+    assert_eq!(
+        (rules.max_ejection_time, rules.probe_interval, rules.slow_factor),
+        (61_000_000, 510_000, 3.5)
+    );
     let routes = config.routing.rules;
     assert_eq!(
         (routes.table.pools().len(), routes.table.routes().len(), routes.expectations.len()),
