--- a/src/core/actor.rs
+++ b/src/core/actor.rs
@@ -16,7 +16,7 @@
 use crate::names::Names;
 use crate::scheduler::Scheduler;
 use rowanglade_maintenance::Maintenance;
-use rowanglade_object_locations::{Object, Places, Seen};
+use rowanglade_object_locations::{ObjectKey, ObjectLocations, Observation};
 use rowanglade_subset::Subset;
 use std::cell::Cell;
 use std::cmp::Reverse;
@@ -59,7 +59,7 @@
     /// Calls that hold here are told to the other process, if there is one.
     pub calls: mpsc::Sender<AdminCommand>,
     /// So is where objects are seen.
-    pub seen: mpsc::Sender<(Object, Seen)>,
+    pub seen: mpsc::Sender<(ObjectKey, Observation)>,
     /// Absent where sites are not judged.
     pub sites: Option<Watch>,
     /// Absent where no target is preferred to others.
@@ -100,9 +100,9 @@
     pub(super) operations: mpsc::Receiver<AdminRequest>,
     pub(super) upgrades: mpsc::Receiver<HandoverRequest>,
     pub(super) calls: mpsc::Sender<AdminCommand>,
-    pub(super) seen: mpsc::Sender<(Object, Seen)>,
+    pub(super) seen: mpsc::Sender<(ObjectKey, Observation)>,
     pub(super) maintenance: Maintenance,
-    pub(super) places: Places,
+    pub(super) places: ObjectLocations,
     /// Absent where sites are not judged.
     pub(super) sites: Option<Watched>,
     /// Absent where no target is preferred to others.
@@ -154,7 +154,7 @@
             calls,
             seen,
             maintenance: Maintenance::default(),
-            places: Places::new(PLACES),
+            places: ObjectLocations::new(PLACES),
             sites: sites.map(Watched::new),
             subset,
             handed: false,
--- a/src/core/message.rs
+++ b/src/core/message.rs
@@ -7,7 +7,7 @@
 };
 use crate::upgrade::HandoverState;
 use bytes::Bytes;
-use rowanglade_object_locations::{Object, Seen};
+use rowanglade_object_locations::{ObjectKey, Observation};
 use rowanglade_quota_exchange::Peer;
 use rowanglade_routing::TargetInfo;
 use serde::{Deserialize, Serialize};
@@ -193,7 +193,7 @@
     /// An operator's call came to the other process.
     AdminCommand(AdminCommand),
     /// The other process saw where an object is, or is not.
-    Seen(Object, Seen),
+    Seen(ObjectKey, Observation),
 }
 
 /// What comes to the core.
--- a/src/core/replacing.rs
+++ b/src/core/replacing.rs
@@ -20,7 +20,7 @@
                     |node| self.names.target_name(node).map(str::to_string),
                     |volume| self.names.volume_name(volume).map(str::to_string),
                 );
-                let places = self.places.all().collect();
+                let places = self.places.iter().collect();
                 let given = HandoverState { maintenance: self.maintenance.clone(), module, places };
                 let _ = answer.send(Box::new(given));
                 self.hand(true);
@@ -37,7 +37,7 @@
             HandoverRequest::Take(given, answer) => {
                 let HandoverState { maintenance, module, places } = *given;
                 self.maintenance = maintenance;
-                self.places.learn(places);
+                self.places.merge(places);
                 // What they change of the list is told before what was learned, which is void for another
                 // start.
                 let all = self.targets.keys().copied();
@@ -56,7 +56,7 @@
             HandoverRequest::AdminCommand(call) => {
                 self.call(&call);
             }
-            HandoverRequest::Seen(object, seen) => self.places.learn([(object, seen)]),
+            HandoverRequest::Seen(object, seen) => self.places.merge([(object, seen)]),
         }
     }
 
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -119,8 +119,8 @@
         open.trace(number, |trace| trace.ended = Some((now, reply.outcome)));
         let (object, told) = ((open.request.volume, open.request.object), open.request.shard);
         let seen = match (self.targets.get(&out.node).map(|t| t.told.shard), reply.outcome) {
-            (Some(shard), Outcome::Served) => self.places.served(object, told, shard),
-            (Some(shard), Outcome::DeadlineExceeded) => self.places.turned_away(object, shard),
+            (Some(shard), Outcome::Served) => self.places.record_served(object, told, shard),
+            (Some(shard), Outcome::DeadlineExceeded) => self.places.record_rejected(object, shard),
             _ => None,
         };
         if let Some(news) = seen {
--- a/src/upgrade/keeper.rs
+++ b/src/upgrade/keeper.rs
@@ -7,7 +7,7 @@
 use crate::upgrade::Meeting;
 use crate::upgrade::wire::{self, HandoverState, Message, Reader, Share, Welcome};
 use rowanglade_handover::{Action, Event, Link, Machine, Word};
-use rowanglade_object_locations::{Object, Seen};
+use rowanglade_object_locations::{ObjectKey, Observation};
 use std::collections::{HashMap, VecDeque};
 use std::fs::{File, TryLockError};
 use std::io;
@@ -75,7 +75,7 @@
     /// Operators' calls that it has taken.
     pub calls: mpsc::Receiver<AdminCommand>,
     /// Where it saw objects.
-    pub seen: mpsc::Receiver<(Object, Seen)>,
+    pub seen: mpsc::Receiver<(ObjectKey, Observation)>,
 }
 
 /// The actor.
--- a/src/upgrade/wire.rs
+++ b/src/upgrade/wire.rs
@@ -7,7 +7,7 @@
 use bytes::{Buf, BufMut, BytesMut};
 use rowanglade_handover::Word;
 use rowanglade_maintenance::Maintenance;
-use rowanglade_object_locations::{Object, Seen};
+use rowanglade_object_locations::{ObjectKey, Observation};
 use rustix::net::{
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
     SendFlags, recvmsg, sendmsg,
@@ -51,7 +51,7 @@
     pub module: SchedulerSnapshot<String, String>,
     /// Where objects were seen, the oldest first. A build that does not know of it learns that again.
     #[serde(default)]
-    pub places: Vec<(Object, Seen)>,
+    pub places: Vec<(ObjectKey, Observation)>,
 }
 
 /// A message. What it does not carry is absent; fields that another build adds are passed over.
@@ -64,7 +64,7 @@
     /// An operator's call that came to the other process.
     pub call: Option<AdminCommand>,
     /// Where an object was seen by the other process.
-    pub seen: Option<(Object, Seen)>,
+    pub seen: Option<(ObjectKey, Observation)>,
     /// The predecessor has let go of some of its part.
     pub share: Option<Share>,
 }
--- a/tests/compatibility/handover.rs
+++ b/tests/compatibility/handover.rs
@@ -4,7 +4,7 @@
 use rowanglade::core::AdminCommand;
 use rowanglade::upgrade::{Message, Share, send};
 use rowanglade_handover::Word;
-use rowanglade_object_locations::Seen;
+use rowanglade_object_locations::Observation;
 use tokio::io::AsyncReadExt;
 use tokio::net::UnixStream;
 
@@ -34,7 +34,7 @@
         Word::Yours,
     ];
     let calls = [AdminCommand::Maint("box-1".into()), AdminCommand::Ready("box-2".into())];
-    let seen = [((11, 12), Seen::At(3)), ((13, 14), Seen::NotAt(4))];
+    let seen = [((11, 12), Observation::At(3)), ((13, 14), Observation::NotAt(4))];
     let mut all: Vec<Message> =
         words.into_iter().map(|word| Message { word: Some(word), ..Message::default() }).collect();
     all.extend(calls.map(|call| Message { call: Some(call), ..Message::default() }));
@@ -77,7 +77,7 @@
     let read = decoded(GIVEN.trim_end());
     let given = read.given.as_ref().expect("what is given");
     assert!(given.maintenance.is_out("box-1"));
-    assert_eq!(given.places, [((21, 22), Seen::At(1)), ((23, 24), Seen::NotAt(2))]);
+    assert_eq!(given.places, [((21, 22), Observation::At(1)), ((23, 24), Observation::NotAt(2))]);
     assert_eq!(encoded(&read), GIVEN.trim_end());
 }
 
