--- a/crates/lab/src/scale/all_pairs.rs
+++ b/crates/lab/src/scale/all_pairs.rs
@@ -1,12 +1,12 @@
 //! The table as it was before each target drew its candidates: a hash of every pair of an instance and a
 //! target, sorted at every change. Kept as the baseline of `scale-subsets` only.
 
-use rowanglade_subset::Rule;
+use rowanglade_subset::SubsetConfig;
 use std::collections::BTreeSet;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// What each instance prefers, by its number.
-pub fn table(rule: &Rule, instances: u32, targets: &[&str]) -> Vec<BTreeSet<usize>> {
+pub fn table(rule: &SubsetConfig, instances: u32, targets: &[&str]) -> Vec<BTreeSet<usize>> {
     let (fewest, most) = rule.bounds(instances, targets.len());
     let score = |instance: u32, target: &str| xxh3_64_with_seed(target.as_bytes(), u64::from(instance));
     let mut pairs: Vec<(u64, u32, usize)> = (0..instances)
--- a/crates/lab/src/scale/lists.rs
+++ b/crates/lab/src/scale/lists.rs
@@ -12,7 +12,7 @@
 use rowanglade::net::http::EndpointPage;
 use rowanglade::scheduler::Scheduler;
 use rowanglade::settings::Settings;
-use rowanglade_subset::{Rule, Subset};
+use rowanglade_subset::{Subset, SubsetConfig};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -190,7 +190,7 @@
 
 /// A core without sockets beside targets that are no more than a mailbox: the whole list once, then changes
 /// of one target each. The state is the list's, the processor time that of one change.
-fn core_changes(size: Size, subset: Option<Rule>) -> Result<Cost, Failure> {
+fn core_changes(size: Size, subset: Option<SubsetConfig>) -> Result<Cost, Failure> {
     let settings =
         rowanglade_test_fleet::settings(&world::header(), size.instances as usize, ZONE, size.targets);
     let settings: Settings = serde_json::from_value(settings)?;
--- a/crates/lab/src/scale/subsets.rs
+++ b/crates/lab/src/scale/subsets.rs
@@ -4,7 +4,7 @@
 use super::lists::lines;
 use super::{BY_TARGETS, all_pairs, curve};
 use crate::outcome::{Experiment, Failure, Outcome, Run};
-use rowanglade_subset::{Rule, Subset, difference, table};
+use rowanglade_subset::{Subset, SubsetConfig, assignments, difference};
 use std::collections::BTreeSet;
 
 pub const EXPERIMENT: Experiment = Experiment {
@@ -14,7 +14,7 @@
 };
 
 /// Twenty targets of an instance are about twelve instances of a target.
-pub const RULE: Rule = Rule { size: 20, spread: 1.25 };
+pub const RULE: SubsetConfig = SubsetConfig { size: 20, spread: 1.25 };
 /// Changes that the mean cost of one is taken over.
 const CHANGES: usize = 20;
 /// Changes that the mean of what moves is taken over.
@@ -27,7 +27,7 @@
 const SECONDS_A_DAY: f64 = 1_555.0;
 const BUDGET_MIB: f64 = 256.0;
 
-type Way = fn(&Rule, u32, &[&str]) -> Vec<BTreeSet<usize>>;
+type Way = fn(&SubsetConfig, u32, &[&str]) -> Vec<BTreeSet<usize>>;
 
 fn names(targets: usize) -> Vec<String> {
     lines(targets).into_iter().map(|line| line.name).collect()
@@ -40,7 +40,7 @@
 /// The whole table from nothing.
 pub fn whole(size: Size) -> Result<Cost, Failure> {
     let names = names(size.targets);
-    Ok(measure(3, || table(&RULE, size.instances, &strs(&names))))
+    Ok(measure(3, || assignments(&RULE, size.instances, &strs(&names))))
 }
 
 /// The same, by all pairs.
@@ -54,18 +54,18 @@
     let all: BTreeSet<String> = names(size.targets).into_iter().collect();
     let cost = measure(1, || {
         let mut subset = Subset::new(RULE, 0, size.instances);
-        subset.listed(all.clone());
+        subset.update_targets(all.clone());
         subset
     });
     let mut subset = Subset::new(RULE, 0, size.instances);
-    subset.listed(all.clone());
+    subset.update_targets(all.clone());
     let begun = thread_time();
     for change in 0..CHANGES {
         let mut list = all.clone();
         if change % 2 == 0 {
             list.remove(&lines(size.targets)[change * 7 % size.targets].name);
         }
-        subset.listed(list);
+        subset.update_targets(list);
     }
     let processor = (thread_time() - begun) / CHANGES as f64;
     Ok(Cost { processor, ..cost })
@@ -97,7 +97,7 @@
 fn loads(size: Size) -> (usize, usize) {
     let names = names(size.targets);
     let mut loads = vec![0; size.targets];
-    for target in table(&RULE, size.instances, &strs(&names)).into_iter().flatten() {
+    for target in assignments(&RULE, size.instances, &strs(&names)).into_iter().flatten() {
         loads[target] += 1;
     }
     (loads.iter().min().copied().unwrap_or(0), loads.iter().max().copied().unwrap_or(0))
@@ -131,7 +131,7 @@
     out.figure("all pairs, 550 x 875: a target leaves, other pairs moved, of its share", leaves, "");
     for size in [COMPARED, DESIGN] {
         let Size { instances, targets } = size;
-        let (joins, leaves) = moved(table, size);
+        let (joins, leaves) = moved(assignments, size);
         out.figure(
             format!("candidates, {instances} x {targets}: an instance joins, of its share"),
             joins,
--- a/crates/lab/src/subsets.rs
+++ b/crates/lab/src/subsets.rs
@@ -3,7 +3,7 @@
 use crate::outcome::{Experiment, Failure, Outcome, Run};
 use crate::world::{self, Traffic, ZONE, block_on};
 use rowanglade_replay::{Replay, pick};
-use rowanglade_subset::{Rule, difference, table};
+use rowanglade_subset::{SubsetConfig, assignments, difference};
 use rowanglade_test_fleet::{BoxPlan, Site};
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -19,7 +19,7 @@
 const RATE: f64 = 300.0;
 const SECONDS: f64 = 5.0;
 const VOLUMES: u64 = 400;
-const RULE: Rule = Rule { size: 4, spread: 1.25 };
+const RULE: SubsetConfig = SubsetConfig { size: 4, spread: 1.25 };
 
 struct Round {
     /// Boxes that an instance sent to, in the mean.
@@ -88,13 +88,13 @@
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let part = |d: rowanglade_subset::Difference| d.moved as f64 / d.pairs as f64;
     let joins = (8..48u32).map(|n| {
-        let (a, b) = (table(&RULE, n, &names), table(&RULE, n + 1, &names));
+        let (a, b) = (assignments(&RULE, n, &names), assignments(&RULE, n + 1, &names));
         part(difference((&a, &names), (&b, &names))) * f64::from(n + 1)
     });
-    let all = table(&RULE, 24, &names);
+    let all = assignments(&RULE, 24, &names);
     let leaves = (0..BOXES).map(|gone| {
         let left: Vec<&str> = (0..BOXES).filter(|i| *i != gone).map(|i| names[i]).collect();
-        part(difference((&all, &names), (&table(&RULE, 24, &left), &left))) * BOXES as f64
+        part(difference((&all, &names), (&assignments(&RULE, 24, &left), &left))) * BOXES as f64
     });
     let mean = |parts: Vec<f64>| parts.iter().sum::<f64>() / parts.len() as f64;
     (mean(joins.collect()), mean(leaves.collect()))
--- a/src/config/subset.rs
+++ b/src/config/subset.rs
@@ -2,7 +2,7 @@
 
 use super::ConfigError;
 use crate::settings::Settings;
-use rowanglade_subset::{Rule, Subset};
+use rowanglade_subset::{Subset, SubsetConfig};
 use serde::Deserialize;
 
 /// The most instances that targets are divided among: the time that a change of the list takes grows with
@@ -35,15 +35,16 @@
         if !(1.0..=100.0).contains(&self.spread) {
             return Err(ConfigError::new("subset.spread", format!("{} is not from 1 to 100", self.spread)));
         }
-        let (me, instances) = settings.instances();
+        let (own_index, instances) = settings.instances();
         if !(1..=MOST_INSTANCES).contains(&instances) {
             let problem = format!("settings.siblings is {instances}, not from 1 to {MOST_INSTANCES}");
             return Err(ConfigError::new("subset", problem));
         }
-        if me >= instances {
-            let problem = format!("settings.my-number is {me}, and settings.siblings only {instances}");
+        if own_index >= instances {
+            let problem =
+                format!("settings.my-number is {own_index}, and settings.siblings only {instances}");
             return Err(ConfigError::new("subset", problem));
         }
-        Ok(Subset::new(Rule { size: self.size, spread: self.spread }, me, instances))
+        Ok(Subset::new(SubsetConfig { size: self.size, spread: self.spread }, own_index, instances))
     }
 }
--- a/src/core/listing.rs
+++ b/src/core/listing.rs
@@ -291,14 +291,20 @@
     pub(super) fn tell_near(&mut self) {
         let Some(subset) = &mut self.subset else { return };
         let usable = self.targets.values().filter(|t| t.line.state == TargetState::Active);
-        let Some(moved) = subset.listed(usable.map(|t| t.line.name.clone()).collect()) else { return };
-        let mine = subset.mine();
-        if moved.all && !mine.is_empty() {
-            tracing::warn!(targets = mine.len(), "the subset holds all targets: none is preferred");
+        let Some(change) = subset.update_targets(usable.map(|t| t.line.name.clone()).collect()) else {
+            return;
+        };
+        let preferred = subset.preferred();
+        if change.includes_all_targets && !preferred.is_empty() {
+            tracing::warn!(targets = preferred.len(), "the subset holds all targets: none is preferred");
         } else {
-            tracing::info!(preferred = ?mine, came = moved.came.len(), left = moved.left.len(), "new objects");
+            let (came, left) = (change.added.len(), change.removed.len());
+            tracing::info!(?preferred, came, left, "new objects");
         }
-        let preferred = mine.iter().filter(|_| !moved.all).filter_map(|name| self.names.target(name));
+        let preferred = preferred
+            .iter()
+            .filter(|_| !change.includes_all_targets)
+            .filter_map(|name| self.names.target(name));
         let event = Event::PreferredTargets(preferred.collect());
         self.feed(event);
     }
--- a/tests/compatibility/configuration.rs
+++ b/tests/compatibility/configuration.rs
@@ -6,7 +6,7 @@
 use rowanglade::interface::{DeduplicationScope, Idempotency};
 use rowanglade::names::Names;
 use rowanglade_discovery_polling::Delivery;
-use rowanglade_subset::{Rule, Subset};
+use rowanglade_subset::{Subset, SubsetConfig};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -165,6 +165,6 @@
 // What it holds is private: it is told apart by its debug form, as that of one with the same figures.
 #[test]
 fn every_key_of_the_subset_is_read() {
-    let expected = Subset::new(Rule { size: 2, spread: 1.5 }, 1, 3);
+    let expected = Subset::new(SubsetConfig { size: 2, spread: 1.5 }, 1, 3);
     assert_eq!(format!("{:?}", load().subset.expect("a subset")), format!("{expected:?}"));
 }
--- a/tests/network/subset.rs
+++ b/tests/network/subset.rs
@@ -2,7 +2,7 @@
 
 use crate::processes::{boxes, program};
 use crate::site::{ask_on, request, story};
-use rowanglade_subset::{Rule, table};
+use rowanglade_subset::{SubsetConfig, assignments};
 use rowanglade_test_fleet::{BoxPlan, Daemon, Fault, Site};
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 
 const INSTANCES: u32 = 8;
 const BOXES: usize = 8;
-const RULE: Rule = Rule { size: 2, spread: 1.25 };
+const RULE: SubsetConfig = SubsetConfig { size: 2, spread: 1.25 };
 
 /// An instance's number, and the place of a box that it sent new objects to.
 type Pairs = BTreeSet<(u32, usize)>;
@@ -79,7 +79,7 @@
     /// The pairs that all instances should have, with these boxes.
     fn expected(&self, places: &[usize]) -> Pairs {
         let names: Vec<&str> = places.iter().map(|place| self.site.boxes[*place].name()).collect();
-        let table = table(&RULE, INSTANCES, &names);
+        let table = assignments(&RULE, INSTANCES, &names);
         let pairs = table.iter().enumerate().flat_map(|(me, mine)| mine.iter().map(move |t| (me as u32, *t)));
         pairs.map(|(me, t)| (me, places[t])).collect()
     }
