--- a/crates/distribution/src/relay.rs
+++ b/crates/distribution/src/relay.rs
@@ -1,80 +1,65 @@
-//! A relay's part: a bounded number of followers, told of news as fast as its own budget of bytes lets it.
+//! A relay's part: a bounded number of followers, which it sends changes as fast as its byte budget lets it.
 //! The source is a relay that follows nobody.
 
-use crate::follower::{Follower, News};
-use crate::message::{Answer, Body, Snapshot, Watch};
-use crate::state::{Change, Delta, State, Version};
-use crate::{Millis, NodeId};
-use std::collections::{BTreeMap, VecDeque};
+use crate::budget::ByteBudget;
+use crate::counters::RelayCounters;
+use crate::delta::{Delta, EntryChange};
+use crate::follower::{Follower, StateUpdate};
+use crate::history::DeltaHistory;
+use crate::message::{ResponseBody, WatchRequest, WatchResponse};
+use crate::snapshot::Snapshot;
+use crate::{Millis, NodeId, State, Version};
+use std::cmp::Ordering;
+use std::collections::BTreeMap;
 
-/// How long a relay's own watches wait for news: ages are told no later than that.
-pub const RELAY_HOLD: Millis = 1_000;
-/// Deltas that are kept for followers who are behind: over an hour of changes, one every 20 s.
-const KEPT: usize = 256;
-/// How long answers that find no room in the budget wait.
-const PACE: Millis = 20;
-/// Bytes of an answer beside its content, and of a change beside its text.
-const HEAD: usize = 96;
-const CHANGE: usize = 8;
-/// What a follower refuses is forgotten once it has not watched for so long: it may have gone to another
-/// relay.
-const FORGET: Millis = 15_000;
-/// A watch is held for this long at most.
-const LONGEST_HOLD: Millis = 10_000;
+/// How long a relay's own requests wait for a change: the ages that it reports grow no older than that.
+pub const RELAY_MAX_WAIT: Millis = 1_000;
+/// A follower's request waits for this long at most, whatever it asks for.
+const MAX_WAIT: Millis = 10_000;
+/// How soon to try again where the byte budget delays a response.
+const DELAYED_RETRY_INTERVAL: Millis = 20;
+/// A follower that rejects its newest state stops counting once it has sent no request for so long: it may have
+/// gone to another relay.
+const REJECTION_TIMEOUT: Millis = 15_000;
+/// Bytes of a response beside its content, nearly.
+const RESPONSE_OVERHEAD_BYTES: usize = 96;
+/// The text of a state is over so many times the bytes of its snapshot; a guess until there is one.
+const ASSUMED_COMPRESSION_RATIO: usize = 3;
+/// The age of a source that has never responded: far beyond any bound, and safe to add spans to.
+const UNKNOWN_AGE: Millis = Millis::MAX / 2;
 
-/// An answer to be sent.
+/// A response to be sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outgoing {
+    /// The follower.
     pub to: NodeId,
-    pub answer: Answer,
+    /// What is sent.
+    pub response: WatchResponse,
 }
 
 /// What a relay may spend on its followers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Limits {
+pub struct RelayLimits {
     /// Followers at once.
-    pub followers: usize,
-    /// Bytes a second, and at once.
-    pub rate: u64,
-    pub burst: u64,
+    pub max_followers: usize,
+    /// Bytes a second in the long run.
+    pub bytes_per_second: u64,
+    /// Bytes at once.
+    pub burst_bytes: u64,
 }
 
-/// Counts that tell whether it works.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counters {
-    pub deltas: u64,
-    pub snapshots: u64,
-    pub same: u64,
-    /// Followers turned away.
-    pub busy: u64,
-    /// Answers put off, since the budget was spent.
-    pub delayed: u64,
-}
-
-/// A watch that waits for its answer.
+/// A request that waits for its response.
 #[derive(Debug)]
-struct Waiting {
-    watch: Watch,
-    until: Millis,
+struct PendingRequest {
+    request: WatchRequest,
+    answer_by: Millis,
 }
 
-/// One relay, or the source.
+/// Instances at or behind a follower that reject their newest state.
 #[derive(Debug)]
-pub struct Relay {
-    me: NodeId,
-    limits: Limits,
-    role: Role,
-    /// From older to newer, each the base of the next.
-    history: VecDeque<Delta>,
-    /// Of the present state, made when first asked for.
-    packed: Option<Snapshot>,
-    waiting: BTreeMap<NodeId, Waiting>,
-    /// Followers that refuse their newest state, and those behind them; until when that counts.
-    refusing: BTreeMap<NodeId, (u32, Millis)>,
-    /// Bytes that may be sent at once, and when that was.
-    tokens: u64,
-    counted: Millis,
-    counters: Counters,
+struct Rejections {
+    instances: u32,
+    expires_at: Millis,
 }
 
 #[derive(Debug)]
@@ -83,39 +68,67 @@
     Relay(Box<Follower>),
 }
 
+/// How a request is answered.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Reply {
+    Unchanged,
+    Behind,
+    Empty,
+    DigestMismatch,
+    /// All deltas from an index of the history on.
+    DeltasSince(usize),
+    Snapshot,
+}
+
+/// One relay, or the source.
+#[derive(Debug)]
+pub struct Relay {
+    id: NodeId,
+    max_followers: usize,
+    role: Role,
+    history: DeltaHistory,
+    /// Of the present state, made when first requested.
+    snapshot: Option<Snapshot>,
+    pending: BTreeMap<NodeId, PendingRequest>,
+    rejections: BTreeMap<NodeId, Rejections>,
+    budget: ByteBudget,
+    counters: RelayCounters,
+}
+
 impl Relay {
     /// The source, from a state that it kept, or an empty one of a new epoch.
-    pub fn source(me: NodeId, limits: Limits, state: State) -> Relay {
-        Relay::of(me, limits, Role::Source(state))
+    pub fn source(id: NodeId, limits: RelayLimits, state: State) -> Relay {
+        Relay::with_role(id, limits, Role::Source(state))
     }
 
-    /// A relay behind these, from the most preferred one on. `known` is what it kept of its last life, if
+    /// A relay that follows these, from the most preferred one on. `cached` is what it kept of its last life, if
     /// anything.
-    pub fn new(me: NodeId, limits: Limits, upstreams: Vec<NodeId>, known: Option<State>) -> Relay {
-        // A relay passes on what it is told: whether it can be run with is for each instance to say.
-        let follower = Follower::new(me, upstreams, RELAY_HOLD, Box::new(|_| Ok(())), known);
-        Relay::of(me, limits, Role::Relay(Box::new(follower)))
+    pub fn new(id: NodeId, limits: RelayLimits, upstreams: Vec<NodeId>, cached: Option<State>) -> Relay {
+        // A relay passes on what it receives: whether an instance can run with it is for each instance to say.
+        let accept_all = Box::new(|_: &State| Ok(()));
+        let follower = Follower::new(id, upstreams, RELAY_MAX_WAIT, accept_all, cached);
+        Relay::with_role(id, limits, Role::Relay(Box::new(follower)))
     }
 
-    fn of(me: NodeId, limits: Limits, role: Role) -> Relay {
+    fn with_role(id: NodeId, limits: RelayLimits, role: Role) -> Relay {
         Relay {
-            me,
-            limits,
+            id,
+            max_followers: limits.max_followers,
             role,
-            history: VecDeque::new(),
-            packed: None,
-            waiting: BTreeMap::new(),
-            refusing: BTreeMap::new(),
-            tokens: limits.burst,
-            counted: 0,
-            counters: Counters::default(),
+            history: DeltaHistory::default(),
+            snapshot: None,
+            pending: BTreeMap::new(),
+            rejections: BTreeMap::new(),
+            budget: ByteBudget::new(&limits),
+            counters: RelayCounters::default(),
         }
     }
 
+    /// Its state; none at a relay that has received nothing.
     pub fn state(&self) -> Option<&State> {
         match &self.role {
             Role::Source(state) => Some(state),
-            Role::Relay(follower) => follower.held(),
+            Role::Relay(follower) => follower.newest(),
         }
     }
 
@@ -127,193 +140,188 @@
         }
     }
 
-    pub fn counters(&self) -> Counters {
+    /// What was counted since the start.
+    pub fn counters(&self) -> RelayCounters {
         self.counters
     }
 
-    /// Instances at or behind its followers that refuse the newest state that they have.
-    pub fn refusing(&self, now: Millis) -> u32 {
-        self.refusing.values().filter(|(_, until)| *until > now).map(|(count, _)| count).sum()
+    /// How many instances at or behind its followers reject the newest state that they have.
+    pub fn rejecting(&self, now: Millis) -> u32 {
+        let current = self.rejections.values().filter(|rejections| rejections.expires_at > now);
+        current.map(|rejections| rejections.instances).sum()
     }
 
-    /// The source's next version. Relays have none to make, and ignore it.
-    pub fn publish(&mut self, changes: Vec<Change>) -> Option<Version> {
+    /// The source's next version. None at a relay, which makes no versions.
+    pub fn publish(&mut self, changes: Vec<EntryChange>) -> Option<Version> {
         let Role::Source(state) = &mut self.role else { return None };
         let version = Version { number: state.version().number + 1, ..state.version() };
         let delta = state.delta(version, changes);
-        *state = state.after(&delta).ok()?;
-        self.keep(vec![delta]);
+        *state = state.apply(&delta).ok()?;
+        self.record_deltas(vec![delta]);
         Some(version)
     }
 
-    /// Keeps what led to the present state; none where that is not known.
-    fn keep(&mut self, deltas: Vec<Delta>) {
-        self.packed = None;
-        if deltas.is_empty() {
-            self.history.clear();
-        }
+    /// The state is new; without deltas it is not known what led to it.
+    fn record_deltas(&mut self, deltas: Vec<Delta>) {
+        self.snapshot = None;
         self.history.extend(deltas);
-        let most = self.history.len().min(KEPT);
-        self.history.drain(..self.history.len() - most);
     }
 
-    /// A relay's own watch to be sent now, if one is due.
-    pub fn poll_upstream(&mut self, now: Millis) -> Option<(NodeId, Watch)> {
-        self.refusing.retain(|_, (_, until)| *until > now);
-        let refusing = self.refusing(now);
+    /// A relay's own request to be sent now, if one is due, and to which node.
+    pub fn poll_upstream(&mut self, now: Millis) -> Option<(NodeId, WatchRequest)> {
+        self.rejections.retain(|_, rejections| rejections.expires_at > now);
+        let rejecting = self.rejecting(now);
         match &mut self.role {
             Role::Source(_) => None,
-            Role::Relay(follower) => follower.poll(now, refusing),
+            Role::Relay(follower) => follower.poll(now, rejecting),
         }
     }
 
-    /// The answer to a relay's own watch came.
-    pub fn heard(&mut self, now: Millis, from: NodeId, answer: Answer) {
+    /// The response to a relay's own request was received.
+    pub fn handle_response(&mut self, now: Millis, from: NodeId, response: WatchResponse) {
         let Role::Relay(follower) = &mut self.role else { return };
-        if let Some(News::InForce(_)) = follower.heard(now, from, answer) {
+        if let Some(StateUpdate::Activated(_)) = follower.handle_response(now, from, response) {
             let deltas = follower.last_deltas().to_vec();
-            self.keep(deltas);
+            self.record_deltas(deltas);
         }
     }
 
-    /// Whom it watches cannot be reached, or a follower has gone.
-    pub fn lost(&mut self, now: Millis, peer: NodeId) {
-        self.waiting.remove(&peer);
-        self.refusing.remove(&peer);
+    /// The node that it follows cannot be reached, or a follower's connection has ended.
+    pub fn handle_disconnect(&mut self, now: Millis, peer: NodeId) {
+        self.pending.remove(&peer);
+        self.rejections.remove(&peer);
         if let Role::Relay(follower) = &mut self.role {
-            follower.lost(now, peer);
+            follower.handle_disconnect(now, peer);
         }
     }
 
-    /// A follower's watch came. [`Relay::poll`] says when it is answered, unless it is turned away at once.
-    pub fn watched(&mut self, now: Millis, from: NodeId, watch: Watch) -> Option<Outgoing> {
-        if self.waiting.len() >= self.limits.followers && !self.waiting.contains_key(&from) {
+    /// A follower's request was received. [`Relay::poll`] answers it, unless it is rejected at once.
+    pub fn handle_request(&mut self, now: Millis, from: NodeId, request: WatchRequest) -> Option<Outgoing> {
+        let is_full = self.pending.len() >= self.max_followers;
+        if is_full && !self.pending.contains_key(&from) {
             self.counters.busy += 1;
-            return Some(self.outgoing(now, from, Body::Busy));
+            return Some(self.outgoing(now, from, ResponseBody::Busy));
         }
-        match watch.refusing {
-            0 => self.refusing.remove(&from),
-            refusing => self.refusing.insert(from, (refusing, now + FORGET)),
-        };
-        let until = now + watch.hold.min(LONGEST_HOLD);
-        self.waiting.insert(from, Waiting { watch, until });
+        self.record_rejections(now, from, request.rejecting);
+        let answer_by = now + request.max_wait.min(MAX_WAIT);
+        self.pending.insert(from, PendingRequest { request, answer_by });
         None
     }
 
-    /// When to call [`Relay::poll`] and [`Relay::poll_upstream`] again, unless something is heard before.
-    pub fn wake(&self, now: Millis) -> Option<Millis> {
-        let due = |waiting: &Waiting| match self.body(&waiting.watch) {
-            Answered::Same => waiting.until,
-            _ => now + PACE,
+    fn record_rejections(&mut self, now: Millis, from: NodeId, instances: u32) {
+        if instances == 0 {
+            self.rejections.remove(&from);
+        } else {
+            self.rejections.insert(from, Rejections { instances, expires_at: now + REJECTION_TIMEOUT });
+        }
+    }
+
+    /// When to call [`Relay::poll`] and [`Relay::poll_upstream`] again, unless something is received before.
+    pub fn next_timeout(&self, now: Millis) -> Option<Millis> {
+        let answer_at = |pending: &PendingRequest| match self.reply_to(&pending.request) {
+            Reply::Unchanged => pending.answer_by,
+            _ => now + DELAYED_RETRY_INTERVAL,
         };
-        let answer = self.waiting.values().map(due).min();
-        let upstream = self.follower().and_then(Follower::wake);
-        [answer, upstream].into_iter().flatten().min()
+        let next_answer = self.pending.values().map(answer_at).min();
+        let next_request = self.follower().and_then(Follower::next_timeout);
+        next_answer.into_iter().chain(next_request).min()
     }
 
-    /// Answers to be sent now: news first, whole states as the budget lets them.
+    /// Responses to be sent now: the smallest first, so that changes go before snapshots, and as many as the
+    /// byte budget lets through.
     pub fn poll(&mut self, now: Millis) -> Vec<Outgoing> {
-        let earned = now.saturating_sub(self.counted) * self.limits.rate / 1_000;
-        self.tokens = (self.tokens + earned).min(self.limits.burst);
-        self.counted = now;
-        let mut due: Vec<(usize, NodeId, Answered)> = Vec::new();
-        for (from, waiting) in &self.waiting {
-            let answered = self.body(&waiting.watch);
-            if answered != Answered::Same || waiting.until <= now {
-                due.push((self.size(&answered), *from, answered));
-            }
-        }
-        due.sort_by_key(|(size, from, _)| (*size, *from));
-        let mut out = Vec::new();
-        for (size, from, answered) in due {
-            // One that is larger than the budget goes once that is full.
-            if (size as u64).min(self.limits.burst) > self.tokens {
+        self.budget.refill(now);
+        let mut responses = Vec::new();
+        for (size, follower, reply) in self.due_replies(now) {
+            if !self.budget.allows(size) {
                 self.counters.delayed += 1;
                 break;
             }
-            let Some(body) = self.made(answered) else { continue };
-            self.tokens = self.tokens.saturating_sub(size as u64);
-            self.waiting.remove(&from);
-            out.push(self.outgoing(now, from, body));
+            let Some(body) = self.build_body(reply) else { continue };
+            self.budget.spend(size);
+            self.pending.remove(&follower);
+            responses.push(self.outgoing(now, follower, body));
+        }
+        responses
+    }
+
+    /// The replies that do not wait any more, with their sizes in bytes; the smallest first.
+    fn due_replies(&self, now: Millis) -> Vec<(usize, NodeId, Reply)> {
+        let mut due = Vec::new();
+        for (follower, pending) in &self.pending {
+            let reply = self.reply_to(&pending.request);
+            if reply != Reply::Unchanged || pending.answer_by <= now {
+                due.push((self.size_of(&reply), *follower, reply));
+            }
         }
-        out
+        due.sort_by_key(|(size, follower, _)| (*size, *follower));
+        due
     }
 
-    fn outgoing(&self, now: Millis, to: NodeId, body: Body) -> Outgoing {
+    fn outgoing(&self, now: Millis, to: NodeId, body: ResponseBody) -> Outgoing {
         let (mut path, age) = match &self.role {
             Role::Source(_) => (Vec::new(), 0),
-            Role::Relay(follower) => (follower.path().to_vec(), follower.age(now).unwrap_or(Millis::MAX / 2)),
+            Role::Relay(follower) => {
+                (follower.path().to_vec(), follower.source_age(now).unwrap_or(UNKNOWN_AGE))
+            }
         };
-        path.push(self.me);
-        Outgoing { to, answer: Answer { path, age, body } }
+        path.push(self.id);
+        Outgoing { to, response: WatchResponse { path, age, body } }
     }
 
-    /// What a watch would be answered now.
-    fn body(&self, watch: &Watch) -> Answered {
-        let Some(state) = self.state() else { return Answered::Empty };
-        let Some(held) = watch.held else { return Answered::Snapshot };
+    /// How a request would be answered now.
+    fn reply_to(&self, request: &WatchRequest) -> Reply {
+        let Some(state) = self.state() else { return Reply::Empty };
+        let Some(held) = request.held else { return Reply::Snapshot };
         match held.version.cmp(&state.version()) {
-            std::cmp::Ordering::Greater => Answered::Older,
-            std::cmp::Ordering::Equal if held.digest == state.digest() => Answered::Same,
-            std::cmp::Ordering::Equal => Answered::Differs,
-            std::cmp::Ordering::Less => match self.history.iter().position(|d| d.base == held.version) {
-                Some(first) => Answered::Since(first),
-                None => Answered::Snapshot,
-            },
+            Ordering::Greater => Reply::Behind,
+            Ordering::Equal if held.digest == state.digest() => Reply::Unchanged,
+            Ordering::Equal => Reply::DigestMismatch,
+            Ordering::Less => {
+                self.history.first_after(held.version).map_or(Reply::Snapshot, Reply::DeltasSince)
+            }
         }
     }
 
-    /// Its bytes, nearly.
-    fn size(&self, answered: &Answered) -> usize {
-        match answered {
-            Answered::Since(first) => {
-                let changes = self.history.iter().skip(*first).flat_map(|d| &d.changes);
-                let text =
-                    |(name, value): &Change| name.len() + value.as_ref().map_or(0, |v| v.len()) + CHANGE;
-                HEAD + changes.map(text).sum::<usize>()
-            }
-            // Before the state is packed: a third of its text, which is more than it will be.
-            Answered::Snapshot => HEAD + self.packed.as_ref().map_or_else(|| self.text() / 3, Snapshot::size),
-            _ => HEAD,
-        }
+    /// The bytes of a reply, nearly.
+    fn size_of(&self, reply: &Reply) -> usize {
+        let content = match reply {
+            Reply::DeltasSince(first) => self.history.bytes_since(*first),
+            Reply::Snapshot => match &self.snapshot {
+                Some(snapshot) => snapshot.size(),
+                None => self.text_bytes() / ASSUMED_COMPRESSION_RATIO,
+            },
+            _ => 0,
+        };
+        RESPONSE_OVERHEAD_BYTES + content
     }
 
-    fn text(&self) -> usize {
-        self.state().map_or(0, |state| state.entries().map(|(name, value)| name.len() + value.len()).sum())
+    fn text_bytes(&self) -> usize {
+        let Some(state) = self.state() else { return 0 };
+        state.entries().map(|(name, value)| name.len() + value.len()).sum()
     }
 
-    fn made(&mut self, answered: Answered) -> Option<Body> {
-        Some(match answered {
-            Answered::Same => {
-                self.counters.same += 1;
-                Body::Same
+    /// The content of a reply; none where a snapshot could not be made.
+    fn build_body(&mut self, reply: Reply) -> Option<ResponseBody> {
+        match reply {
+            Reply::Unchanged => {
+                self.counters.unchanged += 1;
+                Some(ResponseBody::Unchanged)
             }
-            Answered::Older => Body::Older,
-            Answered::Empty => Body::Empty,
-            Answered::Differs => Body::Differs,
-            Answered::Since(first) => {
+            Reply::Behind => Some(ResponseBody::Behind),
+            Reply::Empty => Some(ResponseBody::Empty),
+            Reply::DigestMismatch => Some(ResponseBody::DigestMismatch),
+            Reply::DeltasSince(first) => {
                 self.counters.deltas += 1;
-                Body::Deltas(self.history.iter().skip(first).cloned().collect())
+                Some(ResponseBody::Deltas(self.history.since(first).cloned().collect()))
             }
-            Answered::Snapshot => {
+            Reply::Snapshot => {
                 self.counters.snapshots += 1;
-                if self.packed.is_none() {
-                    self.packed = self.state().and_then(|state| Snapshot::pack(state).ok());
+                if self.snapshot.is_none() {
+                    self.snapshot = self.state().and_then(|state| Snapshot::compress(state).ok());
                 }
-                Body::Snapshot(self.packed.clone()?)
+                self.snapshot.clone().map(ResponseBody::Snapshot)
             }
-        })
+        }
     }
 }
-
-/// How a watch is answered.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Answered {
-    Same,
-    Older,
-    Empty,
-    Differs,
-    /// All deltas from a place of the history on.
-    Since(usize),
-    Snapshot,
-}
--- a/crates/distribution/src/topology.rs
+++ b/crates/distribution/src/topology.rs
@@ -1,17 +1,21 @@
-//! Who follows whom, from what an operator has written.
+//! Which relays an instance follows, from what an operator has written.
 
 use crate::NodeId;
 use serde::Deserialize;
+use std::cmp::Reverse;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Where a relay or an instance stands.
+/// Where a relay or an instance is.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Place {
+pub struct NodeLocation {
+    /// The address that others reach it at.
     pub addr: SocketAddr,
+    /// Its region.
     pub region: String,
+    /// Its zone within the region.
     pub zone: String,
 }
 
@@ -19,7 +23,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Region {
+    /// The region's name.
     pub name: String,
+    /// The names of its zones.
     pub zones: Vec<String>,
 }
 
@@ -27,74 +33,124 @@
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Topology {
-    pub region: Vec<Region>,
-    pub relay: Vec<Place>,
+    /// All regions.
+    #[serde(rename = "region")]
+    pub regions: Vec<Region>,
+    /// All relays.
+    #[serde(rename = "relay")]
+    pub relays: Vec<NodeLocation>,
     /// Followers that a relay takes.
     pub fan_out: usize,
 }
 
-/// What is wrong, and under which key.
+/// What is wrong with a topology; the text begins with the operator's key.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{key}: {problem}")]
-pub struct TopologyError {
-    pub key: String,
-    pub problem: String,
+pub enum TopologyError {
+    /// Relays would take no followers.
+    #[error("{}: is zero", self.key())]
+    ZeroFanOut,
+    /// There are no relays.
+    #[error("{}: names nobody", self.key())]
+    NoRelays,
+    /// A node is in a region that the file does not name.
+    #[error("{}: {region:?} is no region of the file", self.key())]
+    UnknownRegion {
+        /// The node's key.
+        node: String,
+        /// The region.
+        region: String,
+    },
+    /// A node is in a zone that its region does not have.
+    #[error("{}: {zone:?} is no zone of {region:?}", self.key())]
+    UnknownZone {
+        /// The node's key.
+        node: String,
+        /// The zone.
+        zone: String,
+        /// The region.
+        region: String,
+    },
+    /// Two relays have one address.
+    #[error("{}: {addr} is there twice", self.key())]
+    DuplicateRelay {
+        /// The key of the second.
+        node: String,
+        /// The address.
+        addr: SocketAddr,
+    },
+    /// A relay has the address of the instance that reads the file.
+    #[error("{}: {addr} is this instance's own", self.key())]
+    OwnAddress {
+        /// The relay's key.
+        node: String,
+        /// The address.
+        addr: SocketAddr,
+    },
 }
 
-fn wrong(key: impl Into<String>, problem: impl Into<String>) -> TopologyError {
-    TopologyError { key: key.into(), problem: problem.into() }
+impl TopologyError {
+    /// The operator's key that is at fault.
+    pub fn key(&self) -> String {
+        match self {
+            TopologyError::ZeroFanOut => "distribution.fan_out".to_string(),
+            TopologyError::NoRelays => "distribution.relay".to_string(),
+            TopologyError::UnknownRegion { node, .. } => format!("{node}.region"),
+            TopologyError::UnknownZone { node, .. } => format!("{node}.zone"),
+            TopologyError::DuplicateRelay { node, .. } | TopologyError::OwnAddress { node, .. } => {
+                format!("{node}.addr")
+            }
+        }
+    }
 }
 
 impl Topology {
-    /// Checks what is written, for a node at `me`; a relay is also given as its place in the list.
+    /// Checks what is written, for a node at `own`; a relay also gives its index in the list.
     ///
     /// # Errors
     /// The first thing that is wrong, with its key.
-    pub fn check(&self, me: &Place, relay: Option<usize>) -> Result<(), TopologyError> {
+    pub fn check(&self, own: &NodeLocation, own_relay_index: Option<usize>) -> Result<(), TopologyError> {
         if self.fan_out == 0 {
-            return Err(wrong("distribution.fan_out", "is zero"));
+            return Err(TopologyError::ZeroFanOut);
         }
-        if self.relay.is_empty() {
-            return Err(wrong("distribution.relay", "names nobody"));
+        if self.relays.is_empty() {
+            return Err(TopologyError::NoRelays);
         }
-        self.known("distribution.me", me)?;
-        let mut seen = BTreeSet::new();
-        for (i, place) in self.relay.iter().enumerate() {
-            let key = format!("distribution.relay[{i}]");
-            self.known(&key, place)?;
-            if !seen.insert(place.addr) {
-                return Err(wrong(format!("{key}.addr"), format!("{} is there twice", place.addr)));
+        self.check_location("distribution.me", own)?;
+        let mut addrs = BTreeSet::new();
+        for (index, relay) in self.relays.iter().enumerate() {
+            let node = format!("distribution.relay[{index}]");
+            self.check_location(&node, relay)?;
+            let addr = relay.addr;
+            if !addrs.insert(addr) {
+                return Err(TopologyError::DuplicateRelay { node, addr });
             }
-            if place.addr == me.addr && relay != Some(i) {
-                return Err(wrong(format!("{key}.addr"), format!("{} is this instance's own", place.addr)));
+            if addr == own.addr && own_relay_index != Some(index) {
+                return Err(TopologyError::OwnAddress { node, addr });
             }
         }
         Ok(())
     }
 
-    fn known(&self, key: &str, place: &Place) -> Result<(), TopologyError> {
-        let region = self.region.iter().find(|region| region.name == place.region);
-        let Some(region) = region else {
-            return Err(wrong(
-                format!("{key}.region"),
-                format!("{:?} is no region of the file", place.region),
-            ));
+    fn check_location(&self, node: &str, location: &NodeLocation) -> Result<(), TopologyError> {
+        let (node, zone, region) = (node.to_string(), location.zone.clone(), location.region.clone());
+        let Some(known) = self.regions.iter().find(|known| known.name == region) else {
+            return Err(TopologyError::UnknownRegion { node, region });
         };
-        if region.zones.contains(&place.zone) {
-            return Ok(());
+        if !known.zones.contains(&zone) {
+            return Err(TopologyError::UnknownZone { node, zone, region });
         }
-        Err(wrong(format!("{key}.zone"), format!("{:?} is no zone of {:?}", place.zone, place.region)))
+        Ok(())
     }
 
-    /// Whom an instance watches, by the places of the list: relays of its own region first, spread evenly
-    /// over all instances by a hash of both.
-    pub fn preferred(&self, me: NodeId, region: &str) -> Vec<usize> {
-        let mut places: Vec<usize> = (0..self.relay.len()).collect();
-        places.sort_by_key(|i| {
-            let relay = &self.relay[*i];
-            let score = xxh3_64_with_seed(relay.addr.to_string().as_bytes(), u64::from(me.0));
-            (relay.region != region, std::cmp::Reverse(score))
+    /// The relays that an instance follows, by their indices, the most preferred first: those of its own region
+    /// come first, spread evenly over all instances by a hash of both.
+    pub fn preferred_relays(&self, instance: NodeId, region: &str) -> Vec<usize> {
+        let mut indices: Vec<usize> = (0..self.relays.len()).collect();
+        indices.sort_by_key(|index| {
+            let relay = &self.relays[*index];
+            let score = xxh3_64_with_seed(relay.addr.to_string().as_bytes(), u64::from(instance.0));
+            (relay.region != region, Reverse(score))
         });
-        places
+        indices
     }
 }
--- a/crates/distribution/tests/compatibility.rs
+++ b/crates/distribution/tests/compatibility.rs
@@ -4,8 +4,8 @@
 //! other bytes that read as the same entries.
 
 use rowanglade_distribution::{
-    Answer, Body, Delta, Digest, Held, Message, NodeId, Place, Region, Snapshot, State, Topology, Version,
-    Watch, decode, encode,
+    Delta, Digest, EntryChange, HeldVersion, Message, NodeId, NodeLocation, Region, ResponseBody, Snapshot,
+    State, Topology, Version, WatchRequest, WatchResponse, decode, encode,
 };
 
 /// A name and the bytes of its message in hex.
@@ -18,22 +18,26 @@
 }
 
 fn messages() -> Vec<(&'static str, Message)> {
-    let held = Held { version: Version { epoch: 1, number: 2 }, digest: Digest(3) };
-    let watch = |held| Message::Watch(Watch { held, hold: 1_000, refusing: 5 });
-    let answer = |body| Message::Answer(Answer { path: vec![NodeId(6), NodeId(700)], age: 800, body });
+    let held = HeldVersion { version: Version { epoch: 1, number: 2 }, digest: Digest(3) };
+    let watch = |held| Message::Request(WatchRequest { held, max_wait: 1_000, rejecting: 5 });
+    let answer =
+        |body| Message::Response(WatchResponse { path: vec![NodeId(6), NodeId(700)], age: 800, body });
     let (base, to) = (Version { epoch: 1, number: 2 }, Version { epoch: 1, number: 3 });
-    let changes = vec![("box-1".into(), Some("c".into())), ("box-2".into(), None)];
+    let changes = vec![
+        EntryChange { name: "box-1".into(), value: Some("c".into()) },
+        EntryChange { name: "box-2".into(), value: None },
+    ];
     let delta = Delta { base, to, digest: Digest(u128::MAX - 1), changes };
     vec![
         ("watch", watch(Some(held))),
         ("watch-without", watch(None)),
-        ("same", answer(Body::Same)),
-        ("deltas", answer(Body::Deltas(vec![delta]))),
-        ("snapshot", answer(Body::Snapshot(Snapshot::pack(&state()).expect("packed")))),
-        ("differs", answer(Body::Differs)),
-        ("older", answer(Body::Older)),
-        ("empty", answer(Body::Empty)),
-        ("busy", answer(Body::Busy)),
+        ("same", answer(ResponseBody::Unchanged)),
+        ("deltas", answer(ResponseBody::Deltas(vec![delta]))),
+        ("snapshot", answer(ResponseBody::Snapshot(Snapshot::compress(&state()).expect("packed")))),
+        ("differs", answer(ResponseBody::DigestMismatch)),
+        ("older", answer(ResponseBody::Behind)),
+        ("empty", answer(ResponseBody::Empty)),
+        ("busy", answer(ResponseBody::Busy)),
     ]
 }
 
@@ -54,8 +58,8 @@
         let (_, sample) = line.split_once(' ').expect("a name and bytes");
         let read = decode(&[7; 32], NodeId(9), &bytes(sample));
         assert_eq!(read, Ok(message), "{name}");
-        if let Ok(Message::Answer(Answer { body: Body::Snapshot(snapshot), .. })) = read {
-            assert_eq!(snapshot.unpack(), Ok(state()));
+        if let Ok(Message::Response(WatchResponse { body: ResponseBody::Snapshot(snapshot), .. })) = read {
+            assert_eq!(snapshot.decompress(), Ok(state()));
         }
     }
 }
@@ -63,8 +67,8 @@
 #[test]
 fn every_key_of_the_operators_file_is_read() {
     let expected = Topology {
-        region: vec![Region { name: "east".into(), zones: vec!["kingston".into(), "negril".into()] }],
-        relay: vec![Place {
+        regions: vec![Region { name: "east".into(), zones: vec!["kingston".into(), "negril".into()] }],
+        relays: vec![NodeLocation {
             addr: "127.0.0.1:7950".parse().expect("an address"),
             region: "east".into(),
             zone: "kingston".into(),
--- a/crates/distribution/tests/model.rs
+++ b/crates/distribution/tests/model.rs
@@ -2,7 +2,6 @@
 //! wins, nothing is in force that the source did not have, and once all is well everybody has the newest.
 
 use proptest::prelude::*;
-use rowanglade_distribution::relay::Limits;
 use rowanglade_distribution::*;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,7 +9,7 @@
 const SOURCE: NodeId = NodeId(0);
 const RELAYS: [NodeId; 2] = [NodeId(1), NodeId(2)];
 const INSTANCES: [NodeId; 3] = [NodeId(10), NodeId(11), NodeId(12)];
-const LIMITS: Limits = Limits { followers: 4, rate: 1 << 20, burst: 1 << 20 };
+const LIMITS: RelayLimits = RelayLimits { max_followers: 4, bytes_per_second: 1 << 20, burst_bytes: 1 << 20 };
 const KEY: Key = [3; 32];
 /// A change whose value is this is refused by every instance.
 const POISON: u8 = 7;
@@ -62,9 +61,11 @@
     bytes: Vec<u8>,
 }
 
-fn good(state: &State) -> Result<(), String> {
-    let bad = state.entries().any(|(_, value)| **value == POISON.to_string());
-    if bad { Err("poison".into()) } else { Ok(()) }
+fn good(state: &State) -> Result<(), InvalidState> {
+    match state.entries().find(|(_, value)| ***value == POISON.to_string()) {
+        Some((name, _)) => Err(InvalidState { entry: name.to_string(), problem: "poison".into() }),
+        None => Ok(()),
+    }
 }
 
 struct World {
@@ -117,14 +118,14 @@
         let mut out: Vec<(NodeId, NodeId, Message)> = Vec::new();
         for instance in &mut self.instances {
             let watch = instance.poll(now, 0);
-            out.extend(watch.map(|(to, watch)| (instance.id(), to, Message::Watch(watch))));
+            out.extend(watch.map(|(to, watch)| (instance.id(), to, Message::Request(watch))));
         }
         for (relay, id) in self.relays.iter_mut().zip(RELAYS) {
             let watch = relay.poll_upstream(now);
-            out.extend(watch.map(|(to, watch)| (id, to, Message::Watch(watch))));
-            out.extend(relay.poll(now).into_iter().map(|o| (id, o.to, Message::Answer(o.answer))));
+            out.extend(watch.map(|(to, watch)| (id, to, Message::Request(watch))));
+            out.extend(relay.poll(now).into_iter().map(|o| (id, o.to, Message::Response(o.response))));
         }
-        out.extend(self.source.poll(now).into_iter().map(|o| (SOURCE, o.to, Message::Answer(o.answer))));
+        out.extend(self.source.poll(now).into_iter().map(|o| (SOURCE, o.to, Message::Response(o.response))));
         for (from, to, message) in out {
             self.send(from, to, &message);
         }
@@ -136,8 +137,8 @@
         let (now, from) = (self.now, sent.from);
         if let Some(i) = INSTANCES.iter().position(|id| *id == sent.to) {
             match message {
-                Ok(Message::Answer(answer)) => drop(self.instances[i].heard(now, from, answer)),
-                _ => self.instances[i].lost(now, from),
+                Ok(Message::Response(answer)) => drop(self.instances[i].handle_response(now, from, answer)),
+                _ => self.instances[i].handle_disconnect(now, from),
             }
             return;
         }
@@ -146,19 +147,22 @@
             None => &mut self.source,
         };
         match message {
-            Ok(Message::Answer(answer)) => relay.heard(now, from, answer),
-            Ok(Message::Watch(watch)) => {
-                if let Some(out) = relay.watched(now, from, watch) {
-                    self.send(sent.to, out.to, &Message::Answer(out.answer));
+            Ok(Message::Response(answer)) => relay.handle_response(now, from, answer),
+            Ok(Message::Request(watch)) => {
+                if let Some(out) = relay.handle_request(now, from, watch) {
+                    self.send(sent.to, out.to, &Message::Response(out.response));
                 }
             }
-            Err(_) => relay.lost(now, from),
+            Err(_) => relay.handle_disconnect(now, from),
         }
     }
 
     fn publish(&mut self, name: u8, value: u8) {
         self.source
-            .publish(vec![(name.to_string().into(), Some(value.to_string().into()))])
+            .publish(vec![EntryChange {
+                name: name.to_string().into(),
+                value: Some(value.to_string().into()),
+            }])
             .expect("the source's");
         let state = self.source.state().expect("its own").clone();
         self.states.insert(state.version(), state);
@@ -172,7 +176,7 @@
                 self.relays[i] = relay(i, self.kept[i].clone().filter(|_| kept));
             }
             Step::RestartInstance { instance: i, kept } => {
-                let known = self.instances[i].in_force().cloned().filter(|_| kept);
+                let known = self.instances[i].active().cloned().filter(|_| kept);
                 (self.greatest[i], self.instances[i]) = (None, instance(i, known));
             }
             Step::Deliver(_) | Step::Double(_) | Step::Lose(_) | Step::Spoil(..) if self.sent.is_empty() => {}
@@ -197,10 +201,10 @@
 
     fn check(&mut self) -> Result<(), TestCaseError> {
         for (i, instance) in self.instances.iter().enumerate() {
-            let held = instance.held().map(State::version);
+            let held = instance.newest().map(State::version);
             prop_assert!(held >= self.greatest[i], "{held:?} after {:?}", self.greatest[i]);
             self.greatest[i] = held;
-            if let Some(state) = instance.in_force() {
+            if let Some(state) = instance.active() {
                 prop_assert_eq!(
                     Some(state),
                     self.states.get(&state.version()),
@@ -246,7 +250,7 @@
         world.check()?;
         let newest = world.source.state().cloned();
         for instance in &world.instances {
-            prop_assert_eq!(instance.in_force(), newest.as_ref());
+            prop_assert_eq!(instance.active(), newest.as_ref());
         }
     }
 }
--- a/crates/lab/src/scale/distribution.rs
+++ b/crates/lab/src/scale/distribution.rs
@@ -5,7 +5,7 @@
 use super::network::{Network, POISON, Shape};
 use super::reads::{all_served, service};
 use crate::outcome::{Experiment, Failure, Outcome, Run};
-use rowanglade_distribution::{Change, Snapshot, State, Version};
+use rowanglade_distribution::{EntryChange, Snapshot, State, Version};
 use std::net::Ipv4Addr;
 use std::sync::Arc;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -50,8 +50,12 @@
     format!("{addr}:{} kingston-{} std-box {place} {state} {started}", 1_024 + place % 64, place % 9).into()
 }
 
-fn change(place: usize, state: &str) -> Change {
-    (name(place), Some(value(place, state)))
+fn change(place: usize, state: &str) -> EntryChange {
+    EntryChange { name: name(place), value: Some(value(place, state)) }
+}
+
+fn set_limits(value: &str) -> EntryChange {
+    EntryChange { name: "limits".into(), value: Some(value.into()) }
 }
 
 /// The list of so many targets, at version 1.
@@ -91,9 +95,9 @@
         60 => network.start_relay(3, Some(first.clone())),
         65 => network.publish((0..ZONE).map(|i| change(i * 9, "leaving")).collect())?,
         85 => network.heal(),
-        95 => network.publish(vec![("limits".into(), Some(POISON.into()))])?,
+        95 => network.publish(vec![set_limits(POISON)])?,
         // Taken back within 14 s.
-        100 => network.publish(vec![("limits".into(), Some("32".into()))])?,
+        100 => network.publish(vec![set_limits("32")])?,
         _ => {}
     }
     Ok(())
@@ -202,13 +206,13 @@
     out.claim("all end with the source's state", network.current() == instances as usize);
     out.claim("no instance goes back to an older version", network.seen.iter().all(|seen| !seen.went_back));
     out.claim("the poison was refused, and nobody refuses any more", {
-        refused > 0 && network.source().is_some_and(|source| source.refusing(END * 1_000) == 0)
+        refused > 0 && network.source().is_some_and(|source| source.rejecting(END * 1_000) == 0)
     });
     let state = probe("distribution-state", SIZES[SIZES.len() - 1])?;
     out.figure("a state of 3,500 entries", state.state / 1_048_576.0, "MiB");
     out.claim("two states take under a tenth of the memory", 2.0 * state.state <= MEMORY / 10.0);
 
-    out.figure("the same, packed", Snapshot::pack(&list(TARGETS))?.size() as f64 / 1_024.0, "KiB");
+    out.figure("the same, packed", Snapshot::compress(&list(TARGETS))?.size() as f64 / 1_024.0, "KiB");
 
     let by_relays = all_start(instances)?.unwrap_or(f64::INFINITY);
     let (one, _) = service(TARGETS, "")?;
--- a/crates/lab/src/scale/network.rs
+++ b/crates/lab/src/scale/network.rs
@@ -5,9 +5,9 @@
 use crate::outcome::Failure;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use rowanglade_distribution::relay::Limits;
 use rowanglade_distribution::{
-    Change, Follower, Key, Message, Millis, News, NodeId, Place, Relay, State, Topology, decode, encode,
+    EntryChange, Follower, InvalidState, Key, Message, Millis, NodeId, NodeLocation, Relay, RelayLimits,
+    State, StateUpdate, Topology, decode, encode,
 };
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -25,7 +25,8 @@
 const HOLD: Millis = 4_000;
 /// Bytes are counted in windows of this many milliseconds.
 pub const WINDOW: Millis = 14_000;
-const LIMITS: Limits = Limits { followers: 220, rate: 4 << 20, burst: 512 << 10 };
+const LIMITS: RelayLimits =
+    RelayLimits { max_followers: 220, bytes_per_second: 4 << 20, burst_bytes: 512 << 10 };
 /// Instances start within this span.
 const START_WITHIN: Millis = 1_000;
 
@@ -125,9 +126,9 @@
 /// An instance cannot run with a state that has this value.
 pub const POISON: &str = "poison";
 
-fn usable(state: &State) -> Result<(), String> {
+fn usable(state: &State) -> Result<(), InvalidState> {
     match state.get("limits") {
-        Some(POISON) => Err("limits: not a number".into()),
+        Some(POISON) => Err(InvalidState { entry: "limits".into(), problem: "not a number".into() }),
         _ => Ok(()),
     }
 }
@@ -135,15 +136,15 @@
 impl Network {
     /// All relays and instances have `known` from their last life, if it is given; the source has `first`.
     pub fn new(shape: Shape, first: State, known: Option<&State>) -> Network {
-        let place = |i: u32| Place {
+        let place = |i: u32| NodeLocation {
             addr: SocketAddr::from((Ipv4Addr::from(0x7f02_0000 + i), 9)),
             region: format!("r{}", i % shape.regions),
             zone: "z".into(),
         };
         let topology = Topology {
-            region: Vec::new(),
-            relay: (0..shape.relays).map(place).collect(),
-            fan_out: LIMITS.followers,
+            regions: Vec::new(),
+            relays: (0..shape.relays).map(place).collect(),
+            fan_out: LIMITS.max_followers,
         };
         let count = (1 + shape.relays + shape.instances) as usize;
         let published = vec![0; first.version().number as usize + 1];
@@ -190,7 +191,7 @@
 
     fn instance(&self, instance: u32, known: Option<State>) -> Node {
         let me = NodeId(1 + self.shape.relays + instance);
-        let places = self.topology.preferred(me, &format!("r{}", self.region(me)));
+        let places = self.topology.preferred_relays(me, &format!("r{}", self.region(me)));
         let upstreams = places.into_iter().map(|place| NodeId(1 + place as u32)).collect();
         Node::Instance(Box::new(Follower::new(me, upstreams, HOLD, Box::new(usable), known)))
     }
@@ -246,13 +247,13 @@
         let mut out: Vec<(NodeId, Message)> = Vec::new();
         let wake = match &mut self.nodes[node.0 as usize] {
             Node::Relay(relay) => {
-                out.extend(relay.poll_upstream(now).map(|(to, watch)| (to, Message::Watch(watch))));
-                out.extend(relay.poll(now).into_iter().map(|o| (o.to, Message::Answer(o.answer))));
-                relay.wake(now)
+                out.extend(relay.poll_upstream(now).map(|(to, watch)| (to, Message::Request(watch))));
+                out.extend(relay.poll(now).into_iter().map(|o| (o.to, Message::Response(o.response))));
+                relay.next_timeout(now)
             }
             Node::Instance(follower) => {
-                out.extend(follower.poll(now, 0).map(|(to, watch)| (to, Message::Watch(watch))));
-                follower.wake()
+                out.extend(follower.poll(now, 0).map(|(to, watch)| (to, Message::Request(watch))));
+                follower.next_timeout()
             }
             Node::Dead => None,
         };
@@ -307,9 +308,13 @@
         let (now, begun) = (self.now, thread_time());
         let (mut news, mut turned_away) = (None, None);
         match (&mut self.nodes[to.0 as usize], decode(&KEY, from, bytes)?) {
-            (Node::Relay(relay), Message::Watch(watch)) => turned_away = relay.watched(now, from, watch),
-            (Node::Relay(relay), Message::Answer(answer)) => relay.heard(now, from, answer),
-            (Node::Instance(follower), Message::Answer(answer)) => news = follower.heard(now, from, answer),
+            (Node::Relay(relay), Message::Request(watch)) => {
+                turned_away = relay.handle_request(now, from, watch)
+            }
+            (Node::Relay(relay), Message::Response(answer)) => relay.handle_response(now, from, answer),
+            (Node::Instance(follower), Message::Response(answer)) => {
+                news = follower.handle_response(now, from, answer)
+            }
             _ => return Ok(()),
         }
         self.spent(to, begun);
@@ -317,14 +322,14 @@
             self.seen[place].told(now, &news);
         }
         if let Some(away) = turned_away {
-            let bytes = encode(&KEY, to, &Message::Answer(away.answer))?;
+            let bytes = encode(&KEY, to, &Message::Response(away.response))?;
             self.send(to, away.to, bytes);
         }
         self.poll(to)
     }
 
     /// The source's next version.
-    pub fn publish(&mut self, changes: Vec<Change>) -> Result<(), Failure> {
+    pub fn publish(&mut self, changes: Vec<EntryChange>) -> Result<(), Failure> {
         let Node::Relay(source) = &mut self.nodes[0] else { return Err("no source".into()) };
         source.publish(changes).ok_or("only the source publishes")?;
         self.published.push(self.now);
@@ -359,7 +364,7 @@
     fn break_connections(&mut self, follower: NodeId) {
         for node in &mut self.nodes {
             if let Node::Relay(relay) = node {
-                relay.lost(self.now, follower);
+                relay.handle_disconnect(self.now, follower);
             }
         }
     }
@@ -388,7 +393,7 @@
     /// Instances whose state in force is the source's.
     pub fn current(&self) -> usize {
         let newest = self.source().and_then(Relay::state);
-        let in_force = |node: &&Node| matches!(node, Node::Instance(f) if f.in_force() == newest);
+        let in_force = |node: &&Node| matches!(node, Node::Instance(f) if f.active() == newest);
         self.nodes.iter().filter(in_force).count()
     }
 
@@ -398,7 +403,7 @@
         for node in &self.nodes {
             if let Node::Instance(follower) = node {
                 let counters = follower.counters();
-                sums = (sums.0 + counters.silent, sums.1 + counters.cut, sums.2 + counters.snapshots);
+                sums = (sums.0 + counters.timeouts, sums.1 + counters.cut_off, sums.2 + counters.snapshots);
             }
         }
         sums
@@ -438,9 +443,9 @@
         self.windows.iter().max().copied().unwrap_or(0) as f64 * 1e3 / WINDOW as f64
     }
 
-    fn told(&mut self, now: Millis, news: &News) {
+    fn told(&mut self, now: Millis, news: &StateUpdate) {
         match news {
-            News::InForce(state) => {
+            StateUpdate::Activated(state) => {
                 let number = state.version().number as usize;
                 // After a restart from nothing an older one than before may come, through a relay that is
                 // behind.
@@ -450,7 +455,7 @@
                     self.reached.resize(number + 1, now);
                 }
             }
-            News::Refused { .. } => self.refused += 1,
+            StateUpdate::Rejected { .. } => self.refused += 1,
         }
     }
 
--- a/crates/lab/src/scale/tests.rs
+++ b/crates/lab/src/scale/tests.rs
@@ -60,7 +60,7 @@
     let most = network.seen.iter().map(|seen| seen.most()).fold(0.0, f64::max);
     assert!(most <= 11_000.0, "{most} bytes a second in 14 s");
     assert!(network.seen.iter().any(|seen| seen.refused > 0));
-    assert_eq!(network.source().map(|source| source.refusing(130_000)), Some(0));
+    assert_eq!(network.source().map(|source| source.rejecting(130_000)), Some(0));
     // The same seed, the same end.
     let (again, _) = faults(INSTANCES).expect("it runs");
     assert_eq!((again.messages, again.relay_bytes), (network.messages, network.relay_bytes));
