--- a/src/net/http/message.rs
+++ b/src/net/http/message.rs
@@ -1,6 +1,6 @@
 //! The platform's messages: each is decoded once into a value of the core's and encoded once.
 
-use crate::core::{AttemptResult, Content, Protocol, Request, RequestOrigin, Response};
+use crate::core::{AttemptResult, Protocol, Request, RequestOrigin, Response, ResponseBody};
 use crate::interface::{LoadReport, Outcome};
 use actix_http::header::{HOST, HeaderMap, HeaderName, HeaderValue, RETRY_AFTER};
 use actix_http::{Method, RequestHead, Response as HttpResponse, StatusCode, Uri};
@@ -33,15 +33,10 @@
 const MOST_TOLD: f64 = 1e5;
 
 /// What is wrong with a request, by its part.
-#[derive(Debug, PartialEq, Eq)]
+#[derive(Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{0}")]
 pub struct Malformed(pub &'static str);
 
-impl std::fmt::Display for Malformed {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str(self.0)
-    }
-}
-
 /// The one value of a header; what comes twice says nothing.
 fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     let mut values = headers.get_all(name);
@@ -99,7 +94,7 @@
         initiators: hosts,
         length: 0,
         body: Bytes::new(),
-        more: None,
+        body_rest: None,
         time_left: Duration::from_millis(time_left),
     })
 }
@@ -129,7 +124,7 @@
 }
 
 /// The final answer to a client.
-pub fn encode(answer: Response) -> HttpResponse<Content> {
+pub fn encode(answer: Response) -> HttpResponse<ResponseBody> {
     match answer {
         Response::Served(content) => HttpResponse::with_body(StatusCode::OK, content),
         Response::Rejected { retry_after } => refused(retry_after),
@@ -144,7 +139,7 @@
     }
 }
 
-fn refused(wait: Duration) -> HttpResponse<Content> {
+fn refused(wait: Duration) -> HttpResponse<ResponseBody> {
     let mut response = status(StatusCode::SERVICE_UNAVAILABLE);
     if !wait.is_zero() {
         let seconds = format!("{:.3}", wait.as_secs_f64());
@@ -156,7 +151,7 @@
 }
 
 /// An answer without a body.
-pub fn status(code: StatusCode) -> HttpResponse<Content> {
+pub fn status(code: StatusCode) -> HttpResponse<ResponseBody> {
     HttpResponse::with_body(code, Bytes::new().into())
 }
 
@@ -191,7 +186,7 @@
 }
 
 /// What a target's answer says of the outcome, and tells beside it.
-pub fn reply(code: StatusCode, headers: &HeaderMap, body: Content) -> AttemptResult {
+pub fn reply(code: StatusCode, headers: &HeaderMap, body: ResponseBody) -> AttemptResult {
     let unseen = matches!(code, StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT)
         && text(headers, &NOT_RUN) == Some("1");
     let outcome = match code {
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! The fronts, the targets and the list on their wires.
+//! The fronts, the targets and discovery on their wires.
 
 pub mod accept;
 pub mod admin;
@@ -7,6 +7,8 @@
 pub mod drain_gossip;
 pub mod http;
 pub mod iscsi;
+mod phase;
 pub mod quota_exchange;
 
-pub use budget::{Budget, Parts, Phase, Reservations};
+pub use budget::{DescriptorBudget, OptionalParts, Reservations};
+pub use phase::Phase;
--- a/src/net/quota_exchange.rs
+++ b/src/net/quota_exchange.rs
@@ -1,7 +1,7 @@
 //! Carries the quota exchange's datagrams over UDP, each with the fleet's authentication code. A datagram that
 //! is not the fleet's is dropped and counted.
 
-use crate::core::{CoreHandle, Message, Outgoing};
+use crate::core::{CoreHandle, Message, OutgoingDatagram};
 use crate::net::Phase;
 use rowanglade_quota_exchange::wire::MAX_DATAGRAM_BYTES;
 use rowanglade_quota_exchange::{Key, Peer, decode, encode};
@@ -82,7 +82,7 @@
     socket: UdpSocket,
     peers: FleetPeers,
     core: CoreHandle,
-    mut outgoing: mpsc::Receiver<Outgoing>,
+    mut outgoing: mpsc::Receiver<OutgoingDatagram>,
     mut phase: watch::Receiver<Phase>,
 ) {
     enlarge_receive_buffer(&socket, &peers);
@@ -112,7 +112,7 @@
 }
 
 /// Sends a datagram to one peer, or to all others. One that cannot be sent is lost, as it could be on its way.
-fn send(socket: &UdpSocket, peers: &FleetPeers, (to, message): &Outgoing) {
+fn send(socket: &UdpSocket, peers: &FleetPeers, (to, message): &OutgoingDatagram) {
     let datagram = encode(&peers.key, peers.own, message);
     match to {
         Some(peer) => {
