--- a/crates/lab/src/failure.rs
+++ b/crates/lab/src/failure.rs
@@ -64,10 +64,16 @@
     Routes(#[from] RouteError),
     /// A message of the distribution cannot be decoded.
     #[error(transparent)]
-    Distribution(#[from] rowanglade_distribution::Malformed),
+    Distribution(#[from] rowanglade_distribution::DecodeError),
+    /// A message of the distribution cannot be encoded.
+    #[error(transparent)]
+    DistributionEncoding(#[from] rowanglade_distribution::EncodeError),
+    /// A state of the distribution cannot be packed.
+    #[error(transparent)]
+    Snapshot(#[from] rowanglade_distribution::SnapshotError),
     /// A message of the quota exchange cannot be decoded.
     #[error(transparent)]
-    QuotaExchange(#[from] rowanglade_quota_exchange::Malformed),
+    QuotaExchange(#[from] rowanglade_quota_exchange::DecodeError),
     /// A curve or plot cannot be drawn.
     #[error("{0}")]
     Drawing(String),
--- a/crates/lab/src/scale/observations.rs
+++ b/crates/lab/src/scale/observations.rs
@@ -1,6 +1,6 @@
 //! What is observed of each initiator of the simulated network.
 
-use rowanglade_distribution::{Millis, News};
+use rowanglade_distribution::{Millis, StateUpdate};
 
 /// Bytes are counted in windows of this many milliseconds.
 pub const WINDOW: Millis = 14_000;
@@ -39,9 +39,9 @@
     }
 
     /// Its follower took a version, or refused it.
-    pub fn event(&mut self, now: Millis, news: &News) {
+    pub fn event(&mut self, now: Millis, news: &StateUpdate) {
         match news {
-            News::InForce(state) => {
+            StateUpdate::Activated(state) => {
                 let number = state.version().number as usize;
                 // After a restart from nothing an older one than before may come, through a relay that is
                 // behind.
@@ -51,7 +51,7 @@
                     self.reached.resize(number + 1, now);
                 }
             }
-            News::Refused { .. } => self.refused += 1,
+            StateUpdate::Rejected { .. } => self.refused += 1,
         }
     }
 
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -20,8 +20,8 @@
 use crate::core::SiteSettings;
 use crate::names::Names;
 use crate::net::drain_gossip::PeerAddresses;
-use crate::net::fleet::Peers;
 use crate::net::http::EndpointPage;
+use crate::net::quota_exchange::FleetPeers;
 use crate::scheduler::Scheduler;
 use crate::settings::Settings;
 use operator::OperatorFiles;
@@ -70,7 +70,7 @@
     /// Routes and their expectations.
     pub routing: Routing,
     /// The other initiators; none turns the exchange of quota with them off.
-    pub fleet: Option<Peers>,
+    pub fleet: Option<FleetPeers>,
     /// When a site is ejected; none turns the monitoring of sites off.
     pub sites: Option<SiteSettings>,
     /// The targets that this initiator prefers for new objects; none prefers none.
--- a/src/core/actor.rs
+++ b/src/core/actor.rs
@@ -27,7 +27,7 @@
 use crate::interface::{Action, Event, LoadReport, Micros, Outcome, TargetId};
 use crate::names::Names;
 use crate::scheduler::Scheduler;
-use rowanglade_object_locations::Places;
+use rowanglade_object_locations::ObjectLocations;
 use rowanglade_subset::Subset;
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -59,7 +59,7 @@
     quota: Option<QuotaPeers>,
     /// Units that the scheduler offered last.
     quota_offered: f64,
-    object_locations: Places,
+    object_locations: ObjectLocations,
     /// Absent where no target is preferred to others.
     subset: Option<Subset>,
     handover: HandoverPort,
@@ -129,7 +129,7 @@
             loaded_routes,
             quota,
             quota_offered: 0.0,
-            object_locations: Places::new(MAX_OBJECT_LOCATIONS),
+            object_locations: ObjectLocations::new(MAX_OBJECT_LOCATIONS),
             subset,
             handover: HandoverPort::new(handover_requests, admin_commands, object_sightings),
             readiness: Readiness::new(ready),
--- a/src/core/actor/handover.rs
+++ b/src/core/actor/handover.rs
@@ -33,7 +33,7 @@
             HandoverRequest::AdminCommand(command) => {
                 self.apply_admin_command(&command);
             }
-            HandoverRequest::ObjectSeen(object, seen) => self.object_locations.learn([(object, seen)]),
+            HandoverRequest::ObjectSeen(object, seen) => self.object_locations.merge([(object, seen)]),
         }
     }
 
@@ -52,7 +52,7 @@
         HandoverState {
             maintenance: self.endpoints.maintenance().clone(),
             scheduler,
-            object_locations: self.object_locations.all().collect(),
+            object_locations: self.object_locations.iter().collect(),
         }
     }
 
@@ -60,7 +60,7 @@
     fn take_over(&mut self, state: HandoverState) {
         let HandoverState { maintenance, scheduler, object_locations } = state;
         self.endpoints.set_maintenance(maintenance);
-        self.object_locations.learn(object_locations);
+        self.object_locations.merge(object_locations);
         // The scheduler learns what maintenance changes of the targets before what was learned of them, which
         // is void for another start.
         self.refresh_all_targets();
--- a/src/core/quota.rs
+++ b/src/core/quota.rs
@@ -1,8 +1,7 @@
 //! This initiator's part in the quota exchange, between the scheduler's token buckets and its peers.
 
 use crate::interface::{Micros, VolumeId};
-use rowanglade_quota_exchange::exchange::Milli;
-use rowanglade_quota_exchange::{Exchange, Message, Peer, Store};
+use rowanglade_quota_exchange::{Message, MilliUnits, Peer, QuotaExchange, TokenBuckets};
 use std::collections::HashMap;
 use tokio::sync::mpsc;
 
@@ -15,7 +14,7 @@
 /// The exchange, and what it needs to speak of volumes by their names.
 #[derive(Debug)]
 pub struct QuotaPeers {
-    exchange: Exchange,
+    exchange: QuotaExchange,
     outgoing: mpsc::Sender<OutgoingDatagram>,
     volumes: HashMap<u64, VolumeId>,
     names: HashMap<VolumeId, u64>,
@@ -25,7 +24,7 @@
     /// Of an initiator that has just started, by the number of its life; datagrams go out by the mailbox.
     pub fn new(incarnation: u64, outgoing: mpsc::Sender<OutgoingDatagram>) -> QuotaPeers {
         QuotaPeers {
-            exchange: Exchange::new(incarnation),
+            exchange: QuotaExchange::new(incarnation),
             outgoing,
             volumes: HashMap::new(),
             names: HashMap::new(),
@@ -45,26 +44,26 @@
     /// A volume needs more units than its token bucket has. Peers are asked with the next poll.
     pub(super) fn quota_needed(&mut self, now: Micros, volume: VolumeId, units: f64, initiators: u32) {
         if let Some(name) = self.names.get(&volume) {
-            self.exchange.lacks(now, *name, milli(units), initiators);
+            self.exchange.record_need(now, *name, milli(units), initiators);
         }
     }
 
     /// When [`poll`](Self::poll) has something to send next.
     pub(super) fn next_wake(&self) -> Option<Micros> {
-        self.exchange.wake()
+        self.exchange.next_timeout()
     }
 
     /// Asks all peers for what is needed, if it is time for that.
     pub(super) fn poll(&mut self, now: Micros) {
-        if let Some(want) = self.exchange.poll(now) {
-            self.send((None, want));
+        if let Some(request) = self.exchange.poll(now) {
+            self.send((None, request));
         }
     }
 
     /// Handles a peer's datagram; the answer goes back to it.
     pub(super) fn handle(&mut self, now: Micros, from: Peer, message: &Message, buckets: &mut dyn Buckets) {
-        let mut store = NamedBuckets { buckets, volumes: &self.volumes };
-        if let Some(answer) = self.exchange.heard(now, from, message, &mut store) {
+        let mut buckets = NamedBuckets { buckets, volumes: &self.volumes };
+        if let Some(answer) = self.exchange.handle_message(now, from, message, &mut buckets) {
             self.send((Some(from), answer));
         }
     }
@@ -89,13 +88,13 @@
     volumes: &'a HashMap<u64, VolumeId>,
 }
 
-impl Store for NamedBuckets<'_> {
-    fn give_up(&mut self, volume: u64, most: Milli) -> Milli {
+impl TokenBuckets for NamedBuckets<'_> {
+    fn take_unused(&mut self, volume: u64, max: MilliUnits) -> MilliUnits {
         let Some(volume) = self.volumes.get(&volume) else { return 0 };
-        milli(self.buckets.offer(*volume, f64::from(most) / 1e3))
+        milli(self.buckets.offer(*volume, f64::from(max) / 1e3))
     }
 
-    fn add(&mut self, volume: u64, units: Milli) {
+    fn add(&mut self, volume: u64, units: MilliUnits) {
         if let Some(volume) = self.volumes.get(&volume) {
             self.buckets.receive(*volume, f64::from(units) / 1e3);
         }
@@ -103,6 +102,6 @@
 }
 
 /// Thousandths of a unit, rounded down: what is reported is never more than there was.
-fn milli(units: f64) -> Milli {
-    (units * 1e3).clamp(0.0, f64::from(Milli::MAX)) as Milli
+fn milli(units: f64) -> MilliUnits {
+    (units * 1e3).clamp(0.0, f64::from(MilliUnits::MAX)) as MilliUnits
 }
