--- a/src/config/subset.rs
+++ b/src/config/subset.rs
@@ -2,7 +2,7 @@
 
 use super::ConfigError;
 use crate::settings::Settings;
-use rowanglade_subset::{Rule, Subset};
+use rowanglade_subset::{Subset, SubsetConfig};
 use serde::Deserialize;
 
 /// The most initiators that targets are divided among: the time that a change of the endpoint list takes grows
@@ -47,6 +47,6 @@
                 format!("settings.my-number is {own_number}, and settings.siblings only {initiators}");
             return Err(ConfigError::new("subset", problem));
         }
-        Ok(Subset::new(Rule { size: self.size, spread: self.spread }, own_number, initiators))
+        Ok(Subset::new(SubsetConfig { size: self.size, spread: self.spread }, own_number, initiators))
     }
 }
--- a/src/core/handover_request.rs
+++ b/src/core/handover_request.rs
@@ -5,7 +5,7 @@
 use crate::interface::Micros;
 use crate::scheduler::snapshot::SchedulerSnapshot;
 use rowanglade_maintenance::Maintenance;
-use rowanglade_object_locations::{Object, Seen};
+use rowanglade_object_locations::{ObjectKey, Observation};
 use serde::{Deserialize, Serialize};
 use tokio::sync::oneshot;
 
@@ -19,7 +19,7 @@
     pub scheduler: SchedulerSnapshot<String, String>,
     /// Where objects were seen, the oldest first. A build that does not know of it learns that again.
     #[serde(default, rename = "places")]
-    pub object_locations: Vec<(Object, Seen)>,
+    pub object_locations: Vec<(ObjectKey, Observation)>,
 }
 
 /// What a handover asks of the core.
@@ -38,5 +38,5 @@
     /// An admin command came to the other process.
     AdminCommand(AdminCommand),
     /// The other process saw where an object is, or is not.
-    ObjectSeen(Object, Seen),
+    ObjectSeen(ObjectKey, Observation),
 }
--- a/src/core/site_monitor.rs
+++ b/src/core/site_monitor.rs
@@ -2,7 +2,8 @@
 
 use crate::core::endpoint::Endpoint;
 use crate::interface::{Micros, Outcome, TargetState};
-use rowanglade_site_failover::{Change, Order, Rules, Sites, State};
+use rowanglade_site_failover as failover;
+use rowanglade_site_failover::{Command, FailoverConfig, SiteChange, SiteFailover};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,7 +14,7 @@
     /// The zones that are sites; empty: all.
     pub names: BTreeSet<String>,
     /// When a site counts as lost, and how it returns.
-    pub rules: Rules,
+    pub rules: FailoverConfig,
     /// The longest time for which a client is asked to stay away.
     pub longest_advice: Duration,
 }
@@ -31,12 +32,12 @@
 #[derive(Debug)]
 pub(super) struct SiteMonitor {
     settings: SiteSettings,
-    sites: Sites,
+    sites: SiteFailover,
 }
 
 impl SiteMonitor {
     pub(super) fn new(settings: SiteSettings) -> SiteMonitor {
-        let sites = Sites::new(settings.rules);
+        let sites = SiteFailover::new(settings.rules);
         SiteMonitor { settings, sites }
     }
 
@@ -44,7 +45,7 @@
     pub(super) fn endpoint_listed(&mut self, now: Micros, endpoint: &Endpoint) {
         let zone = &endpoint.zone;
         if self.settings.names.is_empty() || self.settings.names.contains(zone) {
-            self.sites.listed(now, &endpoint.name, zone, endpoint.shard, site_state(endpoint.state));
+            self.sites.handle_endpoint(now, &endpoint.name, zone, endpoint.shard, site_state(endpoint.state));
         }
     }
 
@@ -60,20 +61,21 @@
         match outcome {
             Outcome::NotSent => {}
             Outcome::Served | Outcome::Error | Outcome::QueueFull | Outcome::DeadlineExceeded => {
-                self.sites.answered(now, target, elapsed.filter(|_| outcome == Outcome::Served));
+                self.sites.handle_response(now, target, elapsed.filter(|_| outcome == Outcome::Served));
             }
-            _ if response_started => self.sites.answered(now, target, None),
+            _ if response_started => self.sites.handle_response(now, target, None),
             Outcome::TimedOut | Outcome::Unreachable | Outcome::Broken | Outcome::Cancelled => {
-                self.sites.failed(now, target);
+                self.sites.handle_failure(now, target);
             }
         }
     }
 
     /// What holds for an endpoint of which all others say this.
     pub(super) fn effective(&self, mut endpoint: Endpoint) -> Endpoint {
-        let (state, started) = self.sites.view(&endpoint.name, site_state(endpoint.state), endpoint.started);
+        let (state, started) =
+            self.sites.effective_state(&endpoint.name, site_state(endpoint.state), endpoint.started);
         endpoint.started = started;
-        if state == State::Draining && endpoint.state == TargetState::Active {
+        if state == failover::TargetState::Draining && endpoint.state == TargetState::Active {
             endpoint.state = TargetState::Draining;
         }
         endpoint
@@ -81,22 +83,22 @@
 
     /// The lost site without which a shard has no target, and when a client should come back.
     pub(super) fn unavailable(&self, now: Micros, shard: Option<u32>) -> Option<(Rc<str>, Duration)> {
-        let (site, wait) = self.sites.refused(now, shard?)?;
+        let (site, wait) = self.sites.lost_site_of_shard(now, shard?)?;
         Some((site.into(), Duration::from_micros(wait).min(self.settings.longest_advice)))
     }
 
     /// When [`poll`](Self::poll) has something to do next.
     pub(super) fn next_wake(&self, now: Micros) -> Option<Micros> {
-        self.sites.wake(now)
+        self.sites.next_timeout(now)
     }
 
     /// What has become of sites by now.
     pub(super) fn poll(&mut self, now: Micros) -> SiteActions {
         let mut actions = SiteActions::default();
-        for order in self.sites.poll(now) {
-            match order {
-                Order::Probe(target) => actions.probes.push(target),
-                Order::Changed(site, change) => {
+        for command in self.sites.poll(now) {
+            match command {
+                Command::Probe(target) => actions.probes.push(target),
+                Command::SiteChanged { site, change } => {
                     log_change(&site, change);
                     actions.changed.extend(self.sites.targets_of(&site).map(str::to_string));
                 }
@@ -106,23 +108,29 @@
     }
 }
 
-fn log_change(site: &str, change: Change) {
+fn log_change(site: &str, change: SiteChange) {
     match change {
-        Change::Lost { failing, of, hold } => {
-            tracing::warn!(site, failing, of, hold_ms = hold / 1_000, "site lost");
+        SiteChange::Lost { failing, targets, ejection_time } => {
+            tracing::warn!(site, failing, of = targets, hold_ms = ejection_time / 1_000, "site lost");
         }
-        Change::Returning { answering, of } => tracing::info!(site, answering, of, "site recovery started"),
-        Change::Slowed { percent } => {
-            tracing::warn!(site, percent, "returning site is slow, recovery ramp restarted");
+        SiteChange::Returning { responding, targets } => {
+            tracing::info!(site, answering = responding, of = targets, "site recovery started");
         }
-        Change::Back => tracing::info!(site, "site recovered"),
+        SiteChange::RampRestarted { latency_percent } => {
+            tracing::warn!(
+                site,
+                percent = latency_percent,
+                "returning site is slow, recovery ramp restarted"
+            );
+        }
+        SiteChange::Recovered => tracing::info!(site, "site recovered"),
     }
 }
 
-fn site_state(state: TargetState) -> State {
+fn site_state(state: TargetState) -> failover::TargetState {
     match state {
-        TargetState::Active => State::In,
-        TargetState::Draining => State::Draining,
-        TargetState::Removed => State::Gone,
+        TargetState::Active => failover::TargetState::Active,
+        TargetState::Draining => failover::TargetState::Draining,
+        TargetState::Removed => failover::TargetState::Removed,
     }
 }
--- a/src/handover/actor.rs
+++ b/src/handover/actor.rs
@@ -9,7 +9,7 @@
 use crate::core::{AdminCommand, HandoverRequest, HandoverState};
 use crate::net::accept::{AcceptFailures, pause};
 use rowanglade_handover::{Action, Event, Handover, LinkId, MessageKind};
-use rowanglade_object_locations::{Object, Seen};
+use rowanglade_object_locations::{ObjectKey, Observation};
 use std::collections::VecDeque;
 use std::io;
 use std::os::fd::OwnedFd;
@@ -41,7 +41,7 @@
     /// Admin commands that it has applied.
     pub admin_commands: mpsc::Receiver<AdminCommand>,
     /// Where it saw objects.
-    pub object_sightings: mpsc::Receiver<(Object, Seen)>,
+    pub object_sightings: mpsc::Receiver<(ObjectKey, Observation)>,
 }
 
 /// The actor.
--- a/src/initiator.rs
+++ b/src/initiator.rs
@@ -13,7 +13,7 @@
 use crate::core::{self, AccessLog, Clock, Core, CoreDependencies, CoreHandle, Message, QuotaPeers};
 use crate::handover::{CoreUpdates, HandoverControls, Welcome};
 use crate::net::drain_gossip::DrainGossipLink;
-use crate::net::{DescriptorBudget, Phase, admin, fleet, http};
+use crate::net::{DescriptorBudget, Phase, admin, http, quota_exchange};
 use channels::CoreChannels;
 use handover::{HandoverTask, Received};
 use routes::InitialRoutes;
@@ -255,13 +255,13 @@
 
 /// Starts the exchange of quota with the other initiators.
 fn start_quota_exchange(
-    peers: fleet::Peers,
+    peers: quota_exchange::FleetPeers,
     socket: UdpSocket,
     core: &CoreHandle,
     phase: &watch::Sender<Phase>,
 ) -> QuotaPeers {
-    let (sender, outgoing) = mpsc::channel(peers.queue());
-    actix_rt::spawn(fleet::run(socket, peers, core.clone(), outgoing, phase.subscribe()));
+    let (sender, outgoing) = mpsc::channel(peers.queue_capacity());
+    actix_rt::spawn(quota_exchange::run(socket, peers, core.clone(), outgoing, phase.subscribe()));
     QuotaPeers::new(incarnation(), sender)
 }
 
--- a/src/initiator/channels.rs
+++ b/src/initiator/channels.rs
@@ -2,7 +2,7 @@
 
 use crate::core::{AdminCommand, AdminRequest, HandoverRequest};
 use crate::net::admin;
-use rowanglade_object_locations::{Object, Seen};
+use rowanglade_object_locations::{ObjectKey, Observation};
 use tokio::sync::mpsc;
 
 /// Operators' commands that may wait for the core, and as many requests of a handover.
@@ -35,7 +35,7 @@
     /// From the core to the other process.
     pub admin_commands: Channel<AdminCommand>,
     /// From the core to the other process.
-    pub object_sightings: Channel<(Object, Seen)>,
+    pub object_sightings: Channel<(ObjectKey, Observation)>,
 }
 
 impl CoreChannels {
--- a/src/initiator/sockets.rs
+++ b/src/initiator/sockets.rs
@@ -3,7 +3,7 @@
 use super::Error;
 use crate::config::{Config, ConfigError, Iscsi};
 use crate::handover::Listeners;
-use crate::net::fleet;
+use crate::net::quota_exchange;
 use std::io;
 use std::net::SocketAddr;
 use std::os::fd::{AsFd, OwnedFd};
@@ -48,11 +48,11 @@
     pub async fn open_quota(
         &mut self,
         listeners: &mut Listeners,
-        peers: &fleet::Peers,
+        peers: &quota_exchange::FleetPeers,
     ) -> io::Result<UdpSocket> {
         let socket = match listeners.take(QUOTA) {
             Some(descriptor) => UdpSocket::from_std(descriptor.into())?,
-            None => UdpSocket::bind(peers.addrs[usize::from(peers.me.0)]).await?,
+            None => UdpSocket::bind(peers.addrs[usize::from(peers.own.0)]).await?,
         };
         self.quota = Some(socket.as_fd().try_clone_to_owned()?);
         Ok(socket)
--- a/tests/compatibility/handover.rs
+++ b/tests/compatibility/handover.rs
@@ -4,7 +4,7 @@
 use rowanglade::core::AdminCommand;
 use rowanglade::handover::{DescriptorShare, Message, send};
 use rowanglade_handover::MessageKind;
-use rowanglade_object_locations::Seen;
+use rowanglade_object_locations::Observation;
 use tokio::io::AsyncReadExt;
 use tokio::net::UnixStream;
 
@@ -34,7 +34,7 @@
         MessageKind::OwnershipGranted,
     ];
     let commands = [AdminCommand::Maint("box-1".into()), AdminCommand::Ready("box-2".into())];
-    let seen = [((11, 12), Seen::At(3)), ((13, 14), Seen::NotAt(4))];
+    let seen = [((11, 12), Observation::At(3)), ((13, 14), Observation::NotAt(4))];
     let mut all: Vec<Message> =
         kinds.into_iter().map(|kind| Message { kind: Some(kind), ..Message::default() }).collect();
     all.extend(commands.map(|command| Message { admin_command: Some(command), ..Message::default() }));
@@ -77,7 +77,7 @@
     let read = decoded(STATE.trim_end());
     let state = read.state.as_ref().expect("a state");
     assert!(state.maintenance.is_out("box-1"));
-    assert_eq!(state.object_locations, [((21, 22), Seen::At(1)), ((23, 24), Seen::NotAt(2))]);
+    assert_eq!(state.object_locations, [((21, 22), Observation::At(1)), ((23, 24), Observation::NotAt(2))]);
     assert_eq!(encoded(&read), STATE.trim_end());
 }
 
