--- a/crates/capture/src/cut.rs
+++ b/crates/capture/src/cut.rs
@@ -30,6 +30,7 @@
     pub until: Option<u64>,
     /// Names of classes.
     pub classes: Vec<String>,
+    /// Numbers of volumes.
     pub volumes: Vec<u64>,
     /// The part of the volumes that is kept, whole: a client's requests stay together.
     pub share: Option<f64>,
--- a/crates/capture/src/import.rs
+++ b/crates/capture/src/import.rs
@@ -24,9 +24,11 @@
     pub files: &'a [PathBuf],
     /// None: detected by each file's first bytes.
     pub format: Option<Format>,
+    /// How much of each file may be bad.
     pub tolerance: Tolerance,
     /// How far apart, in microseconds, lines out of order may be.
     pub window: i64,
+    /// The trace that is written.
     pub to: &'a Path,
 }
 
@@ -40,10 +42,13 @@
 /// Why an import ended early. Nothing was written then.
 #[derive(Debug, thiserror::Error)]
 pub enum ImportError {
+    /// A file cannot be read.
     #[error(transparent)]
     Read(#[from] ReadError),
+    /// The trace cannot be written.
     #[error(transparent)]
     Trace(#[from] TraceError),
+    /// No request is known to the mapping.
     #[error("no request in {0} that the mapping knows; see the patterns above, and `--map`")]
     Nothing(String),
 }
@@ -51,10 +56,13 @@
 /// What became of the files' requests.
 #[derive(Clone, Debug, Default)]
 pub struct Imported {
+    /// Each file, and what became of its entries.
     pub files: Vec<(String, Stats)>,
+    /// Requests in the trace.
     pub records: u64,
     /// From the first request to the last, in microseconds.
     pub span: u64,
+    /// Requests of each class.
     pub per_class: BTreeMap<String, u64>,
     /// Left out by rules, by their names.
     pub ignored: BTreeMap<String, u64>,
--- a/crates/capture/src/lines.rs
+++ b/crates/capture/src/lines.rs
@@ -8,6 +8,7 @@
 /// A line, without its end.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Line<'a> {
+    /// One within the bound.
     Whole(&'a [u8]),
     /// One of more than [`LONGEST`] bytes: how many.
     TooLong(u64),
@@ -22,6 +23,7 @@
 }
 
 impl<R: BufRead> Lines<R> {
+    /// The lines of a stream.
     pub fn new(from: R) -> Lines<R> {
         Lines { from, held: Vec::new(), number: 0 }
     }
--- a/crates/capture/src/offer.rs
+++ b/crates/capture/src/offer.rs
@@ -10,11 +10,13 @@
     pub at: i64,
     /// The source tells no more of the time than its second.
     pub whole_second: bool,
+    /// The method of HTTP.
     pub method: Cow<'a, str>,
     /// The path, without a query.
     pub path: Cow<'a, str>,
     /// The query, without its question mark.
     pub query: Option<Cow<'a, str>>,
+    /// The address of the client.
     pub client: Option<IpAddr>,
     /// 0 where no answer came.
     pub status: u16,
@@ -33,14 +35,21 @@
 /// What the daemon knew of a request that it logged.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Known<'a> {
+    /// The request class.
     pub class: Cow<'a, str>,
+    /// The QoS plan.
     pub plan: Option<Cow<'a, str>>,
+    /// The volume.
     pub volume: u64,
+    /// The object.
     pub piece: u64,
+    /// The size of the request.
     pub units: f64,
     /// Absent: a new object.
     pub shard: Option<u32>,
+    /// How many initiators its volume came through.
     pub hosts: u32,
+    /// How long the client would wait.
     pub deadline_ms: u32,
 }
 
--- a/crates/capture/src/own_log.rs
+++ b/crates/capture/src/own_log.rs
@@ -15,8 +15,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum End {
+    /// It was answered with success.
     Served,
+    /// It was rejected, with the promise of no effect.
     Refused,
+    /// It failed, and may have run.
     Failed,
     /// Its client went away before its answer.
     Gone,
@@ -27,17 +30,24 @@
 pub struct AccessLine<'a> {
     /// The version; it stands first, so that a reader knows the file by its first bytes.
     pub rowanglade: u32,
+    /// When it came.
     pub at_us: i64,
+    /// The protocol that it came by.
     #[serde(borrow)]
     pub front: Cow<'a, str>,
+    /// The address of the client.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub client: Option<IpAddr>,
+    /// The id of the request.
     #[serde(borrow)]
     pub id: Cow<'a, str>,
+    /// The request class.
     #[serde(borrow)]
     pub class: Cow<'a, str>,
+    /// The QoS plan.
     #[serde(borrow, skip_serializing_if = "Option::is_none", default)]
     pub plan: Option<Cow<'a, str>>,
+    /// It is a write.
     pub write: bool,
     /// 16 hex digits.
     #[serde(borrow)]
@@ -45,20 +55,25 @@
     /// 16 hex digits.
     #[serde(borrow)]
     pub piece: Cow<'a, str>,
+    /// The size of the request.
     pub units: f64,
     /// Absent: a new object.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub shard: Option<u32>,
+    /// How many initiators its volume comes through.
     pub hosts: u32,
+    /// The idempotency key.
     #[serde(borrow, skip_serializing_if = "Option::is_none", default)]
     pub key: Option<Cow<'a, str>>,
     /// How long the client would wait.
     pub left_ms: u64,
     /// Bytes of the request's body.
     pub sent: u64,
+    /// How it ended.
     pub end: End,
     /// Bytes of the answer's body.
     pub received: u64,
+    /// From its arrival to its end.
     pub took_us: u64,
     /// How long a refused client was asked to wait.
     #[serde(skip_serializing_if = "is_zero", default)]
--- a/crates/capture/src/read.rs
+++ b/crates/capture/src/read.rs
@@ -80,17 +80,20 @@
 pub struct Bad {
     /// `line 3` or `entry 3`, counted from 1.
     pub place: String,
+    /// What is wrong with it.
     pub reason: String,
 }
 
 /// What became of a file's entries.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Stats {
+    /// What the file holds.
     pub format: Format,
     /// Requests handed on.
     pub read: u64,
     /// Empty lines, comments, and entries that never were requests.
     pub passed_over: u64,
+    /// Entries that could not be read.
     pub bad: u64,
     /// The first of the bad ones.
     pub samples: Vec<Bad>,
@@ -101,17 +104,38 @@
 /// Why a file could not be read.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
+    /// The file cannot be read.
     #[error("{file}: {error}")]
-    Io { file: String, error: io::Error },
+    Io {
+        /// The file.
+        file: String,
+        /// The system's error.
+        error: io::Error,
+    },
+    /// More entries are bad than is tolerated.
     #[error("{file}: {bad} of {of} entries are bad, more than {percent}%; the first: {first}")]
-    TooManyBad { file: String, bad: u64, of: u64, percent: f64, first: String },
+    TooManyBad {
+        /// The file.
+        file: String,
+        /// Bad entries.
+        bad: u64,
+        /// All entries.
+        of: u64,
+        /// The part that is tolerated, in percent.
+        percent: f64,
+        /// The first bad entry: its place and what is wrong with it.
+        first: String,
+    },
 }
 
 /// How far a read is: bytes of the file, and entries.
 #[derive(Clone, Copy, Debug)]
 pub struct Progress {
+    /// Bytes of the file that were read.
     pub bytes: u64,
+    /// Bytes of the file.
     pub of: u64,
+    /// Entries that were read, bad ones too.
     pub entries: u64,
 }
 
@@ -177,6 +201,7 @@
 pub struct Options<'p> {
     /// None: detected by the first bytes.
     pub format: Option<Format>,
+    /// How much may be bad.
     pub tolerance: Tolerance,
     /// Called now and then.
     pub progress: &'p mut dyn FnMut(Progress),
--- a/crates/capture/src/trace.rs
+++ b/crates/capture/src/trace.rs
@@ -28,7 +28,10 @@
     /// It may run again.
     Safe,
     /// It carries a key, and a repeat of it is dropped for `span_ms` after the first send.
-    Keyed { span_ms: u32 },
+    Keyed {
+        /// The deduplication window.
+        span_ms: u32,
+    },
     /// It must never run twice.
     Once,
 }
@@ -36,8 +39,11 @@
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClassTerms {
+    /// Its name.
     pub name: String,
+    /// Its requests are writes.
     pub write: bool,
+    /// Whether a request of it may be sent again.
     pub repeat: Repeat,
     /// An answer within this time is in time.
     pub aim_ms: u32,
@@ -48,6 +54,7 @@
 /// A plan, as far as a report needs it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PlanTerms {
+    /// Its name.
     pub name: String,
     /// Units a second that a volume is sized for.
     pub rate: f64,
@@ -63,7 +70,9 @@
     pub base_us: i64,
     /// What it was made of.
     pub sources: Vec<String>,
+    /// The request classes; records name them by place.
     pub classes: Vec<ClassTerms>,
+    /// The QoS plans; records name them by place.
     pub plans: Vec<PlanTerms>,
     /// Volumes, pieces and keys are not what the source had.
     pub anonymised: bool,
@@ -78,8 +87,11 @@
     pub class: u16,
     /// Its place in [`Header::plans`].
     pub plan: u16,
+    /// The volume.
     pub volume: u64,
+    /// The object.
     pub piece: u64,
+    /// The size of the request.
     pub units: f32,
     /// Absent: a new object.
     pub shard: Option<u32>,
@@ -106,18 +118,56 @@
 /// Why a trace cannot be read or written.
 #[derive(Debug, thiserror::Error)]
 pub enum TraceError {
+    /// The file cannot be read or written.
     #[error("{file}: {error}")]
-    Io { file: String, error: io::Error },
+    Io {
+        /// The file.
+        file: String,
+        /// The system's error.
+        error: io::Error,
+    },
+    /// The file does not begin as a trace does.
     #[error("{file}: is no trace; `rowanglade capture import` makes one of a HAR file or an access log")]
-    NotATrace { file: String },
+    NotATrace {
+        /// The file.
+        file: String,
+    },
+    /// The trace has another version.
     #[error("{file}: is a trace of version {found}; this program reads version {VERSION}: import it anew")]
-    OtherVersion { file: String, found: u16 },
+    OtherVersion {
+        /// The file.
+        file: String,
+        /// Its version.
+        found: u16,
+    },
+    /// The trace ends within a record, or without its end.
     #[error("{file}: is torn at byte {at}, behind {records} whole records: it was not written to its end")]
-    Torn { file: String, at: u64, records: u64 },
+    Torn {
+        /// The file.
+        file: String,
+        /// The byte where it ends.
+        at: u64,
+        /// Whole records before.
+        records: u64,
+    },
+    /// A record cannot be decoded.
     #[error("{file}: is damaged at byte {at}, behind {records} whole records: {problem}")]
-    Damaged { file: String, at: u64, records: u64, problem: String },
+    Damaged {
+        /// The file.
+        file: String,
+        /// The byte of the damage.
+        at: u64,
+        /// Whole records before.
+        records: u64,
+        /// What is wrong there.
+        problem: String,
+    },
+    /// A record is earlier than the one before.
     #[error("{file}: records are not in the order of their times")]
-    Order { file: String },
+    Order {
+        /// The file.
+        file: String,
+    },
 }
 
 /// Writes a trace beside its place and moves it there when it is whole.
@@ -270,6 +320,7 @@
         }
     }
 
+    /// The trace's header.
     pub fn header(&self) -> &Header {
         &self.header
     }
--- a/crates/fault-shim/src/plan.rs
+++ b/crates/fault-shim/src/plan.rs
@@ -17,19 +17,28 @@
 /// A call that can fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Call {
+    /// `accept4`.
     Accept,
+    /// `socket`.
     Socket,
+    /// `connect`.
     Connect,
+    /// `recv`.
     Receive,
+    /// `send`.
     Send,
+    /// `epoll_wait`.
     EpollWait,
     /// The wall clock.
     Clock,
+    /// `write`, to files only.
     Write,
+    /// `fsync`.
     Fsync,
 }
 
 impl Call {
+    /// All calls with their names in plans.
     pub const ALL: [(Call, &'static str); 9] = [
         (Call::Accept, "accept4"),
         (Call::Socket, "socket"),
@@ -42,6 +51,7 @@
         (Call::Fsync, "fsync"),
     ];
 
+    /// Its name in plans.
     pub fn name(self) -> &'static str {
         Call::ALL.iter().find(|(call, _)| *call == self).map_or("?", |(_, name)| name)
     }
@@ -63,18 +73,24 @@
 /// One kind of fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rule {
+    /// The call that it befalls.
     pub call: Call,
+    /// What happens.
     pub fault: Fault,
     /// The part of calls that it befalls.
     pub rate: f64,
+    /// When it begins, from the first call that the shim sees.
     pub from: Duration,
+    /// When it ends, from the same.
     pub to: Duration,
 }
 
 /// All faults of a process.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
+    /// What its random numbers follow from.
     pub seed: u64,
+    /// The kinds of faults; the first that is drawn befalls a call.
     pub rules: Vec<Rule>,
 }
 
--- a/crates/replay/src/compare.rs
+++ b/crates/replay/src/compare.rs
@@ -19,9 +19,13 @@
 /// A figure in both.
 #[derive(Clone, Debug, Serialize)]
 pub struct Change {
+    /// The request class.
     pub class: String,
+    /// What is compared.
     pub figure: &'static str,
+    /// Its value in the first report.
     pub before: f64,
+    /// Its value in the second report.
     pub after: f64,
     /// It is more than noise.
     pub beyond_noise: bool,
@@ -30,6 +34,7 @@
 /// The changes, and what makes the two unlike.
 #[derive(Clone, Debug, Serialize)]
 pub struct Comparison {
+    /// Figures that differ.
     pub changes: Vec<Change>,
     /// Why the two should not be compared, if anything.
     pub unlike: Vec<String>,
--- a/crates/replay/src/drive.rs
+++ b/crates/replay/src/drive.rs
@@ -22,11 +22,15 @@
 pub struct Outgoing {
     /// Unlike that of any other try.
     pub id: u64,
+    /// It is a retry of the client.
     pub again: bool,
+    /// The request class.
     pub class: ClassTerms,
     /// The class's place in the trace's header.
     pub class_number: u16,
+    /// The QoS plan.
     pub plan: String,
+    /// The request.
     pub record: Record,
     /// When the client goes away.
     pub until: Instant,
@@ -42,9 +46,13 @@
 /// How far a replay is.
 #[derive(Clone, Copy, Debug)]
 pub struct Progress {
+    /// Since the beginning of the replay.
     pub elapsed: Duration,
+    /// Requests that came due.
     pub due: u64,
+    /// Requests that were served.
     pub served: u64,
+    /// Attempts in flight.
     pub out: usize,
 }
 
--- a/crates/replay/src/latency.rs
+++ b/crates/replay/src/latency.rs
@@ -18,11 +18,13 @@
 }
 
 impl LatencyHistogram {
+    /// Adds a time, in microseconds.
     pub fn record(&mut self, micros: u64) {
         // It grows as far as times go.
         let _ = self.0.record(micros);
     }
 
+    /// How many times it holds.
     pub fn count(&self) -> u64 {
         self.0.len()
     }
@@ -32,10 +34,12 @@
         self.0.value_at_quantile(part)
     }
 
+    /// The mean, in microseconds.
     pub fn mean(&self) -> f64 {
         self.0.mean()
     }
 
+    /// The longest time, in microseconds.
     pub fn max(&self) -> u64 {
         self.0.max()
     }
--- a/crates/replay/src/plan.rs
+++ b/crates/replay/src/plan.rs
@@ -24,9 +24,11 @@
 /// What a replay keeps to.
 #[derive(Clone, Debug)]
 pub struct Terms {
+    /// The request classes of the trace.
     pub classes: Vec<ClassTerms>,
     /// How many times faster than recorded. Deadlines are the clients' and stay as they are.
     pub speed: f64,
+    /// How many initiators there are.
     pub initiators: usize,
     /// Tries that may be out at once.
     pub most_out: usize,
@@ -35,16 +37,20 @@
     /// How long a client waits where the answer asks for no wait, in microseconds; up to as much again is
     /// random.
     pub retry_wait: Micros,
+    /// What the random numbers follow from.
     pub seed: u64,
 }
 
 /// Why terms cannot be used.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TermsError {
+    /// The speed is not above zero.
     #[error("the speed is not above zero")]
     Speed,
+    /// There are no initiators.
     #[error("there is no initiator to send to")]
     Initiators,
+    /// No attempt may be in flight.
     #[error("no try may be out")]
     MostOut,
 }
@@ -52,11 +58,14 @@
 /// How a try ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
+    /// It was answered with success.
     Served,
     /// A new try does no harm, after so long.
     Refused {
+        /// What the client is asked to wait.
         wait: Micros,
     },
+    /// It failed, and may have run.
     Failed,
     /// The initiator was not reached.
     Unreachable,
@@ -71,13 +80,17 @@
 /// A try to be sent now.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Send {
+    /// The request.
     pub number: Number,
     /// 0 for the first.
     pub again: u32,
     /// Unlike that of any other try.
     pub id: u64,
+    /// The request as the trace has it.
     pub record: Record,
+    /// The initiator that it goes to.
     pub initiator: usize,
+    /// When the request was due.
     pub due: Micros,
     /// When the client goes away.
     pub until: Micros,
@@ -88,9 +101,13 @@
 /// The last word on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Word {
+    /// It was answered with success.
     Served,
+    /// It was rejected.
     Refused,
+    /// It failed, and may have run.
     Failed,
+    /// It had no response in time.
     Lost,
     /// Its time was up before there was room to send it.
     Unsent,
@@ -99,19 +116,26 @@
 /// What became of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Verdict {
+    /// The request.
     pub number: Number,
+    /// The request as the trace has it.
     pub record: Record,
+    /// When the request was due.
     pub due: Micros,
+    /// Its final response.
     pub word: Word,
     /// From the moment it was due to the last word.
     pub took: Micros,
+    /// How often it was sent.
     pub tries: u32,
 }
 
 /// What to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
+    /// Send an attempt.
     Send(Send),
+    /// Report how a request ended.
     Tell(Verdict),
 }
 
--- a/crates/replay/src/recorder.rs
+++ b/crates/replay/src/recorder.rs
@@ -34,14 +34,20 @@
 /// Of what a report is.
 #[derive(Clone, Debug)]
 pub struct Subject {
+    /// The trace.
     pub trace: String,
+    /// The protocol.
     pub front: String,
+    /// How many initiators it is sent to.
     pub initiators: usize,
+    /// How many times faster than recorded.
     pub speed: f64,
+    /// What the random numbers follow from.
     pub seed: u64,
 }
 
 impl Recorder {
+    /// A report of nothing yet.
     pub fn new(header: Header, subject: Subject) -> Recorder {
         let classes = header.classes.iter().map(|c| Class { aim_ms: c.aim_ms, ..Class::default() }).collect();
         let Subject { trace, front, initiators, speed, seed } = subject;
@@ -149,10 +155,12 @@
         self.report.unfinished = requests;
     }
 
+    /// Whether the replay was ended before its end.
     pub fn stopped(&mut self, stopped: bool) {
         self.report.stopped = stopped;
     }
 
+    /// The report of a replay that took this long.
     pub fn finish(self, took: Duration) -> Report {
         let mut report = self.report;
         report.seconds = took.as_secs_f64();
--- a/crates/replay/src/report.rs
+++ b/crates/replay/src/report.rs
@@ -26,16 +26,21 @@
     pub due: u64,
     /// Tries sent, and those of them that were clients' second ones.
     pub sent: u64,
+    /// Retries of clients among them.
     pub again: u64,
+    /// Answered with success.
     pub served: u64,
     /// Served within the class's aim, from the moment they were due.
     pub in_time: u64,
+    /// Rejected.
     pub refused: u64,
+    /// Failed; they may have run.
     pub failed: u64,
     /// Without an answer.
     pub lost: u64,
     /// Never sent, for want of room.
     pub unsent: u64,
+    /// The latency objective.
     pub aim_ms: u32,
     /// Of served requests, from the moment they were due.
     pub latency: LatencyHistogram,
@@ -46,11 +51,17 @@
 /// What came due in a second.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Second {
+    /// Requests that came due.
     pub due: u64,
+    /// Answered with success.
     pub served: u64,
+    /// Rejected.
     pub refused: u64,
+    /// Failed; they may have run.
     pub failed: u64,
+    /// Without a response in time.
     pub lost: u64,
+    /// Never sent.
     pub unsent: u64,
     /// The latest that a first try of it went, in microseconds.
     pub drift_us: u64,
@@ -61,11 +72,15 @@
 pub struct Volume {
     /// 16 hex digits.
     pub volume: String,
+    /// The QoS plan.
     pub plan: String,
     /// Units a second that the plan is sized for, and that it must not pass.
     pub rate: f64,
+    /// Units a second that it may have at most.
     pub limit: Option<f64>,
+    /// Units that were asked for.
     pub asked: f64,
+    /// Units that were served.
     pub served: f64,
     /// Units served of the second in which most were.
     pub busiest: f64,
@@ -74,17 +89,25 @@
 /// All of it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Report {
+    /// [`VERSION`].
     pub version: u32,
+    /// The trace.
     pub trace: String,
+    /// The protocol.
     pub front: String,
+    /// How many initiators it was sent to.
     pub initiators: usize,
+    /// How many times faster than recorded.
     pub speed: f64,
+    /// What the random numbers followed from.
     pub seed: u64,
+    /// How long it took.
     pub seconds: f64,
     /// It was ended before its end.
     pub stopped: bool,
     /// Requests that had no last word then.
     pub unfinished: u64,
+    /// What became of each request class.
     pub classes: BTreeMap<String, Class>,
     /// How late first tries went, against the schedule.
     pub drift: LatencyHistogram,
@@ -92,8 +115,11 @@
     pub held: u64,
     /// The most tries that were out at once.
     pub most_out: u64,
+    /// What became of the requests that came due in each second.
     pub timeline: Vec<Second>,
+    /// The volumes that asked for most.
     pub volumes: Vec<Volume>,
+    /// How many volumes there were.
     pub volumes_in_all: usize,
 }
 
--- a/crates/replay/src/run.rs
+++ b/crates/replay/src/run.rs
@@ -16,10 +16,13 @@
 /// Over which front requests go.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Front {
+    /// The platform's.
     Http,
     /// Sessions log in to this target.
     Iscsi {
+        /// The name of the target.
         target: String,
+        /// Blocks in a unit.
         blocks_per_unit: u32,
     },
 }
@@ -27,13 +30,17 @@
 /// What is asked of a replay.
 #[derive(Clone, Debug)]
 pub struct Replay {
+    /// The protocol.
     pub front: Front,
     /// The initiators, in the order of their numbers.
     pub to: Vec<SocketAddr>,
+    /// How many times faster than recorded.
     pub speed: f64,
+    /// Clients retry as their class permits.
     pub retries: bool,
     /// Tries that may be out at once; over HTTP each takes a descriptor.
     pub most_out: usize,
+    /// What the random numbers follow from.
     pub seed: u64,
     /// How long initiators may take until they can serve.
     pub patience: Duration,
@@ -61,10 +68,13 @@
 /// Why nothing was replayed.
 #[derive(Debug, thiserror::Error)]
 pub enum ReplayError {
+    /// The trace cannot be read.
     #[error(transparent)]
     Trace(#[from] TraceError),
+    /// The terms are unusable.
     #[error(transparent)]
     Terms(#[from] TermsError),
+    /// An initiator does not get ready in time.
     #[error("{0} does not answer `GET /up` with 200 within {1:?}")]
     NotReady(SocketAddr, Duration),
 }
--- a/tests/fleets/faults.rs
+++ b/tests/fleets/faults.rs
@@ -14,7 +14,7 @@
 const STEP: Duration = Duration::from_millis(1_200);
 
 /// The shim's library, which lies beside this test's program.
-fn library() -> PathBuf {
+fn shim_library() -> PathBuf {
     let program = std::env::current_exe().expect("a program");
     let path = program.with_file_name("librowanglade_fault_shim.so");
     assert!(path.exists(), "{} is not built", path.display());
@@ -26,7 +26,7 @@
     let folder = tempfile::tempdir().expect("a folder");
     let mut plan: FleetPlan = plan(TARGETS);
     plan.daemon.env = vec![
-        ("LD_PRELOAD".to_string(), library().display().to_string()),
+        ("LD_PRELOAD".to_string(), shim_library().display().to_string()),
         (VARIABLE.to_string(), format!("seed=39;{faults}")),
         (COUNTS.to_string(), folder.path().join("counts").display().to_string()),
     ];
@@ -48,7 +48,7 @@
     counts
 }
 
-fn story(faults: &'static str, least_served: f64) {
+fn check_release(faults: &'static str, least_served: f64) {
     let limit = Duration::from_secs(60);
     actix_rt::System::new().block_on(async move {
         let counts = tokio::time::timeout(limit, release_under(faults)).await.expect("it ends");
@@ -56,32 +56,38 @@
     });
 }
 
-// The runtime takes a short read or write for the last one, and waited for an event that did not come: a list
-// was heard when its call was given up, a second and more late, and a request stood until its time was up.
+// Half of all reads and writes move one byte. The runtime took a short one for the last one and waited for an
+// event that did not come: a list arrived when its poll timed out, and a request stood until its deadline.
 #[test]
-fn reads_and_writes_that_are_cut_short_stop_nothing() {
-    story("recv:short:0.5;send:short:0.5", 0.95);
+fn short_reads_and_writes_stop_no_connection() {
+    check_release("recv:short:0.5;send:short:0.5", 0.95);
 }
 
-// Each such failure ended the connection of a client that waited for nothing, and nobody was accepted for 20
-// ms.
+// Clients and networks abort connections while they are accepted. Each such failure closed the connection of an
+// idle client, and nobody was accepted for 20 ms.
 #[test]
-fn connections_that_break_while_they_are_accepted_cost_others_nothing() {
-    story("accept4:ECONNABORTED:0.3;accept4:ENETUNREACH:0.2", 0.95);
+fn connections_that_abort_during_accept_leave_others_alone() {
+    check_release("accept4:ECONNABORTED:0.3;accept4:ENETUNREACH:0.2", 0.95);
 }
 
+// Sockets cannot be had and connects fail at once, one in three: such an attempt has not run, so the initiator
+// backs off from that target for a moment and sends the request elsewhere.
 #[test]
-fn connections_to_targets_that_fail_for_a_moment_are_tried_again() {
-    story("connect:EADDRNOTAVAIL:0.2;connect:ENETUNREACH:0.1;socket:ENOBUFS:0.05", 0.8);
+fn failed_connects_to_targets_are_retried() {
+    check_release("connect:EADDRNOTAVAIL:0.2;connect:ENETUNREACH:0.1;socket:ENOBUFS:0.05", 0.8);
 }
 
+// Signals interrupt the wait for events, and one wait in fifty returns 80 ms late, as on a busy machine. That is
+// within what the rules allow for, so nothing may be lost or sent too late.
 #[test]
-fn waits_that_are_interrupted_or_late_break_nothing() {
-    story("epoll_wait:EINTR:0.2;epoll_wait:late=80:0.02", 0.95);
+fn interrupted_or_late_epoll_waits_break_no_rule() {
+    check_release("epoll_wait:EINTR:0.2;epoll_wait:late=80:0.02", 0.95);
 }
 
+// An operator steps the wall clock by an hour, forwards or back, while processes serve. Deadlines, backoffs and
+// slow start run on the monotonic clock and must not notice.
 #[test]
-fn a_wall_clock_stepped_by_an_hour_changes_no_span() {
-    story("clock:step=3600000:1:1500-60000", 0.95);
-    story("clock:step=-3600000:1:1500-60000", 0.95);
+fn a_wall_clock_stepped_by_an_hour_changes_no_duration() {
+    check_release("clock:step=3600000:1:1500-60000", 0.95);
+    check_release("clock:step=-3600000:1:1500-60000", 0.95);
 }
--- a/tests/fleets/many_targets.rs
+++ b/tests/fleets/many_targets.rs
@@ -96,7 +96,7 @@
 // The report's day in small: a release of targets in steps, traffic with new objects, and instances that have
 // just started. What a request costs an instance must not go with the number of targets.
 #[test]
-fn a_release_before_thousands_of_targets_breaks_no_rule_and_serves_as_much() {
+fn a_rolling_restart_of_thousands_of_targets_breaks_no_rule_and_serves_as_much() {
     let limit = Duration::from_secs(120);
     actix_rt::System::new().block_on(async {
         let played = async { (release(USUAL).await, release(MANY).await) };
--- a/tests/network/admin.rs
+++ b/tests/network/admin.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn each_call_has_its_answer_and_its_connection_ends() {
+fn each_admin_command_is_answered_and_its_connection_closed() {
     story(async {
         let target = peer(vec![]).await;
         let (_node, admin) = operated(&[line(target.addr, 0, "active")], None).await;
@@ -49,7 +49,7 @@
 
 // Callers who finish no call held up all others, or left no descriptor for them.
 #[test]
-fn callers_who_finish_no_call_hold_up_nobody() {
+fn unfinished_admin_commands_hold_up_nobody() {
     story(async {
         let target = peer(vec![]).await;
         let (_node, admin) = operated(&[line(target.addr, 0, "active")], None).await;
@@ -70,7 +70,7 @@
 
 // Discovery lists the target as up all the time. What it says must not bring back a target that is out.
 #[test]
-fn a_target_that_is_out_gets_nothing_until_it_is_called_back() {
+fn a_target_in_maintenance_gets_nothing_until_it_is_returned() {
     story(async {
         let target = peer(vec![ok("before"), ok("after")]).await;
         let again = |version, started: u64| {
@@ -100,7 +100,7 @@
 
 // An idle connection to a target that is being restarted would carry the first request after it is back.
 #[test]
-fn connections_to_a_target_end_once_it_is_out_and_carry_nothing() {
+fn connections_to_a_target_in_maintenance_end_and_carry_nothing() {
     story(async {
         let mut target =
             peer(vec![ok("one"), Step::Wait("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ntwo".into())]).await;
--- a/tests/network/bodies.rs
+++ b/tests/network/bodies.rs
@@ -58,7 +58,7 @@
 
 // Whole answers were held to 64 KiB: a longer one was taken for a spoilt one, and its client got an error.
 #[test]
-fn a_long_answer_reaches_its_client_while_it_is_still_coming() {
+fn a_long_response_is_streamed_to_its_client() {
     story(async {
         let (listener, line) = target().await;
         let node = start(&[line], None, None).await;
@@ -96,7 +96,7 @@
 
 // Each way in which an answer may say where it ends, to a client of either version.
 #[test]
-fn long_answers_of_every_form_come_whole_and_what_breaks_off_is_told() {
+fn long_responses_of_every_framing_arrive_whole_and_truncation_is_visible() {
     story(async {
         let body = bytes(200_000);
         let plain = |head: &str| [head.as_bytes(), &body[..]].concat();
@@ -168,7 +168,7 @@
 // A body of 3 MB was turned away. It goes on as it comes: the target has its first bytes before the client
 // sends more.
 #[test]
-fn a_long_request_is_passed_on_as_it_comes() {
+fn a_long_request_is_streamed_to_its_target() {
     story(async {
         for told in [true, false] {
             let (listener, line) = target().await;
@@ -217,7 +217,7 @@
 
 // What a target has had of a long body is gone: it cannot be sent again, and its client must be told at once.
 #[test]
-fn a_long_request_that_is_turned_away_half_way_is_refused_and_one_that_may_have_run_fails() {
+fn a_long_request_rejected_half_way_is_rejected_and_one_that_may_have_run_fails() {
     story(async {
         let unseen = "HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
         for (answer, expected) in
@@ -249,7 +249,7 @@
 // Targets turned slow requests away as over, which counted as a full target: it rested, and was believed
 // slow.
 #[test]
-fn a_target_that_calls_a_request_over_is_not_full_and_not_asked_again() {
+fn a_target_that_reports_a_deadline_exceeded_is_not_full_and_gets_no_retry() {
     story(async {
         let over = "HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
         let mut target = peer(vec![Step::Answer(over.into()), ok("served")]).await;
@@ -317,7 +317,7 @@
 // called off as silent, three times over: views of 290 ms were refused after 1,447 ms, though their targets
 // served each attempt.
 #[test]
-fn an_answer_that_is_slow_to_come_is_passed_on_and_not_called_off() {
+fn a_slow_response_is_passed_on_and_not_cancelled() {
     story(async {
         let (listener, line) = target().await;
         let node = start(&[line], None, None).await;
--- a/tests/network/broken_answers.rs
+++ b/tests/network/broken_answers.rs
@@ -18,7 +18,7 @@
 
 // A reset is no end, also of an answer that says nothing of its length.
 #[test]
-fn what_is_reset_at_any_point_is_no_answer() {
+fn a_response_that_is_reset_at_any_point_is_a_failed_attempt() {
     for head in ["", "HTTP/1.1 20", "HTTP/1.1 200 OK\r\nConn", UNTIL_THE_END, OF_NINE, CHUNKED] {
         for body in ["", "half"] {
             // A chunk that is whole, but not the last.
@@ -41,7 +41,7 @@
 
 // What has begun to reach its client when it breaks off: the client can tell.
 #[test]
-fn what_is_reset_on_its_way_to_the_client_does_not_look_whole() {
+fn a_response_reset_on_its_way_to_the_client_does_not_look_whole() {
     for (head, body) in [(UNTIL_THE_END, "half"), (CHUNKED, "4\r\nhalf\r\n"), (OF_NINE, "half")] {
         for version in ["1.1", "1.0"] {
             story(async move {
@@ -74,7 +74,7 @@
 
 // A target that hangs inside an answer, or goes on for ever with one that says no length, is left in time.
 #[test]
-fn what_hangs_half_way_is_tried_again() {
+fn a_response_that_hangs_half_way_is_retried() {
     for text in ["HTTP/1.1 200 O", OF_NINE, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"] {
         story(async move {
             let target = peer(vec![Step::Answer(text.into()), ok("whole")]).await;
@@ -88,7 +88,7 @@
 
 // Half a line on a connection that rests is nobody's answer: the connection is of no further use.
 #[test]
-fn half_a_line_on_a_resting_connection_spoils_nothing() {
+fn stray_bytes_on_an_idle_connection_spoil_no_response() {
     story(async {
         let Step::Answer(first) = ok("one") else { unreachable!("it answers") };
         let mut target = peer(vec![Step::Answer(format!("{first}HTTP/1.1 200 O")), ok("two")]).await;
--- a/tests/network/deployments.rs
+++ b/tests/network/deployments.rs
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn every_class_is_served_and_repeated_as_it_may_be() {
+fn every_class_is_served_and_retried_as_its_idempotency_permits() {
     for deployment in deployments() {
         story(async move {
             let name = &deployment.name;
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn a_target_announced_as_leaving_gets_nothing_on_any_deployment() {
+fn a_draining_target_gets_nothing_on_any_deployment() {
     for deployment in deployments() {
         story(async move {
             let name = &deployment.name;
--- a/tests/network/discovery.rs
+++ b/tests/network/discovery.rs
@@ -82,21 +82,21 @@
 // The operators saw requests go to targets announced as leaving after discovery had been down: an instance of
 // a large fleet whose call had failed waited for 5 to 15 s, and longer the next time.
 #[test]
-fn after_refusals_the_list_is_heard_before_what_it_says_counts() {
+fn after_refused_polls_the_list_arrives_before_its_drains_count() {
     story(nothing_goes_to_what_leaves_at_the_return(DiscoveryFault::Refusing));
 }
 
 #[test]
-fn after_resets_the_list_is_heard_before_what_it_says_counts() {
+fn after_reset_polls_the_list_arrives_before_its_drains_count() {
     story(nothing_goes_to_what_leaves_at_the_return(DiscoveryFault::Resetting));
 }
 
 #[test]
-fn after_calls_that_hung_the_list_is_heard_before_what_it_says_counts() {
+fn after_hanging_polls_the_list_arrives_before_its_drains_count() {
     story(nothing_goes_to_what_leaves_at_the_return(DiscoveryFault::Hanging(Duration::from_secs(2))));
 }
 
 #[test]
-fn after_silence_the_list_is_heard_before_what_it_says_counts() {
+fn after_silent_polls_the_list_arrives_before_its_drains_count() {
     story(nothing_goes_to_what_leaves_at_the_return(DiscoveryFault::Silent));
 }
--- a/tests/network/endings.rs
+++ b/tests/network/endings.rs
@@ -18,7 +18,7 @@
 // The decision to send was taken before the announcement, and the request went out when its connection came
 // up: up to the connect time-out later.
 #[test]
-fn a_target_announced_as_leaving_while_a_connection_to_it_comes_up_gets_nothing() {
+fn a_target_that_drains_during_a_connect_gets_nothing() {
     story(async {
         let full = Full::new();
         let mut list = discovery(line(full.addr, 0, "leaving")).await;
@@ -39,7 +39,7 @@
 
 // What a leaving target's connections kept waiting is tried elsewhere at once: its shard has moved meanwhile.
 #[test]
-fn what_waits_for_a_leaving_target_goes_to_its_successor_at_once() {
+fn requests_queued_for_a_draining_target_go_to_its_replacement_at_once() {
     story(async {
         let full = Full::new();
         let mut successor = peer(vec![ok("moved")]).await;
@@ -63,7 +63,7 @@
 // Where the settings let nothing be cancelled, the attempt of a client that had left went on to its first
 // byte.
 #[test]
-fn a_client_that_leaves_while_a_connection_comes_up_leaves_nothing_to_be_sent() {
+fn a_client_that_disconnects_during_a_connect_leaves_nothing_to_be_sent() {
     for may_cancel in [true, false] {
         story(async move {
             let full = Full::new();
@@ -84,7 +84,7 @@
 
 // A repeat was decided inside its key's window, and its first byte went out after it.
 #[test]
-fn a_repeat_whose_window_ends_while_a_connection_comes_up_is_not_sent() {
+fn a_retry_whose_deduplication_window_ends_during_a_connect_is_not_sent() {
     story(async {
         let (listener, addr) = short();
         let change = |json: &mut serde_json::Value| {
@@ -116,7 +116,7 @@
 // Nobody asks for a list that is pushed, and the program took that for nobody needing to watch it: drains
 // were missed for as long as it ran.
 #[test]
-fn a_pushed_list_is_watched_from_the_start_and_its_leaving_targets_get_nothing() {
+fn a_pushed_list_is_watched_from_the_start_and_its_draining_targets_get_nothing() {
     story(async {
         let mut target = peer(vec![ok("one"), ok("two")]).await;
         let mut list = discovery(line(target.addr, 0, "leaving")).await;
@@ -138,7 +138,7 @@
 
 // What an agent gets at discovery's return counts at once: a wait that doubles would outlast the grace.
 #[test]
-fn the_agent_of_a_pushed_list_is_asked_again_within_the_grace_until_it_answers() {
+fn the_agent_of_a_pushed_list_is_polled_again_within_the_grace_until_it_answers() {
     story(async {
         let target = peer(vec![ok("one")]).await;
         let page = format!(r#"{{"version":9,"full":true,"servers":[{}]}}"#, line(target.addr, 0, "active"));
@@ -207,7 +207,7 @@
 // A target that closed without a byte was read from without end, at full speed, until the client's time was
 // up: the request was never tried again, and one core did nothing else.
 #[test]
-fn a_target_that_closes_without_a_byte_has_ended_the_attempt_at_once() {
+fn a_target_that_closes_without_a_byte_ends_the_attempt_at_once() {
     story(async {
         let mut target = peer(vec![Step::Last(String::new()), ok("again")]).await;
         let node = start(&[line(target.addr, 0, "active")], None, None).await;
@@ -220,7 +220,7 @@
 
 // The same on a connection that has served before.
 #[test]
-fn a_resting_connection_that_its_target_closes_under_a_request_has_ended_the_attempt_at_once() {
+fn an_idle_connection_that_its_target_closes_under_a_request_ends_the_attempt_at_once() {
     story(async {
         let mut target = peer(vec![ok("one"), Step::Last(String::new()), ok("again")]).await;
         let node = start(&[line(target.addr, 0, "active")], None, None).await;
--- a/tests/network/fleet.rs
+++ b/tests/network/fleet.rs
@@ -16,7 +16,7 @@
 
 // An instance asks for what it lacks, takes a grant once, and gives only what is the fleet's to ask for.
 #[test]
-fn an_instance_asks_its_peers_and_takes_a_grant_once() {
+fn an_initiator_requests_quota_and_takes_a_grant_once() {
     story(async {
         let target = peer(vec![ok("seen"); 200]).await;
         let other = UdpSocket::bind("127.0.0.1:0").await.expect("bound");
--- a/tests/network/http.rs
+++ b/tests/network/http.rs
@@ -59,7 +59,7 @@
 // Guards the table of outcomes: what never ran goes again at once, what may have run only as its class
 // allows, and only bytes that a target made whole are served.
 #[test]
-fn a_target_that_breaks_off_is_tried_again_and_half_an_answer_is_none() {
+fn a_truncated_response_is_a_failed_attempt_and_is_retried() {
     story(async {
         let half = Step::Last("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhal".into());
         let unseen = Step::Answer("HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n".into());
@@ -77,7 +77,7 @@
 // The client library calls a connection that ends after the request was written a failed connect. A deposit
 // that may have run must not be refused as harmless: a refusal would be a broken rule.
 #[test]
-fn a_deposit_that_may_have_run_fails_and_one_that_never_ran_is_refused() {
+fn a_deposit_that_may_have_run_fails_and_one_that_never_ran_is_rejected() {
     story(async {
         let target = peer(vec![Step::Last(String::new()); 3]).await;
         let node = start(&[line(target.addr, 0, "active")], None, None).await;
@@ -90,7 +90,7 @@
 
 // The library's client took a 1xx answer, and whatever came behind an answer, for the next request's answer.
 #[test]
-fn what_comes_before_or_behind_an_answer_is_never_another_ones() {
+fn bytes_around_a_response_are_never_part_of_another_response() {
     story(async {
         let early = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n";
         let first = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none";
@@ -113,7 +113,7 @@
 // Spoilt answers may have run: they are failed attempts, and their connections, which stay open, get no more
 // requests. The scripted target answers whatever comes on any connection, so a wait would show as no answer.
 #[test]
-fn spoilt_answers_are_failed_attempts_and_odd_figures_spoil_nothing() {
+fn malformed_responses_are_failed_attempts_and_odd_load_reports_are_ignored() {
     story(async {
         let spoilt = [
             "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxxxx",
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn a_client_that_goes_takes_its_attempt_along() {
+fn a_client_that_disconnects_cancels_its_attempt() {
     story(async {
         let mut target = peer(vec![Step::Silence]).await;
         let node = start(&[line(target.addr, 0, "active")], None, None).await;
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn malformed_and_over_large_requests_are_answered_at_once_and_the_front_goes_on() {
+fn malformed_and_oversized_requests_are_rejected_at_once_and_the_front_goes_on() {
     story(async {
         let target = peer(vec![ok("fine")]).await;
         let node = start(&[line(target.addr, 0, "active")], None, None).await;
@@ -204,7 +204,7 @@
 
 // Two requests of one id could not be told apart at a target; the second is none of the platform's.
 #[test]
-fn the_id_of_an_open_request_is_turned_away_and_nothing_of_it_sent() {
+fn a_duplicate_id_of_a_request_in_flight_is_rejected_and_not_forwarded() {
     story(async {
         let mut target = peer(vec![Step::Silence, ok("again")]).await;
         let node = start(&[line(target.addr, 0, "active")], None, None).await;
@@ -234,7 +234,7 @@
 // The list's life: remembered news serve until discovery speaks, a watch goes on from the version held, a
 // failed call is made again, and a target told to leave gets nothing new.
 #[test]
-fn discovery_is_watched_asked_again_and_obeyed() {
+fn discovery_is_watched_polled_again_and_obeyed() {
     story(async {
         let page = |version, entry: String| {
             let body = format!(r#"{{"version":{version},"full":false,"servers":[{entry}]}}"#);
@@ -263,7 +263,7 @@
 // After a call that fell silent the next one waited for this instance's turn among all of them, and boxes
 // that drained meanwhile were sent to.
 #[test]
-fn discovery_that_falls_silent_is_asked_again_beside_the_silent_call() {
+fn silent_discovery_is_polled_again_beside_the_silent_watch() {
     story(async {
         let mut kept = peer(vec![ok("kept")]).await;
         let page = |version, entry: &str| {
@@ -288,7 +288,7 @@
 // A watch at the old address would hold for 10 s and bring nothing: it is dropped, and the new service, which
 // may count its versions in its own way, is asked for the whole list.
 #[test]
-fn when_discovery_moves_the_watch_under_way_is_dropped_and_the_whole_list_asked_for() {
+fn when_discovery_moves_its_watch_is_dropped_and_a_snapshot_polled() {
     story(async {
         let (gone, mut kept) = (peer(vec![]).await, peer(vec![ok("kept")]).await);
         let first = ok(r#"{"version":7,"full":false,"servers":[]}"#);
@@ -315,7 +315,7 @@
 
 // Clients go on with what stays open, and nobody else serves them until the next start.
 #[test]
-fn told_to_end_it_serves_on_open_connections_and_ends_once_they_are_closed() {
+fn on_shutdown_open_connections_are_served_until_they_close() {
     story(async {
         let target = peer(vec![ok("one"), ok("two"), ok("three")]).await;
         let node = start(&[line(target.addr, 0, "active")], None, None).await;
@@ -334,7 +334,7 @@
 // A request whose head was begun before a new object was placed names a shard that does not hold it: its
 // target turned it away at every attempt, 504 and unseen, though the initiator itself had placed the object.
 #[test]
-fn an_object_is_asked_for_where_it_was_placed_whatever_its_request_says() {
+fn an_object_is_requested_where_it_was_placed_whatever_its_request_says() {
     story(async {
         let mut first = peer(vec![ok("stored"), ok("seen")]).await;
         let node = start(&[line(first.addr, 0, "active")], None, None).await;
--- a/tests/network/iscsi.rs
+++ b/tests/network/iscsi.rs
@@ -306,7 +306,7 @@
 // A connection that resets mid-write: the data was not written whole, so the deposit never ran and goes
 // again.
 #[test]
-fn a_reset_in_the_middle_of_a_deposit_gets_one_answer() {
+fn a_reset_in_the_middle_of_a_deposit_gets_one_response() {
     story(async {
         let mut box0 = target(vec![Step::Reset, Step::Garbage, Step::Gather]).await;
         let node = node(&box0).await;
@@ -328,7 +328,7 @@
 // A target that takes a login and commands and then says nothing must not hold its clients to their
 // deadlines.
 #[test]
-fn a_target_that_logs_in_and_falls_silent_is_left_and_the_client_told() {
+fn a_target_that_logs_in_and_falls_silent_fails_its_request() {
     story(async {
         let mut box0 = target(vec![Step::Silence, Step::Silence, Step::Silence]).await;
         let node = node(&box0).await;
@@ -349,7 +349,7 @@
 // Nothing new goes to a target that asks for a logout, until it takes a login again. A client is told when to
 // come back meanwhile, not held.
 #[test]
-fn a_drain_is_kept_and_a_target_that_is_back_is_used() {
+fn a_draining_target_gets_nothing_and_one_that_is_active_again_is_used() {
     story(async {
         let mut box0 = target(vec![Step::Drain("last"), Step::Good("back")]).await;
         let node = node(&box0).await;
@@ -378,7 +378,7 @@
 }
 
 #[test]
-fn refusals_and_errors_have_their_statuses() {
+fn rejections_and_errors_have_their_statuses() {
     story(async {
         let full = vec![Step::Status(0x28); 3];
         let errors = vec![Step::Status(0x02), Step::Truncated, Step::Status(0x02)];
@@ -398,7 +398,7 @@
 }
 
 #[test]
-fn aborted_tasks_and_gone_clients_leave_nothing_out() {
+fn aborted_tasks_and_disconnected_clients_leave_nothing_in_flight() {
     story(async {
         let mut box0 = target(vec![Step::Silence, Step::Silence]).await;
         let node = node(&box0).await;
@@ -498,7 +498,7 @@
 }
 
 #[test]
-fn told_to_end_it_asks_its_sessions_to_leave() {
+fn on_shutdown_sessions_are_asked_to_log_out() {
     story(async {
         let box0 = target(vec![]).await;
         let node = node(&box0).await;
@@ -521,7 +521,7 @@
 // A close over unread bytes reset the connection, which takes along the last word where its client has not
 // got it yet.
 #[test]
-fn the_last_word_of_a_session_arrives_though_its_client_goes_on_sending() {
+fn the_last_pdu_of_a_session_arrives_though_its_client_goes_on_sending() {
     story(async {
         let box0 = target(vec![]).await;
         let node = node(&box0).await;
@@ -604,7 +604,7 @@
 
 // Both fronts' clients wait for a session that comes up late.
 #[test]
-fn what_waits_for_a_login_is_not_sent_on_for_a_client_that_left() {
+fn an_attempt_that_waits_for_a_login_is_not_sent_for_a_disconnected_client() {
     for over_http in [true, false] {
         story(async move {
             let (mut target, go) = late_login().await;
@@ -631,7 +631,7 @@
 // What waited for a session was told of nothing until the login had come or failed: a request called off
 // stayed with a target that operators had left out.
 #[test]
-fn what_waits_for_a_login_is_called_off_at_once_when_its_target_is_left_out() {
+fn an_attempt_that_waits_for_a_login_is_cancelled_when_its_target_is_ejected() {
     story(async {
         let (mut target, go) = late_login().await;
         let mut other = peer(vec![ok("other")]).await;
@@ -695,7 +695,7 @@
 // A client that was slow to read what was answered was not heard either, for up to 5 s: neither its aborts
 // nor its end.
 #[test]
-fn what_a_client_takes_back_is_heard_though_it_reads_nothing() {
+fn a_task_abort_is_handled_though_the_client_reads_nothing() {
     const WAITS: u32 = 1;
     const BLOCKS: u8 = 127;
     for takes_back in [TakesBack::Abort, TakesBack::Logout, TakesBack::Fin, TakesBack::Reset] {
--- a/tests/network/leaving.rs
+++ b/tests/network/leaving.rs
@@ -113,7 +113,7 @@
 
 // Where nothing is announced and nobody leaves, each of these waits ends with the request being sent on.
 #[test]
-fn what_waits_is_sent_on_in_the_end() {
+fn queued_requests_are_sent_in_the_end() {
     for wait in WAITS {
         story(async move {
             let (_node, mut client, seen) = Scene::new(wait, None, |_| {}).await.let_go().await;
@@ -206,21 +206,21 @@
 
 // The operators saw requests go to targets announced as leaving.
 #[test]
-fn what_waits_for_a_target_announced_as_leaving_is_not_sent_to_it() {
+fn requests_queued_for_a_draining_target_are_not_sent_to_it() {
     for wait in WAITS {
         story(announced(wait, News::Watch));
     }
 }
 
 #[test]
-fn however_the_news_comes_what_waits_for_room_is_not_sent() {
+fn queued_requests_are_not_sent_to_a_drained_target_however_the_change_arrives() {
     for news in [News::Reset, News::Sighup, News::Return, News::Push] {
         story(announced(Wait::Room, news));
     }
 }
 
 #[test]
-fn a_watch_that_falls_silent_is_opened_anew_before_what_waits_is_sent() {
+fn a_silent_watch_is_reopened_before_queued_requests_are_sent() {
     for news in [News::Silence, News::SilenceTwice] {
         story(announced(Wait::Room, news));
     }
@@ -307,7 +307,7 @@
 
 // While bytes behind a request were unread, the front looked for the end of the stream every 50 ms.
 #[test]
-fn what_waits_for_a_client_that_left_is_not_sent_on() {
+fn a_queued_attempt_of_a_disconnected_client_is_not_sent() {
     for wait in WAITS {
         for leave in [Leave::Fin, Leave::Reset, Leave::Behind, Leave::Junk, Leave::Pipelined] {
             story(left(wait, leave, true));
@@ -316,7 +316,7 @@
 }
 
 #[test]
-fn nor_is_what_waits_with_its_body_half_sent() {
+fn a_queued_attempt_with_half_its_body_is_not_sent_for_a_disconnected_client() {
     // With the body half sent, no target has turned it away.
     for wait in [Wait::Room, Wait::Limit, Wait::Dial] {
         for leave in [Leave::HalfSent, Leave::HalfSentReset] {
@@ -326,7 +326,7 @@
 }
 
 #[test]
-fn nor_is_it_where_the_settings_let_nothing_be_cancelled() {
+fn a_queued_attempt_of_a_disconnected_client_is_not_sent_without_cancellation() {
     for wait in WAITS {
         for leave in [Leave::Fin, Leave::Behind] {
             story(left(wait, leave, false));
@@ -357,7 +357,7 @@
 }
 
 #[test]
-fn a_back_off_between_attempts_ends_with_its_client() {
+fn a_backoff_between_attempts_ends_when_the_client_disconnects() {
     story(async {
         assert!(backed_off(None).await >= 1, "it is tried again for a client that stays");
     });
@@ -370,7 +370,7 @@
 
 // Many that leave at once while they wait for one target.
 #[test]
-fn a_burst_of_clients_that_leave_frees_all_that_they_held() {
+fn a_burst_of_disconnecting_clients_frees_all_that_they_held() {
     story(async {
         let Scene { node, client, target, hanging, tried } = Scene::new(Wait::Room, None, |_| {}).await;
         let mut clients = vec![client];
--- a/tests/network/lost_site.rs
+++ b/tests/network/lost_site.rs
@@ -150,7 +150,7 @@
 // Each instance tried each box of a site that was gone again and again, and all turned to it at once on its
 // return.
 #[test]
-fn a_lost_site_is_left_by_all_and_its_return_is_paced_over_all() {
+fn a_lost_site_is_ejected_by_all_initiators_and_its_recovery_is_paced_over_all() {
     story(async {
         let (site, daemons) = two_sites(600).await;
         let load = Load::start(&daemons);
@@ -221,7 +221,7 @@
 
 // A site that comes and goes took the load along each time.
 #[test]
-fn a_site_that_comes_and_goes_is_held_longer_each_time_and_an_instance_that_dies_takes_nothing_along() {
+fn a_flapping_site_is_ejected_longer_each_time_and_an_initiator_that_dies_changes_nothing() {
     story(async {
         let (site, mut daemons) = two_sites(600).await;
         let load = Load::start(&daemons[..2]);
@@ -253,7 +253,7 @@
 // A limited volume, asked for far beyond its limit through three instances at boxes of both sites, while a
 // site is lost and returns: whatever moves, no more reaches all boxes together than the limit lets through.
 #[test]
-fn the_limit_of_a_collection_holds_over_the_fleet_through_loss_and_return() {
+fn the_limit_of_a_volume_holds_over_the_fleet_through_a_sites_loss_and_recovery() {
     const RATE: f64 = 32.0;
     // Of the settings for tests: the slack, and a request of each instance on its way.
     const SLACK: f64 = 3.2 + 2.0 * INSTANCES as f64;
--- a/tests/network/peers.rs
+++ b/tests/network/peers.rs
@@ -47,7 +47,7 @@
 // Discovery answers one of two instances. After a mass restart or an outage it needs seconds to answer all,
 // and those that wait went on sending to what leaves.
 #[test]
-fn an_instance_that_discovery_does_not_answer_hears_of_a_leaving_target_from_its_peer() {
+fn an_initiator_without_discovery_learns_of_a_drain_from_its_peer() {
     story(async {
         let target = peer((0..500).map(|_| ok("here")).collect()).await;
         let leaving = line(target.addr, 0, "leaving");
--- a/tests/network/processes.rs
+++ b/tests/network/processes.rs
@@ -81,7 +81,7 @@
 // Both processes live, clients open a connection for every request, and operators have the configuration read
 // again: nobody is turned back unheard, and both end only when told.
 #[test]
-fn signals_and_a_burst_of_clients_during_the_overlap_turn_nobody_back() {
+fn signals_and_a_burst_of_clients_during_a_handover_refuse_nobody() {
     story(async {
         let site = boxes(&[TargetPlan::default(), TargetPlan::default()]).await;
         let folder = tempfile::tempdir().expect("a folder");
@@ -133,7 +133,7 @@
 // A deposit is open in the old process when its client has enough and asks the new one, with the same key: it
 // runs once.
 #[test]
-fn a_deposit_open_in_the_old_process_and_asked_again_at_the_new_one_runs_once() {
+fn a_deposit_in_flight_at_the_predecessor_and_retried_at_the_successor_runs_once() {
     story(async {
         let site = boxes(&[TargetPlan::default()]).await;
         let folder = tempfile::tempdir().expect("a folder");
--- a/tests/network/replay.rs
+++ b/tests/network/replay.rs
@@ -74,7 +74,7 @@
 // A repeat of a deposit in a capture is a repeat at the box, not a second write; and the same trace twice
 // gives the same counts.
 #[test]
-fn a_trace_gives_the_same_counts_twice_and_a_deposit_sent_again_is_a_repeat() {
+fn a_trace_gives_the_same_counts_twice_and_a_retried_deposit_is_deduplicated() {
     story(async {
         let mut records: Vec<Record> = (0..40).map(|i| record(i * 5, 0, None)).collect();
         // The same write of the same rack, 40 ms later.
@@ -123,7 +123,7 @@
 
 // More requests at once than descriptors: none is forgotten, and no more are out than allowed.
 #[test]
-fn a_burst_beyond_the_room_has_all_its_last_words() {
+fn a_replayed_burst_beyond_capacity_gets_all_final_responses() {
     story(async {
         let site = site().await;
         let node = start(&[], Some(site.discovery.addr()), None).await;
--- a/tests/network/routes.rs
+++ b/tests/network/routes.rs
@@ -43,7 +43,7 @@
 
 // Data on one box never routes elsewhere, and a pool that has nobody refuses at once, with advice.
 #[test]
-fn a_pool_without_a_box_refuses_at_once() {
+fn a_pool_without_targets_rejects_at_once() {
     story(async {
         let a = peer(vec![ok("zero"); 9]).await;
         let node = start(&[line(a.addr, 0, "active")], None, Some(&operator("none"))).await;
@@ -60,7 +60,7 @@
 
 // A request under way keeps the table it began with: its second attempt goes where the first could go.
 #[test]
-fn an_open_request_keeps_its_table() {
+fn a_request_in_flight_keeps_its_route_table() {
     story(async {
         let again = "HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n".to_string();
         let a = peer(vec![ok("zero"); 9]).await;
@@ -86,7 +86,7 @@
 // A file that depends on a box that is not listed is held back, and taken over when the list names the box
 // and the expectation holds; one that is in force with a warning is told of when the box turns out wrong.
 #[test]
-fn a_file_is_held_back_until_the_list_names_its_box() {
+fn a_route_file_is_held_back_until_the_list_names_its_target() {
     story(async {
         let site = StubSite::start(&[TargetPlan::default(), TargetPlan::default()], "kingston", 1)
             .await
--- a/tests/network/scale.rs
+++ b/tests/network/scale.rs
@@ -234,7 +234,7 @@
 }
 
 #[test]
-fn many_that_start_while_discovery_is_down_are_soon_ready() {
+fn a_fleet_that_starts_while_discovery_is_down_is_soon_ready() {
     story(async {
         restarted_at_once(Discovery::Down, "on_request").await;
         restarted_at_once(Discovery::Down, "pushed").await;
@@ -242,7 +242,7 @@
 }
 
 #[test]
-fn many_that_start_while_discovery_is_slow_are_soon_ready() {
+fn a_fleet_that_starts_while_discovery_is_slow_is_soon_ready() {
     story(async {
         restarted_at_once(Discovery::Slow, "on_request").await;
         restarted_at_once(Discovery::Slow, "pushed").await;
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn many_that_start_while_discovery_refuses_every_call_are_soon_ready() {
+fn a_fleet_that_starts_while_discovery_refuses_every_poll_is_soon_ready() {
     story(async {
         restarted_at_once(Discovery::Refusing, "on_request").await;
         restarted_at_once(Discovery::Refusing, "pushed").await;
@@ -260,7 +260,7 @@
 // Nothing is remembered, and every call is refused: there is no target to serve by, so it is not ready, and
 // refuses whoever asks all the same. It is ready soon after discovery serves.
 #[test]
-fn one_that_remembers_nothing_is_ready_once_discovery_serves() {
+fn an_initiator_without_a_cached_list_is_ready_once_discovery_serves() {
     story(async {
         let target = peer(vec![ok("served")]).await;
         let discovery = rowanglade_test_fleet::Discovery::start("kingston").await.expect("started");
--- a/tests/network/stopping.rs
+++ b/tests/network/stopping.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn what_is_under_way_half_received_or_comes_on_a_resting_connection_is_answered() {
+fn on_shutdown_requests_in_flight_half_received_or_on_idle_connections_are_answered() {
     story(async {
         let Step::Answer(done) = ok("late") else { unreachable!("it answers") };
         let mut target = peer(vec![ok("first"), Step::Wait(done), ok("x"), ok("x"), ok("x")]).await;
@@ -112,7 +112,7 @@
 // Clients send one request at a time; whoever sends two gets each answered once while the first answer is not
 // the last.
 #[test]
-fn of_two_requests_sent_at_once_each_is_answered_once_or_not_sent_on() {
+fn of_two_pipelined_requests_each_is_answered_once_or_not_forwarded() {
     story(async {
         let Step::Answer(done) = ok("one") else { unreachable!("it answers") };
         let mut target = peer(vec![Step::Wait(done), ok("two")]).await;
@@ -135,7 +135,7 @@
 
 // What is held when the time is up is failed, so that no client is left without an answer.
 #[test]
-fn what_its_target_never_answers_is_failed_before_the_program_ends() {
+fn on_shutdown_a_request_that_its_target_never_answers_fails_in_time() {
     story(async {
         let target = peer(vec![Step::Silence]).await;
         let change = |json: &mut serde_json::Value| {
--- a/tests/network/subset.rs
+++ b/tests/network/subset.rs
@@ -97,7 +97,7 @@
 // By itself each instance places new objects at the box that it heard first, so some boxes have all instances
 // and others none.
 #[test]
-fn instances_part_the_boxes_evenly_and_a_loss_moves_only_its_share() {
+fn initiators_split_the_targets_evenly_and_a_loss_moves_only_its_share() {
     story(async {
         let mut fleet = Fleet::start().await;
         let all: Vec<usize> = (0..BOXES).collect();
@@ -130,7 +130,7 @@
 
 // A preference must not hold an object back from boxes that take it.
 #[test]
-fn where_the_boxes_of_an_instance_turn_away_its_objects_go_to_others() {
+fn when_an_initiators_targets_reject_its_objects_go_to_others() {
     story(async {
         let mut fleet = Fleet::start().await;
         let all: Vec<usize> = (0..BOXES).collect();
--- a/tests/network/upgrade.rs
+++ b/tests/network/upgrade.rs
@@ -91,7 +91,7 @@
 // connections that are open are served on by the first, one request each, and operators' calls hold on both
 // sides.
 #[test]
-fn a_successor_takes_over_and_no_connection_is_turned_back() {
+fn a_successor_takes_over_and_no_connection_is_refused() {
     story(async {
         let folder = Folder::new();
         let target = peer((0..9).map(|i| ok(&i.to_string())).collect()).await;
@@ -128,7 +128,7 @@
 
 // A target that operators call out while both processes live must be left by both.
 #[test]
-fn calls_to_either_process_hold_in_both() {
+fn admin_commands_to_either_process_hold_in_both() {
     story(async {
         let folder = Folder::new();
         let target = peer(vec![ok("served")]).await;
