--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -82,7 +82,7 @@
         }
         Some("box") => sink::run_sink(),
         Some("probe") => scale::run_probe(&rest),
-        Some("hollow") => scale::run_hollow(&rest),
+        Some("hollow") => scale::run_idle_initiators(&rest),
         Some("help" | "--help" | "-h") => {
             print!("{HELP}");
             ExitCode::SUCCESS
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -1,6 +1,6 @@
 //! Whole initiators without clients: by instances and by targets, and hollow ones against real ones.
 
-use super::hollow::{Each, hollow, real};
+use super::idle_initiators::{InitiatorCost, in_own_processes, in_shared_process};
 use crate::curve::Curve;
 use crate::experiment::{Experiment, Runner};
 use crate::failure::Failure;
@@ -22,8 +22,8 @@
 fn by_instances(
     name: &str,
     unit: &'static str,
-    each: &[(f64, Each)],
-    cost: fn(&Each) -> f64,
+    each: &[(f64, InitiatorCost)],
+    cost: fn(&InitiatorCost) -> f64,
 ) -> Result<Curve, Failure> {
     Curve::new(name, "hollow instances", unit, each.iter().map(|(n, e)| (*n, cost(e))).collect())
 }
@@ -31,24 +31,26 @@
 fn by_targets(
     name: &str,
     unit: &'static str,
-    each: &[(f64, Each)],
-    cost: fn(&Each) -> f64,
+    each: &[(f64, InitiatorCost)],
+    cost: fn(&InitiatorCost) -> f64,
 ) -> Result<Curve, Failure> {
     Curve::new(name, "targets", unit, each.iter().map(|(n, e)| (*n, cost(e))).collect())
 }
 
 fn run() -> Result<Outcome, Failure> {
     let mut out = Outcome::default();
-    let many: Vec<(f64, Each)> = HOLLOW
+    let many: Vec<(f64, InitiatorCost)> = HOLLOW
         .into_iter()
-        .map(|n| Ok((f64::from(n), hollow(n, FEW_TARGETS)?)))
+        .map(|n| Ok((f64::from(n), in_shared_process(n, FEW_TARGETS)?)))
         .collect::<Result<_, Failure>>()?;
-    let lists: Vec<(f64, Each)> =
-        TARGETS.into_iter().map(|t| Ok((t as f64, real(1, t)?))).collect::<Result<_, Failure>>()?;
-    let (made, processes) = (hollow(BOTH, FEW_TARGETS)?, real(BOTH, FEW_TARGETS)?);
+    let lists: Vec<(f64, InitiatorCost)> = TARGETS
+        .into_iter()
+        .map(|t| Ok((t as f64, in_own_processes(1, t)?)))
+        .collect::<Result<_, Failure>>()?;
+    let (made, processes) = (in_shared_process(BOTH, FEW_TARGETS)?, in_own_processes(BOTH, FEW_TARGETS)?);
     for (kind, each) in [("hollow", made), ("real", processes)] {
         let label = |what: &str| format!("{BOTH} {kind}: {what}");
-        out.figure(label("calls for one change"), each.change_calls, "");
+        out.figure(label("calls for one change"), each.change_polls, "");
         out.figure(label("bytes for one change"), each.change_bytes, "bytes");
         out.figure(label("processor of one change"), each.change * 1e3, "ms");
         out.figure(label("processor of the start"), each.start * 1e3, "ms");
@@ -57,7 +59,7 @@
     }
     out.claim(
         "hollow ones make the calls of real ones",
-        (made.change_calls / processes.change_calls - 1.0).abs() <= 0.1,
+        (made.change_polls / processes.change_polls - 1.0).abs() <= 0.1,
     );
     out.claim(
         "hollow ones are sent the bytes of real ones",
@@ -69,13 +71,13 @@
         "hollow ones take a half to twice the real ones' time for a change",
         (0.5..2.0).contains(&times),
     );
-    let calls = by_instances("calls at discovery for one change", "calls each", &many, |e| e.change_calls)?;
+    let calls = by_instances("calls at discovery for one change", "calls each", &many, |e| e.change_polls)?;
     let change =
         by_instances("one change at a hollow instance", "ms of processor", &many, |e| e.change * 1e3)?;
     let memory =
         by_instances("memory of all hollow instances", "MiB each", &many, |e| e.memory / 1_048_576.0)?;
     let listed = by_instances("all start: the last has the list", "s", &many, |e| e.listed_after)?;
-    let told = by_instances("one change told to all", "ms", &many, |e| e.told_after * 1e3)?;
+    let told = by_instances("one change told to all", "ms", &many, |e| e.known_after * 1e3)?;
     out.claim("an instance's calls for a change do not grow with instances", calls.exponent.abs() <= 0.1);
     out.claim("an instance's time for a change does not grow with instances", change.exponent <= 0.25);
     let taken = by_targets("one change at a real instance", "ms of processor", &lists, |e| e.change * 1e3)?;
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/idle_initiators.rs
@@ -1,5 +1,5 @@
-//! Hollow instances: whole initiators that share a process and have no clients. Beside them real ones, each a
-//! process of its own, for the sizes that fit.
+//! Whole initiators without clients that share a process ("hollow" ones in figures and documents). Beside them
+//! some that have a process each ("real" ones), for the sizes that fit.
 
 use super::cost::process_time;
 use super::lists;
@@ -22,12 +22,12 @@
 /// Changes that the mean cost of one is taken over.
 const CHANGES: u32 = 20;
 /// Discovery is waited for so long at most.
-const PATIENCE: Duration = Duration::from_secs(20);
-const TICK: Duration = Duration::from_millis(5);
+const DISCOVERY_TIMEOUT: Duration = Duration::from_secs(20);
+const POLL_PERIOD: Duration = Duration::from_millis(5);
 
-/// What instances cost, each of them.
+/// What one initiator costs.
 #[derive(Clone, Copy, Debug)]
-pub struct Each {
+pub struct InitiatorCost {
     /// Seconds from the start of all until the last had the whole list.
     pub listed_after: f64,
     /// Processor seconds until then.
@@ -36,34 +36,36 @@
     pub change: f64,
     /// Bytes that discovery sent for one change.
     pub change_bytes: f64,
-    /// Calls answered for one change.
-    pub change_calls: f64,
-    /// Seconds from one change until the last instance was told, in the mean.
-    pub told_after: f64,
-    /// Bytes of memory; of hollow ones beside the process's own.
+    /// Polls and watches answered for one change.
+    pub change_polls: f64,
+    /// Seconds from one change until the last initiator had it, in the mean.
+    pub known_after: f64,
+    /// Bytes of memory; in a shared process beside the process's own.
     pub memory: f64,
     /// Open descriptors.
     pub descriptors: f64,
 }
 
-/// Instances under measurement.
-enum Fleet {
-    Hollow(Hollow, u32),
-    Real(Vec<Daemon>),
+/// Initiators under measurement.
+enum Initiators {
+    /// So many in one process.
+    InSharedProcess(SharedProcess, u32),
+    /// One in each process.
+    InOwnProcesses(Vec<Daemon>),
 }
 
-impl Fleet {
+impl Initiators {
     fn processes(&self) -> Vec<u32> {
         match self {
-            Fleet::Hollow(hollow, _) => vec![hollow.0.id()],
-            Fleet::Real(daemons) => daemons.iter().map(Daemon::pid).collect(),
+            Initiators::InSharedProcess(shared, _) => vec![shared.0.id()],
+            Initiators::InOwnProcesses(daemons) => daemons.iter().map(Daemon::pid).collect(),
         }
     }
 
     fn count(&self) -> f64 {
         match self {
-            Fleet::Hollow(_, count) => f64::from(*count),
-            Fleet::Real(daemons) => daemons.len() as f64,
+            Initiators::InSharedProcess(_, count) => f64::from(*count),
+            Initiators::InOwnProcesses(daemons) => daemons.len() as f64,
         }
     }
 
@@ -81,26 +83,26 @@
     }
 }
 
-/// A process of hollow instances. Dropped, it is killed.
-struct Hollow(Child);
+/// A process of several initiators. Dropped, it is killed.
+struct SharedProcess(Child);
 
-impl Hollow {
-    fn start(instances: u32, targets: usize, discovery: &Discovery) -> Result<Hollow, Failure> {
+impl SharedProcess {
+    fn start(instances: u32, targets: usize, discovery: &Discovery) -> Result<SharedProcess, Failure> {
         let arguments = [instances.to_string(), targets.to_string(), discovery.addr().to_string()];
         let mut command = Command::new(std::env::current_exe()?);
         command.arg("hollow").args(arguments).stdin(Stdio::piped());
-        Ok(Hollow(command.spawn()?))
+        Ok(SharedProcess(command.spawn()?))
     }
 }
 
-impl Drop for Hollow {
+impl Drop for SharedProcess {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-/// The life of a process of hollow instances: until its standard input ends.
+/// The life of a process of several initiators: until its standard input ends.
 pub fn run(instances: u32, targets: usize, discovery: &str) -> ExitCode {
     std::thread::spawn(|| {
         let _ = std::io::stdin().read_to_end(&mut Vec::new());
@@ -157,16 +159,19 @@
 async fn calls_reach(discovery: &Rc<Discovery>, calls: u64) -> Result<(), Failure> {
     let reached = async {
         while discovery.responses() < calls {
-            sleep(TICK).await;
+            sleep(POLL_PERIOD).await;
         }
     };
-    timeout(PATIENCE, reached)
+    timeout(DISCOVERY_TIMEOUT, reached)
         .await
         .map_err(|_| Failure::MissingPolls { answered: discovery.responses(), expected: calls })
 }
 
 /// Starts instances, has all read the list, and tells them changes, one after another.
-async fn measure(site: &StubSite, start: impl FnOnce() -> Result<Fleet, Failure>) -> Result<Each, Failure> {
+async fn measure(
+    site: &StubSite,
+    start: impl FnOnce() -> Result<Initiators, Failure>,
+) -> Result<InitiatorCost, Failure> {
     let discovery = &site.discovery;
     let begun = Instant::now();
     let fleet = start()?;
@@ -177,24 +182,24 @@
     sleep(Duration::from_millis(500)).await;
     let started = fleet.processor()?;
     let (calls, bytes) = (discovery.responses(), discovery.list_bytes());
-    let mut told_after = 0.0;
+    let mut known_after = 0.0;
     for change in 0..CHANGES {
         let state = if change % 2 == 0 { EndpointState::Draining } else { EndpointState::Active };
         let (told, before) = (Instant::now(), discovery.responses());
         discovery.upsert(entry(change as usize / 2, state));
         calls_reach(discovery, before + count as u64).await?;
-        told_after += told.elapsed().as_secs_f64() / f64::from(CHANGES);
-        sleep(TICK).await;
+        known_after += told.elapsed().as_secs_f64() / f64::from(CHANGES);
+        sleep(POLL_PERIOD).await;
     }
     sleep(Duration::from_millis(200)).await;
     let changes = count * f64::from(CHANGES);
-    Ok(Each {
+    Ok(InitiatorCost {
         listed_after,
         start: started / count,
         change: (fleet.processor()? - started) / changes,
         change_bytes: (discovery.list_bytes() - bytes) as f64 / changes,
-        change_calls: (discovery.responses() - calls) as f64 / changes,
-        told_after,
+        change_polls: (discovery.responses() - calls) as f64 / changes,
+        known_after,
         memory: fleet.memory() / count,
         descriptors: fleet.descriptors()? / count,
     })
@@ -204,10 +209,15 @@
 ///
 /// # Errors
 /// They do not start, or discovery is not asked.
-pub fn hollow(instances: u32, targets: usize) -> Result<Each, Failure> {
+pub fn in_shared_process(instances: u32, targets: usize) -> Result<InitiatorCost, Failure> {
     block_on(async {
         let site = listed(targets).await?;
-        let start = || Ok(Fleet::Hollow(Hollow::start(instances, targets, &site.discovery)?, instances));
+        let start = || {
+            Ok(Initiators::InSharedProcess(
+                SharedProcess::start(instances, targets, &site.discovery)?,
+                instances,
+            ))
+        };
         measure(&site, start).await
     })
 }
@@ -216,14 +226,14 @@
 ///
 /// # Errors
 /// As [`hollow`].
-pub fn real(instances: u32, targets: usize) -> Result<Each, Failure> {
+pub fn in_own_processes(instances: u32, targets: usize) -> Result<InitiatorCost, Failure> {
     block_on(async {
         let site = listed(targets).await?;
         let shape =
             |_: usize, start: &mut DaemonPlan| start.settings["family-info"]["n-shards"] = targets.into();
         let daemons =
             || initiators::start_daemons_with(&site, &traces::standard_header(), instances as usize, shape);
-        let start = || Ok(Fleet::Real(daemons()?));
+        let start = || Ok(Initiators::InOwnProcesses(daemons()?));
         measure(&site, start).await
     })
 }
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -1,7 +1,7 @@
 //! Slopes: what the control of a fleet costs at four sizes each, and what law that follows.
 //!
 //! Memory and processor time of code without sockets are measured in processes of their own ([`cost`]); whole
-//! initiators without clients share processes ([`hollow`]), with real ones beside them at one size; what no
+//! initiators without clients share processes ([`idle_initiators`]), with real ones beside them at one size; what no
 //! number of sockets on one machine holds is simulated ([`reads`]).
 
 mod all_pairs;
@@ -10,7 +10,7 @@
 mod cost_curves;
 mod distribution;
 mod fleet;
-mod hollow;
+mod idle_initiators;
 mod list_curves;
 mod lists;
 mod network;
@@ -86,12 +86,12 @@
     probe.ok_or(Failure::Unexpected("an unknown probe"))?.1(size)
 }
 
-/// The life of a process of hollow instances: `INSTANCES TARGETS DISCOVERY`.
-pub fn run_hollow(arguments: &[OsString]) -> ExitCode {
+/// The life of a process of initiators without clients: `INSTANCES TARGETS DISCOVERY`.
+pub fn run_idle_initiators(arguments: &[OsString]) -> ExitCode {
     let words: Vec<&str> = arguments.iter().filter_map(|word| word.to_str()).collect();
     match words.as_slice() {
         [instances, targets, discovery] => match (instances.parse(), targets.parse()) {
-            (Ok(instances), Ok(targets)) => hollow::run(instances, targets, discovery),
+            (Ok(instances), Ok(targets)) => idle_initiators::run(instances, targets, discovery),
             _ => ExitCode::from(2),
         },
         _ => ExitCode::from(2),
--- a/crates/lab/src/scale/reads.rs
+++ b/crates/lab/src/scale/reads.rs
@@ -2,7 +2,7 @@
 //! sockets on one machine holds.
 
 use super::cost::{SIZES, Size, probe, thread_time};
-use super::hollow;
+use super::idle_initiators;
 use crate::curve::Curve;
 use crate::experiment::{Experiment, Runner};
 use crate::failure::Failure;
@@ -116,7 +116,7 @@
 /// Seconds of processor time that the stand-in takes for a call, and the bytes of its answer.
 pub fn service(targets: usize, query: &'static str) -> Result<(f64, f64), Failure> {
     block_on(async {
-        let site = hollow::listed(targets).await?;
+        let site = idle_initiators::listed(targets).await?;
         let addr = site.discovery.addr();
         let begun = thread_time();
         let bytes = tokio::task::spawn_blocking(move || ask(addr, query)).await??;
