--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! The lab: experiments that start real daemons and stand-ins on loopback, print figures, and fail where a
+//! The lab: experiments that start real daemons and stubs on loopback, print figures, and fail where a
 //! stated claim does not hold.
 #![forbid(unsafe_code)]
 
--- a/crates/lab/src/scale/reads.rs
+++ b/crates/lab/src/scale/reads.rs
@@ -113,7 +113,7 @@
     length.zip(head).is_some_and(|(length, head)| answer.len() >= head + length)
 }
 
-/// Seconds of processor time that the stand-in takes for a call, and the bytes of its answer.
+/// Seconds of processor time that stub discovery takes for a poll, and the bytes of its response.
 pub fn service(targets: usize, query: &'static str) -> Result<(f64, f64), Failure> {
     block_on(async {
         let site = idle_initiators::listed(targets).await?;
@@ -141,7 +141,7 @@
     let bytes = Curve::new("a whole list on the wire", "targets", "KiB", bytes)?;
     let Size { instances: fleet, targets } = SIZES[SIZES.len() - 1];
     let whole = times.at(targets as f64) / 1e3;
-    // The stand-in's first version is 1, and each target adds one: this asks for the last change alone.
+    // Stub discovery's first version is 1, and each target adds one: this asks for the last change alone.
     let (news, _) = service(targets, "?from=3500&hold_ms=1")?;
     let least = probe("list-encode", SIZES[SIZES.len() - 1])?.processor;
     out.figure("the stand-in's time for a whole list of 3,500", whole * 1e3, "ms");
--- a/crates/test-fleet/src/fleet.rs
+++ b/crates/test-fleet/src/fleet.rs
@@ -138,7 +138,7 @@
         let cached_list = self.discovery.snapshot();
         let (peers, all): (_, Vec<Value>) =
             (self.peers.clone(), self.peers.iter().map(|addr| addr.to_string().into()).collect());
-        // It waits for the process, while the stand-ins go on.
+        // It waits for the process, while the stubs go on.
         let started = tokio::task::spawn_blocking(move || {
             Daemon::start_with(&plan, |text| {
                 text["known"] = cached_list;
--- a/tests/fleets/main.rs
+++ b/tests/fleets/main.rs
@@ -1,6 +1,6 @@
 //! Fleets of real processes before many targets, and under faults of system calls.
 //!
-//! They have a program of their own: thousands of stand-in targets take as many descriptors, and the stories in
+//! They have a program of their own: thousands of stub targets take as many descriptors, and the stories in
 //! `tests/network` whose initiators run inside the test's process count the descriptors of that process.
 
 mod faults;
--- a/tests/network/admin.rs
+++ b/tests/network/admin.rs
@@ -13,12 +13,12 @@
 }
 
 async fn put(admin: SocketAddr, path: &str) -> String {
-    ask(admin, &format!("PUT {path} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")).await
+    send_request(admin, &format!("PUT {path} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")).await
 }
 
-/// Its status once the process is ready; discovery's stand-in may need a moment.
+/// Its status once the process is ready; stub discovery may need a moment.
 async fn healthy(admin: SocketAddr) {
-    while ask(admin, "GET /healthcheck HTTP/1.1\r\nHost: x\r\n\r\n").await != "200 close" {
+    while send_request(admin, "GET /healthcheck HTTP/1.1\r\nHost: x\r\n\r\n").await != "200 close" {
         tokio::task::yield_now().await;
     }
 }
@@ -27,7 +27,7 @@
 fn each_admin_command_is_answered_and_its_connection_closed() {
     story(async {
         let target = peer(vec![]).await;
-        let (_node, admin) = operated(&[line(target.addr, 0, "active")], None).await;
+        let (_node, admin) = operated(&[endpoint_entry(target.addr, 0, "active")], None).await;
         healthy(admin).await;
         for (call, answer) in [
             ("PUT /targets/s-0/maint HTTP/1.1\r\nHost: x\r\n\r\n", "200 close"),
@@ -40,10 +40,10 @@
             ("PUT /targets/%ff/maint HTTP/1.1\r\nHost: x\r\n\r\n", "400 close"),
             ("noise\r\n\r\n", "400 close"),
         ] {
-            assert_eq!(ask(admin, call).await, answer, "{call:?}");
+            assert_eq!(send_request(admin, call).await, answer, "{call:?}");
         }
         let endless = format!("GET /healthcheck HTTP/1.1\r\nX-Pad: {}", "p".repeat(16 * 1024));
-        assert_eq!(ask(admin, &endless).await, "431 close");
+        assert_eq!(send_request(admin, &endless).await, "431 close");
     });
 }
 
@@ -52,7 +52,7 @@
 fn unfinished_admin_commands_hold_up_nobody() {
     story(async {
         let target = peer(vec![]).await;
-        let (_node, admin) = operated(&[line(target.addr, 0, "active")], None).await;
+        let (_node, admin) = operated(&[endpoint_entry(target.addr, 0, "active")], None).await;
         healthy(admin).await;
         let mut half = Vec::new();
         for _ in 0..3 * rowanglade::net::admin::MAX_CALLS {
@@ -74,7 +74,7 @@
     story(async {
         let target = peer(vec![ok("before"), ok("after")]).await;
         let again = |version, started: u64| {
-            let line = line(target.addr, 0, "active")
+            let line = endpoint_entry(target.addr, 0, "active")
                 .replace("\"started_ms\":0", &format!("\"started_ms\":{started}"));
             format!(r#"{{"version":{version},"full":true,"servers":[{line}]}}"#)
         };
@@ -84,17 +84,17 @@
         let mut discovery = peer(vec![ok(&again(2, 0)), wait(again(3, 1)), wait(again(4, 1))]).await;
         let (node, admin) = operated(&[], Some(discovery.addr)).await;
         healthy(admin).await;
-        assert_eq!(ask(node.http, &request("view", "m1", 0, "")).await, "200 before");
+        assert_eq!(send_request(node.http, &request("view", "m1", 0, "")).await, "200 before");
         assert_eq!(put(admin, "/targets/s-0/maint").await, "200 close");
         // The list comes again, with a restart; the third call shows that it has been taken up.
         discovery.go.notify_one();
         for _ in 0..3 {
             discovery.seen.recv().await.expect("it lives");
         }
-        assert_eq!(ask(node.http, &request("view", "m2", 0, "")).await, "503 retry-after");
+        assert_eq!(send_request(node.http, &request("view", "m2", 0, "")).await, "503 retry-after");
         assert_eq!(put(admin, "/targets/s-0/ready").await, "200 close");
         // Cold, with its budget untouched, and nothing left of its absence: at once.
-        assert_eq!(ask(node.http, &request("view", "m3", 0, "")).await, "200 after");
+        assert_eq!(send_request(node.http, &request("view", "m3", 0, "")).await, "200 after");
     });
 }
 
@@ -104,12 +104,12 @@
     story(async {
         let mut target =
             peer(vec![ok("one"), Step::Wait("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ntwo".into())]).await;
-        let (node, admin) = operated(&[line(target.addr, 0, "active")], None).await;
+        let (node, admin) = operated(&[endpoint_entry(target.addr, 0, "active")], None).await;
         healthy(admin).await;
-        assert_eq!(ask(node.http, &request("view", "c1", 0, "")).await, "200 one");
+        assert_eq!(send_request(node.http, &request("view", "c1", 0, "")).await, "200 one");
         target.seen.recv().await.expect("the request");
         let http = node.http;
-        let open = actix_rt::spawn(async move { ask(http, &request("view", "c2", 0, "")).await });
+        let open = actix_rt::spawn(async move { send_request(http, &request("view", "c2", 0, "")).await });
         target.seen.recv().await.expect("the request that is open");
         assert_eq!(put(admin, "/targets/s-0/maint").await, "200 close");
         target.go.notify_one();
--- a/tests/network/bodies.rs
+++ b/tests/network/bodies.rs
@@ -13,7 +13,7 @@
 /// A target that is scripted by hand, and its line of the list.
 async fn target() -> (TcpListener, String) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
-    let line = line(listener.local_addr().expect("bound"), 0, "active");
+    let line = endpoint_entry(listener.local_addr().expect("bound"), 0, "active");
     (listener, line)
 }
 
@@ -89,7 +89,7 @@
         client.read_exact(&mut rest).await.expect("the rest");
         assert!([first, rest].concat() == body, "the bytes are the target's");
         tokio::time::sleep(std::time::Duration::from_millis(20)).await;
-        assert_eq!(ask_on(&mut client, &request("view", "d2", 0, "")).await, "200 next");
+        assert_eq!(send_request_on(&mut client, &request("view", "d2", 0, "")).await, "200 next");
         serving.await.expect("one connection took both");
     });
 }
@@ -209,7 +209,7 @@
             client.write_all(&all[..300_000]).await.expect("written");
             first.await.expect("the target has some of it");
             client.write_all(&all[300_000..]).await.expect("written");
-            assert_eq!(ask_on(&mut client, "").await, "200 stored");
+            assert_eq!(send_request_on(&mut client, "").await, "200 stored");
             assert!(serving.await.expect("served") == body, "the bytes are the client's");
         }
     });
@@ -238,7 +238,7 @@
                 .replace("Idempotency", "Content-Length: 3000000\r\nIdempotency");
             client.write_all(head.as_bytes()).await.expect("written");
             client.write_all(&bytes(600_000)).await.expect("written");
-            assert_eq!(ask_on(&mut client, "").await, expected);
+            assert_eq!(send_request_on(&mut client, "").await, expected);
             let listener = serving.await.expect("its connection was closed");
             let again = tokio::time::timeout(std::time::Duration::from_millis(100), listener.accept()).await;
             assert!(again.is_err(), "nothing is sent again");
@@ -253,9 +253,13 @@
     story(async {
         let over = "HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
         let mut target = peer(vec![Step::Answer(over.into()), ok("served")]).await;
-        let node = start(&[line(target.addr, 0, "active")], None, None).await;
-        assert_eq!(ask(node.http, &request("view", "o1", 0, "")).await, "503 retry-after");
-        assert_eq!(ask(node.http, &request("view", "o2", 0, "")).await, "200 served", "it does not rest");
+        let node = start(&[endpoint_entry(target.addr, 0, "active")], None, None).await;
+        assert_eq!(send_request(node.http, &request("view", "o1", 0, "")).await, "503 retry-after");
+        assert_eq!(
+            send_request(node.http, &request("view", "o2", 0, "")).await,
+            "200 served",
+            "it does not rest"
+        );
         for id in ["o1", "o2"] {
             assert!(target.seen.recv().await.expect("it lives").contains(id), "one attempt each");
         }
@@ -305,7 +309,7 @@
             tokio::task::yield_now().await;
             client.write_all(&bytes[cut % bytes.len()..]).await.expect("written");
             assert_eq!(
-                ask_on(&mut client, "").await,
+                send_request_on(&mut client, "").await,
                 format!("200 {}", String::from_utf8_lossy(body)),
                 "{cut}"
             );
--- a/tests/network/broken_answers.rs
+++ b/tests/network/broken_answers.rs
@@ -27,12 +27,16 @@
                 let reset = Step::Reset(format!("{head}{body}"), AT_ONCE);
                 let target =
                     peer(vec![reset.clone(), ok("whole"), reset.clone(), reset.clone(), reset]).await;
-                let node = start(&[line(target.addr, 0, "active")], None, None).await;
+                let node = start(&[endpoint_entry(target.addr, 0, "active")], None, None).await;
                 let asked = Instant::now();
                 let told = format!("{head:?} {body:?}");
-                assert_eq!(ask(node.http, &request("view", "r1", 0, "")).await, "200 whole", "{told}");
+                assert_eq!(
+                    send_request(node.http, &request("view", "r1", 0, "")).await,
+                    "200 whole",
+                    "{told}"
+                );
                 // It may have run each time: it must not be refused as if it had not.
-                assert_eq!(ask(node.http, &request("deposit", "r2", 0, "x")).await, "500", "{told}");
+                assert_eq!(send_request(node.http, &request("deposit", "r2", 0, "x")).await, "500", "{told}");
                 assert!(asked.elapsed() < Duration::from_millis(1_000), "{told}: {:?}", asked.elapsed());
             });
         }
@@ -47,7 +51,7 @@
             story(async move {
                 let target =
                     peer(vec![Step::Reset(format!("{head}{body}"), ON_ITS_WAY), ok("whole"), ok("x")]).await;
-                let node = start(&[line(target.addr, 0, "active")], None, None).await;
+                let node = start(&[endpoint_entry(target.addr, 0, "active")], None, None).await;
                 let mut client = TcpStream::connect(node.http).await.expect("connected");
                 let asked = request("view", "r3", 0, "").replace("HTTP/1.1", &format!("HTTP/{version}"));
                 sent(&mut client, &asked).await;
@@ -78,9 +82,9 @@
     for text in ["HTTP/1.1 200 O", OF_NINE, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"] {
         story(async move {
             let target = peer(vec![Step::Answer(text.into()), ok("whole")]).await;
-            let node = start(&[line(target.addr, 0, "active")], None, None).await;
+            let node = start(&[endpoint_entry(target.addr, 0, "active")], None, None).await;
             let asked = Instant::now();
-            assert_eq!(ask(node.http, &request("view", "r4", 0, "")).await, "200 whole", "{text:?}");
+            assert_eq!(send_request(node.http, &request("view", "r4", 0, "")).await, "200 whole", "{text:?}");
             assert!(asked.elapsed() < Duration::from_millis(600), "{text:?}: {:?}", asked.elapsed());
         });
     }
@@ -92,11 +96,11 @@
     story(async {
         let Step::Answer(first) = ok("one") else { unreachable!("it answers") };
         let mut target = peer(vec![Step::Answer(format!("{first}HTTP/1.1 200 O")), ok("two")]).await;
-        let node = start(&[line(target.addr, 0, "active")], None, None).await;
+        let node = start(&[endpoint_entry(target.addr, 0, "active")], None, None).await;
         let mut client = TcpStream::connect(node.http).await.expect("connected");
-        assert_eq!(ask_on(&mut client, &request("deposit", "r5", 0, "x")).await, "200 one");
+        assert_eq!(send_request_on(&mut client, &request("deposit", "r5", 0, "x")).await, "200 one");
         tokio::time::sleep(Duration::from_millis(30)).await;
-        assert_eq!(ask_on(&mut client, &request("deposit", "r6", 0, "x")).await, "200 two");
+        assert_eq!(send_request_on(&mut client, &request("deposit", "r6", 0, "x")).await, "200 two");
         let seen = [next_seen(&mut target).await, next_seen(&mut target).await];
         assert!(seen[0].contains("r5") && seen[1].contains("r6"), "{seen:?}");
     });
--- a/tests/network/deployments.rs
+++ b/tests/network/deployments.rs
@@ -135,10 +135,10 @@
             for class in deployment.classes() {
                 // It may have run: the connection ends once the request is read.
                 let mut target = peer(vec![ok("one"), Step::Last(String::new()), ok("two")]).await;
-                let node = deployment.start(&[line(target.addr, 0, "active")], None).await;
-                let one = ask(node.http, &deployment.request(&class, "d1")).await;
+                let node = deployment.start(&[endpoint_entry(target.addr, 0, "active")], None).await;
+                let one = send_request(node.http, &deployment.request(&class, "d1")).await;
                 assert_eq!(one, "200 one", "{name} {}", class.name);
-                let two = ask(node.http, &deployment.request(&class, "d2")).await;
+                let two = send_request(node.http, &deployment.request(&class, "d2")).await;
                 let seen = seen_after(&mut target, Duration::from_millis(50)).await;
                 let tries = seen.iter().filter(|line| line.contains("d2")).count();
                 let expected = if class.effect == "once" { ("500", 1) } else { ("200 two", 2) };
@@ -155,20 +155,25 @@
             let name = &deployment.name;
             let classes = deployment.classes();
             let mut target = peer(classes.iter().map(|_| ok("one")).collect()).await;
-            let Step::Answer(leaving) = page(3, &line(target.addr, 0, "leaving")) else {
+            let Step::Answer(leaving) = page(3, &endpoint_entry(target.addr, 0, "leaving")) else {
                 unreachable!("it answers")
             };
             let mut list = peer(vec![page(2, ""), Step::Wait(leaving), Step::Silence]).await;
-            let node = deployment.start(&[line(target.addr, 0, "active")], Some(list.addr)).await;
+            let node = deployment.start(&[endpoint_entry(target.addr, 0, "active")], Some(list.addr)).await;
             for _ in 0..2 {
                 next_seen(&mut list).await;
             }
-            assert_eq!(ask(node.http, &deployment.request(&classes[0], "e1")).await, "200 one", "{name}");
+            assert_eq!(
+                send_request(node.http, &deployment.request(&classes[0], "e1")).await,
+                "200 one",
+                "{name}"
+            );
             next_seen(&mut target).await;
             list.go.notify_one();
             next_seen(&mut list).await;
             for class in &classes {
-                let answer = ask(node.http, &deployment.request(class, &format!("e-{}", class.name))).await;
+                let answer =
+                    send_request(node.http, &deployment.request(class, &format!("e-{}", class.name))).await;
                 assert!(answer.starts_with("503") || answer.starts_with("429"), "{name}: {answer}");
                 let told = deployment.settings["ceilings"]["retry-after"] == true;
                 assert_eq!(answer.contains("retry-after"), told, "{name}: {answer}");
@@ -187,7 +192,7 @@
     for deployment in deployments() {
         story(async move {
             let target = peer(vec![Step::Silence]).await;
-            let node = deployment.start(&[line(target.addr, 0, "active")], None).await;
+            let node = deployment.start(&[endpoint_entry(target.addr, 0, "active")], None).await;
             let classes = deployment.classes();
             let longest = classes.iter().map(|c| c.deadline).max().expect("a class");
             let mut client = tokio::net::TcpStream::connect(node.http).await.expect("connected");
--- a/tests/network/discovery.rs
+++ b/tests/network/discovery.rs
@@ -2,7 +2,7 @@
 //! trouble for some seconds, and comes back just as a target begins to leave.
 
 use crate::processes::told;
-use crate::site::{ask, ok, peer, request, story};
+use crate::site::{ok, peer, request, send_request, story};
 use rowanglade_test_fleet::{Daemon, DaemonPlan, Discovery, DiscoveryFault, Endpoint, EndpointState};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -44,7 +44,7 @@
 
 async fn ready(http: SocketAddr) {
     let begun = Instant::now();
-    while ask(http, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n").await != "200" {
+    while send_request(http, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n").await != "200" {
         assert!(begun.elapsed() < FIRST_LIST, "the first list is not heard");
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
@@ -61,7 +61,10 @@
     for process in &processes {
         ready(process.http).await;
         let id = format!("before-{}", process.http.port());
-        assert_eq!(ask(process.http, &request("view", &id, LEAVING as i32, "")).await, "200 leaving");
+        assert_eq!(
+            send_request(process.http, &request("view", &id, LEAVING as i32, "")).await,
+            "200 leaving"
+        );
         leaving.seen.recv().await.expect("it lives");
     }
     discovery.inject(trouble);
@@ -71,9 +74,12 @@
     tokio::time::sleep(KNOWN_AFTER).await;
     for process in &processes {
         let id = format!("after-{}", process.http.port());
-        let answer = ask(process.http, &request("view", &id, LEAVING as i32, "")).await;
+        let answer = send_request(process.http, &request("view", &id, LEAVING as i32, "")).await;
         assert!(answer.starts_with("503") || answer.starts_with("429"), "{trouble:?}: {answer}");
-        assert_eq!(ask(process.http, &request("view", &format!("k{id}"), KEPT as i32, "")).await, "200 kept");
+        assert_eq!(
+            send_request(process.http, &request("view", &format!("k{id}"), KEPT as i32, "")).await,
+            "200 kept"
+        );
     }
     assert!(leaving.seen.try_recv().is_err(), "{trouble:?}: a request went to the target that leaves");
     assert!(kept.seen.try_recv().is_ok());
--- a/tests/network/endings.rs
+++ b/tests/network/endings.rs
@@ -21,8 +21,9 @@
 fn a_target_that_drains_during_a_connect_gets_nothing() {
     story(async {
         let full = Full::new();
-        let mut list = discovery(line(full.addr, 0, "leaving")).await;
-        let node = start_with(&[line(full.addr, 0, "active")], Some(list.addr), None, patient).await;
+        let mut list = discovery(endpoint_entry(full.addr, 0, "leaving")).await;
+        let node =
+            start_with(&[endpoint_entry(full.addr, 0, "active")], Some(list.addr), None, patient).await;
         for _ in 0..2 {
             list.seen.recv().await.expect("it is watched");
         }
@@ -43,9 +44,10 @@
     story(async {
         let full = Full::new();
         let mut successor = peer(vec![ok("moved")]).await;
-        let active = line(successor.addr, 0, "active").replace("s-0", "s-1");
-        let mut list = discovery(format!("{},{active}", line(full.addr, 0, "leaving"))).await;
-        let node = start_with(&[line(full.addr, 0, "active")], Some(list.addr), None, patient).await;
+        let active = endpoint_entry(successor.addr, 0, "active").replace("s-0", "s-1");
+        let mut list = discovery(format!("{},{active}", endpoint_entry(full.addr, 0, "leaving"))).await;
+        let node =
+            start_with(&[endpoint_entry(full.addr, 0, "active")], Some(list.addr), None, patient).await;
         for _ in 0..2 {
             list.seen.recv().await.expect("it is watched");
         }
@@ -71,7 +73,7 @@
                 patient(json);
                 json["settings"]["ceilings"]["cancel"] = may_cancel.into();
             };
-            let node = start_with(&[line(full.addr, 0, "active")], None, None, change).await;
+            let node = start_with(&[endpoint_entry(full.addr, 0, "active")], None, None, change).await;
             let mut client = TcpStream::connect(node.http).await.expect("connected");
             sent(&mut client, &patient_request("view", "w3")).await;
             tokio::time::sleep(Duration::from_millis(50)).await;
@@ -91,7 +93,7 @@
             patient(json);
             json["settings"]["grades"][1]["memory-span"] = 600_000.into();
         };
-        let node = start_with(&[line(addr, 0, "active")], None, None, change).await;
+        let node = start_with(&[endpoint_entry(addr, 0, "active")], None, None, change).await;
         let mut client = TcpStream::connect(node.http).await.expect("connected");
         sent(&mut client, &patient_request("deposit", "w4")).await;
         // The first attempt may have run: its connection is closed on it. The next one comes up late.
@@ -119,17 +121,18 @@
 fn a_pushed_list_is_watched_from_the_start_and_its_draining_targets_get_nothing() {
     story(async {
         let mut target = peer(vec![ok("one"), ok("two")]).await;
-        let mut list = discovery(line(target.addr, 0, "leaving")).await;
-        let node = start_with(&[line(target.addr, 0, "active")], Some(list.addr), None, pushed).await;
+        let mut list = discovery(endpoint_entry(target.addr, 0, "leaving")).await;
+        let node =
+            start_with(&[endpoint_entry(target.addr, 0, "active")], Some(list.addr), None, pushed).await;
         let opened = [next_seen(&mut list).await, next_seen(&mut list).await];
         assert!(
             opened[0].contains("from=1&hold_ms=1 ") && opened[1].contains("from=2&hold_ms="),
             "{opened:?}"
         );
-        assert_eq!(ask(node.http, &request("view", "p1", 0, "")).await, "200 one");
+        assert_eq!(send_request(node.http, &request("view", "p1", 0, "")).await, "200 one");
         list.go.notify_one();
         next_seen(&mut list).await;
-        let answer = ask(node.http, &request("view", "p2", 0, "")).await;
+        let answer = send_request(node.http, &request("view", "p2", 0, "")).await;
         assert!(answer.starts_with("503") || answer.starts_with("429"), "{answer}");
         assert!(next_seen(&mut target).await.contains("p1"));
         assert_eq!(seen_after(&mut target, Duration::from_millis(100)).await, Vec::<String>::new());
@@ -141,7 +144,10 @@
 fn the_agent_of_a_pushed_list_is_polled_again_within_the_grace_until_it_answers() {
     story(async {
         let target = peer(vec![ok("one")]).await;
-        let page = format!(r#"{{"version":9,"full":true,"servers":[{}]}}"#, line(target.addr, 0, "active"));
+        let page = format!(
+            r#"{{"version":9,"full":true,"servers":[{}]}}"#,
+            endpoint_entry(target.addr, 0, "active")
+        );
         let refused = Step::Answer("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n".into());
         let script = vec![Step::Last(String::new()), refused, Step::Silence, ok(&page), Step::Silence];
         let mut list = peer(script).await;
@@ -155,7 +161,7 @@
         // A reset, a refusal and a silence, each followed by a quarter of the grace, which is 1 s.
         assert!(begun.elapsed() < Duration::from_secs(3), "{:?}", begun.elapsed());
         assert!(calls[4].contains("from=9&hold_ms="), "{calls:?}");
-        assert_eq!(ask(node.http, &request("view", "p3", 0, "")).await, "200 one");
+        assert_eq!(send_request(node.http, &request("view", "p3", 0, "")).await, "200 one");
     });
 }
 
@@ -175,7 +181,7 @@
             (plan["never-over"], plan["burst"], plan["tolerance"]) =
                 (RATE.into(), BURST.into(), SLACK.into());
         };
-        let node = start_with(&[line(full.addr, 0, "active")], None, None, change).await;
+        let node = start_with(&[endpoint_entry(full.addr, 0, "active")], None, None, change).await;
         // The store is empty at the start, since another process may have emptied it just before.
         tokio::time::sleep(Duration::from_millis(600)).await;
         let mut clients = Vec::new();
@@ -210,9 +216,9 @@
 fn a_target_that_closes_without_a_byte_ends_the_attempt_at_once() {
     story(async {
         let mut target = peer(vec![Step::Last(String::new()), ok("again")]).await;
-        let node = start(&[line(target.addr, 0, "active")], None, None).await;
+        let node = start(&[endpoint_entry(target.addr, 0, "active")], None, None).await;
         let asked = Instant::now();
-        assert_eq!(ask(node.http, &request("view", "c1", 0, "")).await, "200 again");
+        assert_eq!(send_request(node.http, &request("view", "c1", 0, "")).await, "200 again");
         assert!(asked.elapsed() < Duration::from_millis(500), "{:?}", asked.elapsed());
         assert_eq!(seen_after(&mut target, Duration::from_millis(50)).await.len(), 2);
     });
@@ -223,13 +229,13 @@
 fn an_idle_connection_that_its_target_closes_under_a_request_ends_the_attempt_at_once() {
     story(async {
         let mut target = peer(vec![ok("one"), Step::Last(String::new()), ok("again")]).await;
-        let node = start(&[line(target.addr, 0, "active")], None, None).await;
+        let node = start(&[endpoint_entry(target.addr, 0, "active")], None, None).await;
         let mut client = TcpStream::connect(node.http).await.expect("connected");
-        assert_eq!(ask_on(&mut client, &request("view", "c2", 0, "")).await, "200 one");
+        assert_eq!(send_request_on(&mut client, &request("view", "c2", 0, "")).await, "200 one");
         // A connection rests 10 ms before it is used again.
         tokio::time::sleep(Duration::from_millis(50)).await;
         let asked = Instant::now();
-        assert_eq!(ask_on(&mut client, &request("view", "c3", 0, "")).await, "200 again");
+        assert_eq!(send_request_on(&mut client, &request("view", "c3", 0, "")).await, "200 again");
         assert!(asked.elapsed() < Duration::from_millis(500), "{:?}", asked.elapsed());
         assert_eq!(seen_after(&mut target, Duration::from_millis(50)).await.len(), 3);
     });
@@ -240,7 +246,10 @@
 fn the_agent_of_a_pushed_list_may_be_slow() {
     story(async {
         let target = peer(vec![ok("one")]).await;
-        let page = format!(r#"{{"version":9,"full":true,"servers":[{}]}}"#, line(target.addr, 0, "active"));
+        let page = format!(
+            r#"{{"version":9,"full":true,"servers":[{}]}}"#,
+            endpoint_entry(target.addr, 0, "active")
+        );
         let Step::Answer(late) = ok(&page) else { unreachable!("it answers") };
         let mut script = vec![Step::Wait(late)];
         script.resize(20, Step::Silence);
@@ -256,6 +265,6 @@
         }
         list.go.notify_one();
         while !next_seen(&mut list).await.contains("from=9&hold_ms=") {}
-        assert_eq!(ask(node.http, &request("view", "p4", 0, "")).await, "200 one");
+        assert_eq!(send_request(node.http, &request("view", "p4", 0, "")).await, "200 one");
     });
 }
--- a/tests/network/fleet.rs
+++ b/tests/network/fleet.rs
@@ -1,4 +1,4 @@
-//! Stories on instances that talk to each other.
+//! Tests of instances that talk to each other.
 
 use crate::site::*;
 use rowanglade_quota_exchange::{Message, Nonce, Peer, decode, encode};
@@ -28,11 +28,11 @@
         let peers = format!("\"{}\", \"{addr}\"", other.local_addr().expect("bound"));
         let operator =
             format!("[fleet]\npeers = [{peers}]\nme = 1\nkey_file = {:?}\n", key.display().to_string());
-        let node = start(&[line(target.addr, 0, "active")], None, Some(&operator)).await;
+        let node = start(&[endpoint_entry(target.addr, 0, "active")], None, Some(&operator)).await;
         std::fs::remove_file(&key).expect("removed");
 
         // Its store starts empty: the first request goes on the slack, and lacks what it took.
-        assert_eq!(ask(node.http, &limited("a1")).await, "200 seen");
+        assert_eq!(send_request(node.http, &limited("a1")).await, "200 seen");
         let mut buffer = [0; 300];
         let (length, from) = other.recv_from(&mut buffer).await.expect("an ask");
         assert_eq!(from, addr);
--- a/tests/network/http.rs
+++ b/tests/network/http.rs
@@ -1,4 +1,4 @@
-//! Stories on the platform's protocol.
+//! Tests of the platform's protocol.
 
 use crate::site::*;
 use insta::assert_snapshot;
@@ -18,8 +18,8 @@
 fn a_request_passes_on_unchanged_and_its_answer_comes_back() {
     story(async {
         let mut target = peer(vec![ok("stored")]).await;
-        let node = start(&[line(target.addr, 0, "active")], None, None).await;
-        assert_eq!(ask(node.http, &request("deposit", "a1", 0, "bytes")).await, "200 stored");
+        let node = start(&[endpoint_entry(target.addr, 0, "active")], None, None).await;
+        assert_eq!(send_request(node.http, &request("deposit", "a1", 0, "bytes")).await, "200 stored");
         assert_snapshot!(saw(&mut target, 1).await,
             @"PUT /deposit/00000003b4d60021/7f3a9c21e0b4d655?v=1 HTTP/1.1 a1 key-1 bytes");
     });
@@ -45,14 +45,17 @@
 fn without_a_remembered_list_discovery_is_asked_for_one() {
     story(async {
         let target = peer(vec![ok("seen")]).await;
-        let list = format!(r#"{{"version":7,"full":true,"servers":[{}]}}"#, line(target.addr, 0, "active"));
+        let list = format!(
+            r#"{{"version":7,"full":true,"servers":[{}]}}"#,
+            endpoint_entry(target.addr, 0, "active")
+        );
         let mut discovery = peer(vec![ok(&list), Step::Silence]).await;
         let node = start(&[], Some(discovery.addr), None).await;
         assert_snapshot!(waits(&saw(&mut discovery, 2).await), @r"
         GET /discovery/hosts HTTP/1.1
         GET /discovery/hosts?from=7&hold_ms=WAIT HTTP/1.1
         ");
-        assert_eq!(ask(node.http, &request("view", "n1", 0, "")).await, "200 seen");
+        assert_eq!(send_request(node.http, &request("view", "n1", 0, "")).await, "200 seen");
     });
 }
 
@@ -64,8 +67,8 @@
         let half = Step::Last("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhal".into());
         let unseen = Step::Answer("HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n".into());
         let mut target = peer(vec![half, unseen, ok("whole")]).await;
-        let node = start(&[line(target.addr, 0, "active")], None, None).await;
-        assert_eq!(ask(node.http, &request("deposit", "b1", 0, "x")).await, "200 whole");
+        let node = start(&[endpoint_entry(target.addr, 0, "active")], None, None).await;
+        assert_eq!(send_request(node.http, &request("deposit", "b1", 0, "x")).await, "200 whole");
         assert_snapshot!(saw(&mut target, 3).await, @r"
         PUT /deposit/00000003b4d60021/7f3a9c21e0b4d655?v=1 HTTP/1.1 b1 key-1 x
         PUT /deposit/00000003b4d60021/7f3a9c21e0b4d655?v=1 HTTP/1.1 b1 key-1 x
@@ -80,11 +83,11 @@
 fn a_deposit_that_may_have_run_fails_and_one_that_never_ran_is_rejected() {
     story(async {
         let target = peer(vec![Step::Last(String::new()); 3]).await;
-        let node = start(&[line(target.addr, 0, "active")], None, None).await;
-        assert_eq!(ask(node.http, &request("deposit", "c1", 0, "x")).await, "500");
-        let nobody = Nobody::new();
-        let node = start(&[line(nobody.addr, 0, "active")], None, None).await;
-        assert_eq!(ask(node.http, &request("deposit", "c2", 0, "x")).await, "503 retry-after");
+        let node = start(&[endpoint_entry(target.addr, 0, "active")], None, None).await;
+        assert_eq!(send_request(node.http, &request("deposit", "c1", 0, "x")).await, "500");
+        let nobody = UnusedAddress::new();
+        let node = start(&[endpoint_entry(nobody.addr, 0, "active")], None, None).await;
+        assert_eq!(send_request(node.http, &request("deposit", "c2", 0, "x")).await, "503 retry-after");
     });
 }
 
@@ -101,10 +104,10 @@
             ok("four"),
         ])
         .await;
-        let node = start(&[line(target.addr, 0, "active")], None, None).await;
+        let node = start(&[endpoint_entry(target.addr, 0, "active")], None, None).await;
         let mut answers = Vec::new();
         for id in ["k1", "k2", "k3", "k4"] {
-            answers.push(ask(node.http, &request("view", id, 0, "")).await);
+            answers.push(send_request(node.http, &request("view", id, 0, "")).await);
         }
         assert_eq!(answers, ["200 one", "200 one", "200 one", "200 four"]);
     });
@@ -129,9 +132,9 @@
                     Content-Length: 4\r\n\r\ngood";
         let script = spoilt.iter().flat_map(|s| [Step::Answer(s.to_string()), Step::Answer(good.into())]);
         let target = peer(script.collect()).await;
-        let node = start(&[line(target.addr, 0, "active")], None, None).await;
+        let node = start(&[endpoint_entry(target.addr, 0, "active")], None, None).await;
         for (i, answer) in spoilt.iter().enumerate() {
-            let served = ask(node.http, &request("view", &format!("l{i}"), 0, "")).await;
+            let served = send_request(node.http, &request("view", &format!("l{i}"), 0, "")).await;
             assert_eq!(served, "200 good", "after {answer:.60}");
         }
     });
@@ -144,8 +147,8 @@
         let moved = "HTTP/1.1 302 Found\r\nLocation: /elsewhere\r\nContent-Length: 0\r\n\r\n";
         let packed = "HTTP/1.1 200 OK\r\nContent-Encoding: gzip\r\nContent-Length: 3\r\n\r\nraw";
         let mut target = peer(vec![Step::Answer(moved.into()), Step::Answer(packed.into())]).await;
-        let node = start(&[line(target.addr, 0, "active")], None, None).await;
-        assert_eq!(ask(node.http, &request("view", "d1", 0, "")).await, "200 raw");
+        let node = start(&[endpoint_entry(target.addr, 0, "active")], None, None).await;
+        assert_eq!(send_request(node.http, &request("view", "d1", 0, "")).await, "200 raw");
         assert!(!saw(&mut target, 2).await.contains("elsewhere"));
     });
 }
@@ -154,7 +157,7 @@
 fn a_client_that_disconnects_cancels_its_attempt() {
     story(async {
         let mut target = peer(vec![Step::Silence]).await;
-        let node = start(&[line(target.addr, 0, "active")], None, None).await;
+        let node = start(&[endpoint_entry(target.addr, 0, "active")], None, None).await;
         let mut client = TcpStream::connect(node.http).await.expect("connected");
         client.write_all(request("view", "e1", 0, "").as_bytes()).await.expect("written");
         let first = saw(&mut target, 1).await;
@@ -170,7 +173,7 @@
 fn malformed_and_oversized_requests_are_rejected_at_once_and_the_front_goes_on() {
     story(async {
         let target = peer(vec![ok("fine")]).await;
-        let node = start(&[line(target.addr, 0, "active")], None, None).await;
+        let node = start(&[endpoint_entry(target.addr, 0, "active")], None, None).await;
         let (good, put) = (request("view", "f1", 0, ""), request("deposit", "f2", 0, "x"));
         let mut answers = Vec::new();
         for bad in [
@@ -195,7 +198,7 @@
             put.replace("Content-Length: 1", "Content-Length: 33554433"),
             good,
         ] {
-            answers.push(ask(node.http, &bad).await);
+            answers.push(send_request(node.http, &bad).await);
         }
         let statuses: Vec<&str> = answers.iter().map(|a| a.split(' ').next().unwrap_or_default()).collect();
         assert_snapshot!(statuses.join(" "), @"400 400 400 400 400 400 400 400 400 400 400 400 400 400 400 400 400 400 413 200");
@@ -207,14 +210,14 @@
 fn a_duplicate_id_of_a_request_in_flight_is_rejected_and_not_forwarded() {
     story(async {
         let mut target = peer(vec![Step::Silence, ok("again")]).await;
-        let node = start(&[line(target.addr, 0, "active")], None, None).await;
+        let node = start(&[endpoint_entry(target.addr, 0, "active")], None, None).await;
         let mut first = TcpStream::connect(node.http).await.expect("connected");
         first.write_all(request("view", "i1", 0, "").as_bytes()).await.expect("written");
         saw(&mut target, 1).await;
-        assert_eq!(ask(node.http, &request("view", "i1", 0, "")).await, "400");
+        assert_eq!(send_request(node.http, &request("view", "i1", 0, "")).await, "400");
         drop(first);
         assert_eq!(saw(&mut target, 1).await, "closed");
-        assert_eq!(ask(node.http, &request("view", "i1", 0, "")).await, "200 again");
+        assert_eq!(send_request(node.http, &request("view", "i1", 0, "")).await, "200 again");
     });
 }
 
@@ -222,9 +225,9 @@
 #[test]
 fn silence_a_half_head_and_a_half_body_are_ended() {
     story(async {
-        let node = start(&[line(peer(vec![]).await.addr, 0, "active")], None, None).await;
+        let node = start(&[endpoint_entry(peer(vec![]).await.addr, 0, "active")], None, None).await;
         let half_body = request("deposit", "j1", 0, "x").replace("Content-Length: 1", "Content-Length: 9");
-        let ends = ["", "GET /view", &half_body].map(|sent| ask(node.http, sent));
+        let ends = ["", "GET /view", &half_body].map(|sent| send_request(node.http, sent));
         let [silent, head, body] = ends;
         let (silent, head, body) = tokio::join!(silent, head, body);
         assert_eq!([silent, head, body], ["nothing", "nothing", "408 close"]);
@@ -243,19 +246,19 @@
         let (old, mut new) = (peer(vec![]).await, peer(vec![ok("new")]).await);
         let mut list = peer(vec![
             Step::Answer("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n".into()),
-            page(2, line(old.addr, 0, "leaving")),
-            page(3, line(new.addr, 0, "active").replace("s-0", "s-9")),
+            page(2, endpoint_entry(old.addr, 0, "leaving")),
+            page(3, endpoint_entry(new.addr, 0, "active").replace("s-0", "s-9")),
         ])
         .await;
-        let node = start(&[line(old.addr, 0, "active")], Some(list.addr), None).await;
+        let node = start(&[endpoint_entry(old.addr, 0, "active")], Some(list.addr), None).await;
         assert_snapshot!(waits(&saw(&mut list, 4).await), @r"
         GET /discovery/hosts?from=1&hold_ms=1 HTTP/1.1
         GET /discovery/hosts?from=1&hold_ms=1 HTTP/1.1
         GET /discovery/hosts?from=2&hold_ms=WAIT HTTP/1.1
         GET /discovery/hosts?from=3&hold_ms=WAIT HTTP/1.1
         ");
-        assert_eq!(ask(node.http, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n").await, "200");
-        assert_eq!(ask(node.http, &request("view", "g1", 0, "")).await, "200 new");
+        assert_eq!(send_request(node.http, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n").await, "200");
+        assert_eq!(send_request(node.http, &request("view", "g1", 0, "")).await, "200 new");
         saw(&mut new, 1).await;
     });
 }
@@ -269,18 +272,18 @@
         let page = |version, entry: &str| {
             ok(&format!(r#"{{"version":{version},"full":false,"servers":[{entry}]}}"#))
         };
-        let entry = line(kept.addr, 0, "active").replace("s-0", "s-1");
+        let entry = endpoint_entry(kept.addr, 0, "active").replace("s-0", "s-1");
         let mut list = peer(vec![Step::Silence, page(2, &entry), Step::Silence]).await;
         let gone = peer(vec![]).await;
         let change = |json: &mut serde_json::Value| json["settings"]["siblings"] = 30.into();
-        let node = start_with(&[line(gone.addr, 0, "active")], Some(list.addr), None, change).await;
+        let node = start_with(&[endpoint_entry(gone.addr, 0, "active")], Some(list.addr), None, change).await;
         assert_snapshot!(saw(&mut list, 1).await, @"GET /discovery/hosts?from=1&hold_ms=1 HTTP/1.1");
         let asked = std::time::Instant::now();
         assert_snapshot!(saw(&mut list, 1).await, @"GET /discovery/hosts?from=1&hold_ms=1 HTTP/1.1");
         // The news counts as known 6 s after discovery had it; the rest is left for the answer.
         assert!(asked.elapsed().as_millis() < 4_000, "{:?}", asked.elapsed());
         saw(&mut list, 1).await;
-        assert_eq!(ask(node.http, &request("view", "q1", 0, "")).await, "200 kept");
+        assert_eq!(send_request(node.http, &request("view", "q1", 0, "")).await, "200 kept");
         saw(&mut kept, 1).await;
     });
 }
@@ -293,11 +296,11 @@
         let (gone, mut kept) = (peer(vec![]).await, peer(vec![ok("kept")]).await);
         let first = ok(r#"{"version":7,"full":false,"servers":[]}"#);
         let mut old = peer(vec![first, Step::Silence]).await;
-        let list = line(kept.addr, 0, "active").replace("s-0", "s-1");
+        let list = endpoint_entry(kept.addr, 0, "active").replace("s-0", "s-1");
         let mut new =
             peer(vec![ok(&format!(r#"{{"version":3,"full":true,"servers":[{list}]}}"#)), Step::Silence])
                 .await;
-        let node = start(&[line(gone.addr, 0, "active")], Some(old.addr), None).await;
+        let node = start(&[endpoint_entry(gone.addr, 0, "active")], Some(old.addr), None).await;
         let before = saw(&mut old, 2).await;
         node.reloads.apply_settings(&Reload { discovery: Some(new.addr), routing: Default::default() });
         let (dropped, after) = (saw(&mut old, 1).await, saw(&mut new, 2).await);
@@ -308,7 +311,7 @@
         GET /discovery/hosts HTTP/1.1
         GET /discovery/hosts?from=3&hold_ms=WAIT HTTP/1.1
         ");
-        assert_eq!(ask(node.http, &request("view", "m1", 0, "")).await, "200 kept");
+        assert_eq!(send_request(node.http, &request("view", "m1", 0, "")).await, "200 kept");
         saw(&mut kept, 1).await;
     });
 }
@@ -318,12 +321,12 @@
 fn on_shutdown_open_connections_are_served_until_they_close() {
     story(async {
         let target = peer(vec![ok("one"), ok("two"), ok("three")]).await;
-        let node = start(&[line(target.addr, 0, "active")], None, None).await;
+        let node = start(&[endpoint_entry(target.addr, 0, "active")], None, None).await;
         let mut old = TcpStream::connect(node.http).await.expect("connected");
-        let one = ask_on(&mut old, &request("view", "h1", 0, "")).await;
+        let one = send_request_on(&mut old, &request("view", "h1", 0, "")).await;
         node.end.send(()).expect("it runs");
-        let two = ask(node.http, &request("view", "h2", 0, "")).await;
-        let three = ask_on(&mut old, &request("view", "h3", 0, "")).await;
+        let two = send_request(node.http, &request("view", "h2", 0, "")).await;
+        let three = send_request_on(&mut old, &request("view", "h3", 0, "")).await;
         drop(old);
         node.run.await.expect("no panic").expect("no error");
         assert!(TcpStream::connect(node.http).await.is_err());
@@ -337,9 +340,9 @@
 fn an_object_is_requested_where_it_was_placed_whatever_its_request_says() {
     story(async {
         let mut first = peer(vec![ok("stored"), ok("seen")]).await;
-        let node = start(&[line(first.addr, 0, "active")], None, None).await;
-        assert_eq!(ask(node.http, &request("deposit", "p1", -1, "bytes")).await, "200 stored");
-        assert_eq!(ask(node.http, &request("view", "p2", 1, "")).await, "200 seen");
+        let node = start(&[endpoint_entry(first.addr, 0, "active")], None, None).await;
+        assert_eq!(send_request(node.http, &request("deposit", "p1", -1, "bytes")).await, "200 stored");
+        assert_eq!(send_request(node.http, &request("view", "p2", 1, "")).await, "200 seen");
         assert_snapshot!(saw(&mut first, 2).await, @r"
         PUT /deposit/00000003b4d60021/7f3a9c21e0b4d655?v=1 HTTP/1.1 p1 key-1 bytes
         GET /view/00000003b4d60021/7f3a9c21e0b4d655?v=1 HTTP/1.1 p2
--- a/tests/network/iscsi.rs
+++ b/tests/network/iscsi.rs
@@ -1,8 +1,10 @@
-//! Stories on the iSCSI-style protocol: clients written here come in, and a stand-in target misbehaves on
+//! Tests of the iSCSI-style protocol: clients written here come in, and a stub target misbehaves on
 //! command.
 
 use crate::late::{Full, next_seen, patient, patient_request, seen_after, sent};
-use crate::site::{Running, ask, line, ok, peer, read_message, request, start, start_with, story};
+use crate::site::{
+    Running, endpoint_entry, ok, peer, read_message, request, send_request, start, start_with, story,
+};
 use bytes::Bytes;
 use insta::assert_snapshot;
 use rowanglade_iscsi::*;
@@ -17,7 +19,7 @@
 
 const LUN: u64 = 0x3b4d60021;
 
-/// What the stand-in does with its next command, once it has it whole.
+/// What the stub does with its next command, once it has it whole.
 #[derive(Clone, Debug)]
 enum Step {
     Good(&'static str),
@@ -274,7 +276,7 @@
         let mut client = Client::log_in(&node).await;
         client.command(1, false, 1).await;
         let mut told = vec![client.hear().await, client.hear().await];
-        told.push(ask(node.http, &request("view", "i1", 0, "")).await);
+        told.push(send_request(node.http, &request("view", "i1", 0, "")).await);
         told.push(box0.saw(3).await);
         assert_snapshot!(told.join("\n"), @r"
         data four
@@ -639,7 +641,7 @@
             patient(json);
             json["admin"] = "127.0.0.1:0".into();
         };
-        let lines = [line(other.addr, 0, "active")];
+        let lines = [endpoint_entry(other.addr, 0, "active")];
         let node = start_with(&lines, None, Some(&patient_with(&target)), change).await;
         let admin = node.admin.expect("operators can call");
         let mut client = TcpStream::connect(node.http).await.expect("connected");
@@ -647,7 +649,7 @@
         assert_eq!(target.saw(1).await, "login");
         let called = Instant::now();
         let call = "PUT /targets/iqn.test:box/maint HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n";
-        assert_eq!(ask(admin, call).await, "200 close");
+        assert_eq!(send_request(admin, call).await, "200 close");
         assert!(next_seen(&mut other).await.contains("g2"));
         assert_eq!(read_message(&mut client).await.expect("answered").1, b"other");
         assert!(called.elapsed() < Duration::from_millis(500), "{:?}", called.elapsed());
@@ -709,7 +711,7 @@
                  [[iscsi.volume]]\nlun = \"{:x}\"\nplan = \"full\"\nshard = 1\nhosts = 1\n",
                 LUN + 1
             );
-            let lines = [line(box0.addr, 0, "active"), line(full.addr, 1, "active")];
+            let lines = [endpoint_entry(box0.addr, 0, "active"), endpoint_entry(full.addr, 1, "active")];
             let node = start_with(&lines, None, Some(&operator), patient).await;
             let mut client = Client::log_in(&node).await;
             client.command_to(LUN + 1, WAITS, false, BLOCKS).await;
--- a/tests/network/leaving.rs
+++ b/tests/network/leaving.rs
@@ -72,7 +72,7 @@
             (plan["never-over"], plan["burst"], plan["tolerance"]) = (4.0.into(), 10.0.into(), 0.0.into());
             change(json);
         };
-        let node = start_with(&[line(addr, 0, "active")], list, None, change).await;
+        let node = start_with(&[endpoint_entry(addr, 0, "active")], list, None, change).await;
         let mut hanging = Vec::new();
         if let (Wait::Room | Wait::Again, Ok(target)) = (wait, &mut target) {
             for id in ["h0", "h1"].into_iter().take(if wait == Wait::Room { 2 } else { 1 }) {
@@ -158,7 +158,7 @@
     })
     .await;
     let target = scene.target.as_ref().map_or_else(|full| full.addr, |peer| peer.addr);
-    let leaving = line(target, 0, "leaving");
+    let leaving = endpoint_entry(target, 0, "leaving");
     let told = page(3, news == News::Return, &leaving);
     let Step::Answer(later) = told.clone() else { unreachable!("it answers") };
     let script = match news {
@@ -299,7 +299,7 @@
     assert_eq!(seen, Vec::<String>::new(), "{wait:?} {leave:?} {may_cancel}");
     // Nothing that was held for it is missing now: neither room nor units nor a place.
     let (asked, plan) = (Instant::now(), if wait == Wait::Limit { "basic" } else { "full" });
-    let answer = ask_on(&mut client, &patient_request("view", "after").replace("full", plan)).await;
+    let answer = send_request_on(&mut client, &patient_request("view", "after").replace("full", plan)).await;
     assert!(answer.starts_with("200"), "{wait:?} {leave:?} {may_cancel}: {answer}");
     assert!(asked.elapsed() < Duration::from_millis(400), "{wait:?} {leave:?} {may_cancel}");
     drop((node, client));
@@ -338,7 +338,7 @@
 /// begin once its client has left while the target rests, or, where it stays, behind the first two.
 async fn backed_off(leave: Option<Leave>) -> usize {
     let mut target = peer(vec![Step::Answer(TURNED_AWAY.into()); 9]).await;
-    let node = start_with(&[line(target.addr, 0, "active")], None, None, patient).await;
+    let node = start_with(&[endpoint_entry(target.addr, 0, "active")], None, None, patient).await;
     let mut client = TcpStream::connect(node.http).await.expect("connected");
     sent(&mut client, &patient_request("view", WAITING)).await;
     for _ in 0..2 {
@@ -388,7 +388,7 @@
         let scene = Scene { node, client, target, hanging, tried };
         let (node, mut client, seen) = scene.let_go().await;
         assert_eq!(seen, Vec::<String>::new());
-        assert_eq!(ask_on(&mut client, &patient_request("view", "after")).await, "200 a");
+        assert_eq!(send_request_on(&mut client, &patient_request("view", "after")).await, "200 a");
         assert!(tokio::time::timeout(Duration::from_millis(20), client.read_u8()).await.is_err(), "it stays");
         drop(node);
     });
--- a/tests/network/peers.rs
+++ b/tests/network/peers.rs
@@ -14,7 +14,7 @@
 /// An instance that may talk to its peers.
 async fn instance(number: usize, peers: &[SocketAddr], target: SocketAddr, discovery: SocketAddr) -> Running {
     let all: Vec<String> = peers.iter().map(SocketAddr::to_string).collect();
-    start_with(&[line(target, 0, "active")], Some(discovery), None, |json| {
+    start_with(&[endpoint_entry(target, 0, "active")], Some(discovery), None, |json| {
         json["settings"]["siblings"] = peers.len().into();
         json["settings"]["my-number"] = number.into();
         json["settings"]["ceilings"]["peer-messages"] = true.into();
@@ -35,7 +35,7 @@
     let begun = Instant::now();
     for number in 0.. {
         let id = format!("u-{served}-{number}");
-        if (ask(node.http, &request("view", &id, 0, "")).await == "200 here") == served {
+        if (send_request(node.http, &request("view", &id, 0, "")).await == "200 here") == served {
             break;
         }
         assert!(begun.elapsed() < Duration::from_secs(8), "served: {}", !served);
@@ -50,7 +50,7 @@
 fn an_initiator_without_discovery_learns_of_a_drain_from_its_peer() {
     story(async {
         let target = peer((0..500).map(|_| ok("here")).collect()).await;
-        let leaving = line(target.addr, 0, "leaving");
+        let leaving = endpoint_entry(target.addr, 0, "leaving");
         let mut heard = peer(vec![page(2, &leaving), Step::Silence]).await;
         // It hangs, and tells nothing of the target when it is back.
         let mut silent = peer(vec![Step::Silence, page(3, ""), Step::Silence]).await;
@@ -92,7 +92,7 @@
             stranger.send_to(&report(round), peers[0]).await.expect("sent");
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
-        assert_eq!(ask(node.http, &request("view", "f1", 0, "")).await, "200 here");
+        assert_eq!(send_request(node.http, &request("view", "f1", 0, "")).await, "200 here");
         // The answer to a query of its own is taken.
         let mut buffer = [0; 256];
         let (length, from) = other.recv_from(&mut buffer).await.expect("asked");
--- a/tests/network/processes.rs
+++ b/tests/network/processes.rs
@@ -1,7 +1,7 @@
 //! Processes of the program on the platform's protocol, with faults between them: one replaces another while
 //! signals and clients come, bodies get stuck on both sides, descriptors run out.
 
-use crate::site::{ask, ask_on, line, ok, peer, read_message, request, story};
+use crate::site::{endpoint_entry, ok, peer, read_message, request, send_request, send_request_on, story};
 use rowanglade_test_fleet::{
     Daemon, DaemonPlan, HandoverPaths, Signal, StubSite, TargetFault, TargetPlan, standard_settings,
 };
@@ -49,7 +49,7 @@
 async fn call(daemon: &Daemon, call: &str) -> String {
     let admin = daemon.admin.expect("operators can call");
     let asked = Instant::now();
-    let answer = ask(admin, &format!("{call} HTTP/1.1\r\nHost: x\r\n\r\n")).await;
+    let answer = send_request(admin, &format!("{call} HTTP/1.1\r\nHost: x\r\n\r\n")).await;
     assert!(asked.elapsed() < CALLER, "{call}: {answer} after {:?}", asked.elapsed());
     answer
 }
@@ -93,7 +93,8 @@
             let (stop, answered) = (Rc::clone(&stop), Rc::clone(&answered));
             async move {
                 for i in 0.. {
-                    let answer = ask(http, &request("view", &format!("c{name}-{i}"), i % 2, "")).await;
+                    let answer =
+                        send_request(http, &request("view", &format!("c{name}-{i}"), i % 2, "")).await;
                     assert!(answer.starts_with("200") || answer.starts_with("503"), "{answer:?}");
                     answered.set(answered.get() + 1);
                     if stop.get() {
@@ -143,7 +144,7 @@
         let second = program(&site, |s| s.handover = meets(folder.path(), Some(first.http)));
         healthy(&second).await;
         first.signal(Signal::SIGTERM).expect("it runs");
-        assert_eq!(ask(second.http, &request("deposit", "d2", 0, "bytes")).await, "200 kept");
+        assert_eq!(send_request(second.http, &request("deposit", "d2", 0, "bytes")).await, "200 kept");
         let (head, body) = read_message(&mut open).await.expect("the old process answers what it took");
         assert!(head.starts_with("HTTP/1.1 200") && body == b"kept", "{head}");
         let seen = site.targets[0].counters();
@@ -194,7 +195,7 @@
             (s.memory_mb, s.sockets) = (32, 256);
             s.settings["family-info"]["n-shards"] = 2.into();
         });
-        while ask(daemon.http, &request("view", "up", 0, "")).await.starts_with("503") {}
+        while send_request(daemon.http, &request("view", "up", 0, "")).await.starts_with("503") {}
         let mut stuck = Vec::new();
         for i in 0..40 {
             let name = if i % 2 == 0 { "stops" } else { "unread" };
@@ -209,7 +210,7 @@
             stuck.push(client);
         }
         for i in 0..50 {
-            let answer = ask(daemon.http, &request("view", &format!("usual-{i}"), 0, "")).await;
+            let answer = send_request(daemon.http, &request("view", &format!("usual-{i}"), 0, "")).await;
             assert!(answer.starts_with("200"), "{answer}");
         }
         let memory = daemon.usage().peak_memory_bytes;
@@ -240,7 +241,8 @@
                 1 => stream.write_all(b"GET /view/000000").await.expect("written"),
                 _ => {
                     // Where the place is another's by now, there is no answer, and the connection ends.
-                    let answer = ask_on(&mut stream, &request("view", &format!("i{i}"), 1, "")).await;
+                    let answer =
+                        send_request_on(&mut stream, &request("view", &format!("i{i}"), 1, "")).await;
                     assert!(answer == "nothing" || answer.starts_with("200"), "{answer}");
                     idle.push(stream);
                     continue;
@@ -266,9 +268,9 @@
         assert_eq!(answered, answers.iter().flatten().count(), "{answers:?}");
         assert!(answered > 0, "those that were kept are served");
         // A new client gets in, and the list's news comes: a box that leaves gets nothing more.
-        assert!(ask(daemon.http, &request("view", "late", 1, "")).await.starts_with("200"));
+        assert!(send_request(daemon.http, &request("view", "late", 1, "")).await.starts_with("200"));
         site.kill(1);
-        while ask(daemon.http, &request("view", "gone", 1, "")).await.starts_with("200") {}
+        while send_request(daemon.http, &request("view", "gone", 1, "")).await.starts_with("200") {}
         let (head, _) = read_message(&mut open).await.expect("it was under way");
         assert!(head.starts_with("HTTP/1.1 200"), "{head}");
         drop(crowd);
@@ -347,7 +349,7 @@
     story(async {
         let mut target = peer((0..99).map(|_| ok("served")).collect()).await;
         let page = |version: u32, state: &str| {
-            let target = line(target.addr, 0, state);
+            let target = endpoint_entry(target.addr, 0, state);
             format!(r#"{{"version":{version},"full":true,"servers":[{target}]}}"#)
         };
         let mut discovery = Flaky::start(page(3, "active")).await;
@@ -360,7 +362,7 @@
             start.settings["rules"]["must-ask-in"] = 1_000_000.into();
         });
         discovery.told(3).await;
-        assert_eq!(ask(daemon.http, &request("view", "before", 0, "")).await, "200 served");
+        assert_eq!(send_request(daemon.http, &request("view", "before", 0, "")).await, "200 served");
         discovery.page.send_replace(None);
         let crowd: Vec<_> = (0..250).map(|_| actix_rt::spawn(idles(daemon.http))).collect();
         let descriptors =
@@ -379,7 +381,7 @@
         assert!(most <= SOCKETS, "{most} descriptors");
         while target.seen.try_recv().is_ok() {}
         for i in 0..20 {
-            let answer = ask(daemon.http, &request("view", &format!("after-{i}"), 0, "")).await;
+            let answer = send_request(daemon.http, &request("view", &format!("after-{i}"), 0, "")).await;
             assert!(!answer.starts_with("200"), "{answer}");
         }
         assert!(target.seen.try_recv().is_err(), "nothing new goes to it");
--- a/tests/network/replay.rs
+++ b/tests/network/replay.rs
@@ -1,4 +1,4 @@
-//! Stories on traffic sent again: from a trace through an initiator to stand-in boxes, and what both ends
+//! Tests of replays: from a trace through an initiator to stub targets, and what both ends
 //! count.
 
 use crate::site::*;
--- a/tests/network/routes.rs
+++ b/tests/network/routes.rs
@@ -1,4 +1,4 @@
-//! Stories on routes: who gets a request, and what a new table changes for requests that are open.
+//! Tests of routes: who gets a request, and what a new table changes for requests that are open.
 
 use crate::processes::told;
 use crate::site::*;
@@ -24,19 +24,25 @@
 fn a_request_goes_only_where_its_route_lets_it_and_a_new_table_is_in_force_at_once() {
     story(async {
         let (a, b) = (peer(vec![ok("zero"); 9]).await, peer(vec![ok("one"); 9]).await);
-        let lines = [line(a.addr, 0, "active"), line(b.addr, 1, "active")];
+        let lines = [endpoint_entry(a.addr, 0, "active"), endpoint_entry(b.addr, 1, "active")];
         let node = start(&lines, None, Some(&operator("one"))).await;
         for i in 0..4 {
-            assert_eq!(ask(node.http, &request("deposit", &format!("r{i}"), -1, "x")).await, "200 one");
+            assert_eq!(
+                send_request(node.http, &request("deposit", &format!("r{i}"), -1, "x")).await,
+                "200 one"
+            );
         }
         // Another object, which is where the request says.
         let read = request("view", "r5", 0, "").replace("e0b4d655", "e0b4d656");
-        assert_eq!(ask(node.http, &read).await, "200 zero", "no route: everywhere");
+        assert_eq!(send_request(node.http, &read).await, "200 zero", "no route: everywhere");
         assert_eq!(node.reloads.load_routes(table("zero")), 2);
         // The core takes the table up between two messages; what is sent after one of its answers has it.
-        while ask(node.http, &request("deposit", "again", -1, "x")).await != "200 zero" {}
+        while send_request(node.http, &request("deposit", "again", -1, "x")).await != "200 zero" {}
         for i in 0..3 {
-            assert_eq!(ask(node.http, &request("deposit", &format!("s{i}"), -1, "x")).await, "200 zero");
+            assert_eq!(
+                send_request(node.http, &request("deposit", &format!("s{i}"), -1, "x")).await,
+                "200 zero"
+            );
         }
     });
 }
@@ -46,15 +52,15 @@
 fn a_pool_without_targets_rejects_at_once() {
     story(async {
         let a = peer(vec![ok("zero"); 9]).await;
-        let node = start(&[line(a.addr, 0, "active")], None, Some(&operator("none"))).await;
+        let node = start(&[endpoint_entry(a.addr, 0, "active")], None, Some(&operator("none"))).await;
         let asked = std::time::Instant::now();
-        assert_eq!(ask(node.http, &request("deposit", "n1", -1, "x")).await, "503 retry-after");
+        assert_eq!(send_request(node.http, &request("deposit", "n1", -1, "x")).await, "503 retry-after");
         assert!(
             asked.elapsed() < std::time::Duration::from_millis(350),
             "before its aim: {:?}",
             asked.elapsed()
         );
-        assert_eq!(ask(node.http, &request("view", "n2", 0, "")).await, "200 zero");
+        assert_eq!(send_request(node.http, &request("view", "n2", 0, "")).await, "200 zero");
     });
 }
 
@@ -65,12 +71,13 @@
         let again = "HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n".to_string();
         let a = peer(vec![ok("zero"); 9]).await;
         let mut b = peer(vec![Step::Wait(again), ok("one")]).await;
-        let lines = [line(a.addr, 0, "active"), line(b.addr, 1, "active")];
+        let lines = [endpoint_entry(a.addr, 0, "active"), endpoint_entry(b.addr, 1, "active")];
         let node = start(&lines, None, Some(&operator("one"))).await;
-        let asking = actix_rt::spawn(async move { ask(node.http, &request("deposit", "k1", -1, "x")).await });
+        let asking =
+            actix_rt::spawn(async move { send_request(node.http, &request("deposit", "k1", -1, "x")).await });
         b.seen.recv().await.expect("the first attempt");
         node.reloads.load_routes(table("zero"));
-        while ask(node.http, &request("deposit", "k2", -1, "x")).await != "200 zero" {}
+        while send_request(node.http, &request("deposit", "k2", -1, "x")).await != "200 zero" {}
         b.go.notify_one();
         assert_eq!(asking.await.expect("joined"), "200 one");
     });
--- a/tests/network/scale.rs
+++ b/tests/network/scale.rs
@@ -2,7 +2,9 @@
 //! instances in their settings. They start while discovery is down, slow or refuses every call.
 
 use crate::processes::told;
-use crate::site::{Nobody, Peer, Step, ask, ask_on, ok, peer, read_message, request, story};
+use crate::site::{
+    Peer, Step, UnusedAddress, ok, peer, read_message, request, send_request, send_request_on, story,
+};
 use rowanglade_test_fleet::{Daemon, DaemonPlan, Endpoint, EndpointState};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
@@ -80,7 +82,7 @@
 
 /// How long after `begun` the process answers that it is ready.
 async fn ready(http: SocketAddr, begun: Instant) -> Duration {
-    while ask(http, UP).await != "200" {
+    while send_request(http, UP).await != "200" {
         assert!(begun.elapsed() < 2 * READY, "not ready");
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
@@ -126,7 +128,7 @@
             for place in 0..targets.listening.len() {
                 let asked =
                     request("view", &format!("{what}-{place}").replace(' ', "-"), targets.shard(place), "");
-                assert_eq!(ask_on(&mut client, &asked).await, "200 served", "{what} {place}");
+                assert_eq!(send_request_on(&mut client, &asked).await, "200 served", "{what} {place}");
             }
             let used = daemon.usage();
             println!(
@@ -154,12 +156,12 @@
 
 /// Starts a discovery that behaves like this, with this list. One that is down is held, so that its port is
 /// nobody else's.
-async fn discovery(kind: Discovery, page: String) -> (SocketAddr, Option<Nobody>) {
+async fn discovery(kind: Discovery, page: String) -> (SocketAddr, Option<UnusedAddress>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
     let addr = listener.local_addr().expect("bound");
     let whole = match kind {
         Discovery::Down => {
-            let nobody = Nobody::new();
+            let nobody = UnusedAddress::new();
             return (nobody.addr, Some(nobody));
         }
         Discovery::Slow => format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{page}", page.len()),
@@ -229,7 +231,7 @@
     assert!(times[RESTARTED * 9 / 10] < READY, "{kind:?} {word}: {times:?}");
     for (place, daemon) in daemons.iter().enumerate() {
         let asked = request("view", &format!("r{place}"), targets.shard(place), "");
-        assert_eq!(ask(daemon.http, &asked).await, "200 served", "{kind:?} {word}");
+        assert_eq!(send_request(daemon.http, &asked).await, "200 served", "{kind:?} {word}");
     }
 }
 
@@ -267,9 +269,9 @@
         discovery.set_refusing(true);
         let daemon = Daemon::start(&start("n0", 1, discovery.addr())).expect("it serves");
         tokio::time::sleep(Duration::from_millis(500)).await;
-        assert!(ask(daemon.http, UP).await.starts_with("503"), "no target, not ready");
+        assert!(send_request(daemon.http, UP).await.starts_with("503"), "no target, not ready");
         let begun = Instant::now();
-        let answer = ask(daemon.http, &request("view", "e1", 0, "")).await;
+        let answer = send_request(daemon.http, &request("view", "e1", 0, "")).await;
         assert!(answer.starts_with("503") && answer.contains("retry-after"), "{answer}");
         assert!(begun.elapsed() < Duration::from_secs(1), "refused after {:?}", begun.elapsed());
         discovery.upsert(Endpoint {
@@ -284,6 +286,6 @@
         let took = ready(daemon.http, Instant::now()).await;
         println!("nothing remembered: ready {took:?} after discovery served");
         assert!(took < Duration::from_secs(6), "{took:?}");
-        assert_eq!(ask(daemon.http, &request("view", "e2", 0, "")).await, "200 served");
+        assert_eq!(send_request(daemon.http, &request("view", "e2", 0, "")).await, "200 served");
     });
 }
--- a/tests/network/site.rs
+++ b/tests/network/site.rs
@@ -1,4 +1,4 @@
-//! An initiator on loopback, and a story of what its peers saw.
+//! An initiator on loopback, with scripted servers as its targets and discovery.
 
 use rowanglade::config::Config;
 use rowanglade::initiator::{Initiator, Reloads};
@@ -18,14 +18,14 @@
 /// The configuration that an operator starts from.
 const EXAMPLE: &str = include_str!("../../deploy/example.json");
 
-/// One target of a list.
-pub fn line(addr: SocketAddr, shard: u32, state: &str) -> String {
+/// An entry of an endpoint list, as the platform words it.
+pub fn endpoint_entry(addr: SocketAddr, shard: u32, state: &str) -> String {
     format!(
         r#"{{"id":"s-{shard}","addr":"{addr}","zone":"kingston","cell":{shard},"state":"{state}","started_ms":0}}"#
     )
 }
 
-/// Starts an initiator that remembers these targets; it ends when the sender is used or dropped.
+/// Starts an initiator that has these targets cached; it ends when [`Running::end`] is used or dropped.
 pub async fn start(lines: &[String], discovery: Option<SocketAddr>, iscsi: Option<&str>) -> Running {
     start_with(lines, discovery, iscsi, |_| {}).await
 }
@@ -72,6 +72,7 @@
     Running { http, iscsi, admin, reloads, open, end, run }
 }
 
+/// An initiator that runs in the process of the test.
 pub struct Running {
     pub http: SocketAddr,
     pub iscsi: Option<SocketAddr>,
@@ -100,29 +101,30 @@
     Silence,
 }
 
+/// A response of success with this body.
 pub fn ok(body: &str) -> Step {
     Step::Answer(format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()))
 }
 
 /// An address that refuses connections. It is nobody else's while this is held: a port that is free again may
 /// be given to another test, whose peer would then hear what was meant for nobody.
-pub struct Nobody {
+pub struct UnusedAddress {
     #[expect(dead_code, reason = "bound for as long as it is held, and never listening")]
     socket: socket2::Socket,
     pub addr: SocketAddr,
 }
 
-impl Nobody {
-    pub fn new() -> Nobody {
+impl UnusedAddress {
+    pub fn new() -> UnusedAddress {
         let socket =
             socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("bound");
         let addr = socket.local_addr().ok().and_then(|addr| addr.as_socket()).expect("bound");
-        Nobody { socket, addr }
+        UnusedAddress { socket, addr }
     }
 }
 
-/// An HTTP peer that follows a script, one step a request, and tells what it saw.
+/// An HTTP server that follows a script, one step a request, and reports what it received.
 pub struct Peer {
     pub addr: SocketAddr,
     pub seen: mpsc::UnboundedReceiver<String>,
@@ -222,13 +224,14 @@
     Some(body)
 }
 
-/// Sends raw bytes on a new connection and tells status, closing and body of the answer.
-pub async fn ask(addr: SocketAddr, request: &str) -> String {
+/// Sends raw bytes on a new connection; returns status, `Connection`, whether there is a `Retry-After`, and the body
+/// of the response.
+pub async fn send_request(addr: SocketAddr, request: &str) -> String {
     let mut stream = TcpStream::connect(addr).await.expect("connected");
-    ask_on(&mut stream, request).await
+    send_request_on(&mut stream, request).await
 }
 
-pub async fn ask_on(stream: &mut TcpStream, request: &str) -> String {
+pub async fn send_request_on(stream: &mut TcpStream, request: &str) -> String {
     stream.write_all(request.as_bytes()).await.expect("written");
     let Some((head, body)) = read_message(stream).await else { return "nothing".to_string() };
     let status = head.split(' ').nth(1).unwrap_or_default();
--- a/tests/network/starting.rs
+++ b/tests/network/starting.rs
@@ -9,7 +9,7 @@
 
 async fn ready(node: &Running) -> Duration {
     let begun = Instant::now();
-    while ask(node.http, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n").await != "200" {
+    while send_request(node.http, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n").await != "200" {
         assert!(begun.elapsed() < Duration::from_secs(10), "not ready");
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
@@ -19,17 +19,17 @@
 async fn serves_without(discovery: SocketAddr, what: &str, word: &str) {
     let target = peer(vec![ok("served")]).await;
     let change = |json: &mut serde_json::Value| json["settings"]["discovery"] = word.into();
-    let node = start_with(&[line(target.addr, 0, "active")], Some(discovery), None, change).await;
+    let node = start_with(&[endpoint_entry(target.addr, 0, "active")], Some(discovery), None, change).await;
     let took = ready(&node).await;
     assert!(took < Duration::from_secs(1), "{what} {word}: {took:?}");
-    assert_eq!(ask(node.http, &request("view", "s1", 0, "")).await, "200 served", "{what} {word}");
+    assert_eq!(send_request(node.http, &request("view", "s1", 0, "")).await, "200 served", "{what} {word}");
 }
 
 #[test]
 fn it_is_ready_soon_whatever_discovery_does() {
     for word in ["on_request", "pushed"] {
         story(async move {
-            let nobody = Nobody::new();
+            let nobody = UnusedAddress::new();
             serves_without(nobody.addr, "down", word).await;
             let full = Full::new();
             serves_without(full.addr, "cut off", word).await;
@@ -50,7 +50,7 @@
         let mut target = peer(vec![ok("served")]).await;
         let text = format!(
             r#"{{"version":4,"full":true,"of":"more","servers":[{}]}}"#,
-            line(target.addr, 0, "active")
+            endpoint_entry(target.addr, 0, "active")
         );
         let value: serde_json::Value = serde_json::from_str(&text).expect("JSON");
         let mut list =
@@ -60,7 +60,7 @@
         assert!(first.contains("/discovery/hosts"), "{first}");
         assert!(second.contains("from=4&"), "it was read: {first}, {second}");
         ready(&node).await;
-        assert_eq!(ask(node.http, &request("view", "s2", 0, "")).await, "200 served");
+        assert_eq!(send_request(node.http, &request("view", "s2", 0, "")).await, "200 served");
         next_seen(&mut target).await;
     });
 }
@@ -71,7 +71,7 @@
 fn floods_of_bad_clients_hinder_nobody() {
     story(async {
         let target = peer((0..20).map(|_| ok("served")).collect()).await;
-        let node = start(&[line(target.addr, 0, "active")], None, None).await;
+        let node = start(&[endpoint_entry(target.addr, 0, "active")], None, None).await;
         ready(&node).await;
         let http = node.http;
         let noise = vec![b'x'; 64 * 1024];
@@ -100,6 +100,6 @@
             assert!(read_message(&mut client).await.expect("answered").0.contains("200 OK"));
             assert!(asked.elapsed() < Duration::from_millis(500), "round {round}: {:?}", asked.elapsed());
         }
-        assert_eq!(ask(http, &request("view", "new", 0, "")).await, "200 served");
+        assert_eq!(send_request(http, &request("view", "new", 0, "")).await, "200 served");
     });
 }
--- a/tests/network/stopping.rs
+++ b/tests/network/stopping.rs
@@ -30,11 +30,11 @@
     story(async {
         let Step::Answer(done) = ok("late") else { unreachable!("it answers") };
         let mut target = peer(vec![ok("first"), Step::Wait(done), ok("x"), ok("x"), ok("x")]).await;
-        let node = start_with(&[line(target.addr, 0, "active")], None, None, short_deadlines).await;
+        let node = start_with(&[endpoint_entry(target.addr, 0, "active")], None, None, short_deadlines).await;
         let connect = async || TcpStream::connect(node.http).await.expect("connected");
         let (mut resting, mut hanging, mut half, mut idle) =
             (connect().await, connect().await, connect().await, connect().await);
-        assert_eq!(ask_on(&mut resting, &request("view", "t0", 0, "")).await, "200 first");
+        assert_eq!(send_request_on(&mut resting, &request("view", "t0", 0, "")).await, "200 first");
         sent(&mut hanging, &request("view", "t1", 0, "")).await;
         assert!(target.seen.recv().await.is_some() && target.seen.recv().await.is_some());
         let deposit = request("deposit", "t2", 0, "halved");
@@ -44,8 +44,12 @@
         node.end.send(()).expect("it runs");
         tokio::time::sleep(Duration::from_millis(50)).await;
         sent(&mut half, &deposit[deposit.len() - 3..]).await;
-        assert_eq!(ask_on(&mut resting, &request("view", "t3", 0, "")).await, "200 x");
-        assert_eq!(ask(node.http, &request("view", "t4", 0, "")).await, "200 x", "clients still come");
+        assert_eq!(send_request_on(&mut resting, &request("view", "t3", 0, "")).await, "200 x");
+        assert_eq!(
+            send_request(node.http, &request("view", "t4", 0, "")).await,
+            "200 x",
+            "clients still come"
+        );
         assert!(read_message(&mut half).await.expect("answered").0.contains("200 OK"));
         target.go.notify_one();
         assert_eq!(read_message(&mut hanging).await.expect("answered").1, b"late");
@@ -67,7 +71,7 @@
     const CLIENTS: usize = 80;
     story(async {
         let mut target = peer((0..CLIENTS).map(|_| ok("served")).collect()).await;
-        let node = start_with(&[line(target.addr, 0, "active")], None, None, short_deadlines).await;
+        let node = start_with(&[endpoint_entry(target.addr, 0, "active")], None, None, short_deadlines).await;
         let mut streams = Vec::new();
         for _ in 0..CLIENTS {
             streams.push(TcpStream::connect(node.http).await.expect("connected"));
@@ -116,7 +120,7 @@
     story(async {
         let Step::Answer(done) = ok("one") else { unreachable!("it answers") };
         let mut target = peer(vec![Step::Wait(done), ok("two")]).await;
-        let node = start_with(&[line(target.addr, 0, "active")], None, None, short_deadlines).await;
+        let node = start_with(&[endpoint_entry(target.addr, 0, "active")], None, None, short_deadlines).await;
         let mut client = TcpStream::connect(node.http).await.expect("connected");
         let both = [request("view", "n1", 0, ""), request("view", "n2", 0, "")].concat();
         sent(&mut client, &both).await;
@@ -143,7 +147,7 @@
             // A client that says it waits longer than its class allows.
             json["settings"]["ceilings"]["cancel"] = false.into();
         };
-        let node = start_with(&[line(target.addr, 0, "active")], None, None, change).await;
+        let node = start_with(&[endpoint_entry(target.addr, 0, "active")], None, None, change).await;
         let mut client = TcpStream::connect(node.http).await.expect("connected");
         sent(&mut client, &patient_request("deposit", "f1")).await;
         tokio::time::sleep(Duration::from_millis(50)).await;
--- a/tests/network/subset.rs
+++ b/tests/network/subset.rs
@@ -1,7 +1,7 @@
 //! Many processes of the program that each choose where new objects go, and boxes and instances that go away.
 
 use crate::processes::{boxes, program};
-use crate::site::{ask_on, request, story};
+use crate::site::{request, send_request_on, story};
 use rowanglade_subset::{Rule, table};
 use rowanglade_test_fleet::{Daemon, StubSite, TargetFault, TargetPlan};
 use std::collections::BTreeSet;
@@ -53,7 +53,7 @@
                             .replace("00000003b4d60021", &volume(me))
                             .replace("7f3a9c21e0b4d655", &format!("{:016x}", round * 1_000 + i))
                             .replace("key-1", &format!("key-{round}-{me}-{i}"));
-                        let answer = ask_on(&mut open, &ask).await;
+                        let answer = send_request_on(&mut open, &ask).await;
                         assert!(answer.starts_with("200"), "{answer}");
                     }
                 })
--- a/tests/network/upgrade.rs
+++ b/tests/network/upgrade.rs
@@ -46,7 +46,7 @@
 
 async fn call(initiator: &Running, call: &str) -> String {
     let admin = initiator.admin.expect("operators can call");
-    ask(admin, &format!("{call} HTTP/1.1\r\nHost: x\r\n\r\n")).await
+    send_request(admin, &format!("{call} HTTP/1.1\r\nHost: x\r\n\r\n")).await
 }
 
 async fn healthy(initiator: &Running) {
@@ -95,34 +95,34 @@
     story(async {
         let folder = Folder::new();
         let target = peer((0..9).map(|i| ok(&i.to_string())).collect()).await;
-        let lines = [line(target.addr, 0, "active"), line(target.addr, 1, "active")];
+        let lines = [endpoint_entry(target.addr, 0, "active"), endpoint_entry(target.addr, 1, "active")];
         let first = process(&folder.0, &lines, None).await;
         healthy(&first).await;
         let mut open = TcpStream::connect(first.http).await.expect("connected");
-        assert_eq!(ask_on(&mut open, &request("view", "u1", 0, "")).await, "200 0");
+        assert_eq!(send_request_on(&mut open, &request("view", "u1", 0, "")).await, "200 0");
         assert_eq!(call(&first, "PUT /targets/s-1/maint").await, "200 close");
 
         let second = process(&folder.0, &lines, Some(first.http)).await;
         healthy(&second).await;
         assert_eq!(second.http, first.http, "one listener");
         assert_eq!(call(&first, "GET /healthcheck").await, "503 close");
-        assert_eq!(ask_on(&mut open, &request("view", "u2", 0, "")).await, "200 close 1");
-        assert_eq!(ask(second.http, &request("view", "u3", 0, "")).await, "200 2");
+        assert_eq!(send_request_on(&mut open, &request("view", "u2", 0, "")).await, "200 close 1");
+        assert_eq!(send_request(second.http, &request("view", "u3", 0, "")).await, "200 2");
         assert_eq!(
-            ask(second.http, &request("view", "u4", 1, "")).await,
+            send_request(second.http, &request("view", "u4", 1, "")).await,
             "503 retry-after",
             "out over the upgrade"
         );
         first.end.send(()).expect("it runs");
         first.run.await.expect("it ends").expect("in order");
-        assert_eq!(ask(second.http, &request("view", "u5", 0, "")).await, "200 3");
+        assert_eq!(send_request(second.http, &request("view", "u5", 0, "")).await, "200 3");
         assert_eq!(call(&second, "PUT /targets/s-1/ready").await, "200 close");
-        assert_eq!(ask(second.http, &request("view", "u6", 1, "")).await, "200 4");
+        assert_eq!(send_request(second.http, &request("view", "u6", 1, "")).await, "200 4");
 
         // A second upgrade, right after the first.
         let third = process(&folder.0, &lines, Some(second.http)).await;
         healthy(&third).await;
-        assert_eq!(ask(third.http, &request("view", "u7", 0, "")).await, "200 5");
+        assert_eq!(send_request(third.http, &request("view", "u7", 0, "")).await, "200 5");
     });
 }
 
@@ -132,12 +132,12 @@
     story(async {
         let folder = Folder::new();
         let target = peer(vec![ok("served")]).await;
-        let lines = [line(target.addr, 0, "active"), line(target.addr, 1, "active")];
+        let lines = [endpoint_entry(target.addr, 0, "active"), endpoint_entry(target.addr, 1, "active")];
         let first = process(&folder.0, &lines, None).await;
         healthy(&first).await;
         let open = async || {
             let mut stream = TcpStream::connect(first.http).await.expect("connected");
-            assert_eq!(ask_on(&mut stream, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n").await, "200");
+            assert_eq!(send_request_on(&mut stream, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n").await, "200");
             stream
         };
         let (mut a, mut b) = (open().await, open().await);
@@ -146,10 +146,13 @@
         assert_eq!(call(&second, "PUT /targets/s-0/maint").await, "200 close");
         assert_eq!(call(&first, "PUT /targets/s-1/maint").await, "200 close");
         for (stream, id, shard) in [(&mut a, "b1", 0), (&mut b, "b2", 1)] {
-            assert_eq!(ask_on(stream, &request("view", id, shard, "")).await, "503 close retry-after");
+            assert_eq!(
+                send_request_on(stream, &request("view", id, shard, "")).await,
+                "503 close retry-after"
+            );
         }
         for (id, shard) in [("b3", 0), ("b4", 1)] {
-            assert_eq!(ask(second.http, &request("view", id, shard, "")).await, "503 retry-after");
+            assert_eq!(send_request(second.http, &request("view", id, shard, "")).await, "503 retry-after");
         }
     });
 }
@@ -161,11 +164,11 @@
     story(async {
         let folder = Folder::new();
         let target = peer((0..9).map(|i| ok(&i.to_string())).collect()).await;
-        let lines = [line(target.addr, 0, "active")];
+        let lines = [endpoint_entry(target.addr, 0, "active")];
         let first = process(&folder.0, &lines, None).await;
         healthy(&first).await;
         let served = async |id: &str, body: &str| {
-            assert_eq!(ask(first.http, &request("view", id, 0, "")).await, format!("200 {body}"));
+            assert_eq!(send_request(first.http, &request("view", id, 0, "")).await, format!("200 {body}"));
         };
 
         let mut other = HandoverPeer::connect(&folder).await;
@@ -202,7 +205,7 @@
     story(async {
         let folder = Folder::new();
         let target = peer(vec![ok("served")]).await;
-        let lines = [line(target.addr, 0, "active")];
+        let lines = [endpoint_entry(target.addr, 0, "active")];
         // The lock is taken by whoever serves.
         let lock = std::fs::File::create(folder.0.join("rowanglade-n1.lock")).expect("a file");
         lock.lock().expect("free");
@@ -231,7 +234,7 @@
         drop(handover_listener);
         lock.unlock().expect("held");
         healthy(&second).await;
-        assert_eq!(ask_on(&mut early, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n").await, "200");
+        assert_eq!(send_request_on(&mut early, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n").await, "200");
     });
 }
 
@@ -241,7 +244,7 @@
     story(async {
         let folder = Folder::new();
         let target = peer(vec![]).await;
-        let lines = [line(target.addr, 0, "active")];
+        let lines = [endpoint_entry(target.addr, 0, "active")];
         drop(tokio::net::UnixListener::bind(folder.socket()).expect("bound"));
         let first = process(&folder.0, &lines, None).await;
         healthy(&first).await;
@@ -261,7 +264,7 @@
     story(async {
         let folder = Folder::new();
         let mut target = peer((0..999).map(|_| ok("x")).collect()).await;
-        let lines = [line(target.addr, 0, "active")];
+        let lines = [endpoint_entry(target.addr, 0, "active")];
         let begun = Instant::now();
         let first = process(&folder.0, &lines, None).await;
         healthy(&first).await;
@@ -274,7 +277,7 @@
                     None => TcpStream::connect(http).await.expect("never turned back"),
                 };
                 let ask = request("view", &format!("l{name}-{i}"), 0, "").replace("full", "basic");
-                let answer = ask_on(&mut open, &ask).await;
+                let answer = send_request_on(&mut open, &ask).await;
                 assert!(answer.starts_with("200") || answer.starts_with("503"), "{answer}");
                 if !answer.contains("close") {
                     stream = Some(open);
@@ -310,7 +313,7 @@
         let folder = Folder::new();
         let script = |name: &str| (0..999).map(|_| ok(name)).collect();
         let (zero, one) = (peer(script("0")).await, peer(script("1")).await);
-        let lines = [line(zero.addr, 0, "active"), line(one.addr, 1, "active")];
+        let lines = [endpoint_entry(zero.addr, 0, "active"), endpoint_entry(one.addr, 1, "active")];
         let first = process(&folder.0, &lines, None).await;
         healthy(&first).await;
         let object = |text: String, piece: &str| text.replace("7f3a9c21e0b4d655", piece);
@@ -319,22 +322,22 @@
             1 - answer.trim().chars().last().and_then(|c| c.to_digit(2)).expect("0 or 1") as i32
         };
         let mut open = TcpStream::connect(first.http).await.expect("connected");
-        let before = ask_on(&mut open, &request("deposit", "p1", -1, "x")).await;
+        let before = send_request_on(&mut open, &request("deposit", "p1", -1, "x")).await;
 
         let second = process(&folder.0, &lines, None).await;
         healthy(&second).await;
         let read = request("view", "p2", other(&before), "");
-        assert_eq!(ask(second.http, &read).await, before, "handed over");
+        assert_eq!(send_request(second.http, &read).await, before, "handed over");
 
         // The predecessor finishes what it holds, and places another.
         let piece = "00000000000000aa";
-        let during = ask_on(&mut open, &object(request("deposit", "p3", -1, "x"), piece)).await;
+        let during = send_request_on(&mut open, &object(request("deposit", "p3", -1, "x"), piece)).await;
         assert!(during.starts_with("200 close "), "{during}");
         let placed = during.replace("close ", "");
         // The news is on its way; until it is there a read goes where its client says. The story has a limit.
         for asked in 0.. {
             let read = object(request("view", &format!("p4-{asked}"), other(&placed), ""), piece);
-            if ask(second.http, &read).await == placed {
+            if send_request(second.http, &read).await == placed {
                 break;
             }
         }
