--- a/crates/http-exchange/src/body.rs
+++ b/crates/http-exchange/src/body.rs
@@ -1,7 +1,11 @@
 //! The body of a request.
 
+use actix_codec::Encoder;
 use actix_http::body::BodySize;
-use bytes::Bytes;
+use actix_http::h1::{ClientCodec, Message};
+use actix_http::{RequestHead, RequestHeadType};
+use bytes::{Bytes, BytesMut};
+use std::io;
 
 /// A request's body.
 #[derive(Debug)]
@@ -46,3 +50,18 @@
         Ok(None)
     }
 }
+
+/// The head of a request and the part of its body that is held.
+pub(crate) fn encode_request<S>(
+    codec: &mut ClientCodec,
+    head: RequestHead,
+    body: Option<&RequestBody<'_, S>>,
+) -> io::Result<BytesMut> {
+    let mut out = BytesMut::new();
+    let size = body.map_or(BodySize::None, RequestBody::size);
+    codec.encode(Message::Item((RequestHeadType::from(head), size)), &mut out)?;
+    if let Some(body) = body.filter(|body| !body.held.is_empty()) {
+        codec.encode(Message::Chunk(Some(body.held.clone())), &mut out)?;
+    }
+    Ok(out)
+}
--- a/src/config/access_log.rs
+++ b/src/config/access_log.rs
@@ -4,8 +4,10 @@
 use serde::Deserialize;
 use std::path::PathBuf;
 
-/// The most lines that may wait: some hundred bytes each.
-const MOST_QUEUED: usize = 65_536;
+/// The most lines that may be set to wait for the disk: some hundred bytes each, so some megabytes.
+const MAX_QUEUED_LINES: usize = 65_536;
+/// How many lines may wait for the disk where the file does not say: some hundred kilobytes.
+const DEFAULT_QUEUED_LINES: usize = 4_096;
 
 /// Where requests are logged.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
@@ -19,7 +21,7 @@
 }
 
 fn default_queue() -> usize {
-    4_096
+    DEFAULT_QUEUED_LINES
 }
 
 impl AccessLog {
@@ -27,8 +29,8 @@
         if self.path.as_os_str().is_empty() {
             return Err(ConfigError::new("access_log.path", "is empty"));
         }
-        if !(1..=MOST_QUEUED).contains(&self.queue) {
-            let problem = format!("{} is not between 1 and {MOST_QUEUED}", self.queue);
+        if !(1..=MAX_QUEUED_LINES).contains(&self.queue) {
+            let problem = format!("{} is not between 1 and {MAX_QUEUED_LINES}", self.queue);
             return Err(ConfigError::new("access_log.queue", problem));
         }
         Ok(self)
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -13,19 +13,26 @@
 /// The platform's JSON, before its values are checked.
 #[derive(Deserialize)]
 pub struct PlatformFile {
+    /// The initiator's name.
     pub name: Option<String>,
+    /// Where clients of the HTTP front connect.
     pub listen: Option<String>,
+    /// Discovery's address.
     pub discovery: Option<String>,
+    /// Where operators call.
     pub admin: Option<String>,
-    /// In hex digits.
+    /// The seed of random numbers, in hex digits.
     pub seed: Option<String>,
+    /// The endpoint list that was known before.
     pub known: Option<EndpointPage>,
-    /// Where datagrams of other instances come.
+    /// Where datagrams of other initiators arrive.
     pub peer_listen: Option<SocketAddr>,
-    /// One address for each instance, in the order of their numbers.
+    /// One address for each initiator, in the order of their numbers.
     #[serde(default)]
     pub peers: Vec<SocketAddr>,
+    /// Classes, plans and rules.
     pub settings: Settings,
+    /// Memory and descriptors.
     #[serde(default)]
     pub limits: Limits,
 }
@@ -36,23 +43,21 @@
     /// # Errors
     /// The file cannot be read, or its JSON lacks what is needed.
     pub fn read(path: &Path) -> Result<PlatformFile, ConfigError> {
-        let text = std::fs::read_to_string(path).map_err(|e| ConfigError::new("LB_CONFIG", e))?;
-        serde_json::from_str(&text).map_err(|e| ConfigError::new("LB_CONFIG", e))
+        let text = std::fs::read_to_string(path).map_err(|error| ConfigError::new("LB_CONFIG", error))?;
+        serde_json::from_str(&text).map_err(|error| ConfigError::new("LB_CONFIG", error))
     }
-}
 
-impl PlatformFile {
     /// Where the peers are; none where instances may not talk to each other, or need not, since each has the
     /// list from an agent of its own.
     ///
     /// # Errors
-    /// This instance's number is no place in `peers`.
+    /// This initiator's number is no index of `peers`.
     pub fn peer_addresses(&self) -> Result<Option<PeerAddresses>, ConfigError> {
         let polled = matches!(self.settings.delivery(), Delivery::Polled { .. });
-        let (Some(listen), Some(number)) = (self.peer_listen, self.settings.number()) else {
+        let (Some(listen), Some(number)) = (self.peer_listen, self.settings.initiator_number()) else {
             return Ok(None);
         };
-        if !polled || !self.settings.may_tell_peers() || self.peers.is_empty() {
+        if !polled || !self.settings.peer_messages_allowed() || self.peers.is_empty() {
             return Ok(None);
         }
         let own_index = number as usize;
@@ -68,6 +73,7 @@
 pub struct Setting {
     /// The variable or the file's key, for errors.
     key: String,
+    /// The value.
     pub value: String,
 }
 
@@ -104,18 +110,19 @@
     /// The value is no address and port.
     pub fn address(self) -> Result<SocketAddr, ConfigError> {
         let Setting { key, value } = self;
-        value.parse().map_err(|e| ConfigError::new(key, format!("{value:?}: {e}")))
+        value.parse().map_err(|error| ConfigError::new(key, format!("{value:?}: {error}")))
     }
 }
 
-/// The seed that the file has, or a random one: instances with the same seed would all choose alike.
+/// The seed that the file has, or a random one: initiators with the same seed would all choose alike.
 ///
 /// # Errors
 /// The text is no hex number of 64 bits.
 pub fn seed(text: Option<&str>) -> Result<u64, ConfigError> {
     match text {
         Some(seed) => {
-            u64::from_str_radix(seed, 16).map_err(|e| ConfigError::new("seed", format!("{seed:?}: {e}")))
+            let parsed = u64::from_str_radix(seed, 16);
+            parsed.map_err(|error| ConfigError::new("seed", format!("{seed:?}: {error}")))
         }
         None => Ok(RandomState::new().build_hasher().finish()),
     }
--- a/src/config/sites.rs
+++ b/src/config/sites.rs
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 
 /// The longest span, in milliseconds: far above any use, and well inside the range of times.
-const LONGEST_SPAN_MS: u64 = 86_400_000;
+const MAX_SPAN_MS: u64 = 86_400_000;
 
 /// When a site counts as lost, and how it comes back.
 #[derive(Deserialize)]
@@ -46,24 +46,24 @@
         self.check_spans()?;
         self.check_shares()?;
         self.check_names(settings)?;
-        if settings.warm_within() == 0 {
+        if settings.slow_start_duration() == 0 {
             let problem = "what returns has no ramp: settings.rules.warm-within is zero";
             return Err(ConfigError::new("sites", problem));
         }
-        let (me, instances) = settings.instances();
+        let (me, instances) = settings.number_of_initiators();
         let rules = Rules {
             window: micros(self.window_ms),
             part: self.part,
             hold: micros(self.hold_ms),
             longest_hold: micros(self.longest_hold_ms),
             probe_every: micros(self.probe_every_ms),
-            ramp: settings.warm_within(),
+            ramp: settings.slow_start_duration(),
             slow_times: self.slow_times,
             me,
             instances,
         };
         let names = self.names.into_iter().collect();
-        Ok(SiteSettings { names, rules, longest_advice: settings.longest_advice() })
+        Ok(SiteSettings { names, rules, longest_advice: settings.max_retry_after() })
     }
 
     fn check_spans(&self) -> Result<(), ConfigError> {
@@ -73,8 +73,8 @@
             ("longest_hold_ms", self.longest_hold_ms),
             ("probe_every_ms", self.probe_every_ms),
         ];
-        match spans.iter().find(|(_, span)| !(1..=LONGEST_SPAN_MS).contains(span)) {
-            Some((key, span)) => Err(error(key, format!("{span} is not from 1 to {LONGEST_SPAN_MS}"))),
+        match spans.iter().find(|(_, span)| !(1..=MAX_SPAN_MS).contains(span)) {
+            Some((key, span)) => Err(error(key, format!("{span} is not from 1 to {MAX_SPAN_MS}"))),
             None => Ok(()),
         }
     }
@@ -95,9 +95,9 @@
 
     fn check_names(&self, settings: &Settings) -> Result<(), ConfigError> {
         match self.names.iter().enumerate().find(|(_, name)| !settings.zones().contains(name)) {
-            Some((place, name)) => {
+            Some((index, name)) => {
                 let problem = format!("{name:?} is no zone of settings.azs");
-                Err(error(&format!("names[{place}]"), problem))
+                Err(error(&format!("names[{index}]"), problem))
             }
             None => Ok(()),
         }
--- a/src/core/validation.rs
+++ b/src/core/validation.rs
@@ -46,15 +46,15 @@
 
 impl RequestConstraints {
     pub(super) fn of(settings: &Settings) -> RequestConstraints {
-        let classes = settings.terms().map(|(name, write, keyed)| ClassConstraints {
-            name: name.to_string(),
-            write,
-            keyed,
+        let classes = settings.classes().map(|class| ClassConstraints {
+            name: class.name.to_string(),
+            write: class.writes,
+            keyed: class.keyed,
         });
         RequestConstraints {
             classes: classes.collect(),
             plans: settings.plans().map(str::to_string).collect(),
-            shards: settings.shards(),
+            shards: settings.shard_count(),
         }
     }
 
--- a/src/initiator/reload.rs
+++ b/src/initiator/reload.rs
@@ -4,8 +4,7 @@
 use crate::config::{ConfigError, Decided, Reload, Routing};
 use crate::core::{AccessLog, CoreHandle, LoadedRoutes};
 use crate::net::http;
-use rowanglade_routing::check::Decision;
-use rowanglade_routing::{Table, TargetInfo};
+use rowanglade_routing::{Decision, RouteTable, TargetInfo};
 use std::rc::Rc;
 use std::sync::Arc;
 use tokio::sync::{oneshot, watch};
@@ -34,7 +33,7 @@
 
     /// Puts a table in force in one step, and returns its version. Open requests keep the table they began
     /// with.
-    pub fn load_routes(&self, table: Table) -> u64 {
+    pub fn load_routes(&self, table: RouteTable) -> u64 {
         let mut version = 0;
         self.table.send_modify(|loaded| {
             version = loaded.version + 1;
--- a/src/initiator/targets.rs
+++ b/src/initiator/targets.rs
@@ -41,9 +41,9 @@
             pushed_list: settings.list_is_pushed(),
         };
         let shares = Reservations::of(config.limits.sockets, parts);
-        let idle = settings.conn_idle() / 2;
-        let stall_timeout = (settings.tightest_aim() / 2).clamp(MIN_STALL, MAX_STALL);
-        let hold_time = (settings.tightest_aim() / 8).clamp(MIN_HOLD, MAX_HOLD);
+        let idle = settings.connection_idle_timeout() / 2;
+        let stall_timeout = (settings.tightest_objective() / 2).clamp(MIN_STALL, MAX_STALL);
+        let hold_time = (settings.tightest_objective() / 8).clamp(MIN_HOLD, MAX_HOLD);
         let connections = http::ConnectionPool::new(shares.targets, idle, stall_timeout, CONNECTION_REST);
         actix_rt::spawn(connections.clone().close_expired());
         let clients = http::ConnectionTable::new(shares.clients, shares.idle_clients);
@@ -57,7 +57,7 @@
 /// Connects each target over its own protocol. Without `figures` all are reached over HTTP.
 pub fn connect(
     transport: http::TargetTransport,
-    figures: Option<iscsi::Figures>,
+    figures: Option<iscsi::SessionSettings>,
     core: CoreHandle,
 ) -> Connect {
     Box::new(move |endpoint| match (endpoint.protocol, &figures) {
@@ -68,17 +68,17 @@
 
 /// The classes with their deadlines.
 pub fn classes(settings: &Settings) -> Vec<(String, Duration)> {
-    settings.classes().map(|(name, deadline)| (name.to_string(), deadline)).collect()
+    settings.classes().map(|class| (class.name.to_string(), class.deadline)).collect()
 }
 
 /// What sessions to targets keep to.
-pub fn session_figures(iscsi: &Iscsi, settings: &Settings, clock: Clock) -> iscsi::Figures {
-    iscsi::Figures {
+pub fn session_figures(iscsi: &Iscsi, settings: &Settings, clock: Clock) -> iscsi::SessionSettings {
+    iscsi::SessionSettings {
         initiator: iscsi.name.clone(),
         classes: classes(settings).into_iter().map(|(name, _)| name).collect(),
         connect_timeout: settings.connect_timeout(),
         login_timeout: iscsi.login_timeout,
-        silence: iscsi.silence,
+        silence_timeout: iscsi.silence_timeout,
         blocks_per_unit: iscsi.blocks_per_unit,
         clock,
     }
