--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! The lab: experiments that start real daemons and stand-ins on loopback, print figures, and fail where a
+//! The lab: experiments that start real daemons and stubs on loopback, print figures, and fail where a
 //! stated claim does not hold.
 #![forbid(unsafe_code)]
 
@@ -82,7 +82,7 @@
         }
         Some("box") => sink::run_sink(),
         Some("probe") => scale::run_probe(&rest),
-        Some("hollow") => scale::run_hollow(&rest),
+        Some("hollow") => scale::run_idle_initiators(&rest),
         Some("help" | "--help" | "-h") => {
             print!("{HELP}");
             ExitCode::SUCCESS
--- a/tests/network/bodies.rs
+++ b/tests/network/bodies.rs
@@ -13,7 +13,7 @@
 /// A target that is scripted by hand, and its line of the list.
 async fn target() -> (TcpListener, String) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
-    let line = line(listener.local_addr().expect("bound"), 0, "active");
+    let line = endpoint_entry(listener.local_addr().expect("bound"), 0, "active");
     (listener, line)
 }
 
@@ -58,7 +58,7 @@
 
 // Whole answers were held to 64 KiB: a longer one was taken for a spoilt one, and its client got an error.
 #[test]
-fn a_long_answer_reaches_its_client_while_it_is_still_coming() {
+fn a_long_response_is_streamed_to_its_client() {
     story(async {
         let (listener, line) = target().await;
         let node = start(&[line], None, None).await;
@@ -89,14 +89,14 @@
         client.read_exact(&mut rest).await.expect("the rest");
         assert!([first, rest].concat() == body, "the bytes are the target's");
         tokio::time::sleep(std::time::Duration::from_millis(20)).await;
-        assert_eq!(ask_on(&mut client, &request("view", "d2", 0, "")).await, "200 next");
+        assert_eq!(send_request_on(&mut client, &request("view", "d2", 0, "")).await, "200 next");
         serving.await.expect("one connection took both");
     });
 }
 
 // Each way in which an answer may say where it ends, to a client of either version.
 #[test]
-fn long_answers_of_every_form_come_whole_and_what_breaks_off_is_told() {
+fn long_responses_of_every_framing_arrive_whole_and_truncation_is_visible() {
     story(async {
         let body = bytes(200_000);
         let plain = |head: &str| [head.as_bytes(), &body[..]].concat();
@@ -168,7 +168,7 @@
 // A body of 3 MB was turned away. It goes on as it comes: the target has its first bytes before the client
 // sends more.
 #[test]
-fn a_long_request_is_passed_on_as_it_comes() {
+fn a_long_request_is_streamed_to_its_target() {
     story(async {
         for told in [true, false] {
             let (listener, line) = target().await;
@@ -209,7 +209,7 @@
             client.write_all(&all[..300_000]).await.expect("written");
             first.await.expect("the target has some of it");
             client.write_all(&all[300_000..]).await.expect("written");
-            assert_eq!(ask_on(&mut client, "").await, "200 stored");
+            assert_eq!(send_request_on(&mut client, "").await, "200 stored");
             assert!(serving.await.expect("served") == body, "the bytes are the client's");
         }
     });
@@ -217,7 +217,7 @@
 
 // What a target has had of a long body is gone: it cannot be sent again, and its client must be told at once.
 #[test]
-fn a_long_request_that_is_turned_away_half_way_is_refused_and_one_that_may_have_run_fails() {
+fn a_long_request_rejected_half_way_is_rejected_and_one_that_may_have_run_fails() {
     story(async {
         let unseen = "HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
         for (answer, expected) in
@@ -238,7 +238,7 @@
                 .replace("Idempotency", "Content-Length: 3000000\r\nIdempotency");
             client.write_all(head.as_bytes()).await.expect("written");
             client.write_all(&bytes(600_000)).await.expect("written");
-            assert_eq!(ask_on(&mut client, "").await, expected);
+            assert_eq!(send_request_on(&mut client, "").await, expected);
             let listener = serving.await.expect("its connection was closed");
             let again = tokio::time::timeout(std::time::Duration::from_millis(100), listener.accept()).await;
             assert!(again.is_err(), "nothing is sent again");
@@ -249,13 +249,17 @@
 // Targets turned slow requests away as over, which counted as a full target: it rested, and was believed
 // slow.
 #[test]
-fn a_target_that_calls_a_request_over_is_not_full_and_not_asked_again() {
+fn a_target_that_reports_a_deadline_exceeded_is_not_full_and_gets_no_retry() {
     story(async {
         let over = "HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
         let mut target = peer(vec![Step::Answer(over.into()), ok("served")]).await;
-        let node = start(&[line(target.addr, 0, "active")], None, None).await;
-        assert_eq!(ask(node.http, &request("view", "o1", 0, "")).await, "503 retry-after");
-        assert_eq!(ask(node.http, &request("view", "o2", 0, "")).await, "200 served", "it does not rest");
+        let node = start(&[endpoint_entry(target.addr, 0, "active")], None, None).await;
+        assert_eq!(send_request(node.http, &request("view", "o1", 0, "")).await, "503 retry-after");
+        assert_eq!(
+            send_request(node.http, &request("view", "o2", 0, "")).await,
+            "200 served",
+            "it does not rest"
+        );
         for id in ["o1", "o2"] {
             assert!(target.seen.recv().await.expect("it lives").contains(id), "one attempt each");
         }
@@ -305,7 +309,7 @@
             tokio::task::yield_now().await;
             client.write_all(&bytes[cut % bytes.len()..]).await.expect("written");
             assert_eq!(
-                ask_on(&mut client, "").await,
+                send_request_on(&mut client, "").await,
                 format!("200 {}", String::from_utf8_lossy(body)),
                 "{cut}"
             );
@@ -317,7 +321,7 @@
 // called off as silent, three times over: views of 290 ms were refused after 1,447 ms, though their targets
 // served each attempt.
 #[test]
-fn an_answer_that_is_slow_to_come_is_passed_on_and_not_called_off() {
+fn a_slow_response_is_passed_on_and_not_cancelled() {
     story(async {
         let (listener, line) = target().await;
         let node = start(&[line], None, None).await;
--- a/tests/network/broken_answers.rs
+++ b/tests/network/broken_answers.rs
@@ -18,7 +18,7 @@
 
 // A reset is no end, also of an answer that says nothing of its length.
 #[test]
-fn what_is_reset_at_any_point_is_no_answer() {
+fn a_response_that_is_reset_at_any_point_is_a_failed_attempt() {
     for head in ["", "HTTP/1.1 20", "HTTP/1.1 200 OK\r\nConn", UNTIL_THE_END, OF_NINE, CHUNKED] {
         for body in ["", "half"] {
             // A chunk that is whole, but not the last.
@@ -27,12 +27,16 @@
                 let reset = Step::Reset(format!("{head}{body}"), AT_ONCE);
                 let target =
                     peer(vec![reset.clone(), ok("whole"), reset.clone(), reset.clone(), reset]).await;
-                let node = start(&[line(target.addr, 0, "active")], None, None).await;
+                let node = start(&[endpoint_entry(target.addr, 0, "active")], None, None).await;
                 let asked = Instant::now();
                 let told = format!("{head:?} {body:?}");
-                assert_eq!(ask(node.http, &request("view", "r1", 0, "")).await, "200 whole", "{told}");
+                assert_eq!(
+                    send_request(node.http, &request("view", "r1", 0, "")).await,
+                    "200 whole",
+                    "{told}"
+                );
                 // It may have run each time: it must not be refused as if it had not.
-                assert_eq!(ask(node.http, &request("deposit", "r2", 0, "x")).await, "500", "{told}");
+                assert_eq!(send_request(node.http, &request("deposit", "r2", 0, "x")).await, "500", "{told}");
                 assert!(asked.elapsed() < Duration::from_millis(1_000), "{told}: {:?}", asked.elapsed());
             });
         }
@@ -41,13 +45,13 @@
 
 // What has begun to reach its client when it breaks off: the client can tell.
 #[test]
-fn what_is_reset_on_its_way_to_the_client_does_not_look_whole() {
+fn a_response_reset_on_its_way_to_the_client_does_not_look_whole() {
     for (head, body) in [(UNTIL_THE_END, "half"), (CHUNKED, "4\r\nhalf\r\n"), (OF_NINE, "half")] {
         for version in ["1.1", "1.0"] {
             story(async move {
                 let target =
                     peer(vec![Step::Reset(format!("{head}{body}"), ON_ITS_WAY), ok("whole"), ok("x")]).await;
-                let node = start(&[line(target.addr, 0, "active")], None, None).await;
+                let node = start(&[endpoint_entry(target.addr, 0, "active")], None, None).await;
                 let mut client = TcpStream::connect(node.http).await.expect("connected");
                 let asked = request("view", "r3", 0, "").replace("HTTP/1.1", &format!("HTTP/{version}"));
                 sent(&mut client, &asked).await;
@@ -74,13 +78,13 @@
 
 // A target that hangs inside an answer, or goes on for ever with one that says no length, is left in time.
 #[test]
-fn what_hangs_half_way_is_tried_again() {
+fn a_response_that_hangs_half_way_is_retried() {
     for text in ["HTTP/1.1 200 O", OF_NINE, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"] {
         story(async move {
             let target = peer(vec![Step::Answer(text.into()), ok("whole")]).await;
-            let node = start(&[line(target.addr, 0, "active")], None, None).await;
+            let node = start(&[endpoint_entry(target.addr, 0, "active")], None, None).await;
             let asked = Instant::now();
-            assert_eq!(ask(node.http, &request("view", "r4", 0, "")).await, "200 whole", "{text:?}");
+            assert_eq!(send_request(node.http, &request("view", "r4", 0, "")).await, "200 whole", "{text:?}");
             assert!(asked.elapsed() < Duration::from_millis(600), "{text:?}: {:?}", asked.elapsed());
         });
     }
@@ -88,15 +92,15 @@
 
 // Half a line on a connection that rests is nobody's answer: the connection is of no further use.
 #[test]
-fn half_a_line_on_a_resting_connection_spoils_nothing() {
+fn stray_bytes_on_an_idle_connection_spoil_no_response() {
     story(async {
         let Step::Answer(first) = ok("one") else { unreachable!("it answers") };
         let mut target = peer(vec![Step::Answer(format!("{first}HTTP/1.1 200 O")), ok("two")]).await;
-        let node = start(&[line(target.addr, 0, "active")], None, None).await;
+        let node = start(&[endpoint_entry(target.addr, 0, "active")], None, None).await;
         let mut client = TcpStream::connect(node.http).await.expect("connected");
-        assert_eq!(ask_on(&mut client, &request("deposit", "r5", 0, "x")).await, "200 one");
+        assert_eq!(send_request_on(&mut client, &request("deposit", "r5", 0, "x")).await, "200 one");
         tokio::time::sleep(Duration::from_millis(30)).await;
-        assert_eq!(ask_on(&mut client, &request("deposit", "r6", 0, "x")).await, "200 two");
+        assert_eq!(send_request_on(&mut client, &request("deposit", "r6", 0, "x")).await, "200 two");
         let seen = [next_seen(&mut target).await, next_seen(&mut target).await];
         assert!(seen[0].contains("r5") && seen[1].contains("r6"), "{seen:?}");
     });
