--- a/crates/lab/src/routes.rs
+++ b/crates/lab/src/routes.rs
@@ -1,11 +1,17 @@
 //! Experiments on routes.
 
-use crate::outcome::{Experiment, Failure, Outcome, Run};
-use crate::world::{self, Traffic, ZONE, block_on};
+use crate::experiment::{Experiment, Runner};
+use crate::failure::Failure;
+use crate::initiators::{self, ZONE};
+use crate::outcome::Outcome;
+use crate::runtime::block_on;
+use crate::traces::{self, Traffic};
 use rowanglade_replay::Replay;
-use rowanglade_routing::check::Decision;
-use rowanglade_routing::{Front, RouteRequest, Rules, Source, TargetInfo, Terms, check, parse};
-use rowanglade_test_fleet::{Site, Usage};
+use rowanglade_routing::{
+    ClassSettings, Decision, Front, PlanSettings, Requirement, RouteRequest, RoutingRules, ServiceSettings,
+    Source, TargetInfo, check, parse,
+};
+use rowanglade_test_fleet::{ProcessUsage, StubSite};
 use std::fmt::Write;
 use std::time::{Duration, Instant};
 
@@ -13,7 +19,7 @@
 const UNDER_WAY: Duration = Duration::from_millis(150);
 
 pub fn experiments() -> Vec<Experiment> {
-    let made = |name, about, run| Experiment { name, about, run: Run::Plain(run) };
+    let made = |name, about, run| Experiment { name, about, runner: Runner::Plain(run) };
     vec![
         made(
             "routes-check",
@@ -25,11 +31,18 @@
     ]
 }
 
-fn terms() -> Terms {
-    Terms {
-        classes: vec![("view".into(), false), ("deposit".into(), true), ("export".into(), false)],
-        plans: vec![("basic".into(), Some(32.0)), ("full".into(), None)],
-        attempts: 3,
+fn settings() -> ServiceSettings {
+    ServiceSettings {
+        classes: vec![
+            ClassSettings { name: "view".into(), writes: false },
+            ClassSettings { name: "deposit".into(), writes: true },
+            ClassSettings { name: "export".into(), writes: false },
+        ],
+        plans: vec![
+            PlanSettings { name: "basic".into(), max_units_per_second: Some(32.0) },
+            PlanSettings { name: "full".into(), max_units_per_second: None },
+        ],
+        max_attempts: 3,
         drain_grace_ms: 1_000,
     }
 }
@@ -74,8 +87,8 @@
     out
 }
 
-fn parsed(text: String) -> Result<Rules, Failure> {
-    Ok(parse(&[Source { name: "made".into(), text }], &terms())?)
+fn parsed(text: String) -> Result<RoutingRules, Failure> {
+    Ok(parse(&[Source { name: "made".into(), text }], &settings())?)
 }
 
 fn routes_check() -> Result<Outcome, Failure> {
@@ -87,7 +100,7 @@
         let begun = Instant::now();
         let rules = parsed(text)?;
         let read = begun.elapsed().as_secs_f64();
-        let report = check(&rules.table, &rules.expectations, &terms(), &boxes);
+        let report = check(&rules.table, &rules.expectations, &settings(), &boxes);
         let whole = begun.elapsed().as_secs_f64();
         let holds = report.decision(&rules.expectations) == Decision::Load
             && report.lines(&rules.expectations).is_empty();
@@ -97,16 +110,16 @@
         // One of them wrong must be found among the others.
         let mut broken = rules.expectations.clone();
         if let Some(e) = broken.iter_mut().find(|e| e.name == "e7") {
-            e.must = rowanglade_routing::Must::Refused;
+            e.requirement = Requirement::Rejected;
         }
-        let decision = check(&rules.table, &broken, &terms(), &boxes).decision(&broken);
+        let decision = check(&rules.table, &broken, &settings(), &boxes).decision(&broken);
         out.claim(
             format!("{collections} collections: one wrong expectation is found"),
             decision == Decision::Refuse,
         );
         times.push(whole);
     }
-    let memory = Usage::of("self").memory as f64 / 1e6;
+    let memory = ProcessUsage::of("self").peak_memory_bytes as f64 / 1e6;
     out.figure("memory at most", memory, "MB");
     out.figure("ten times as many take", times[1] / times[0].max(1e-6), "times as long");
     out.claim("10,000 collections and 2,000 expectations in under 2 s", times[1] < 2.0);
@@ -166,13 +179,14 @@
         let folder = tempfile::tempdir()?;
         let trace = folder.path().join("made.trace");
         let traffic = Traffic { rate: 500.0, seconds: 12.0, volumes: 40, shards: 0, hosts: 1, seed: 9 };
-        let due = world::make(&trace, traffic)?;
-        let plan = rowanglade_test_fleet::BoxPlan { remember: true, ..world::plan(3, 4, 6) };
-        let site = Site::start(&vec![plan; 4], ZONE, 5).await?;
-        let daemons = world::daemons(&site, &world::header(), 1, |_| Some(version(0)))?;
+        let due = traces::generate(&trace, traffic)?;
+        let plan =
+            rowanglade_test_fleet::TargetPlan { keeps_requests: true, ..initiators::target_plan(3, 4, 6) };
+        let site = StubSite::start(&vec![plan; 4], ZONE, 5).await?;
+        let daemons = initiators::start_daemons(&site, &traces::standard_header(), 1, |_| Some(version(0)))?;
         let file = daemons[0].folder().join("operator.toml");
-        let ask = Replay { retries: false, ..Replay::to(world::addresses(&daemons)) };
-        let in_force = || daemons[0].log().iter().filter(|l| l.contains("routes are in force")).count();
+        let ask = Replay { retries: false, ..Replay::to(initiators::addresses(&daemons)) };
+        let in_force = || daemons[0].log().iter().filter(|l| l.contains("routes loaded")).count();
         let swaps = async {
             // From when until when which version alone is in force.
             let (mut spans, mut current, mut since) = (Vec::new(), 0, tokio::time::Instant::now());
@@ -200,26 +214,26 @@
             }
             Ok::<_, Failure>(spans)
         };
-        let (report, swapped) = tokio::join!(world::run(&trace, &ask), swaps);
+        let (report, swapped) = tokio::join!(traces::replay_all(&trace, &ask), swaps);
         let (report, spans) = (report?, swapped?);
         let total = report.total();
         let log = daemons[0].log();
         let with = |words: &str| log.iter().filter(|l| l.contains(words)).count();
         let (loaded, unread, refused) =
-            (with("routes are in force"), with("was not read again"), with("was refused"));
+            (with("routes loaded"), with("configuration not reloaded"), with("configuration rejected"));
         let mut out = Outcome::default();
         out.figure("requests due", due as f64, "");
         out.figure("served", total.served as f64, "");
         out.figure("tables put in force", loaded as f64, "");
         out.figure("files not read", unread as f64, "");
         out.figure("files refused", refused as f64, "");
-        for (i, each) in site.boxes.iter().enumerate() {
-            out.figure(format!("requests at box {i}"), each.counters().taken as f64, "");
+        for (i, each) in site.targets.iter().enumerate() {
+            out.figure(format!("requests at box {i}"), each.counters().received as f64, "");
         }
         // Within a version's span the moved volumes go to its box alone.
         let (mut judged, mut astray) = (0, 0);
-        for (i, each) in site.boxes.iter().enumerate() {
-            for (at, target) in each.seen() {
+        for (i, each) in site.targets.iter().enumerate() {
+            for (at, target) in each.received() {
                 let volume = target.split('/').nth(2).and_then(|v| u64::from_str_radix(v, 16).ok());
                 let moved = volume.is_some_and(|v| v <= 0x14);
                 let span = spans.iter().find(|(from, until, _)| (*from..*until).contains(&at));
@@ -231,11 +245,14 @@
         }
         out.figure("requests of moved volumes within one version's span", judged as f64, "");
         out.claim("none of them went to a box that its version forbids", judged > 1_000 && astray == 0);
-        let lines = world::logged(&daemons[0], due).await?.len() as u64;
+        let lines = initiators::access_log(&daemons[0], due).await?.len() as u64;
         out.claim("each request has one last word", total.due == due && lines == due);
         out.claim("none is lost", total.lost + total.failed + total.unsent == 0);
         out.claim("nearly all are served", total.served as f64 >= 0.98 * due as f64);
-        out.claim("none went to the box that every version forbids", site.boxes[0].counters().taken == 0);
+        out.claim(
+            "none went to the box that every version forbids",
+            site.targets[0].counters().received == 0,
+        );
         out.claim("eight tables were put in force, two files were not", (loaded, unread + refused) == (8, 2));
         Ok(out)
     })
--- a/crates/lab/src/upgrade.rs
+++ b/crates/lab/src/upgrade.rs
@@ -1,10 +1,14 @@
 //! The process is replaced under load, twice.
 
-use crate::outcome::{Experiment, Failure, Outcome, Run};
-use crate::world::{self, ZONE, block_on};
+use crate::experiment::{Experiment, Runner};
+use crate::failure::Failure;
+use crate::initiators::{self, ZONE};
+use crate::outcome::Outcome;
+use crate::runtime::block_on;
+use crate::traces;
 use rowanglade_capture::{Record, TraceWriter};
 use rowanglade_replay::Replay;
-use rowanglade_test_fleet::{BoxPlan, Daemon, Meeting, Signal, Site, Start, settings};
+use rowanglade_test_fleet::{Daemon, DaemonPlan, HandoverPaths, Signal, StubSite, TargetPlan, settings};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::path::Path;
@@ -16,7 +20,7 @@
 pub fn experiments() -> Vec<Experiment> {
     let about =
         "the process replaced twice under load: requests lost, units over the limit, what both take up";
-    vec![Experiment { name: "replace", about, run: Run::Plain(replace) }]
+    vec![Experiment { name: "replace", about, runner: Runner::Plain(replace) }]
 }
 
 const SECONDS: f64 = 12.0;
@@ -27,7 +31,7 @@
 
 /// Requests of many volumes without a limit, a write among four, and of one that asks for twice its limit.
 fn make(path: &Path) -> Result<u64, Failure> {
-    let mut writer = TraceWriter::create(path, &world::header())?;
+    let mut writer = TraceWriter::create(path, &traces::standard_header())?;
     let rate = 220.0;
     for i in 0..(rate * SECONDS) as u64 {
         let limited = i % 11 < 3;
@@ -62,7 +66,7 @@
         }
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    Err("it does not get ready".into())
+    Err(Failure::Unexpected("it does not get ready"))
 }
 
 /// Descriptors that a process holds.
@@ -82,28 +86,28 @@
         let folder = tempfile::tempdir()?;
         let trace = folder.path().join("made.trace");
         make(&trace)?;
-        let remember = |plan| BoxPlan { remember: true, ..plan };
-        let plans = [remember(world::plan(2, 3, 5)), remember(world::plan(2, 3, 5))];
-        let site = Site::start(&plans, ZONE, 5).await?;
+        let remember = |plan| TargetPlan { keeps_requests: true, ..plan };
+        let plans = [remember(initiators::target_plan(2, 3, 5)), remember(initiators::target_plan(2, 3, 5))];
+        let site = StubSite::start(&plans, ZONE, 5).await?;
         let start = |listen: Option<SocketAddr>| -> Result<Daemon, Failure> {
-            Ok(Daemon::start(&Start {
+            Ok(Daemon::start(&DaemonPlan {
                 name: "lab".into(),
                 program: std::env::current_exe()?,
                 args: vec!["rowanglade".into()],
-                settings: settings(&world::header(), 1, ZONE, 2),
+                settings: settings(&traces::standard_header(), 1, ZONE, 2),
                 discovery: site.discovery.addr(),
                 sockets: SOCKETS,
                 memory_mb: 192,
                 operator: None,
-                meeting: Some(Meeting { folder: folder.path().to_path_buf(), listen }),
+                handover: Some(HandoverPaths { folder: folder.path().to_path_buf(), listen }),
                 env: Vec::new(),
             })?)
         };
         let born = tokio::time::Instant::now();
         let first = start(None)?;
         let addr = first.http;
-        healthy(first.admin.ok_or("nobody answers operators")?).await?;
-        let processes = Rc::new(RefCell::new(vec![first.process()]));
+        healthy(first.admin.ok_or(Failure::Unexpected("nobody answers operators"))?).await?;
+        let processes = Rc::new(RefCell::new(vec![first.pid()]));
         let peak = Rc::new(Cell::new((0, 0)));
         let watch = {
             let (processes, peak) = (Rc::clone(&processes), Rc::clone(&peak));
@@ -124,8 +128,8 @@
                 tokio::time::sleep(Duration::from_secs_f64(wait)).await;
                 let begun = tokio::time::Instant::now();
                 let next = start(Some(addr))?;
-                processes.borrow_mut().push(next.process());
-                healthy(next.admin.ok_or("nobody answers operators")?).await?;
+                processes.borrow_mut().push(next.pid());
+                healthy(next.admin.ok_or(Failure::Unexpected("nobody answers operators"))?).await?;
                 took.push(begun.elapsed().as_secs_f64() * 1e3);
                 serving.signal(Signal::SIGTERM)?;
                 for _ in 0..500 {
@@ -141,7 +145,7 @@
             Ok::<_, Failure>((took, ended, serving))
         };
         let ask = Replay { retries: false, ..Replay::to(vec![addr]) };
-        let (report, replaced) = tokio::join!(world::run(&trace, &ask), replacing);
+        let (report, replaced) = tokio::join!(traces::replay_all(&trace, &ask), replacing);
         let (report, (took, ended, _serving)) = (report?, replaced?);
         watch.abort();
 
@@ -149,7 +153,7 @@
         // Of the limited volume, whose box nobody else uses: the store is empty when the first process
         // starts, so no more may have come at any time than what has filled it since, and the slack.
         let seen: Vec<f64> = {
-            let seen = site.boxes[0].seen();
+            let seen = site.targets[0].received();
             seen.iter().map(|(at, _)| at.duration_since(born).as_secs_f64()).collect()
         };
         let over = seen.iter().enumerate().map(|(i, at)| (i + 1) as f64 - LIMIT * at - SLACK);
--- a/src/cli/progress.rs
+++ b/src/cli/progress.rs
@@ -1,26 +1,28 @@
-//! How far long work is, on standard error where that is a terminal.
+//! The progress of long work, on standard error where that is a terminal.
 
 use std::io::{IsTerminal, Write, stderr};
 use std::time::{Duration, Instant};
 
-const EVERY: Duration = Duration::from_millis(200);
+/// How often the line is written: a reader sees no more.
+const REFRESH_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A line that is written over and over, and taken away in the end.
+/// A line that is rewritten in place, and cleared when it is dropped.
 pub struct Line {
     shown: bool,
-    last: Instant,
+    last_written_at: Instant,
     terminal: bool,
 }
 
 impl Line {
+    /// A line that is not written yet.
     pub fn new() -> Line {
-        Line { shown: false, last: Instant::now(), terminal: stderr().is_terminal() }
+        Line { shown: false, last_written_at: Instant::now(), terminal: stderr().is_terminal() }
     }
 
-    /// Shows what `text` makes, unless the last was shown a moment ago.
+    /// Writes what `text` returns, unless the line was written a moment ago.
     pub fn show(&mut self, text: impl FnOnce() -> String) {
-        if self.terminal && self.last.elapsed() >= EVERY {
-            self.last = Instant::now();
+        if self.terminal && self.last_written_at.elapsed() >= REFRESH_INTERVAL {
+            self.last_written_at = Instant::now();
             self.shown = true;
             let _ = write!(stderr(), "\r\x1b[2K{}", text());
         }
--- a/src/core/actor/endpoint_updates.rs
+++ b/src/core/actor/endpoint_updates.rs
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Peers report that these targets drain: nothing new goes to them until discovery is heard.
+    /// Peers report that these targets drain: nothing new goes to them until discovery answers.
     pub(super) fn peers_report_draining(&mut self, targets: &[String]) {
         let changed = self.endpoints.report_draining(self.clock.now(), &self.names, targets);
         self.diagnostics.counters.drain_gossip_applied += changed.len() as u64;
@@ -41,7 +41,7 @@
             return;
         }
         let entries = self.endpoints.entries(&self.names, changed);
-        // Who may be reached is told before the entries, which may dispatch what waits.
+        // The scheduler gets the target sets before the entries, which may dispatch queued requests.
         self.routes.apply_changes(self.endpoints.effective_of(changed));
         self.publish_target_sets();
         self.endpoints.bump_revision();
@@ -97,17 +97,15 @@
         let Some(subset) = &mut self.subset else { return };
         let active = self.endpoints.active().map(|target| target.effective.name.clone());
         let Some(change) = subset.update_targets(active.collect()) else { return };
-        let preferred = subset.preferred();
-        if change.includes_all_targets && !preferred.is_empty() {
-            tracing::warn!(targets = preferred.len(), "the subset holds all targets: none is preferred");
+        let mine = subset.preferred();
+        if change.includes_all_targets && !mine.is_empty() {
+            tracing::warn!(targets = mine.len(), "subset holds all targets, none preferred");
         } else {
             let (came, left) = (change.added.len(), change.removed.len());
-            tracing::info!(?preferred, came, left, "new objects");
+            tracing::info!(preferred = ?mine, came, left, "preferred targets changed");
         }
-        let preferred = preferred
-            .iter()
-            .filter(|_| !change.includes_all_targets)
-            .filter_map(|name| self.names.target(name));
+        let preferred =
+            mine.iter().filter(|_| !change.includes_all_targets).filter_map(|name| self.names.target(name));
         let event = Event::PreferredTargets(preferred.collect());
         self.apply_event(event);
     }
--- a/src/core/endpoints.rs
+++ b/src/core/endpoints.rs
@@ -1,11 +1,13 @@
 //! The known targets: what discovery, peers, operators and judged sites say of each, and what follows from
 //! all of them.
 
+mod updates;
+
 use crate::core::attempt::{Connect, TargetMessage};
 use crate::core::endpoint::{Endpoint, Protocol};
 use crate::core::site_monitor::{SiteMonitor, SiteSettings};
 use crate::core::start_times::StartTimes;
-use crate::interface::{EndpointEntry, EndpointUpdateKind, Micros, ShardId, TargetId, TargetState};
+use crate::interface::{EndpointEntry, Micros, ShardId, TargetId, TargetState};
 use crate::names::Names;
 use rowanglade_maintenance::{Maintenance, State};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
@@ -38,7 +40,7 @@
 /// All listed targets. What a change costs goes with what has changed, beyond a look at each entry that came.
 pub(super) struct Endpoints {
     targets: BTreeMap<TargetId, Target>,
-    /// Targets that peers report as draining, while discovery itself has not been heard.
+    /// Targets that peers report as draining, while discovery itself does not answer.
     draining_by_gossip: BTreeSet<TargetId>,
     /// Absent: no part of a snapshot has come.
     partial_snapshot: Option<PartialSnapshot>,
@@ -118,112 +120,7 @@
         self.maintenance = maintenance;
     }
 
-    /// Takes an update of one list, or a part of one, and returns the targets that it changed. Targets of
-    /// another protocol are not in that list, and stay.
-    pub(super) fn update(
-        &mut self,
-        now: Micros,
-        names: &mut Names,
-        protocol: Protocol,
-        kind: EndpointUpdateKind,
-        mut entries: Vec<Endpoint>,
-        more: bool,
-    ) -> Vec<TargetId> {
-        if matches!(kind, EndpointUpdateKind::Snapshot | EndpointUpdateKind::Cached) {
-            entries.extend(self.left_out_of_snapshot(names, protocol, &entries, more));
-        }
-        if protocol == Protocol::Http {
-            if kind == EndpointUpdateKind::Delta && !more {
-                entries.extend(self.gossip_refuted_by(&entries));
-            }
-            if !more {
-                self.draining_by_gossip.clear();
-            }
-        }
-        entries.into_iter().filter_map(|reported| self.update_entry(now, names, reported)).collect()
-    }
-
-    /// Notes whom a part of a snapshot names. At the snapshot's end: the targets of its list that no part has
-    /// named, as removed.
-    fn left_out_of_snapshot(
-        &mut self,
-        names: &mut Names,
-        protocol: Protocol,
-        entries: &[Endpoint],
-        more: bool,
-    ) -> Vec<Endpoint> {
-        let partial = self.partial_snapshot.take().filter(|partial| partial.protocol == protocol);
-        let mut members = partial.map_or_else(HashSet::new, |partial| partial.members);
-        members.extend(entries.iter().map(|reported| names.intern_target(&reported.name)));
-        if more {
-            self.partial_snapshot = Some(PartialSnapshot { protocol, members });
-            return Vec::new();
-        }
-        let listed = self.targets.iter().filter(|(_, target)| target.reported.protocol == protocol);
-        let left_out = listed.filter(|(id, _)| !members.contains(id));
-        left_out
-            .map(|(_, target)| Endpoint { state: TargetState::Removed, ..target.reported.clone() })
-            .collect()
-    }
-
-    /// The targets that peers reported as draining, and of which discovery, which has been heard now, tells no
-    /// change: as discovery had them.
-    fn gossip_refuted_by(&self, changes: &[Endpoint]) -> Vec<Endpoint> {
-        let changed: HashSet<&str> = changes.iter().map(|change| change.name.as_str()).collect();
-        let draining = self.draining_by_gossip.iter().filter_map(|id| self.targets.get(id));
-        let unchanged = draining.filter(|target| !changed.contains(target.reported.name.as_str()));
-        unchanged.map(|target| Endpoint { state: TargetState::Active, ..target.reported.clone() }).collect()
-    }
-
-    /// Takes an entry of a list. `None`: it changes nothing.
-    fn update_entry(&mut self, now: Micros, names: &mut Names, reported: Endpoint) -> Option<TargetId> {
-        let id = names.intern_target(&reported.name);
-        if reported.protocol == Protocol::Http {
-            // Discovery's own word holds again.
-            self.draining_by_gossip.remove(&id);
-        }
-        self.maintenance.endpoint_reported(
-            &reported.name,
-            maintenance_state(reported.state),
-            reported.started,
-        );
-        if let Some(sites) = &mut self.sites {
-            sites.endpoint_listed(now, &reported);
-        }
-        self.check_clock(now, id, &reported);
-        let effective = self.effective(now, &reported);
-        match self.targets.get_mut(&id) {
-            Some(target) if target.reported.addr == reported.addr => {
-                // A start that lay in the future counts from when it was reported first.
-                let same_start = target.reported.started == reported.started;
-                let started = if same_start { target.effective.started } else { effective.started };
-                let effective = Endpoint { started, ..effective };
-                let changed = target.effective != effective;
-                (target.reported, target.effective) = (reported, effective);
-                changed.then_some(id)
-            }
-            None if reported.state == TargetState::Removed => None,
-            _ => {
-                // Sessions are kept up whether or not they are used.
-                let mailbox = (reported.protocol == Protocol::Iscsi).then(|| self.start_actor(&effective));
-                self.targets.insert(id, Target { reported, effective, mailbox });
-                Some(id)
-            }
-        }
-    }
-
-    /// Learns from a target's restart whether this process's clock is ahead.
-    fn check_clock(&mut self, now: Micros, id: TargetId, reported: &Endpoint) {
-        let before = self.targets.get(&id).map(|target| target.reported.started);
-        if let (Some(before), Some(started)) = (before, reported.started)
-            && before != reported.started
-            && self.start_times.restarted(now, started)
-        {
-            tracing::warn!(target = reported.name, "the wall clock was ahead when this process started");
-        }
-    }
-
-    /// Peers report that these targets drain: nothing new goes to them until discovery is heard. Returns the
+    /// Peers report that these targets drain: nothing new goes to them until discovery answers. Returns the
     /// targets that this changed.
     pub(super) fn report_draining(
         &mut self,
@@ -263,7 +160,7 @@
     }
 
     /// Whether maintenance or a lost site keeps requests from a target. One that discovery has drain is not
-    /// held by its site: nobody would tell its connections that it is back.
+    /// held by its site: nobody would inform its connections that it is back.
     pub(super) fn is_held_out(&self, now: Micros, id: TargetId) -> bool {
         self.targets.get(&id).is_some_and(|target| {
             let held_by_site = target.reported.state == TargetState::Active
@@ -273,7 +170,7 @@
     }
 
     /// Works out anew what holds for targets, of which others than discovery have said that they drain or are
-    /// back, and tells their actors. Returns the targets that this changed.
+    /// back, and informs their actors. Returns the targets that this changed.
     pub(super) fn refresh(&mut self, now: Micros, targets: &[TargetId], draining: bool) -> Vec<TargetId> {
         let mut changed = Vec::with_capacity(targets.len());
         for id in targets {
@@ -284,13 +181,13 @@
                 target.effective = effective;
                 changed.push(*id);
             }
-            // An actor that begins later is told then.
+            // An actor that starts later is informed then.
             if let Some(mailbox) = &target.mailbox
                 && mailbox.try_send(TargetMessage::SetDraining(draining)).is_err()
             {
                 tracing::warn!(
                     target = target.reported.name,
-                    "its connections are not told that it rests or is back"
+                    "draining state not sent to target's connections, mailbox full"
                 );
             }
         }
@@ -323,7 +220,7 @@
         ids.iter().filter_map(|id| Some((*id, &self.targets.get(id)?.effective)))
     }
 
-    /// The same, as the scheduler is told.
+    /// The same, as the scheduler takes it.
     pub(super) fn entries(&self, names: &Names, ids: &[TargetId]) -> Vec<EndpointEntry> {
         let entry = |(target, endpoint): (TargetId, &Endpoint)| EndpointEntry {
             target,
--- a/src/core/quota.rs
+++ b/src/core/quota.rs
@@ -55,15 +55,15 @@
 
     /// Asks all peers for what is needed, if it is time for that.
     pub(super) fn poll(&mut self, now: Micros) {
-        if let Some(request) = self.exchange.poll(now) {
-            self.send((None, request));
+        if let Some(want) = self.exchange.poll(now) {
+            self.send((None, want));
         }
     }
 
     /// Handles a peer's datagram; the answer goes back to it.
     pub(super) fn handle(&mut self, now: Micros, from: Peer, message: &Message, buckets: &mut dyn Buckets) {
-        let mut buckets = NamedBuckets { buckets, volumes: &self.volumes };
-        if let Some(answer) = self.exchange.handle_message(now, from, message, &mut buckets) {
+        let mut store = NamedBuckets { buckets, volumes: &self.volumes };
+        if let Some(answer) = self.exchange.handle_message(now, from, message, &mut store) {
             self.send((Some(from), answer));
         }
     }
@@ -76,7 +76,7 @@
 
 /// The scheduler's token buckets, as the exchange needs them.
 pub(super) trait Buckets {
-    /// Takes unused units out of a volume's bucket, `max_units` at most, and tells how many they were.
+    /// Takes unused units out of a volume's bucket, `max_units` at most, and returns how many they were.
     fn offer(&mut self, volume: VolumeId, max_units: f64) -> f64;
     /// Adds units to a volume's bucket, as many as it has room for.
     fn receive(&mut self, volume: VolumeId, units: f64);
@@ -101,7 +101,7 @@
     }
 }
 
-/// Thousandths of a unit, rounded down: what is told is never more than there was.
+/// Thousandths of a unit, rounded down: what is reported is never more than there was.
 fn milli(units: f64) -> MilliUnits {
     (units * 1e3).clamp(0.0, f64::from(MilliUnits::MAX)) as MilliUnits
 }
--- a/src/core/site_monitor.rs
+++ b/src/core/site_monitor.rs
@@ -1,4 +1,4 @@
-//! What attempts, probes and the endpoint list tell of sites, and what follows for a site's targets.
+//! What attempts, probes and the endpoint list reveal of sites, and what follows for a site's targets.
 
 use crate::core::endpoint::Endpoint;
 use crate::interface::{Micros, Outcome, TargetState};
@@ -111,15 +111,19 @@
 fn log_change(site: &str, change: SiteChange) {
     match change {
         SiteChange::Lost { failing, targets, ejection_time } => {
-            tracing::warn!(site, failing, of = targets, hold_ms = ejection_time / 1_000, "a site is lost");
+            tracing::warn!(site, failing, of = targets, hold_ms = ejection_time / 1_000, "site lost");
         }
         SiteChange::Returning { responding, targets } => {
-            tracing::info!(site, answering = responding, of = targets, "a site returns");
+            tracing::info!(site, answering = responding, of = targets, "site recovery started");
         }
         SiteChange::RampRestarted { latency_percent } => {
-            tracing::warn!(site, percent = latency_percent, "a returning site is slow; its ramp begins anew");
+            tracing::warn!(
+                site,
+                percent = latency_percent,
+                "returning site is slow, recovery ramp restarted"
+            );
         }
-        SiteChange::Recovered => tracing::info!(site, "a site is back"),
+        SiteChange::Recovered => tracing::info!(site, "site recovered"),
     }
 }
 
--- a/src/net/http/handler.rs
+++ b/src/net/http/handler.rs
@@ -1,7 +1,7 @@
 //! The handler of one request of a platform's client.
 
 use super::clients::ClientConnection;
-use super::message::{self, LARGEST_BODY};
+use super::message::{self, MAX_BODY_BYTES};
 use super::request_body::{BodyBudget, RequestBody};
 use super::response_body::HttpBody;
 use super::server::Front;
@@ -18,7 +18,7 @@
 
 /// What the rest of a long body takes up at most, in the buffers that it passes through.
 const UPLOAD_BUFFER_BYTES: usize = 192 * 1024;
-/// Retry-After of a request for whose body there is no memory: bodies under way are done by then.
+/// Retry-After of a request for whose body there is no memory.
 const NO_CAPACITY_RETRY_AFTER: Duration = Duration::from_millis(100);
 /// The path at which the platform asks whether this initiator is ready.
 const READINESS_PATH: &str = "/up";
@@ -103,7 +103,7 @@
     connection: Option<&ClientConnection>,
 ) -> Result<ContentResponse, ContentResponse> {
     let declared_length = declared_length(http_request);
-    if declared_length.is_some_and(|length| length > LARGEST_BODY) {
+    if declared_length.is_some_and(|length| length > MAX_BODY_BYTES) {
         return Err(message::status(StatusCode::PAYLOAD_TOO_LARGE));
     }
     let client = http_request.peer_addr();
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -4,6 +4,19 @@
 //! Each shard has a queue of requests in earliest-deadline order with capped overtakes. Requests are rejected
 //! on arrival by predicted completion; background work is always admitted. The units in flight at a target
 //! stay below a limit that follows its learned speed.
+//!
+//! A request passes through the modules in this order:
+//!
+//! 1. `admission` rejects it or admits it; a new object first gets its shard from `placement`;
+//! 2. `queue_order` queues it at its shard;
+//! 3. `dispatch` sends it to its target as soon as the rules on sends allow it, or `giving_up` ends its wait;
+//! 4. `outcomes` acts on the end of an attempt: `learning` and `backoff` first, then `retry`, which queues
+//!    the request again or ends it;
+//! 5. `responses` gives it its final response and removes it.
+//!
+//! `timers` repeats what depends on time alone.
+
+#![warn(missing_docs)]
 
 use crate::interface::{Action, Event, Micros, RequestId, Settings, SettingsError, VolumeId};
 use rowanglade_slow_start::SlowStartRule;
@@ -60,7 +73,8 @@
 /// Later than any time that counts, and small enough that times can be added to it.
 const NEVER: Micros = 1_000_000_000_000_000;
 /// Final responses leave this long before the client's deadline, and no attempt starts after that: a response
-/// that reaches the client at its deadline is lost.
+/// that reaches the client at its deadline is lost. The figure is not explained
+/// (docs/design/open-questions.md).
 const RESPONSE_MARGIN_MICROS: Micros = 4_000;
 
 /// What only one process of an initiator may spend: units of limits, and budgets of warming targets.
@@ -118,8 +132,17 @@
         self.ownership.since.get_or_insert(now);
         match event {
             Event::RequestArrived(profile) => self.request_arrived(now, profile, actions),
-            Event::AttemptEnded { id, attempt, outcome, elapsed, request_over, used, elsewhere, .. } => {
-                let report = UsageReport { outcome, used_fraction: used, units_elsewhere: elsewhere };
+            Event::AttemptEnded {
+                id,
+                attempt,
+                outcome,
+                elapsed,
+                request_over,
+                used_fraction,
+                units_elsewhere,
+                ..
+            } => {
+                let report = UsageReport { outcome, used_fraction, units_elsewhere };
                 self.record_usage(now, id, report);
                 let end = AttemptEnd { id, attempt, outcome, elapsed, request_over };
                 self.attempt_ended(now, end, actions);
@@ -136,7 +159,7 @@
             Event::OfferQuota { volume, max_units } => self.offer_quota(now, volume, max_units, actions),
             Event::QuotaReceived { volume, units } => self.quota.receive(now, volume, units),
             Event::ProbeEnded { .. } => {}
-            Event::OwnershipTransferred(is_transferred) => self.ownership.is_transferred = is_transferred,
+            Event::OwnershipChanged { owned_here } => self.ownership.is_transferred = !owned_here,
             Event::TimerFired { token } => {
                 if self.timers.take_if_current(token) {
                     self.tick(now, actions);
--- a/src/scheduler/fairness.rs
+++ b/src/scheduler/fairness.rs
@@ -11,12 +11,15 @@
 /// shard with free capacity soon admits all that is asked for. The figures of the level came with the first
 /// version (docs/design/open-questions.md).
 const LEVEL_RISE_PER_SECOND: f64 = 0.5;
-/// It falls e-fold in a second in which a tenth of what is asked for is within the share and rejected.
+/// The exponent by which it falls when all that is asked for is within the share and rejected. With the rise
+/// it settles where a twentieth of the units within the share is rejected: high enough to use the target
+/// fully.
 const LEVEL_FALL_PER_REJECTED_FRACTION: f64 = 10.0;
 /// It never falls below this fraction of the largest excess: a plan may have no reserve to live on, and its
 /// volumes must not stay shut out after an overload.
 const MIN_LEVEL_FRACTION: f64 = 0.1;
-/// The largest step of time, in seconds, that the level rises at once.
+/// The largest step of time, in seconds, that the level rises at once: while nothing is asked for, nothing
+/// shows that more could be served.
 const MAX_LEVEL_STEP_SECONDS: f64 = 1.0;
 /// The smallest weight that an excess is divided by.
 const SMALLEST_WEIGHT: f64 = 1e-9;
