--- a/src/core/quota.rs
+++ b/src/core/quota.rs
@@ -55,15 +55,15 @@
 
     /// Asks all peers for what is needed, if it is time for that.
     pub(super) fn poll(&mut self, now: Micros) {
-        if let Some(request) = self.exchange.poll(now) {
-            self.send((None, request));
+        if let Some(want) = self.exchange.poll(now) {
+            self.send((None, want));
         }
     }
 
     /// Handles a peer's datagram; the answer goes back to it.
     pub(super) fn handle(&mut self, now: Micros, from: Peer, message: &Message, buckets: &mut dyn Buckets) {
-        let mut buckets = NamedBuckets { buckets, volumes: &self.volumes };
-        if let Some(answer) = self.exchange.handle_message(now, from, message, &mut buckets) {
+        let mut store = NamedBuckets { buckets, volumes: &self.volumes };
+        if let Some(answer) = self.exchange.handle_message(now, from, message, &mut store) {
             self.send((Some(from), answer));
         }
     }
