--- a/src/core/quota.rs
+++ b/src/core/quota.rs
@@ -55,15 +55,15 @@
 
     /// Asks all peers for what is needed, if it is time for that.
     pub(super) fn poll(&mut self, now: Micros) {
-        if let Some(want) = self.exchange.poll(now) {
-            self.send((None, want));
+        if let Some(request) = self.exchange.poll(now) {
+            self.send((None, request));
         }
     }
 
     /// Handles a peer's datagram; the answer goes back to it.
     pub(super) fn handle(&mut self, now: Micros, from: Peer, message: &Message, buckets: &mut dyn Buckets) {
-        let mut store = NamedBuckets { buckets, volumes: &self.volumes };
-        if let Some(answer) = self.exchange.handle_message(now, from, message, &mut store) {
+        let mut buckets = NamedBuckets { buckets, volumes: &self.volumes };
+        if let Some(answer) = self.exchange.handle_message(now, from, message, &mut buckets) {
             self.send((Some(from), answer));
         }
     }
