--- a/src/core/actor/attempt_results.rs
+++ b/src/core/actor/attempt_results.rs
@@ -80,8 +80,8 @@
         let Some(shard) = self.endpoints.get(target).map(|target| target.reported.shard) else { return };
         let object = (request.volume, request.object);
         let sighting = match outcome {
-            Outcome::Served => self.object_locations.served(object, request.shard, shard),
-            Outcome::DeadlineExceeded => self.object_locations.turned_away(object, shard),
+            Outcome::Served => self.object_locations.record_served(object, request.shard, shard),
+            Outcome::DeadlineExceeded => self.object_locations.record_rejected(object, shard),
             _ => None,
         };
         if let Some(sighting) = sighting {
--- a/src/core/actor/endpoint_updates.rs
+++ b/src/core/actor/endpoint_updates.rs
@@ -96,15 +96,18 @@
     fn publish_preferred_targets(&mut self) {
         let Some(subset) = &mut self.subset else { return };
         let active = self.endpoints.active().map(|target| target.effective.name.clone());
-        let Some(moved) = subset.listed(active.collect()) else { return };
-        let mine = subset.mine();
-        if moved.all && !mine.is_empty() {
-            tracing::warn!(targets = mine.len(), "subset holds all targets, none preferred");
+        let Some(change) = subset.update_targets(active.collect()) else { return };
+        let preferred = subset.preferred();
+        if change.includes_all_targets && !preferred.is_empty() {
+            tracing::warn!(targets = preferred.len(), "subset holds all targets, none preferred");
         } else {
-            let (came, left) = (moved.came.len(), moved.left.len());
-            tracing::info!(preferred = ?mine, came, left, "preferred targets changed");
+            let (came, left) = (change.added.len(), change.removed.len());
+            tracing::info!(?preferred, came, left, "preferred targets changed");
         }
-        let preferred = mine.iter().filter(|_| !moved.all).filter_map(|name| self.names.target(name));
+        let preferred = preferred
+            .iter()
+            .filter(|_| !change.includes_all_targets)
+            .filter_map(|name| self.names.target(name));
         let event = Event::PreferredTargets(preferred.collect());
         self.apply_event(event);
     }
--- a/src/core/dependencies.rs
+++ b/src/core/dependencies.rs
@@ -5,7 +5,7 @@
 use crate::core::quota::QuotaPeers;
 use crate::core::routes::LoadedRoutes;
 use crate::core::site_monitor::SiteSettings;
-use rowanglade_object_locations::{Object, Seen};
+use rowanglade_object_locations::{ObjectKey, Observation};
 use rowanglade_subset::Subset;
 use std::sync::Arc;
 use tokio::sync::{mpsc, watch};
@@ -23,7 +23,7 @@
     /// Commands that hold here, for the other process, if there is one.
     pub admin_commands: mpsc::Sender<AdminCommand>,
     /// Where objects were seen, for the other process.
-    pub object_sightings: mpsc::Sender<(Object, Seen)>,
+    pub object_sightings: mpsc::Sender<(ObjectKey, Observation)>,
     /// Absent where sites are not judged.
     pub sites: Option<SiteSettings>,
     /// Absent where no target is preferred to others.
--- a/src/core/handover_port.rs
+++ b/src/core/handover_port.rs
@@ -2,7 +2,7 @@
 
 use crate::core::admin::AdminCommand;
 use crate::core::handover_request::HandoverRequest;
-use rowanglade_object_locations::{Object, Seen};
+use rowanglade_object_locations::{ObjectKey, Observation};
 use tokio::sync::mpsc;
 
 /// The core's end of its channels to the handover's actor.
@@ -11,7 +11,7 @@
     /// What a handover asks of the core.
     pub(super) requests: mpsc::Receiver<HandoverRequest>,
     admin_commands: mpsc::Sender<AdminCommand>,
-    sightings: mpsc::Sender<(Object, Seen)>,
+    sightings: mpsc::Sender<(ObjectKey, Observation)>,
     /// Another process owns what was owned here.
     handed_over: bool,
 }
@@ -21,7 +21,7 @@
     pub(super) fn new(
         requests: mpsc::Receiver<HandoverRequest>,
         admin_commands: mpsc::Sender<AdminCommand>,
-        sightings: mpsc::Sender<(Object, Seen)>,
+        sightings: mpsc::Sender<(ObjectKey, Observation)>,
     ) -> HandoverPort {
         HandoverPort { requests, admin_commands, sightings, handed_over: false }
     }
@@ -42,7 +42,7 @@
 
     /// Sends the other process the location at which an object was seen. Without another process nobody takes
     /// it; what finds no room is learned there by asking.
-    pub(super) fn send_sighting(&self, sighting: (Object, Seen)) {
+    pub(super) fn send_sighting(&self, sighting: (ObjectKey, Observation)) {
         let _ = self.sightings.try_send(sighting);
     }
 }
--- a/src/handover/message.rs
+++ b/src/handover/message.rs
@@ -4,7 +4,7 @@
 use crate::interface::Micros;
 use crate::net::http::EndpointPage;
 use rowanglade_handover::MessageKind;
-use rowanglade_object_locations::{Object, Seen};
+use rowanglade_object_locations::{ObjectKey, Observation};
 use serde::{Deserialize, Serialize};
 use std::os::fd::OwnedFd;
 
@@ -46,7 +46,7 @@
     pub admin_command: Option<AdminCommand>,
     /// Where an object was seen by the other process.
     #[serde(rename = "seen")]
-    pub object_seen: Option<(Object, Seen)>,
+    pub object_seen: Option<(ObjectKey, Observation)>,
     /// The predecessor uses less than before.
     pub share: Option<DescriptorShare>,
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -5,10 +5,10 @@
 pub mod budget;
 pub mod close;
 pub mod drain_gossip;
-pub mod fleet;
 pub mod http;
 pub mod iscsi;
 mod phase;
+pub mod quota_exchange;
 
 pub use budget::{DescriptorBudget, OptionalParts, Reservations};
 pub use phase::Phase;
--- a/tests/compatibility/configuration.rs
+++ b/tests/compatibility/configuration.rs
@@ -6,7 +6,7 @@
 use rowanglade::interface::{DeduplicationScope, Idempotency};
 use rowanglade::names::Names;
 use rowanglade_discovery_polling::Delivery;
-use rowanglade_subset::{Rule, Subset};
+use rowanglade_subset::{Subset, SubsetConfig};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -145,13 +145,16 @@
     assert_eq!(target.name, "iqn.2026-12.example.kingston:box-0");
     assert_eq!((target.addr, target.zone.as_str(), target.shard), (addr(3261), "kingston", 4));
     let fleet = config.fleet.expect("a fleet");
-    assert_eq!((fleet.me.0, fleet.key), (1, [7; 32]));
+    assert_eq!((fleet.own.0, fleet.key), (1, [7; 32]));
     assert_eq!(fleet.addrs, [addr(7946), addr(7947)]);
     let sites = config.sites.expect("sites");
     assert_eq!(sites.names.iter().collect::<Vec<_>>(), ["negril"]);
     let rules = sites.rules;
-    assert_eq!((rules.window, rules.part, rules.hold), (1_100_000, 0.875, 5_100_000));
-    assert_eq!((rules.longest_hold, rules.probe_every, rules.slow_times), (61_000_000, 510_000, 3.5));
+    assert_eq!((rules.evidence_window, rules.quorum, rules.ejection_time), (1_100_000, 0.875, 5_100_000));
+    assert_eq!(
+        (rules.max_ejection_time, rules.probe_interval, rules.slow_factor),
+        (61_000_000, 510_000, 3.5)
+    );
     let routes = config.routing.rules;
     assert_eq!(
         (routes.table.pools().len(), routes.table.routes().len(), routes.expectations.len()),
@@ -162,6 +165,6 @@
 // What it holds is private: it is told apart by its debug form, as that of one with the same figures.
 #[test]
 fn every_key_of_the_subset_is_read() {
-    let expected = Subset::new(Rule { size: 2, spread: 1.5 }, 1, 3);
+    let expected = Subset::new(SubsetConfig { size: 2, spread: 1.5 }, 1, 3);
     assert_eq!(format!("{:?}", load().subset.expect("a subset")), format!("{expected:?}"));
 }
