--- a/crates/lab/src/failure.rs
+++ b/crates/lab/src/failure.rs
@@ -67,10 +67,10 @@
     Distribution(#[from] rowanglade_distribution::DecodeError),
     /// A message of the distribution cannot be encoded.
     #[error(transparent)]
-    DistributionMessage(#[from] rowanglade_distribution::EncodeError),
-    /// A snapshot of the distribution cannot be made.
+    DistributionEncoding(#[from] rowanglade_distribution::EncodeError),
+    /// A state of the distribution cannot be packed.
     #[error(transparent)]
-    DistributionSnapshot(#[from] rowanglade_distribution::SnapshotError),
+    Snapshot(#[from] rowanglade_distribution::SnapshotError),
     /// A message of the quota exchange cannot be decoded.
     #[error(transparent)]
     QuotaExchange(#[from] rowanglade_quota_exchange::DecodeError),
--- a/crates/lab/src/scale/network.rs
+++ b/crates/lab/src/scale/network.rs
@@ -8,9 +8,9 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rowanglade_distribution::{
-    EntryChange, Follower, Key, Message, Millis, NodeId, NodeLocation, Relay, State, Topology, decode, encode,
+    EntryChange, Follower, InvalidState, Key, Message, Millis, NodeId, NodeLocation, Relay, RelayLimits,
+    State, Topology, decode, encode,
 };
-use rowanglade_distribution::{InvalidState, RelayLimits};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::net::{Ipv4Addr, SocketAddr};
--- a/src/core/actor/endpoint_updates.rs
+++ b/src/core/actor/endpoint_updates.rs
@@ -97,15 +97,17 @@
         let Some(subset) = &mut self.subset else { return };
         let active = self.endpoints.active().map(|target| target.effective.name.clone());
         let Some(change) = subset.update_targets(active.collect()) else { return };
-        let mine = subset.preferred();
-        if change.includes_all_targets && !mine.is_empty() {
-            tracing::warn!(targets = mine.len(), "subset holds all targets, none preferred");
+        let preferred = subset.preferred();
+        if change.includes_all_targets && !preferred.is_empty() {
+            tracing::warn!(targets = preferred.len(), "subset holds all targets, none preferred");
         } else {
             let (came, left) = (change.added.len(), change.removed.len());
-            tracing::info!(preferred = ?mine, came, left, "preferred targets changed");
+            tracing::info!(?preferred, came, left, "preferred targets changed");
         }
-        let preferred =
-            mine.iter().filter(|_| !change.includes_all_targets).filter_map(|name| self.names.target(name));
+        let preferred = preferred
+            .iter()
+            .filter(|_| !change.includes_all_targets)
+            .filter_map(|name| self.names.target(name));
         let event = Event::PreferredTargets(preferred.collect());
         self.apply_event(event);
     }
