--- a/crates/discovery-polling/src/config.rs
+++ b/crates/discovery-polling/src/config.rs
@@ -5,12 +5,12 @@
 /// How discovery delivers the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
-    /// One service for all instances answers when polled.
+    /// One service for all initiators answers when polled.
     Polled {
-        /// How long an instance may go without polling, in microseconds; 0 if the settings do not say.
+        /// How long an initiator may go without polling, in microseconds; 0 if the settings do not say.
         max_poll_interval: Micros,
     },
-    /// An agent of this instance's own is up to date without being polled, and what it has counts as known
+    /// An agent of this initiator's own is up to date without being polled, and what it has counts as known
     /// here.
     Pushed {
         /// How long sends by an older list are allowed, in microseconds.
@@ -34,8 +34,8 @@
     pub delivery: Delivery,
     /// How a watch is kept open.
     pub watch_mode: WatchMode,
-    /// How many instances poll the same discovery, this one included.
-    pub instances: u32,
-    /// The index of this instance among all, from 0; none: not known.
+    /// How many initiators poll the same discovery, this one included.
+    pub initiators: u32,
+    /// The index of this initiator among all, from 0; none: not known.
     pub instance_index: Option<u32>,
 }
--- a/crates/discovery-polling/src/lib.rs
+++ b/crates/discovery-polling/src/lib.rs
@@ -4,17 +4,17 @@
 //!
 //! # What it promises
 //!
-//! With 5 to 1,024 instances, after an outage of up to 11 s, every instance has received the list within
-//! [`LIST_RECEIVED_WITHIN`] of discovery's return, as long as discovery serves all instances once in 5 s; with
-//! 1 to 4, as long as it does in 3 s. It is not promised after longer outages, in which instances poll less
+//! With 5 to 1,024 initiators, after an outage of up to 11 s, every initiator has received the list within
+//! [`LIST_RECEIVED_WITHIN`] of discovery's return, as long as discovery serves all initiators once in 5 s; with
+//! 1 to 4, as long as it does in 3 s. It is not promised after longer outages, in which initiators poll less
 //! often: see docs/design/discovery.md.
 //!
 //! # Why requests are paced and not retried at once
 //!
-//! Discovery is one service for all instances. It serves requests one after another and fails those that
+//! Discovery is one service for all initiators. It serves requests one after another and fails those that
 //! would wait too long; a request that it fails still costs it work. Retries that come faster than it can
-//! serve them therefore keep it failing all of them, for ever. So each instance sends one request in a
-//! *cycle*, at a phase drawn at random: the sum over all instances is a steady stream of requests, whatever
+//! serve them therefore keep it failing all of them, for ever. So each initiator sends one request in a
+//! *cycle*, at a phase drawn at random: the sum over all initiators is a steady stream of requests, whatever
 //! made them poll at the same moment (a restart, an outage, a reset of all watches). Where requests have
 //! failed for long, even this stream may be too much; only then does the cycle grow, up to the poll interval
 //! of the settings, which discovery has to bear.
--- a/crates/discovery-polling/src/pacer.rs
+++ b/crates/discovery-polling/src/pacer.rs
@@ -1,13 +1,13 @@
-//! How often one instance may poll, so that the requests of all instances together do not overload discovery.
+//! How often one initiator may poll, so that the requests of all initiators together do not overload discovery.
 
 use crate::constants::*;
 use crate::{Delivery, Micros};
 
-/// The pace of one instance's requests.
+/// The pace of one initiator's requests.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Pacer {
     delivery: Delivery,
-    instances: Micros,
+    initiators: Micros,
     consecutive_failures: u32,
     first_failure_at: Option<Micros>,
     /// Of the consecutive failures, those since the outage was found to be long.
@@ -17,10 +17,10 @@
 }
 
 impl Pacer {
-    pub fn new(delivery: Delivery, instances: u32) -> Pacer {
+    pub fn new(delivery: Delivery, initiators: u32) -> Pacer {
         Pacer {
             delivery,
-            instances: Micros::from(instances.max(1)),
+            initiators: Micros::from(initiators.max(1)),
             consecutive_failures: 0,
             first_failure_at: None,
             long_outage_failures: 0,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Whether requests go to this instance's own agent instead of a service for all instances.
+    /// Whether requests go to this initiator's own agent instead of a service for all initiators.
     pub fn polls_own_agent(&self) -> bool {
         matches!(self.delivery, Delivery::Pushed { .. })
     }
@@ -61,25 +61,25 @@
         self.service_time = estimate as Micros;
     }
 
-    /// The part of the learned service time that counts for each instance.
+    /// The part of the learned service time that counts for each initiator.
     fn service_time_part(&self) -> Micros {
         (SERVICE_TIME_PART * self.service_time as f64) as Micros
     }
 
     /// The cycle that the size of the fleet and the cost of a request ask for, without a bound.
     fn unbounded_cycle(&self) -> Micros {
-        CYCLE_PER_INSTANCE.max(self.service_time_part()) * self.instances
+        CYCLE_PER_INSTANCE.max(self.service_time_part()) * self.initiators
     }
 
     fn max_cycle(&self) -> Micros {
-        match self.instances {
+        match self.initiators {
             1 => MAX_CYCLE_OF_ONE,
-            instances if instances < SMALL_FLEET_BELOW => MAX_CYCLE_OF_SMALL_FLEET,
+            initiators if initiators < SMALL_FLEET_BELOW => MAX_CYCLE_OF_SMALL_FLEET,
             _ => MAX_CYCLE,
         }
     }
 
-    /// Within which time instances that begin together send their first requests.
+    /// Within which time initiators that begin together send their first requests.
     pub fn spread(&self) -> Micros {
         match self.polls_own_agent() {
             true => 0,
@@ -102,7 +102,7 @@
     /// Where requests are heavy, others of the fleet are in discovery's queue for as long as they take.
     pub fn hedge_after_silence(&self) -> Micros {
         let per_instance = HEDGE_PER_INSTANCE.max(self.service_time_part());
-        (per_instance * self.instances).clamp(MIN_HEDGE_AFTER_SILENCE, MAX_HEDGE_AFTER_SILENCE)
+        (per_instance * self.initiators).clamp(MIN_HEDGE_AFTER_SILENCE, MAX_HEDGE_AFTER_SILENCE)
     }
 
     /// When to send the next request, after a failure at `now` of one that was sent at `sent_at`.
@@ -116,7 +116,7 @@
     /// From one request to the next: doubled at each further failure up to the longest cycle, and beyond that
     /// only in a long outage.
     ///
-    /// A rejected request was work for discovery, and all instances that poll it may have been rejected: the
+    /// A rejected request was work for discovery, and all initiators that poll it may have been rejected: the
     /// first cycle is twice as long then.
     fn cycle(&self, rejected: bool) -> Micros {
         let first_cycle = match rejected {
@@ -136,7 +136,7 @@
         }
     }
 
-    /// The pause between two requests to an instance's own agent; none where there is no agent.
+    /// The pause between two requests to an initiator's own agent; none where there is no agent.
     fn agent_retry_delay(&self) -> Option<Micros> {
         match self.delivery {
             Delivery::Pushed { drain_grace } => {
@@ -147,7 +147,7 @@
         }
     }
 
-    /// How long a request to an instance's own agent may go without a response before a hedged request is sent
+    /// How long a request to an initiator's own agent may go without a response before a hedged request is sent
     /// beside it: about the grace. An agent that is back answers the new request, and one that is slow the old.
     /// None where there is no agent.
     pub fn agent_hedge_after(&self) -> Option<Micros> {
--- a/crates/discovery-polling/src/schedule.rs
+++ b/crates/discovery-polling/src/schedule.rs
@@ -17,7 +17,7 @@
     Watching,
 }
 
-/// When one instance sends which request to discovery.
+/// When one initiator sends which request to discovery.
 #[derive(Debug)]
 pub struct Schedule {
     config: PollingConfig,
@@ -42,7 +42,7 @@
             config,
             random: Pcg64Mcg::seed_from_u64(seed),
             phase: Phase::CatchingUp,
-            pacer: Pacer::new(config.delivery, config.instances),
+            pacer: Pacer::new(config.delivery, config.initiators),
             in_flight: Vec::new(),
             next_id: 0,
             send_at: None,
@@ -102,20 +102,20 @@
         self.phase == Phase::Watching
     }
 
-    /// A random time within `spread`, in this instance's own part of it: all instances together cover it
+    /// A random time within `spread`, in this initiator's own part of it: all initiators together cover it
     /// evenly.
     fn phase_offset(&mut self, spread: Micros) -> Micros {
-        let instances = u128::from(self.config.instances.max(1));
-        let index = self.config.instance_index.map(u128::from).filter(|index| *index < instances);
+        let initiators = u128::from(self.config.initiators.max(1));
+        let index = self.config.instance_index.map(u128::from).filter(|index| *index < initiators);
         let (part, parts) = match index {
-            Some(index) => (index, instances),
+            Some(index) => (index, initiators),
             None => (0, 1),
         };
         let within_part = u128::from(self.random.random_range(0..=spread));
         ((u128::from(spread) * part + within_part) / parts) as Micros
     }
 
-    /// Plans a request that brings what was missed, at a time of this instance's within `spread`.
+    /// Plans a request that brings what was missed, at a time of this initiator's within `spread`.
     fn catch_up(&mut self, now: Micros, spread: Micros, hedge_after: Micros) {
         self.phase = Phase::CatchingUp;
         self.send_at = Some(now + self.phase_offset(spread));
@@ -140,7 +140,7 @@
 
     fn handle_failure(&mut self, now: Micros, request: InFlight, rejected: bool) {
         if request.is_long_poll() {
-            // The watch broke: all instances may have lost theirs in the same moment.
+            // The watch broke: all initiators may have lost theirs in the same moment.
             self.catch_up(now, self.pacer.spread(), HEDGE_AFTER);
         } else if self.in_flight.is_empty() {
             self.plan_retry(now, request.sent_at, rejected);
@@ -202,7 +202,7 @@
         self.commands.push_back(Command::Send(PollRequest { id, max_wait }));
     }
 
-    /// How long the next long poll waits: shorter by chance, so that the watches of all instances, which the
+    /// How long the next long poll waits: shorter by chance, so that the watches of all initiators, which the
     /// same change has renewed, do not end together.
     fn draw_long_poll_wait(&mut self) -> Micros {
         let longest = match self.config.delivery {
--- a/crates/discovery-polling/tests/schedule.rs
+++ b/crates/discovery-polling/tests/schedule.rs
@@ -1,4 +1,4 @@
-//! One instance's schedule, in every order of outcomes.
+//! One initiator's schedule, in every order of outcomes.
 
 use rowanglade_discovery_polling::*;
 
@@ -11,11 +11,11 @@
 /// silent.
 const KNOWN_AFTER_WAIT: Micros = 2 * SECOND;
 
-fn on_request(max_poll_interval: Micros, instances: u32) -> PollingConfig {
+fn on_request(max_poll_interval: Micros, initiators: u32) -> PollingConfig {
     PollingConfig {
         delivery: Delivery::Polled { max_poll_interval },
         watch_mode: WatchMode::LongPoll,
-        instances,
+        initiators,
         instance_index: None,
     }
 }
@@ -24,7 +24,7 @@
     PollingConfig {
         delivery: Delivery::Pushed { drain_grace },
         watch_mode: WatchMode::LongPoll,
-        instances: 300,
+        initiators: 300,
         instance_index: None,
     }
 }
@@ -67,17 +67,17 @@
     }
 }
 
-// After a watch fell silent the next call was made after 5 to 15 s where many instances take turns. By then
+// After a watch fell silent the next call was made after 5 to 15 s where many initiators take turns. By then
 // targets that drained had been sent to for seconds: on the fleet day with silent watches 293 times.
 #[test]
 fn a_silent_watch_is_opened_again_while_the_older_list_may_still_be_followed() {
-    for instances in [2, 300, 1024] {
-        let (mut client, held) = Client::watching(on_request(10 * SECOND, instances));
+    for initiators in [2, 300, 1024] {
+        let (mut client, held) = Client::watching(on_request(10 * SECOND, initiators));
         let begun = client.now;
         let known = begun + (held.max_wait + KNOWN_AFTER_WAIT).max(LIST_RECEIVED_WITHIN) + GRACE;
         let again = client.next_request();
         assert_eq!(again.max_wait, 0, "it brings what was missed");
-        assert!(client.now + SECOND <= known, "{instances}: a second is left for its answer");
+        assert!(client.now + SECOND <= known, "{initiators}: a second is left for its answer");
     }
 }
 
@@ -124,27 +124,27 @@
     }
 }
 
-// A watch that was reset waited for its instance's turn among all of them, and what drained just then was
+// A watch that was reset waited for its initiator's turn among all of them, and what drained just then was
 // sent to.
 #[test]
 fn a_watch_that_is_reset_is_opened_again_within_a_cycle() {
-    for (instances, within) in [(1, 125 * MS), (8, SECOND), (300, MAX_CYCLE), (1024, MAX_CYCLE)] {
+    for (initiators, within) in [(1, 125 * MS), (8, SECOND), (300, MAX_CYCLE), (1024, MAX_CYCLE)] {
         for outcome in [Outcome::Failed, Outcome::Rejected] {
-            let (mut client, held) = Client::watching(on_request(10 * SECOND, instances));
+            let (mut client, held) = Client::watching(on_request(10 * SECOND, initiators));
             let begun = client.now;
             client.end(held, outcome);
             assert_eq!(client.next_request().max_wait, 0);
-            assert!(client.now <= begun + within, "{instances}: {} ms", (client.now - begun) / MS);
+            assert!(client.now <= begun + within, "{initiators}: {} ms", (client.now - begun) / MS);
         }
     }
 }
 
 #[test]
 fn a_failed_call_is_made_again_with_longer_waits_and_within_a_cycle() {
-    for (outcome, instances) in
+    for (outcome, initiators) in
         [(Outcome::Rejected, 2), (Outcome::Failed, 2), (Outcome::Rejected, 1024), (Outcome::Failed, 1024)]
     {
-        let mut client = Client::new(on_request(10 * SECOND, instances));
+        let mut client = Client::new(on_request(10 * SECOND, initiators));
         let mut call = client.next_request();
         let mut gaps = Vec::new();
         for _ in 0..3 {
@@ -156,7 +156,7 @@
         }
         assert!(gaps.iter().all(|gap| (50 * MS..=MAX_CYCLE).contains(gap)), "{gaps:?}");
         assert!(gaps[2] > gaps[0] || gaps[0] == MAX_CYCLE, "{gaps:?}");
-        assert!(instances > 2 || gaps[..2].iter().all(|gap| *gap <= 4 * SECOND), "{gaps:?}");
+        assert!(initiators > 2 || gaps[..2].iter().all(|gap| *gap <= 4 * SECOND), "{gaps:?}");
     }
 }
 
--- a/crates/discovery-polling/tests/support/mod.rs
+++ b/crates/discovery-polling/tests/support/mod.rs
@@ -65,8 +65,8 @@
     }
 }
 
-/// One instance, and what is on its way to it.
-pub struct Instance {
+/// One initiator, and what is on its way to it.
+pub struct Initiator {
     pub schedule: Schedule,
     /// Ends on their way.
     ends: Vec<(Micros, RequestId, Outcome)>,
@@ -82,16 +82,16 @@
 pub struct Fleet {
     pub now: Micros,
     pub discovery: Discovery,
-    pub instances: Vec<Instance>,
+    pub initiators: Vec<Initiator>,
     config: PollingConfig,
     seed: u64,
 }
 
-pub fn polling_config(instances: u32, max_poll_interval: Micros) -> PollingConfig {
+pub fn polling_config(initiators: u32, max_poll_interval: Micros) -> PollingConfig {
     PollingConfig {
         delivery: Delivery::Polled { max_poll_interval },
         watch_mode: WatchMode::LongPoll,
-        instances,
+        initiators,
         instance_index: None,
     }
 }
@@ -99,15 +99,15 @@
 impl Fleet {
     pub fn new(config: PollingConfig, seed: u64, discovery: Discovery) -> Fleet {
         let now = 100 * SECOND;
-        let mut fleet = Fleet { now, discovery, instances: Vec::new(), config, seed };
-        for instance_index in 0..config.instances {
-            let instance = fleet.start(instance_index);
-            fleet.instances.push(instance);
+        let mut fleet = Fleet { now, discovery, initiators: Vec::new(), config, seed };
+        for instance_index in 0..config.initiators {
+            let initiator = fleet.start(instance_index);
+            fleet.initiators.push(initiator);
         }
         fleet
     }
 
-    fn start(&mut self, instance_index: u32) -> Instance {
+    fn start(&mut self, instance_index: u32) -> Initiator {
         let seed = self.seed.wrapping_mul(1_000_003).wrapping_add(u64::from(instance_index));
         self.seed = self.seed.wrapping_add(0x9E37_79B9);
         let config = PollingConfig {
@@ -115,28 +115,28 @@
             ..self.config
         };
         let schedule = Schedule::new(config, seed, self.now);
-        Instance { schedule, ends: Vec::new(), held: None, heard: None, calls: Vec::new() }
+        Initiator { schedule, ends: Vec::new(), held: None, heard: None, calls: Vec::new() }
     }
 
-    /// Kills and starts one instance.
+    /// Kills and starts one initiator.
     pub fn restart(&mut self, instance_index: usize) {
-        self.instances[instance_index] = self.start(instance_index as u32);
+        self.initiators[instance_index] = self.start(instance_index as u32);
     }
 
     /// Ends every watch that is open.
     pub fn reset_watches(&mut self) {
         let now = self.now;
-        for instance in &mut self.instances {
-            if let Some((_, id)) = instance.held.take() {
-                instance.schedule.handle_outcome(now, id, Outcome::Failed);
+        for initiator in &mut self.initiators {
+            if let Some((_, id)) = initiator.held.take() {
+                initiator.schedule.handle_outcome(now, id, Outcome::Failed);
             }
         }
     }
 
     /// Open watches fall silent, once.
     pub fn silence_watches(&mut self) {
-        for instance in &mut self.instances {
-            instance.held = instance.held.map(|(_, id)| (Micros::MAX, id));
+        for initiator in &mut self.initiators {
+            initiator.held = initiator.held.map(|(_, id)| (Micros::MAX, id));
         }
     }
 
@@ -160,26 +160,26 @@
 
     fn step(&mut self) {
         let now = self.now;
-        for instance in &mut self.instances {
-            if let Some((at, id)) = instance.held
+        for initiator in &mut self.initiators {
+            if let Some((at, id)) = initiator.held
                 && at <= now
             {
-                instance.held = None;
-                instance.heard = Some(now);
-                instance.schedule.handle_outcome(now, id, Outcome::Received);
+                initiator.held = None;
+                initiator.heard = Some(now);
+                initiator.schedule.handle_outcome(now, id, Outcome::Received);
             }
-            let due: Vec<_> = instance.ends.extract_if(.., |(at, ..)| *at <= now).collect();
+            let due: Vec<_> = initiator.ends.extract_if(.., |(at, ..)| *at <= now).collect();
             for (_, id, end) in due {
                 if end == Outcome::Received {
-                    instance.heard = Some(now);
+                    initiator.heard = Some(now);
                 }
-                instance.schedule.handle_outcome(now, id, end);
+                initiator.schedule.handle_outcome(now, id, end);
             }
-            while let Some(command) = instance.schedule.poll(now) {
+            while let Some(command) = initiator.schedule.poll(now) {
                 match command {
                     Command::Cancel(id) => {
-                        instance.ends.retain(|(_, call, _)| *call != id);
-                        instance.held = instance.held.filter(|(_, call)| *call != id);
+                        initiator.ends.retain(|(_, call, _)| *call != id);
+                        initiator.held = initiator.held.filter(|(_, call)| *call != id);
                     }
                     // A watch that goes on costs no turn.
                     Command::Send(call) if call.max_wait > 0 => {
@@ -188,12 +188,12 @@
                         } else {
                             now + call.max_wait
                         };
-                        instance.held = Some((at, call.id));
+                        initiator.held = Some((at, call.id));
                     }
                     Command::Send(call) => {
-                        instance.calls.push(now);
+                        initiator.calls.push(now);
                         if let Some((at, end)) = self.discovery.serve(now) {
-                            instance.ends.push((at, call.id, end));
+                            initiator.ends.push((at, call.id, end));
                         }
                     }
                 }
@@ -203,7 +203,7 @@
 
     /// How many have heard the list since `since`.
     pub fn heard_since(&self, since: Micros) -> usize {
-        self.instances.iter().filter(|i| i.heard.is_some_and(|at| at >= since)).count()
+        self.initiators.iter().filter(|i| i.heard.is_some_and(|at| at >= since)).count()
     }
 
     /// Runs until all have heard the list after `since`; the span that it took, or none after `most`.
@@ -211,7 +211,7 @@
         while self.now < since + most {
             self.now += STEP;
             self.step();
-            if self.heard_since(since) == self.instances.len() {
+            if self.heard_since(since) == self.initiators.len() {
                 return Some(self.now - since);
             }
         }
@@ -219,10 +219,10 @@
     }
 }
 
-/// The largest number of calls in any second, over all instances.
+/// The largest number of calls in any second, over all initiators.
 pub fn most_calls_a_second(fleet: &Fleet, since: Micros) -> usize {
     let mut seconds: BTreeMap<Micros, usize> = BTreeMap::new();
-    for at in fleet.instances.iter().flat_map(|i| &i.calls).filter(|at| **at >= since) {
+    for at in fleet.initiators.iter().flat_map(|i| &i.calls).filter(|at| **at >= since) {
         *seconds.entry(at / SECOND).or_default() += 1;
     }
     seconds.values().copied().max().unwrap_or(0)
--- a/crates/drain-gossip/src/budget.rs
+++ b/crates/drain-gossip/src/budget.rs
@@ -1,4 +1,4 @@
-//! How many bytes a second an instance sends to its peers in answers.
+//! How many bytes a second an initiator sends to its peers in answers.
 
 use crate::Micros;
 use crate::constants::{BUDGET_BYTES_PER_SECOND, MAX_BURST_BYTES};
--- a/crates/drain-gossip/src/constants.rs
+++ b/crates/drain-gossip/src/constants.rs
@@ -11,10 +11,10 @@
 pub(crate) const PEERS_PER_ROUND: usize = 3;
 /// From the first round to the second; doubled from round to round up to [`MAX_ROUND_INTERVAL`].
 pub(crate) const MIN_ROUND_INTERVAL: Micros = 250 * MILLISECOND;
-/// The longest time between two rounds: an instance that waits for discovery learns of new drains this late at
+/// The longest time between two rounds: an initiator that waits for discovery learns of new drains this late at
 /// most, at under 100 bytes a second.
 pub(crate) const MAX_ROUND_INTERVAL: Micros = SECOND;
-/// The first round comes at a random time within this: all instances may begin to query together.
+/// The first round comes at a random time within this: all initiators may begin to query together.
 pub(crate) const FIRST_ROUND_WITHIN: Micros = 50 * MILLISECOND;
 /// Reports are accepted for the queries of so many last rounds: a late answer still helps, an old one may be
 /// forged or out of date.
@@ -24,7 +24,7 @@
 
 // Datagrams and answers.
 
-/// The most bytes of a datagram: far below what any network between instances splits into fragments.
+/// The most bytes of a datagram: far below what any network between initiators splits into fragments.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
 /// The most bytes before the targets of a report: format, variant, a round of up to 5 bytes, two positions of
 /// up to 18, two flags, a count.
@@ -38,7 +38,7 @@
 /// Reports received out of order that are remembered at most: the answers of a few peers at once.
 pub(crate) const MAX_OUT_OF_ORDER_REPORTS: usize = 4 * MAX_REPORTS_PER_QUERY;
 
-// What an instance sends in answers.
+// What an initiator sends in answers.
 
 /// Bytes a second in the long run: a peer that misses 3,200 drains needs 32 KiB.
 pub const BUDGET_BYTES_PER_SECOND: u64 = 64 * 1024;
--- a/crates/drain-gossip/src/gossip.rs
+++ b/crates/drain-gossip/src/gossip.rs
@@ -27,7 +27,7 @@
 /// A datagram to a peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outgoing {
-    /// The peer's index among all instances.
+    /// The peer's index among all initiators.
     pub to: usize,
     /// What is sent.
     pub message: Message,
@@ -40,11 +40,11 @@
     peer: usize,
 }
 
-/// The drain gossip of one instance.
+/// The drain gossip of one initiator.
 #[derive(Debug)]
 pub struct DrainGossip {
     own_index: usize,
-    instances: usize,
+    initiators: usize,
     random: Pcg64Mcg,
     /// The newest version of the list that is held; 0: none.
     version: u64,
@@ -62,11 +62,11 @@
 }
 
 impl DrainGossip {
-    /// The gossip of instance `own_index` of so many, which does not watch discovery yet.
-    pub fn new(own_index: usize, instances: usize, seed: u64, now: Micros) -> DrainGossip {
+    /// The gossip of initiator `own_index` of so many, which does not watch discovery yet.
+    pub fn new(own_index: usize, initiators: usize, seed: u64, now: Micros) -> DrainGossip {
         let mut gossip = DrainGossip {
             own_index,
-            instances,
+            initiators,
             random: Pcg64Mcg::seed_from_u64(seed),
             version: 0,
             has_list: false,
@@ -147,7 +147,7 @@
         self.round_interval = MIN_ROUND_INTERVAL;
         self.follow_up = None;
         let first_round_after = self.random.random_range(0..=FIRST_ROUND_WITHIN);
-        let queries = !watching && self.instances > 1;
+        let queries = !watching && self.initiators > 1;
         self.next_round_at = queries.then_some(now + first_round_after);
         true
     }
@@ -180,7 +180,7 @@
     }
 
     fn draw_peers(&mut self) -> BTreeSet<usize> {
-        let others = self.instances - 1;
+        let others = self.initiators - 1;
         let mut peers = BTreeSet::new();
         while peers.len() < PEERS_PER_ROUND.min(others) {
             let other = self.random.random_range(0..others);
--- a/crates/drain-gossip/src/lib.rs
+++ b/crates/drain-gossip/src/lib.rs
@@ -1,9 +1,9 @@
 //! Which targets are draining, as initiators report it to each other while discovery does not answer one of
 //! them.
 //!
-//! Discovery is one service for all instances. After an outage, or a restart of many instances, it needs
+//! Discovery is one service for all initiators. After an outage, or a restart of many initiators, it needs
 //! seconds to answer all of them, and those that wait would go on sending to targets that drain. So an
-//! instance without an open watch queries a few peers, drawn at random, and one whose watch is open answers
+//! initiator without an open watch queries a few peers, drawn at random, and one whose watch is open answers
 //! with the targets that have begun to drain or were removed since the version that is held. Only those
 //! without a watch query, and only those with one answer, so gossip costs nothing while discovery answers.
 //!
@@ -13,14 +13,14 @@
 //! because a peer says so, and a report that is late, duplicated, forged or wrong keeps a target idle for
 //! seconds at most. Reports are accepted only as answers to queries of the last seconds. One that claims a gap
 //! moves the position that is queried from: wrongly claimed by a peer, it can keep other peers' drains from
-//! this instance until discovery answers.
+//! this initiator until discovery answers.
 //!
 //! # How thousands of drains are reported
 //!
-//! All drains stand in one order that the instances share ([`Position`]). A query names the position up to
+//! All drains stand in one order that the initiators share ([`Position`]). A query names the position up to
 //! which its sender knows them, an answer goes on from there in datagrams that each name where they begin and
 //! end, and the last says whether there is more. So the receiver notices a datagram that was lost, queries
-//! from the gap on, and gets all in the end: nothing is left out in silence. What an instance sends is bounded
+//! from the gap on, and gets all in the end: nothing is left out in silence. What an initiator sends is bounded
 //! by a budget of bytes a second; reaching it is counted ([`Counters`]), and the receiver queries again later.
 //!
 //! There is no clock, socket or runtime here: a driver passes the time and the datagrams' contents to
--- a/crates/drain-gossip/src/log.rs
+++ b/crates/drain-gossip/src/log.rs
@@ -1,4 +1,4 @@
-//! The drains that an instance knows, in the order that all instances share.
+//! The drains that an initiator knows, in the order that all initiators share.
 
 use crate::constants::{LOG_RETENTION, MAX_LOG_ENTRIES};
 use crate::{Micros, TargetKey};
@@ -7,7 +7,7 @@
 use std::ops::Bound::{Excluded, Unbounded};
 
 /// A place in the order of all drains: the version of the list that first named it, then the target's key.
-/// Instances that poll the same discovery agree on it, so one can go on at a peer where another peer stopped.
+/// Initiators that poll the same discovery agree on it, so one can go on at a peer where another peer stopped.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Position {
     /// The version of the endpoint list; 0: before all versions.
--- a/crates/drain-gossip/src/message.rs
+++ b/crates/drain-gossip/src/message.rs
@@ -14,13 +14,13 @@
 pub struct TargetKey(pub [u8; 8]);
 
 impl TargetKey {
-    /// The key of the target with this name; the same on every instance.
+    /// The key of the target with this name; the same on every initiator.
     pub fn of(name: &str) -> TargetKey {
         TargetKey(xxh3_64(name.as_bytes()).to_le_bytes())
     }
 }
 
-/// What one instance sends another.
+/// What one initiator sends another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
     /// Asks which targets have begun to drain or were removed behind a position.
--- a/crates/drain-gossip/tests/compatibility.rs
+++ b/crates/drain-gossip/tests/compatibility.rs
@@ -1,4 +1,4 @@
-//! The datagrams against recorded bytes. Guards against an instance whose peers, which run another build,
+//! The datagrams against recorded bytes. Guards against an initiator whose peers, which run another build,
 //! misread what it tells them: postcard writes fields by their order, which a round trip within one build
 //! does not show.
 
--- a/crates/drain-gossip/tests/gossip.rs
+++ b/crates/drain-gossip/tests/gossip.rs
@@ -1,4 +1,4 @@
-//! The exchange between instances whose datagrams may be lost, doubled or late, in simulated time.
+//! The exchange between initiators whose datagrams may be lost, doubled or late, in simulated time.
 
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng};
@@ -28,13 +28,13 @@
     report.collect()
 }
 
-/// What instance 1 gets for one query, of instances that have heard these departures.
+/// What initiator 1 gets for one query, of initiators that have heard these departures.
 fn answers(fleet: &mut [DrainGossip], now: Micros, query: &Outgoing) -> Vec<TargetKey> {
     let Message::Query { round, after } = query.message else { panic!("no query") };
     reports(&mut fleet[query.to], now, round, after).into_iter().flat_map(|report| report.draining).collect()
 }
 
-// Asking alone, the last of 300 instances heard 6 s and more after discovery's return; by then it had sent to
+// Asking alone, the last of 300 initiators heard 6 s and more after discovery's return; by then it had sent to
 // what left.
 #[test]
 fn who_has_no_watch_hears_of_departures_within_a_second_of_any_part_that_has_one() {
@@ -146,7 +146,7 @@
     }
 }
 
-// Each answer named the first 232 departures, again and again: an instance that waited for discovery went on
+// Each answer named the first 232 departures, again and again: an initiator that waited for discovery went on
 // sending to all others.
 #[test]
 fn thousands_of_departures_are_all_told_in_seconds_by_one_peer() {
@@ -263,7 +263,7 @@
         prop_assert_eq!(reported.len(), count, "after {} us", took);
     }
 
-    // What an instance tells in any second stays within its budget, however much is asked.
+    // What an initiator tells in any second stays within its budget, however much is asked.
     #[test]
     fn bytes_stay_within_the_budget(askers in 1u64..200, seed: u64) {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
--- a/crates/handover/src/machine.rs
+++ b/crates/handover/src/machine.rs
@@ -56,9 +56,9 @@
     /// The successor owns the state for good: finish what is held.
     Retire,
     /// Accept and spend again, without state: the successor had it meanwhile, and is dead.
-    Restart,
+    ServeWithoutState,
     /// This process cannot take over from one that speaks this version.
-    Fail {
+    RejectVersion {
         /// The other's version.
         version: u32,
     },
@@ -138,7 +138,7 @@
             State::Retired(link) => self.handle_retired(link, event),
             State::Failed => None,
         };
-        actions.unwrap_or_else(|| unexpected(event))
+        actions.unwrap_or_else(|| reject_or_ignore(event))
     }
 
     // Each of the functions for a state handles the events that it expects; `None`: it does not expect this
@@ -172,7 +172,7 @@
                 Some(self.transition(State::Seeking, actions))
             }
             LinkInput::Message(MessageKind::VersionMismatch { version }) => {
-                let actions = vec![Action::Close(link), Action::Fail { version }];
+                let actions = vec![Action::Close(link), Action::RejectVersion { version }];
                 Some(self.transition(State::Failed, actions))
             }
             LinkInput::Message(_) => None,
@@ -258,7 +258,9 @@
 
     fn handle_retired(&mut self, link: Option<LinkId>, event: Event) -> Option<Vec<Action>> {
         match (link, event) {
-            (_, Event::LockAcquired) => Some(self.transition(State::Owner(None), vec![Action::Restart])),
+            (_, Event::LockAcquired) => {
+                Some(self.transition(State::Owner(None), vec![Action::ServeWithoutState]))
+            }
             (Some(link), Event::LinkClosed(closed)) if closed == link => {
                 Some(self.transition(State::Retired(None), vec![Action::TryLock]))
             }
@@ -309,7 +311,7 @@
 
 /// No successor is served before there is something to hand over, nor two at once. All else that a state does
 /// not expect is passed over.
-fn unexpected(event: Event) -> Vec<Action> {
+fn reject_or_ignore(event: Event) -> Vec<Action> {
     match event {
         Event::Received(link, MessageKind::Hello { .. }) => {
             vec![Action::Send(link, MessageKind::Busy), Action::Close(link)]
--- a/crates/handover/tests/model.rs
+++ b/crates/handover/tests/model.rs
@@ -131,8 +131,8 @@
                 Action::Retire => {
                     (p.serving, p.units) = (self.mutation == Mutation::SpendsFrozenState, 0);
                 }
-                Action::Restart => (p.serving, p.units) = (true, 0),
-                Action::Fail { .. } => p.alive = false,
+                Action::ServeWithoutState => (p.serving, p.units) = (true, 0),
+                Action::RejectVersion { .. } => p.alive = false,
             }
         }
     }
@@ -157,7 +157,7 @@
             Mutation::RestartsWithoutLock
                 if p.handover.is_retired() && actions.contains(&Action::TryLock) =>
             {
-                actions.push(Action::Restart);
+                actions.push(Action::ServeWithoutState);
             }
             Mutation::KeepsReceivedState if actions.contains(&Action::Serve { with_state: false }) => {
                 actions = vec![Action::Serve { with_state: true }];
--- a/crates/quota-exchange/src/constants.rs
+++ b/crates/quota-exchange/src/constants.rs
@@ -4,7 +4,7 @@
 
 const MILLISECOND: Micros = 1_000;
 
-/// From one request to the next: an instance sends 20 datagrams a second to each peer at most, and only while
+/// From one request to the next: an initiator sends 20 datagrams a second to each peer at most, and only while
 /// it needs quota.
 pub(crate) const REQUEST_INTERVAL: Micros = 50 * MILLISECOND;
 /// How long a request stays open for grants. An answer takes some milliseconds; a grant that comes later may
--- a/crates/quota-exchange/src/exchange.rs
+++ b/crates/quota-exchange/src/exchange.rs
@@ -1,28 +1,28 @@
 //! The state machine that moves quota toward demand.
 //!
-//! Each of the `k` instances that a volume comes through has a token bucket of its own that fills at a `k`th of
+//! Each of the `k` initiators that a volume comes through has a token bucket of its own that fills at a `k`th of
 //! the limit's rate and holds a `k`th of its burst at most. That is the even split, and what stands where no
-//! peer answers. An instance that needs units requests them from all others; one that has unused units takes
+//! peer answers. An initiator that needs units requests them from all others; one that has unused units takes
 //! them out of its bucket and sends them.
 //!
-//! **Invariant.** At any time, over all instances: units spent, plus units in all buckets, plus units in grants
+//! **Invariant.** At any time, over all initiators: units spent, plus units in all buckets, plus units in grants
 //! that will still be accepted, are at most the units that the buckets were ever filled with; and no bucket
 //! holds more than its `k`th of the burst. So what all spend in any window is at most the burst and what fills
 //! in the window.
 //!
 //! *Proof.* Units enter a bucket by filling, or by accepting a grant; they leave by being spent, by being
-//! granted, or with an instance that ends. A grant is made only of units that its sender has taken out of its
+//! granted, or with an initiator that ends. A grant is made only of units that its sender has taken out of its
 //! bucket in the same step ([`TokenBuckets::take_unused`] comes first), so making one moves units from a bucket
 //! into the grant. A grant answers one request, named by a nonce that only the requester made: its incarnation,
 //! drawn at random at its start, and a sequence number that it never uses twice. The requester accepts a grant
 //! only while that request is open, and one from each peer; so a datagram that is duplicated, or late beyond
 //! the request's timeout or the requester's life, adds nothing, and what is accepted was taken out once. A
 //! second grant of the same peer for the same request (the request was duplicated) is dropped: its units are
-//! lost, never doubled. Lost datagrams lose units. An instance that starts has empty buckets and no open
-//! request. No step compares two instances' clocks: a requester closes its requests by its own, and closing
+//! lost, never doubled. Lost datagrams lose units. An initiator that starts has empty buckets and no open
+//! request. No step compares two initiators' clocks: a requester closes its requests by its own, and closing
 //! early only loses units. Accepting adds to a bucket no more than its capacity. ∎
 //!
-//! An instance grants units of a volume only if requests of it come through it; otherwise it is none of the
+//! An initiator grants units of a volume only if requests of it come through it; otherwise it is none of the
 //! `k`, and what it would grant was never filled.
 
 use crate::constants::*;
@@ -30,10 +30,10 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// This instance's token buckets, which the scheduler owns.
+/// This initiator's token buckets, which the scheduler owns.
 pub trait TokenBuckets {
     /// Takes unused units out of the volume's bucket, `max` at most, and returns how many they were: 0 where no
-    /// request of the volume has come through this instance.
+    /// request of the volume has come through this initiator.
     fn take_unused(&mut self, volume: u64, max: MilliUnits) -> MilliUnits;
     /// Adds units to the volume's bucket, as many as it has capacity for.
     fn add(&mut self, volume: u64, units: MilliUnits);
@@ -68,7 +68,7 @@
     pub dropped: u64,
 }
 
-/// One instance's part in the exchange.
+/// One initiator's part in the exchange.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct QuotaExchange {
     incarnation: u64,
@@ -80,7 +80,7 @@
 }
 
 impl QuotaExchange {
-    /// Of an instance that has just started. `incarnation` is drawn at random: two lives must not have the
+    /// Of an initiator that has just started. `incarnation` is drawn at random: two lives must not have the
     /// same.
     pub fn new(incarnation: u64) -> QuotaExchange {
         QuotaExchange {
@@ -98,7 +98,7 @@
         self.counters
     }
 
-    /// A request of a volume that comes through `initiators` instances misses units here. Each of the others is
+    /// A request of a volume that comes through `initiators` initiators misses units here. Each of the others is
     /// asked for its part of them.
     pub fn record_need(&mut self, now: Micros, volume: u64, units: MilliUnits, initiators: u32) {
         let Some(others) = initiators.checked_sub(1).filter(|others| *others > 0) else { return };
@@ -176,7 +176,7 @@
     ) -> Option<Message> {
         let mut granted = Vec::new();
         for VolumeUnits { volume, units } in needed.iter().copied() {
-            // Out of this instance's bucket before anybody else has them.
+            // Out of this initiator's bucket before anybody else has them.
             let units = buckets.take_unused(volume, units);
             if units > 0 {
                 self.counters.granted += u64::from(units);
--- a/crates/quota-exchange/src/lib.rs
+++ b/crates/quota-exchange/src/lib.rs
@@ -1,6 +1,6 @@
 //! Moves unused units of a volume's limit from initiators that do not need them to those that do.
 //!
-//! [`QuotaExchange`] is the state machine: datagrams and times go in, datagrams and changes of this instance's
+//! [`QuotaExchange`] is the state machine: datagrams and times go in, datagrams and changes of this initiator's
 //! own token buckets come out. [`wire`] is the form of the datagrams. There are no sockets and no clock here.
 
 #![forbid(unsafe_code)]
--- a/crates/quota-exchange/src/message.rs
+++ b/crates/quota-exchange/src/message.rs
@@ -1,9 +1,9 @@
-//! What instances send each other.
+//! What initiators send each other.
 
 /// Thousandths of a unit.
 pub type MilliUnits = u32;
 
-/// Another instance, by its index in the fleet.
+/// Another initiator, by its index in the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Peer(pub u16);
 
@@ -19,13 +19,13 @@
 /// Units of one volume.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct VolumeUnits {
-    /// The volume, by the number that all instances have for it.
+    /// The volume, by the number that all initiators have for it.
     pub volume: u64,
     /// Units that are needed or granted.
     pub units: MilliUnits,
 }
 
-/// What passes between instances.
+/// What passes between initiators.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Message {
     /// To all others: quota that the sender needs.
--- a/crates/quota-exchange/src/wire.rs
+++ b/crates/quota-exchange/src/wire.rs
@@ -7,7 +7,7 @@
 
 use crate::{MAX_VOLUMES_PER_DATAGRAM, Message, Nonce, Peer, VolumeUnits};
 
-/// The most bytes of a datagram: far below what any network between instances splits into fragments.
+/// The most bytes of a datagram: far below what any network between initiators splits into fragments.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
 
 const VERSION: u8 = 1;
@@ -55,7 +55,7 @@
     hasher.finalize()
 }
 
-/// A datagram of this instance, `sender`. Volumes beyond [`MAX_VOLUMES_PER_DATAGRAM`] are left out.
+/// A datagram of this initiator, `sender`. Volumes beyond [`MAX_VOLUMES_PER_DATAGRAM`] are left out.
 pub fn encode(key: &Key, sender: Peer, message: &Message) -> Vec<u8> {
     let (kind, nonce, entries) = match message {
         Message::Request { nonce, needed } => (KIND_REQUEST, nonce, needed),
--- a/crates/quota-exchange/tests/compatibility.rs
+++ b/crates/quota-exchange/tests/compatibility.rs
@@ -1,4 +1,4 @@
-//! The datagrams against recorded bytes. Guards against an instance whose peers, which run another build,
+//! The datagrams against recorded bytes. Guards against an initiator whose peers, which run another build,
 //! drop what it tells them: a change of order, width or code that a round trip within one build does not
 //! show.
 
--- a/crates/quota-exchange/tests/model.rs
+++ b/crates/quota-exchange/tests/model.rs
@@ -1,5 +1,5 @@
-//! The exchange itself, checked over every order of events of a small fleet: three instances and one volume,
-//! where datagrams are lost, doubled, late, and instances start anew from nothing.
+//! The exchange itself, checked over every order of events of a small fleet: three initiators and one volume,
+//! where datagrams are lost, doubled, late, and initiators start anew from nothing.
 
 use rowanglade_quota_exchange::{Message, MilliUnits, Peer, QuotaExchange, TokenBuckets};
 use stateright::{Checker, Model, Property};
@@ -25,7 +25,7 @@
     EveryGrantAccepted,
     /// A bucket takes more than its capacity.
     NoCapacityLimit,
-    /// An instance that starts owns its part at once.
+    /// An initiator that starts owns its part at once.
     StartsFull,
     /// It grants units of volumes that do not come through it.
     GrantsWhatWasNeverFilled,
--- a/crates/site-failover/src/config.rs
+++ b/crates/site-failover/src/config.rs
@@ -2,7 +2,7 @@
 
 use crate::Micros;
 
-/// The figures that an operator sets, and this instance's place in the fleet. Spans are in microseconds.
+/// The figures that an operator sets, and this initiator's place in the fleet. Spans are in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FailoverConfig {
     /// A failure or a removal counts as evidence for this long.
@@ -13,16 +13,16 @@
     pub ejection_time: Micros,
     /// The ejection time doubles with each further loss up to this.
     pub max_ejection_time: Micros,
-    /// After its ejection time a lost site is probed this often, by all instances together.
+    /// After its ejection time a lost site is probed this often, by all initiators together.
     pub probe_interval: Micros,
     /// How long a returned target counts as warming up.
     pub recovery_ramp: Micros,
     /// The ramp is restarted where a returning site responds this many times slower than before.
     pub slow_factor: f64,
-    /// This instance's index among all, from 0.
+    /// This initiator's index among all, from 0.
     pub own_index: u32,
-    /// How many instances there are.
-    pub instances: u32,
+    /// How many initiators there are.
+    pub initiators: u32,
 }
 
 impl FailoverConfig {
--- a/crates/site-failover/src/failover.rs
+++ b/crates/site-failover/src/failover.rs
@@ -1,4 +1,4 @@
-//! All sites, as one instance sees them.
+//! All sites, as one initiator sees them.
 
 use crate::shards::ShardIndex;
 use crate::site::{Phase, Review, Site};
@@ -10,7 +10,7 @@
 /// use, so that a loss is noticed within it.
 const REVIEW_INTERVAL: Micros = 50_000;
 
-/// All sites, as one instance sees them.
+/// All sites, as one initiator sees them.
 #[derive(Clone, Debug)]
 pub struct SiteFailover {
     config: FailoverConfig,
--- a/crates/site-failover/src/site.rs
+++ b/crates/site-failover/src/site.rs
@@ -169,7 +169,7 @@
         self.phase = Phase::Lost { since: now, until: now + ejection_time };
         self.ejected_at = now;
         self.ejection_time = (2 * ejection_time).min(config.max_ejection_time).max(config.ejection_time);
-        // Each instance has a turn of its own, so that all together keep to one probe in an interval.
+        // Each initiator has a turn of its own, so that all together keep to one probe in an interval.
         let turn = u64::from(config.own_index);
         self.next_probe_at = now + ejection_time + config.probe_interval * turn;
         let (failing, targets) = (review.failing(), review.counted());
@@ -214,9 +214,9 @@
     }
 }
 
-/// Instances take turns while nothing responds. The first response says that the others are worth a probe, and
-/// this instance sends those at the whole pace.
+/// Initiators take turns while nothing responds. The first response says that the others are worth a probe, and
+/// this initiator sends those at the whole pace.
 fn next_probe_after(config: &FailoverConfig, responding: usize) -> Micros {
-    let turns = if responding > 0 { 1 } else { u64::from(config.instances.max(1)) };
+    let turns = if responding > 0 { 1 } else { u64::from(config.initiators.max(1)) };
     config.probe_interval * turns
 }
--- a/crates/site-failover/tests/failover.rs
+++ b/crates/site-failover/tests/failover.rs
@@ -19,7 +19,7 @@
         recovery_ramp: 15 * SECOND,
         slow_factor: 3.0,
         own_index: 0,
-        instances: 1,
+        initiators: 1,
     }
 }
 
@@ -153,7 +153,7 @@
 #[test]
 fn instances_probe_in_turn() {
     let times = |own_index: u32| {
-        let mut sites = lost(FailoverConfig { own_index, instances: 4, ..config() });
+        let mut sites = lost(FailoverConfig { own_index, initiators: 4, ..config() });
         let mut times = Vec::new();
         for step in 0..200 {
             let now = 15 * SECOND + step * 50 * MS;
@@ -247,7 +247,7 @@
         steps in proptest::collection::vec(step(), 1..120),
         answers in any::<bool>(),
     ) {
-        let config = FailoverConfig { instances: 3, own_index: 1, ..config() };
+        let config = FailoverConfig { initiators: 3, own_index: 1, ..config() };
         let mut sites = sites(config);
         let (mut now, mut probed) = (SECOND, Vec::new());
         let mut held: Option<Micros> = None;
@@ -302,7 +302,7 @@
                 now += 100 * MS;
             }
         }
-        // This instance's part of the probes, and no more than the pace of all once the first has answered.
+        // This initiator's part of the probes, and no more than the pace of all once the first has answered.
         prop_assert!(probed.windows(2).all(|w| w[1] - w[0] >= config.probe_interval), "{:?}", probed);
     }
 }
--- a/crates/subset/src/assignment.rs
+++ b/crates/subset/src/assignment.rs
@@ -1,4 +1,4 @@
-//! The assignment of targets to all instances, which follows the endpoint list.
+//! The assignment of targets to all initiators, which follows the endpoint list.
 
 use crate::SubsetConfig;
 use crate::candidates::{draw_candidates, layer_count};
@@ -9,16 +9,16 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Pair {
     pub rank: u64,
-    pub instance: u32,
+    pub initiator: u32,
     pub target: u32,
 }
 
-/// The candidate pairs of a fleet. What it stores and does at a change grows with instances times the size of
+/// The candidate pairs of a fleet. What it stores and does at a change grows with initiators times the size of
 /// a subset.
 #[derive(Clone, Debug)]
 pub(crate) struct Assignment {
     config: SubsetConfig,
-    instances: u32,
+    initiators: u32,
     /// Targets' numbers by their names.
     numbers: BTreeMap<String, u32>,
     /// Numbers of targets that have been removed.
@@ -31,10 +31,10 @@
 
 impl Assignment {
     /// Without targets.
-    pub fn new(config: SubsetConfig, instances: u32) -> Assignment {
+    pub fn new(config: SubsetConfig, initiators: u32) -> Assignment {
         Assignment {
             config,
-            instances,
+            initiators,
             numbers: BTreeMap::new(),
             free_numbers: Vec::new(),
             layers: 0,
@@ -50,7 +50,7 @@
         }
         let layers = layer_count(&self.config, targets.len());
         if layers != self.layers {
-            *self = Assignment { layers, ..Assignment::new(self.config, self.instances) };
+            *self = Assignment { layers, ..Assignment::new(self.config, self.initiators) };
         }
         self.remove_all_but(targets);
         self.add_new(targets);
@@ -73,16 +73,16 @@
 
     /// Takes in the candidates of targets that have no number yet.
     fn add_new(&mut self, targets: &BTreeSet<String>) {
-        let mut drawn = vec![false; self.instances as usize];
+        let mut drawn = vec![false; self.initiators as usize];
         for name in targets {
             if self.numbers.contains_key(name) {
                 continue;
             }
             let target = self.free_numbers.pop().unwrap_or(self.numbers.len() as u32);
             self.numbers.insert(name.clone(), target);
-            let candidates = draw_candidates(name, self.layers, self.instances, &mut drawn);
+            let candidates = draw_candidates(name, self.layers, self.initiators, &mut drawn);
             let pairs = candidates.into_iter();
-            self.pairs.extend(pairs.map(|c| Pair { rank: c.rank, instance: c.instance, target }));
+            self.pairs.extend(pairs.map(|c| Pair { rank: c.rank, initiator: c.initiator, target }));
         }
     }
 
@@ -94,7 +94,7 @@
         let name_of = |pair: &Pair| names[pair.target as usize];
         pairs.sort_by(|a, b| {
             let by_rank = a.rank.cmp(&b.rank);
-            by_rank.then(a.instance.cmp(&b.instance)).then_with(|| name_of(a).cmp(name_of(b)))
+            by_rank.then(a.initiator.cmp(&b.initiator)).then_with(|| name_of(a).cmp(name_of(b)))
         });
         self.pairs = pairs;
     }
@@ -129,13 +129,13 @@
     }
 
     fn matching<'a>(&'a self, names: &'a [&'a str]) -> Matching<'a> {
-        Matching::build(self.config, self.instances, names, &self.numbers, &self.pairs)
+        Matching::build(self.config, self.initiators, names, &self.numbers, &self.pairs)
     }
 
-    /// The targets of all instances, by name.
+    /// The targets of all initiators, by name.
     pub fn all_subsets(&self) -> Vec<Vec<&str>> {
         if self.holds_all_targets() {
-            return vec![self.numbers.keys().map(String::as_str).collect(); self.instances as usize];
+            return vec![self.numbers.keys().map(String::as_str).collect(); self.initiators as usize];
         }
         let names = self.names();
         let matching = self.matching(&names);
@@ -143,14 +143,14 @@
         subsets.map(|targets| targets.iter().map(|target| names[*target as usize]).collect()).collect()
     }
 
-    /// The targets of one instance, by name.
-    pub fn subset_of(&self, instance: u32) -> BTreeSet<String> {
+    /// The targets of one initiator, by name.
+    pub fn subset_of(&self, initiator: u32) -> BTreeSet<String> {
         if self.holds_all_targets() {
             return self.numbers.keys().cloned().collect();
         }
         let names = self.names();
         let matching = self.matching(&names);
-        let targets = matching.targets_of().get(instance as usize);
+        let targets = matching.targets_of().get(initiator as usize);
         targets.into_iter().flatten().map(|target| names[*target as usize].to_string()).collect()
     }
 }
--- a/crates/subset/src/tests.rs
+++ b/crates/subset/src/tests.rs
@@ -20,24 +20,24 @@
 }
 
 proptest! {
-    // Each instance by itself chose what it had heard of first: some targets were everybody's, others
+    // Each initiator by itself chose what it had heard of first: some targets were everybody's, others
     // nobody's.
     #[test]
     fn every_target_has_its_part_of_the_instances(
-        instances in 1u32..64, targets in 1usize..80, size in 1usize..10, spread in 1.0f64..2.0,
+        initiators in 1u32..64, targets in 1usize..80, size in 1usize..10, spread in 1.0f64..2.0,
     ) {
         let (config, names) = (SubsetConfig { size, spread }, names(targets));
-        let assignments = assignments(&config, instances, &strs(&names));
+        let assignments = assignments(&config, initiators, &strs(&names));
         prop_assert!(assignments.iter().all(|preferred| preferred.len() == size.min(targets)));
         if size < targets {
-            let (fewest, most) = config.bounds(instances, targets);
+            let (fewest, most) = config.bounds(initiators, targets);
             let loads = loads(&assignments, targets);
             prop_assert!(loads.iter().all(|load| *load <= most + 1), "{loads:?} beyond {most}");
-            // A target that lacks some when the first pass ends has all other instances full: those alone
+            // A target that lacks some when the first pass ends has all other initiators full: those alone
             // would have taken more places than the pass gives. With hardly any spread that is no
             // contradiction.
-            let others = (u64::from(instances) + 1).saturating_sub(fewest as u64);
-            if others as f64 * spread >= f64::from(instances) {
+            let others = (u64::from(initiators) + 1).saturating_sub(fewest as u64);
+            if others as f64 * spread >= f64::from(initiators) {
                 prop_assert!(loads.iter().all(|load| *load >= fewest), "{loads:?} under {fewest}");
             }
         }
@@ -46,13 +46,13 @@
     // Discovery tells lists in no order of its own.
     #[test]
     fn the_order_of_the_list_does_not_matter(
-        instances in 1u32..20, targets in 2usize..30, turned in 0usize..30,
+        initiators in 1u32..20, targets in 2usize..30, turned in 0usize..30,
     ) {
         let (names, config) = (names(targets), SubsetConfig { size: 3, spread: 1.25 });
         let mut turned_names = names.clone();
         turned_names.rotate_left(turned % targets);
         let (a, b) = (strs(&names), strs(&turned_names));
-        let (first, second) = (assignments(&config, instances, &a), assignments(&config, instances, &b));
+        let (first, second) = (assignments(&config, initiators, &a), assignments(&config, initiators, &b));
         let named = |assignments: &[BTreeSet<usize>], names: &[&str]| -> Vec<BTreeSet<String>> {
             assignments.iter().map(|preferred| preferred.iter().map(|t| names[*t].to_string()).collect()).collect()
         };
@@ -122,7 +122,7 @@
     assert_eq!(subset.update_targets(BTreeSet::new()).expect("a change").removed.len(), 3);
 }
 
-// With a fifth target most instances keep their four; that these are preferred from then on must be moves.
+// With a fifth target most initiators keep their four; that these are preferred from then on must be moves.
 #[test]
 fn what_was_all_and_is_a_choice_now_is_news() {
     for me in 0..12 {
@@ -148,19 +148,19 @@
     assert_eq!(subset.update_targets(names(9).into_iter().collect()).expect("a change").added.len(), 4);
 }
 
-// A table that follows the list must not come to depend on what the list was: another instance starts today.
+// A table that follows the list must not come to depend on what the list was: another initiator starts today.
 proptest! {
     #[test]
     fn a_table_that_followed_the_list_is_the_one_made_anew(
-        instances in 1u32..60, size in 1usize..6, lists in prop::collection::vec(prop::collection::btree_set(0usize..120, 0..120), 1..6),
+        initiators in 1u32..60, size in 1usize..6, lists in prop::collection::vec(prop::collection::btree_set(0usize..120, 0..120), 1..6),
     ) {
         let config = SubsetConfig { size, spread: 1.25 };
         let all = names(120);
-        let mut followed = Assignment::new(config, instances);
+        let mut followed = Assignment::new(config, initiators);
         for places in lists {
             let list: BTreeSet<String> = places.iter().map(|place| all[*place].clone()).collect();
             followed.update_targets(&list);
-            let mut anew = Assignment::new(config, instances);
+            let mut anew = Assignment::new(config, initiators);
             anew.update_targets(&list);
             let sorted = |assignment: &Assignment| -> Vec<BTreeSet<String>> {
                 assignment.all_subsets().iter().map(|preferred| preferred.iter().map(|name| name.to_string()).collect()).collect()
@@ -171,32 +171,32 @@
     }
 }
 
-/// Where each target draws only some of the instances: 400 instances, 600 targets.
+/// Where each target draws only some of the initiators: 400 initiators, 600 targets.
 const MANY: (u32, usize) = (400, 600);
 
 #[test]
 fn with_many_targets_a_bounded_number_of_pairs_is_looked_at() {
-    let pairs = |instances, targets| {
-        let mut assignment = Assignment::new(CONFIG, instances);
+    let pairs = |initiators, targets| {
+        let mut assignment = Assignment::new(CONFIG, initiators);
         assignment.update_targets(&names(targets).into_iter().collect());
         assignment.pair_count() as f64
     };
-    let (instances, targets) = MANY;
-    let made = pairs(instances, targets);
-    assert!(made < f64::from(instances) * 45.0, "{made} candidate pairs");
+    let (initiators, targets) = MANY;
+    let made = pairs(initiators, targets);
+    assert!(made < f64::from(initiators) * 45.0, "{made} candidate pairs");
     // Twice as many of both: twice the pairs, not four times.
-    assert!(pairs(2 * instances, 2 * targets) < 2.1 * made);
+    assert!(pairs(2 * initiators, 2 * targets) < 2.1 * made);
 }
 
 #[test]
 fn with_many_targets_each_has_its_part_of_the_instances() {
-    let (instances, targets) = MANY;
+    let (initiators, targets) = MANY;
     let names = names(targets);
     for (size, spread) in [(4, 1.25), (20, 1.25), (20, 1.05), (7, 1.0)] {
         let config = SubsetConfig { size, spread };
-        let assignments = assignments(&config, instances, &strs(&names));
+        let assignments = assignments(&config, initiators, &strs(&names));
         assert!(assignments.iter().all(|preferred| preferred.len() == size));
-        let (fewest, most) = config.bounds(instances, targets);
+        let (fewest, most) = config.bounds(initiators, targets);
         let loads = loads(&assignments, targets);
         assert!(loads.iter().all(|load| (fewest..=most + 1).contains(load)), "{config:?}: {loads:?}");
     }
@@ -204,16 +204,16 @@
 
 #[test]
 fn with_many_targets_a_join_or_a_leave_moves_about_its_share() {
-    let (instances, targets) = MANY;
-    let joined = moved_by_joins(instances..instances + 24, targets);
+    let (initiators, targets) = MANY;
+    let joined = moved_by_joins(initiators..initiators + 24, targets);
     assert!(joined < 1.5, "{joined} times 1/N");
     let all = names(targets);
-    let before = assignments(&CONFIG, instances, &strs(&all));
+    let before = assignments(&CONFIG, initiators, &strs(&all));
     let mut parts = Vec::new();
     for gone in (0..targets).step_by(25) {
         let mut fewer = all.clone();
         fewer.remove(gone);
-        let after = assignments(&CONFIG, instances, &strs(&fewer));
+        let after = assignments(&CONFIG, initiators, &strs(&fewer));
         let moves = difference((&before, &strs(&all)), (&after, &strs(&fewer)));
         parts.push(moves.moved as f64 / moves.pairs as f64 * targets as f64);
     }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -6,7 +6,7 @@
 mod routes;
 mod try_out;
 
-use crate::config::{Config, Decided, Reload};
+use crate::config::{Config, Reload, RouteEvaluation};
 use crate::initiator;
 use lexopt::prelude::*;
 use rowanglade_routing::Decision;
@@ -155,8 +155,8 @@
     let operator = operator_files(parser)?;
     let config = Config::load(variable, &operator).map_err(Failure::usage)?;
     println!("{config}");
-    let known = config.known.as_ref().map(|known| known.routable_targets()).unwrap_or_default();
-    let Decided { decision, lines, .. } = config.routing.decide(&known);
+    let known = config.cached_list.as_ref().map(|known| known.routable_targets()).unwrap_or_default();
+    let RouteEvaluation { decision, lines, .. } = config.routing.evaluate(&known);
     lines.iter().for_each(|line| println!("{line}"));
     if !config.routing.rules.expectations.is_empty() {
         println!("{decision}");
--- a/src/cli/routes.rs
+++ b/src/cli/routes.rs
@@ -1,7 +1,7 @@
 //! `rowanglade routes`: expectations checked, a request's route explained, two versions of files compared.
 
 use super::{Failure, variable};
-use crate::config::{Config, Decided, Routing};
+use crate::config::{Config, RouteEvaluation, Routing};
 use crate::net::http::EndpointPage;
 use lexopt::prelude::*;
 use rowanglade_routing::diff::diff;
@@ -57,7 +57,7 @@
     fn read(&self) -> Result<(Routing, Vec<TargetInfo>), Failure> {
         let config = Config::load(variable, &self.operator).map_err(Failure::usage)?;
         let targets = match &self.list {
-            None => config.known.as_ref().map(|known| known.routable_targets()).unwrap_or_default(),
+            None => config.cached_list.as_ref().map(|known| known.routable_targets()).unwrap_or_default(),
             Some(path) => read_list(path)?.routable_targets(),
         };
         Ok((config.routing, targets))
@@ -80,7 +80,7 @@
         }
     }
     let (routing, targets) = files.read()?;
-    let Decided { decision, lines, .. } = routing.decide(&targets);
+    let RouteEvaluation { decision, lines, .. } = routing.evaluate(&targets);
     lines.iter().for_each(|line| println!("{line}"));
     let rules = &routing.rules;
     println!(
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -35,7 +35,7 @@
 pub use iscsi::{Iscsi, Portal};
 pub use limits::Limits;
 pub use reload::Reload;
-pub use routing::{Decided, Routing};
+pub use routing::{RouteEvaluation, Routing};
 
 /// The name of an initiator that the configuration does not name.
 const DEFAULT_NAME: &str = "rowanglade";
@@ -52,13 +52,13 @@
     /// Where the admin listener is; none turns it off.
     pub admin: Option<SocketAddr>,
     /// The folder through which this process and its successor find each other; none turns handover off.
-    pub meeting: Option<PathBuf>,
+    pub handover_dir: Option<PathBuf>,
     /// The seed of the initiator's random numbers.
     pub seed: u64,
     /// The endpoint list that was known before, for the time until discovery answers.
-    pub known: Option<EndpointPage>,
+    pub cached_list: Option<EndpointPage>,
     /// The other initiators as the platform gives them; none where draining targets are not reported to them.
-    pub peers: Option<PeerAddresses>,
+    pub gossip_peers: Option<PeerAddresses>,
     /// Classes, plans and rules.
     pub settings: Settings,
     /// Memory and descriptors that the program may use.
@@ -70,7 +70,7 @@
     /// Routes and their expectations.
     pub routing: Routing,
     /// The other initiators; none turns the exchange of quota with them off.
-    pub fleet: Option<FleetPeers>,
+    pub quota_peers: Option<FleetPeers>,
     /// When a site is ejected; none turns the monitoring of sites off.
     pub sites: Option<SiteSettings>,
     /// The targets that this initiator prefers for new objects; none prefers none.
@@ -100,20 +100,20 @@
             listen: listen.address()?,
             discovery: Setting::find_address(&env, "LB_DISCOVERY", "discovery", file.discovery)?,
             admin: Setting::find_address(&env, "LB_ADMIN", "admin", file.admin)?,
-            meeting: env("TMPDIR").map(PathBuf::from),
+            handover_dir: env("TMPDIR").map(PathBuf::from),
             seed: platform::seed(file.seed.as_deref())?,
-            known: file.known,
-            peers,
+            cached_list: file.known,
+            gossip_peers: peers,
             settings: file.settings,
             limits: file.limits.check()?,
             iscsi,
             access_log: tables.access_log.map(AccessLog::check).transpose()?,
             routing,
-            fleet: tables.fleet.map(|table| table.check()).transpose()?,
+            quota_peers: tables.fleet.map(|table| table.check()).transpose()?,
             sites,
             subset,
         };
-        config.decide()?;
+        config.build_scheduler()?;
         Ok(config)
     }
 
@@ -121,7 +121,7 @@
     ///
     /// # Errors
     /// The settings are not valid; the error names the key.
-    pub fn decide(&self) -> Result<(Scheduler, Names), ConfigError> {
+    pub fn build_scheduler(&self) -> Result<(Scheduler, Names), ConfigError> {
         let mut names = Names::default();
         let settings = self.settings.translate(&mut names);
         let scheduler = settings
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -47,7 +47,7 @@
         serde_json::from_str(&text).map_err(|error| ConfigError::new("LB_CONFIG", error))
     }
 
-    /// Where the peers are; none where instances may not talk to each other, or need not, since each has the
+    /// Where the peers are; none where initiators may not talk to each other, or need not, since each has the
     /// list from an agent of its own.
     ///
     /// # Errors
--- a/src/config/routing.rs
+++ b/src/config/routing.rs
@@ -32,24 +32,24 @@
 
     /// Checks the expectations, and decides whether the routes may be put in force. Blocks as
     /// [`Routing::check`] does.
-    pub fn decide(&self, targets: &[TargetInfo]) -> Decided {
+    pub fn evaluate(&self, targets: &[TargetInfo]) -> RouteEvaluation {
         let report = self.check(targets);
         let undecided = |verdict: &Verdict| matches!(verdict, Verdict::Undecided { .. });
-        Decided {
+        RouteEvaluation {
             decision: report.decision(&self.rules.expectations),
             lines: report.lines(&self.rules.expectations),
-            open: report.findings.iter().any(|finding| undecided(&finding.verdict)),
+            has_undecided: report.findings.iter().any(|finding| undecided(&finding.verdict)),
         }
     }
 }
 
 /// Whether routes may be put in force.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Decided {
+pub struct RouteEvaluation {
     /// The decision.
     pub decision: Decision,
     /// What an operator should read about it.
     pub lines: Vec<String>,
     /// Whether some expectations could not be decided before more targets are listed.
-    pub open: bool,
+    pub has_undecided: bool,
 }
--- a/src/config/sites.rs
+++ b/src/config/sites.rs
@@ -50,7 +50,7 @@
             let problem = "what returns has no ramp: settings.rules.warm-within is zero";
             return Err(ConfigError::new("sites", problem));
         }
-        let (own_index, instances) = settings.number_of_initiators();
+        let (own_index, initiators) = settings.number_of_initiators();
         let rules = FailoverConfig {
             evidence_window: micros(self.window_ms),
             quorum: self.part,
@@ -60,10 +60,10 @@
             recovery_ramp: settings.slow_start_duration(),
             slow_factor: self.slow_times,
             own_index,
-            instances,
+            initiators,
         };
         let names = self.names.into_iter().collect();
-        Ok(SiteSettings { names, rules, longest_advice: settings.max_retry_after() })
+        Ok(SiteSettings { names, rules, max_retry_after: settings.max_retry_after() })
     }
 
     fn check_spans(&self) -> Result<(), ConfigError> {
--- a/src/core/actor/attempt_results.rs
+++ b/src/core/actor/attempt_results.rs
@@ -33,14 +33,14 @@
     pub(super) fn attempt_ended(&mut self, id: RequestId, number: AttemptNumber, result: AttemptResult) {
         let Some(open) = self.open_requests.get_mut(id) else { return };
         let Some(attempt) = open.take_attempt(number) else { return };
-        let result = before_start_means_not_sent(&attempt, result);
+        let result = as_not_sent_if_unstarted(&attempt, result);
         let outcome = result.outcome;
         let now = self.clock.now();
         open.trace(number, |trace| trace.ended = Some((now, outcome)));
         let request = Rc::clone(&open.request);
         self.learn_location(attempt.target, &request, outcome);
         let consumed = request.body_rest.as_ref().is_some_and(|upload| upload.is_consumed());
-        if let Some(response) = response_to(outcome, consumed, result.body) {
+        if let Some(response) = final_response_for(outcome, consumed, result.body) {
             self.finish_request(id, Some(response));
         }
         tracing::debug!(request = id.0, attempt = number.0, ?outcome, "attempt ended");
@@ -90,17 +90,18 @@
     }
 }
 
-/// Whatever its target's actor took it for: before its start nothing of an attempt was sent.
-fn before_start_means_not_sent(attempt: &InFlightAttempt, result: AttemptResult) -> AttemptResult {
+/// The result of an attempt, corrected: nothing of an attempt that had not started was sent, whatever its
+/// target's actor reports.
+fn as_not_sent_if_unstarted(attempt: &InFlightAttempt, result: AttemptResult) -> AttemptResult {
     match attempt.started || result.outcome.proves_not_executed() {
         true => result,
         false => AttemptResult::without_response(Outcome::NotSent),
     }
 }
 
-/// The response that an attempt's outcome is for its client. `None`: the scheduler may try again. What was
+/// The response that an attempt's outcome is for its client. `None`: the scheduler may retry. What was
 /// read of a streamed body (`consumed`) is not there for another attempt.
-fn response_to(outcome: Outcome, consumed: bool, body: ResponseBody) -> Option<Response> {
+fn final_response_for(outcome: Outcome, consumed: bool, body: ResponseBody) -> Option<Response> {
     match outcome {
         Outcome::Served => Some(Response::Served(body)),
         outcome if consumed && outcome.proves_not_executed() => {
--- a/src/core/actor/attempts.rs
+++ b/src/core/actor/attempts.rs
@@ -72,11 +72,13 @@
         }));
         // Without places for its start and its end, or a target that takes it, the attempt never was.
         let sent = !open.is_finished()
-            && mailbox.zip(permits(open, &self.mailbox_sender)).is_some_and(|(mailbox, permits)| {
-                let request = Rc::clone(&open.request);
-                let report = AttemptReporter::new(id, number, permits);
-                send_attempt(&mailbox, Attempt { request, until, cancel: cancelled, report })
-            });
+            && mailbox.zip(reserve_attempt_permits(open, &self.mailbox_sender)).is_some_and(
+                |(mailbox, permits)| {
+                    let request = Rc::clone(&open.request);
+                    let report = AttemptReporter::new(id, number, permits);
+                    send_attempt(&mailbox, Attempt { request, until, cancel: cancelled, report })
+                },
+            );
         if !sent {
             open.take_attempt(number);
             let request_over = open.is_finished();
@@ -116,7 +118,10 @@
 }
 
 /// Places in the core's mailbox for all that an attempt must report. `None`: there are too few.
-fn permits(open: &OpenRequest, mailbox: &mpsc::WeakSender<Message>) -> Option<AttemptPermits> {
+fn reserve_attempt_permits(
+    open: &OpenRequest,
+    mailbox: &mpsc::WeakSender<Message>,
+) -> Option<AttemptPermits> {
     let start = reserve(mailbox)?;
     let end = reserve(mailbox)?;
     let body_started = if open.is_streamed() { reserve(mailbox) } else { None };
@@ -129,7 +134,7 @@
         Ok(()) => true,
         Err(TrySendError::Full(message) | TrySendError::Closed(message)) => {
             if let TargetMessage::Attempt(attempt) = message {
-                attempt.report.discard();
+                attempt.report.disarm();
             }
             false
         }
--- a/src/core/actor/endpoint_updates.rs
+++ b/src/core/actor/endpoint_updates.rs
@@ -46,7 +46,7 @@
         self.publish_target_sets();
         self.endpoints.bump_revision();
         self.publish_preferred_targets();
-        self.apply_event(Event::EndpointsChanged { kind: EndpointUpdateKind::Gossip, entries });
+        self.apply_event(Event::EndpointsChanged { kind: EndpointUpdateKind::Delta, entries });
         self.cancel_unstarted_attempts();
         self.endpoints.drop_removed(changed);
     }
@@ -67,7 +67,7 @@
         let probes = self.listed_targets(&actions.probes);
         let changed = self.listed_targets(&actions.changed);
         if !changed.is_empty() {
-            let held_out = |target: &TargetId| self.endpoints.is_held_out(self.clock.now(), *target);
+            let held_out = |target: &TargetId| self.endpoints.is_suspended(self.clock.now(), *target);
             let (draining, back): (Vec<TargetId>, Vec<TargetId>) = changed.into_iter().partition(held_out);
             for (targets, draining) in [(draining, true), (back, false)] {
                 if !targets.is_empty() {
--- a/src/core/actor/handover.rs
+++ b/src/core/actor/handover.rs
@@ -21,7 +21,7 @@
                 self.set_handed_over(false);
                 let _ = answer.send(());
             }
-            HandoverRequest::Restart(answer) => {
+            HandoverRequest::ServeWithoutState(answer) => {
                 self.scheduler.reset_owned(self.clock.now());
                 self.set_handed_over(false);
                 let _ = answer.send(());
--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -43,7 +43,7 @@
     Probe(Probe),
     /// Whether operators or a lost site keep new requests from the target. While they do, its connections end
     /// once they carry nothing.
-    SetDraining(bool),
+    SetSuspended(bool),
 }
 
 /// Makes the actor of a target, which lives as long as its mailbox is held.
@@ -117,7 +117,7 @@
     }
 
     /// Nothing was sent, and the core knows.
-    pub(super) fn discard(mut self) {
+    pub(super) fn disarm(mut self) {
         self.end = None;
     }
 
--- a/src/core/endpoints.rs
+++ b/src/core/endpoints.rs
@@ -159,19 +159,19 @@
         }
     }
 
-    /// Whether maintenance or a lost site keeps requests from a target. One that discovery has drain is not
-    /// held by its site: nobody would inform its connections that it is back.
-    pub(super) fn is_held_out(&self, now: Micros, id: TargetId) -> bool {
+    /// Whether maintenance or a lost site keeps requests from a target. A target that discovery reports as draining
+    /// is not suspended by its site: its connections would not learn when the site returns.
+    pub(super) fn is_suspended(&self, now: Micros, id: TargetId) -> bool {
         self.targets.get(&id).is_some_and(|target| {
-            let held_by_site = target.reported.state == TargetState::Active
+            let suspended_by_site = target.reported.state == TargetState::Active
                 && self.effective(now, &target.reported).state == TargetState::Draining;
-            held_by_site || self.maintenance.is_out(&target.reported.name)
+            suspended_by_site || self.maintenance.is_out(&target.reported.name)
         })
     }
 
     /// Works out anew what holds for targets, of which others than discovery have said that they drain or are
     /// back, and informs their actors. Returns the targets that this changed.
-    pub(super) fn refresh(&mut self, now: Micros, targets: &[TargetId], draining: bool) -> Vec<TargetId> {
+    pub(super) fn refresh(&mut self, now: Micros, targets: &[TargetId], suspended: bool) -> Vec<TargetId> {
         let mut changed = Vec::with_capacity(targets.len());
         for id in targets {
             let Some(target) = self.targets.get(id) else { continue };
@@ -183,7 +183,7 @@
             }
             // An actor that starts later is informed then.
             if let Some(mailbox) = &target.mailbox
-                && mailbox.try_send(TargetMessage::SetDraining(draining)).is_err()
+                && mailbox.try_send(TargetMessage::SetSuspended(suspended)).is_err()
             {
                 tracing::warn!(
                     target = target.reported.name,
@@ -199,7 +199,7 @@
         let mailbox = (self.connect)(endpoint);
         if self.maintenance.is_out(&endpoint.name) {
             // A new mailbox has room.
-            let _ = mailbox.try_send(TargetMessage::SetDraining(true));
+            let _ = mailbox.try_send(TargetMessage::SetSuspended(true));
         }
         mailbox
     }
--- a/src/core/handover_request.rs
+++ b/src/core/handover_request.rs
@@ -32,7 +32,7 @@
     /// To spend it again.
     Resume(oneshot::Sender<()>),
     /// To go on from nothing: another process had what is owned.
-    Restart(oneshot::Sender<()>),
+    ServeWithoutState(oneshot::Sender<()>),
     /// To go on with what another process owned.
     TakeOver(Box<HandoverState>, oneshot::Sender<()>),
     /// An admin command came to the other process.
--- a/src/core/message.rs
+++ b/src/core/message.rs
@@ -77,7 +77,7 @@
         /// The load that the target reported.
         load: LoadReport,
     },
-    /// Peers report that these targets drain. Discovery's next word on them holds again.
+    /// Peers report that these targets drain. The next update from discovery overrides it.
     PeersReportDraining(Vec<String>),
     /// A list, or a part of one, has come.
     EndpointsChanged {
--- a/src/core/site_monitor.rs
+++ b/src/core/site_monitor.rs
@@ -16,7 +16,7 @@
     /// When a site counts as lost, and how it returns.
     pub rules: FailoverConfig,
     /// The longest time for which a client is asked to stay away.
-    pub longest_advice: Duration,
+    pub max_retry_after: Duration,
 }
 
 /// What is to be done about sites.
@@ -84,7 +84,7 @@
     /// The lost site without which a shard has no target, and when a client should come back.
     pub(super) fn unavailable(&self, now: Micros, shard: Option<u32>) -> Option<(Rc<str>, Duration)> {
         let (site, wait) = self.sites.lost_site_of_shard(now, shard?)?;
-        Some((site.into(), Duration::from_micros(wait).min(self.settings.longest_advice)))
+        Some((site.into(), Duration::from_micros(wait).min(self.settings.max_retry_after)))
     }
 
     /// When [`poll`](Self::poll) has something to do next.
--- a/src/handover/actor.rs
+++ b/src/handover/actor.rs
@@ -94,7 +94,7 @@
         };
         loop {
             while let Some(action) = actor.actions.pop_front() {
-                if let Some(start) = actor.execute_until_start(action).await? {
+                if let Some(start) = actor.execute_startup_action(action).await? {
                     return Ok((actor, start));
                 }
             }
@@ -103,7 +103,7 @@
     }
 
     /// Executes an action. Some: how the process starts is known with it.
-    async fn execute_until_start(&mut self, action: Action) -> io::Result<Option<HandoverStart>> {
+    async fn execute_startup_action(&mut self, action: Action) -> io::Result<Option<HandoverStart>> {
         match action {
             Action::Serve { .. } => {
                 // It is executed once there is something to serve with.
@@ -114,7 +114,7 @@
                 let welcome = self.welcome.take();
                 Ok(welcome.map(|(welcome, listeners)| HandoverStart::Welcomed(welcome, listeners)))
             }
-            Action::Fail { version } => Ok(Some(HandoverStart::VersionMismatch { version })),
+            Action::RejectVersion { version } => Ok(Some(HandoverStart::VersionMismatch { version })),
             other => self.execute(other).await.map(|()| None),
         }
     }
@@ -224,7 +224,7 @@
         self.core_requests
             .extend(object_seen.map(|(object, seen)| HandoverRequest::ObjectSeen(object, seen)));
         if let (Some(share), Some(controls)) = (share, &self.controls) {
-            controls.leave_to_other(share);
+            controls.reserve_for_peer_process(share);
         }
         let kind = kind?;
         // A message without what belongs to it is torn.
@@ -250,7 +250,7 @@
     fn link_closed(&mut self, link: LinkId) -> Event {
         self.links.close(link);
         if let (true, Some(controls)) = (self.machine.is_owner(), &self.controls) {
-            controls.take_all_back();
+            controls.release_reservation();
         }
         Event::LinkClosed(link)
     }
--- a/src/handover/actor/actions.rs
+++ b/src/handover/actor/actions.rs
@@ -25,8 +25,10 @@
             Action::Freeze => self.freeze().await,
             Action::Resume => self.resume().await,
             Action::Retire => self.retire(),
-            Action::Restart => self.restart().await?,
-            Action::Fail { version } => tracing::error!(version, "handover protocol version not supported"),
+            Action::ServeWithoutState => self.serve_without_state().await?,
+            Action::RejectVersion { version } => {
+                tracing::error!(version, "handover protocol version not supported")
+            }
         }
         Ok(())
     }
@@ -40,7 +42,7 @@
     async fn serve(&mut self, with_state: bool) -> io::Result<()> {
         let state = self.received_state.take().filter(|_| with_state);
         if let (Some(controls), Some(state)) = (&self.controls, state) {
-            controls.ask(|done| HandoverRequest::TakeOver(state, done)).await;
+            controls.request(|done| HandoverRequest::TakeOver(state, done)).await;
         }
         self.accept_successors()
     }
@@ -48,15 +50,15 @@
     async fn freeze(&mut self) {
         if let Some(controls) = &self.controls {
             controls.set_phase(Phase::Preparing);
-            self.frozen_state = controls.ask(HandoverRequest::Freeze).await;
+            self.frozen_state = controls.request(HandoverRequest::Freeze).await;
         }
     }
 
     async fn resume(&mut self) {
         if let Some(controls) = &self.controls {
-            controls.ask(HandoverRequest::Resume).await;
+            controls.request(HandoverRequest::Resume).await;
             controls.set_phase(Phase::Serving);
-            controls.take_all_back();
+            controls.release_reservation();
         }
     }
 
@@ -69,14 +71,14 @@
         tracing::info!("handover completed, finishing open requests");
     }
 
-    async fn restart(&mut self) -> io::Result<()> {
+    async fn serve_without_state(&mut self) -> io::Result<()> {
         tracing::warn!("successor lost, serving again");
         if let Some(controls) = &self.controls {
-            controls.ask(HandoverRequest::Restart).await;
+            controls.request(HandoverRequest::ServeWithoutState).await;
         }
         self.accept_successors()?;
         if let Some(controls) = &self.controls {
-            controls.take_all_back();
+            controls.release_reservation();
         }
         Ok(())
     }
--- a/src/handover/controls.rs
+++ b/src/handover/controls.rs
@@ -1,4 +1,4 @@
-//! What a handover turns in the rest of the process: the core, the phase and the budget of descriptors.
+//! What a handover controls in the rest of the process: the core, the phase and the budget of descriptors.
 
 use super::message::{DescriptorShare, Listeners, Welcome};
 use crate::core::HandoverRequest;
@@ -12,14 +12,14 @@
 /// Descriptors that a successor needs until it has the state. Its predecessor makes room for them.
 const SUCCESSOR_DESCRIPTORS: usize = 40;
 
-/// What a handover turns.
+/// The parts of the process that a handover controls.
 #[derive(Debug)]
 pub struct HandoverControls {
-    /// Where the core is asked.
+    /// Requests to the core.
     pub core: mpsc::Sender<HandoverRequest>,
     /// Whether there is an endpoint list that requests can be served by.
     pub ready: watch::Receiver<bool>,
-    /// Told to all who serve clients.
+    /// The phase, as all listeners follow it.
     pub phase: Rc<watch::Sender<Phase>>,
     /// What both processes count together.
     pub budget: DescriptorBudget,
@@ -32,8 +32,8 @@
         self.phase.send_replace(phase);
     }
 
-    /// Asks the core. `None`: it has ended.
-    pub(super) async fn ask<T>(
+    /// Sends the core a request and waits for its answer. `None`: the core has ended.
+    pub(super) async fn request<T>(
         &self,
         request: impl FnOnce(oneshot::Sender<T>) -> HandoverRequest,
     ) -> Option<T> {
@@ -50,7 +50,7 @@
 
     /// Makes room for a successor, and collects all that it may know early. `None`: the core has ended.
     pub(super) async fn welcome(&self) -> Option<Welcome> {
-        let (now, list) = self.ask(HandoverRequest::Describe).await?;
+        let (now, list) = self.request(HandoverRequest::Describe).await?;
         self.budget.share(SUCCESSOR_DESCRIPTORS);
         let descriptors = self.budget.total().saturating_sub(SUCCESSOR_DESCRIPTORS);
         let share = DescriptorShare { descriptors };
@@ -58,19 +58,19 @@
     }
 
     /// Leaves so many descriptors to the other process; none where it is gone.
-    pub(super) fn leave_to_other(&self, share: DescriptorShare) {
+    pub(super) fn reserve_for_peer_process(&self, share: DescriptorShare) {
         self.budget.share(share.descriptors);
     }
 
     /// Nothing is left to the other process any more.
-    pub(super) fn take_all_back(&self) {
+    pub(super) fn release_reservation(&self) {
         self.budget.share(0);
     }
 
     /// Uses no more than what is still held, and a few descriptors to finish it.
     pub(super) fn retire(&self) {
         self.set_phase(Phase::Leaving);
-        self.budget.keep_in_use(RETIRED_DESCRIPTORS);
+        self.budget.cap_at_open_descriptors(RETIRED_DESCRIPTORS);
     }
 
     /// What a retired predecessor still uses.
--- a/src/initiator.rs
+++ b/src/initiator.rs
@@ -22,7 +22,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use targets::{TargetConnections, classes, connect, portals, session_figures};
+use targets::{TargetConnections, classes, configured_targets_message, connect, session_settings};
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::{mpsc, watch};
@@ -92,7 +92,7 @@
     /// The configuration cannot be used, a socket cannot be opened, or another process of this initiator
     /// serves and cannot hand over to this one.
     pub async fn start(mut config: Config) -> Result<Initiator, Error> {
-        let (scheduler, names) = config.decide().map_err(Error::Config)?;
+        let (scheduler, names) = config.build_scheduler().map_err(Error::Config)?;
         let Received { actor, mut listeners, welcome } = Received::from_predecessor(&config).await?;
         // Times that go from one process to the next are on one clock.
         let clock = welcome.as_ref().map_or_else(Clock::start, |welcome| Clock::starting_at(welcome.now));
@@ -107,11 +107,11 @@
         let access_log = open_access_log(&config)?;
         let (mailbox, core) = core::mailbox(&config.settings, access_log.clone());
         let figures =
-            sockets.iscsi.as_ref().map(|(_, iscsi)| session_figures(iscsi, &config.settings, clock));
+            sockets.iscsi.as_ref().map(|(_, iscsi)| session_settings(iscsi, &config.settings, clock));
         let connect = connect(connections.transport, figures, core.clone());
 
-        let routes = InitialRoutes::check(std::mem::take(&mut config.routing), config.known.as_ref())?;
-        let quota = match config.fleet.take() {
+        let routes = InitialRoutes::check(std::mem::take(&mut config.routing), config.cached_list.as_ref())?;
+        let quota = match config.quota_peers.take() {
             Some(peers) => {
                 let socket = sockets.open_quota(&mut listeners, &peers).await?;
                 Some(start_quota_exchange(peers, socket, &core, &phase))
@@ -224,10 +224,10 @@
     welcome: Option<Box<Welcome>>,
     iscsi: Option<&Iscsi>,
 ) {
-    let cached_list = welcome.map(|welcome| welcome.list).or_else(|| config.known.clone());
+    let cached_list = welcome.map(|welcome| welcome.list).or_else(|| config.cached_list.clone());
     http::send_cached_list(core, cached_list.unwrap_or_default()).await;
     if let Some(iscsi) = iscsi {
-        core.send(portals(iscsi)).await;
+        core.send(configured_targets_message(iscsi)).await;
     }
 }
 
@@ -239,14 +239,14 @@
 ) -> watch::Sender<http::DiscoveryAddress> {
     let (address, changes) = watch::channel(config.discovery);
     let seed = config.seed;
-    let gossip = config.peers.take().map(|peers| DrainGossipLink::new(peers, seed, clock.now()));
+    let gossip = config.gossip_peers.take().map(|peers| DrainGossipLink::new(peers, seed, clock.now()));
     let poller = http::DiscoveryPoller::new(
         changes,
         config.settings.connect_timeout(),
         core.clone(),
         clock,
         |now| config.settings.discovery_schedule(WatchMode::LongPoll, seed, now),
-        config.known.as_ref(),
+        config.cached_list.as_ref(),
         gossip,
     );
     actix_rt::spawn(poller.run());
--- a/src/initiator/handover.rs
+++ b/src/initiator/handover.rs
@@ -56,7 +56,7 @@
 /// replaced.
 async fn contact(config: &Config) -> Option<(HandoverActor, HandoverStart)> {
     // Without an admin listener nobody would learn when the successor serves.
-    let folder = config.meeting.as_ref().filter(|_| config.admin.is_some())?;
+    let folder = config.handover_dir.as_ref().filter(|_| config.admin.is_some())?;
     let started = match HandoverPaths::within(folder, &config.name) {
         Ok(paths) => HandoverActor::start(paths).await,
         Err(error) => Err(error),
--- a/src/initiator/reload.rs
+++ b/src/initiator/reload.rs
@@ -1,7 +1,7 @@
 //! Reloading of the configuration while an initiator runs, at SIGHUP and when the list of targets changes.
 
 use super::ReloadError;
-use crate::config::{ConfigError, Decided, Reload, Routing};
+use crate::config::{ConfigError, Reload, RouteEvaluation, Routing};
 use crate::core::{AccessLog, CoreHandle, LoadedRoutes};
 use crate::net::http;
 use rowanglade_routing::{Decision, RouteTable, TargetInfo};
@@ -59,7 +59,7 @@
             Decision::Refuse => tracing::error!("waiting routes rejected, keeping those in force"),
         }
         let in_force = in_force || decided.decision == Decision::Load;
-        decided.open.then_some(Undecided { reload, in_force })
+        decided.has_undecided.then_some(Undecided { reload, in_force })
     }
 }
 
@@ -73,7 +73,7 @@
 /// A configuration whose expectations were checked against the listed targets.
 struct Checked {
     reload: Reload,
-    decided: Decided,
+    decided: RouteEvaluation,
 }
 
 /// Reads and checks a configuration on a thread of its own: thousands of expectations take a second.
@@ -87,7 +87,7 @@
     let (result_tx, result) = oneshot::channel();
     let thread = std::thread::Builder::new().name("reload".into()).spawn(move || {
         let checked = read().map(|reload| {
-            let decided = reload.routing.decide(&targets);
+            let decided = reload.routing.evaluate(&targets);
             Checked { reload, decided }
         });
         // Nobody listens any more where the program ends.
--- a/src/initiator/routes.rs
+++ b/src/initiator/routes.rs
@@ -1,7 +1,7 @@
 //! The routes that are in force from the start.
 
 use super::Error;
-use crate::config::{ConfigError, Decided, Routing};
+use crate::config::{ConfigError, RouteEvaluation, Routing};
 use crate::core::LoadedRoutes;
 use crate::net::http;
 use rowanglade_routing::check::Decision;
@@ -30,13 +30,13 @@
     /// An expectation is broken.
     pub fn check(routing: Routing, cached_list: Option<&http::EndpointPage>) -> Result<InitialRoutes, Error> {
         let targets = cached_list.map(http::EndpointPage::routable_targets).unwrap_or_default();
-        let Decided { decision, lines, open } = routing.decide(&targets);
+        let RouteEvaluation { decision, lines, has_undecided } = routing.evaluate(&targets);
         lines.iter().for_each(|line| tracing::warn!("{line}"));
         if decision == Decision::Refuse {
             return Err(Error::Config(ConfigError::new("expect", lines.join("\n"))));
         }
         let loaded = LoadedRoutes { version: FIRST_VERSION, table: routing.rules.table.clone() };
         let (table, in_force) = watch::channel(Arc::new(loaded));
-        Ok(InitialRoutes { table, in_force, undecided: open.then(|| Rc::new(routing)) })
+        Ok(InitialRoutes { table, in_force, undecided: has_undecided.then(|| Rc::new(routing)) })
     }
 }
--- a/src/initiator/run.rs
+++ b/src/initiator/run.rs
@@ -11,11 +11,11 @@
 
 /// For this long after SIGTERM clients may still connect, and a request must be answered whenever it comes.
 const ACCEPT_AFTER_SIGTERM: Duration = Duration::from_millis(750);
-/// Clients go on with the connections that stay open, and nobody else serves them until the next start: so
-/// they do stay open, until this much is left for what is held by then.
-const LAST_RESPONSES: Duration = Duration::from_millis(900);
-/// What has no answer this long before the end is failed, so that none is lost.
-const FAIL_BEFORE_END: Duration = Duration::from_millis(100);
+/// Idle client connections stay open after SIGTERM, because no other process serves these clients until the
+/// next start. They are closed this long before the end, which leaves time to finish open requests.
+const FINAL_RESPONSE_TIME: Duration = Duration::from_millis(900);
+/// Requests that are open this long before the end are failed, so that each client has its final response.
+const FAIL_MARGIN: Duration = Duration::from_millis(100);
 /// How long the access log's last lines may take to the disk.
 const LOG_FLUSH_TIMEOUT: Duration = Duration::from_millis(100);
 /// How often a shutdown looks whether connections and requests are left.
@@ -116,7 +116,7 @@
     async fn serve_on(&self, mut front: impl Future<Output = std::io::Result<()>> + Unpin) {
         self.clients.keep_idle();
         let _ = timeout_at(self.begun + ACCEPT_AFTER_SIGTERM, &mut front).await;
-        let _ = timeout_at(self.end - LAST_RESPONSES, async {
+        let _ = timeout_at(self.end - FINAL_RESPONSE_TIME, async {
             tokio::select! {
                 _ = &mut front => {}
                 () = self.idle() => {}
@@ -129,7 +129,7 @@
     /// Waits for open requests, and fails those that are still open shortly before the end.
     async fn finish_requests(&self) {
         // Sessions were asked to log out. One that stays without an open request does not hold the end up.
-        if timeout_at(self.end - FAIL_BEFORE_END, self.idle()).await.is_err() {
+        if timeout_at(self.end - FAIL_MARGIN, self.idle()).await.is_err() {
             self.core.send(Message::Shutdown).await;
             let _ = timeout_at(self.end, self.idle()).await;
         }
--- a/src/initiator/targets.rs
+++ b/src/initiator/targets.rs
@@ -35,8 +35,8 @@
         let settings = &config.settings;
         let parts = OptionalParts {
             admin: sockets.admin.is_some(),
-            fleet: config.fleet.is_some(),
-            peers: config.peers.is_some(),
+            fleet: config.quota_peers.is_some(),
+            peers: config.gossip_peers.is_some(),
             iscsi: sockets.iscsi.is_some(),
             pushed_list: settings.list_is_pushed(),
         };
@@ -72,7 +72,7 @@
 }
 
 /// What sessions to targets keep to.
-pub fn session_figures(iscsi: &Iscsi, settings: &Settings, clock: Clock) -> iscsi::SessionSettings {
+pub fn session_settings(iscsi: &Iscsi, settings: &Settings, clock: Clock) -> iscsi::SessionSettings {
     iscsi::SessionSettings {
         initiator: iscsi.name.clone(),
         classes: classes(settings).into_iter().map(|(name, _)| name).collect(),
@@ -85,7 +85,7 @@
 }
 
 /// The targets that the operator's file lists.
-pub fn portals(iscsi: &Iscsi) -> Message {
+pub fn configured_targets_message(iscsi: &Iscsi) -> Message {
     let endpoint = |portal: &Portal| Endpoint {
         name: portal.name.clone(),
         protocol: Protocol::Iscsi,
--- a/src/interface/endpoints.rs
+++ b/src/interface/endpoints.rs
@@ -38,6 +38,4 @@
     Snapshot,
     /// All of it as this initiator last had it; it may be stale.
     Cached,
-    /// Only what has changed, as peers and not discovery report it.
-    Gossip,
 }
--- a/src/net/budget/mod.rs
+++ b/src/net/budget/mod.rs
@@ -57,7 +57,7 @@
     }
 
     /// Keeps what is in use, and `more` connections to targets; all else is another process's.
-    pub fn keep_in_use(&self, more: usize) {
+    pub fn cap_at_open_descriptors(&self, more: usize) {
         self.targets.close_idle();
         self.targets.resize(self.targets.open_connections() + more);
     }
--- a/src/net/drain_gossip.rs
+++ b/src/net/drain_gossip.rs
@@ -8,14 +8,14 @@
 use std::net::SocketAddr;
 use tokio::net::UdpSocket;
 
-/// Where the peers are, and where this instance receives from them.
+/// Where the peers are, and where this initiator receives from them.
 #[derive(Clone, Debug)]
 pub struct PeerAddresses {
-    /// The address that this instance binds.
+    /// The address that this initiator binds.
     pub listen: SocketAddr,
-    /// One for each instance in the order of their indices, this one's own included.
+    /// One for each initiator in the order of their indices, this one's own included.
     pub all: Vec<SocketAddr>,
-    /// The index of this instance.
+    /// The index of this initiator.
     pub own_index: usize,
 }
 
@@ -157,7 +157,7 @@
         self.handle_datagram(clock.now(), peer, &buffer[..length])
     }
 
-    /// The index of the peer with this address; none for strangers and for this instance itself.
+    /// The index of the peer with this address; none for strangers and for this initiator itself.
     fn peer_index(&self, addr: SocketAddr) -> Option<usize> {
         let index = self.peer_indices.get(&addr).copied();
         index.filter(|index| *index != self.addresses.own_index)
--- a/src/net/http/discovery/poller.rs
+++ b/src/net/http/discovery/poller.rs
@@ -21,7 +21,7 @@
 use tokio::time::Instant;
 
 /// A connection to discovery may take this long to come up at least, however short the settings' connect
-/// timeout for targets is: discovery is busiest when all instances connect to it at once.
+/// timeout for targets is: discovery is busiest when all initiators connect to it at once.
 const MIN_CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// An idle connection is kept this long: longer than a long poll and its pause, so that a watch stays on one
 /// connection.
--- a/src/net/http/target.rs
+++ b/src/net/http/target.rs
@@ -49,8 +49,8 @@
             TargetMessage::Probe(probe) => {
                 actix_rt::spawn(run_probe(transport.clone(), addr, probe));
             }
-            TargetMessage::SetDraining(true) => connections.suspend(addr),
-            TargetMessage::SetDraining(false) => connections.resume(addr),
+            TargetMessage::SetSuspended(true) => connections.suspend(addr),
+            TargetMessage::SetSuspended(false) => connections.resume(addr),
         }
     }
     connections.resume(addr);
--- a/src/net/iscsi/target/mod.rs
+++ b/src/net/iscsi/target/mod.rs
@@ -84,7 +84,7 @@
             tokio::select! {
                 message = self.messages.recv() => match message {
                     // Without a session there is none to end.
-                    Some(TargetMessage::SetDraining(_)) => {}
+                    Some(TargetMessage::SetSuspended(_)) => {}
                     // Sent just before the drain was reported: nothing new goes to it.
                     Some(message) if draining => waiting::report_unsent(message, Outcome::Unreachable),
                     Some(message) => waiting.push(message),
@@ -130,7 +130,7 @@
                 biased;
                 index = waiting.expired() => waiting.report_expired(index),
                 message = messages.recv(), if waiting.len() < MAILBOX_CAPACITY => match message {
-                    Some(TargetMessage::SetDraining(_)) => {}
+                    Some(TargetMessage::SetSuspended(_)) => {}
                     Some(message) => waiting.push(message),
                     None => return Err(io::Error::other("the core let go of the target")),
                 },
--- a/src/net/iscsi/target/session.rs
+++ b/src/net/iscsi/target/session.rs
@@ -196,7 +196,7 @@
                 Ok(())
             }
             TargetMessage::Attempt(attempt) => self.start_attempt(*attempt).await,
-            TargetMessage::SetDraining(suspended) => {
+            TargetMessage::SetSuspended(suspended) => {
                 self.suspended = suspended;
                 Ok(())
             }
--- a/src/net/iscsi/target/waiting.rs
+++ b/src/net/iscsi/target/waiting.rs
@@ -50,7 +50,7 @@
         let deadline = |message: &TargetMessage| match message {
             TargetMessage::Attempt(attempt) => Some(attempt.until),
             TargetMessage::Probe(probe) => Some(probe.until),
-            TargetMessage::SetDraining(_) => None,
+            TargetMessage::SetSuspended(_) => None,
         };
         let deadlines =
             self.0.iter().enumerate().filter_map(|(index, message)| Some((deadline(message)?, index)));
@@ -78,6 +78,6 @@
     match message {
         TargetMessage::Attempt(attempt) => attempt.report.finish(AttemptResult::without_response(outcome)),
         TargetMessage::Probe(probe) => probe.report.finish(outcome, LoadReport::default()),
-        TargetMessage::SetDraining(_) => {}
+        TargetMessage::SetSuspended(_) => {}
     }
 }
--- a/src/net/phase.rs
+++ b/src/net/phase.rs
@@ -7,7 +7,7 @@
     Preparing,
     /// It serves.
     Serving,
-    /// It was told to end, and takes clients for as long as they may come.
+    /// Shutdown was requested, and takes clients for as long as they may come.
     Ending,
     /// It takes no new clients, and finishes the requests that it has.
     Leaving,
--- a/src/net/quota_exchange.rs
+++ b/src/net/quota_exchange.rs
@@ -19,14 +19,14 @@
 /// What a datagram takes up in the system's buffer, in bytes, with what the system keeps of it.
 const BUFFERED_DATAGRAM_BYTES: usize = 1_024;
 
-/// The fleet, as an instance knows it.
+/// The fleet, as an initiator knows it.
 #[derive(Clone, Debug)]
 pub struct FleetPeers {
-    /// The addresses of all instances by their indices, this one's among them.
+    /// The addresses of all initiators by their indices, this one's among them.
     pub addrs: Vec<SocketAddr>,
-    /// This instance.
+    /// This initiator.
     pub own: Peer,
-    /// The key that all instances share.
+    /// The key that all initiators share.
     pub key: Key,
 }
 
@@ -40,7 +40,7 @@
         self.addrs.iter().enumerate().map(|(index, addr)| (*addr, Peer(index as u16))).collect()
     }
 
-    /// All addresses but this instance's own, from the next index on: where the system's buffer is too small
+    /// All addresses but this initiator's own, from the next index on: where the system's buffer is too small
     /// for a datagram to each, it is not always the same peers that miss theirs.
     fn others(&self) -> impl Iterator<Item = SocketAddr> {
         let own_index = usize::from(self.own.0);
--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -143,7 +143,7 @@
         if target.is_none() && target_set.is_some() {
             return Admission::Rejected;
         }
-        let is_within_fair_share = self.charge_fair_share(now, id, shard);
+        let is_within_fair_share = self.record_demand_within_share(now, id, shard);
         let position = self.queue_position(shard, virtual_deadline);
         let Some(target) = target else {
             self.insert_into_queue(shard, id, position);
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -16,7 +16,7 @@
 
 /// Whether a queued request may be dispatched in a pass.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Readiness {
+enum Dispatchability {
     Ready,
     /// Not now; requests behind it may be.
     NotNow,
@@ -56,10 +56,10 @@
             let set = request.target_set;
             let target = if set.is_none() { Some(shard_target) } else { self.serving_target(shard, set) };
             let Some(target) = target else { continue };
-            match self.readiness(now, request, target, pass) {
-                Readiness::TargetBlocked if set.is_none() => return true,
-                Readiness::TargetBlocked | Readiness::NotNow => {}
-                Readiness::Ready => {
+            match self.dispatchability(now, request, target, pass) {
+                Dispatchability::TargetBlocked if set.is_none() => return true,
+                Dispatchability::TargetBlocked | Dispatchability::NotNow => {}
+                Dispatchability::Ready => {
                     if self.dispatch(now, id, target, actions) {
                         self.queues.remove(shard, id);
                         position -= 1;
@@ -71,21 +71,27 @@
     }
 
     /// Whether a request may be dispatched to its target in a pass.
-    fn readiness(&self, now: Micros, request: &RequestState, target: TargetId, pass: QueuePass) -> Readiness {
+    fn dispatchability(
+        &self,
+        now: Micros,
+        request: &RequestState,
+        target: TargetId,
+        pass: QueuePass,
+    ) -> Dispatchability {
         if self.targets[&target].backoff_until > now {
-            return Readiness::TargetBlocked;
+            return Dispatchability::TargetBlocked;
         }
         let is_low = pass == QueuePass::Late || self.objectives.is_background(request.class);
         let priority = if is_low { DispatchPriority::Low } else { DispatchPriority::Normal };
         let is_late = request.objective_at < now;
         let is_in_pass = is_late == (pass == QueuePass::Late);
         if is_low && !is_in_pass {
-            return Readiness::NotNow;
+            return Dispatchability::NotNow;
         }
         match (self.is_full(now, target, request.units, priority), priority) {
-            (true, DispatchPriority::Normal) => Readiness::TargetBlocked,
-            (false, _) if is_in_pass => Readiness::Ready,
-            _ => Readiness::NotNow,
+            (true, DispatchPriority::Normal) => Dispatchability::TargetBlocked,
+            (false, _) if is_in_pass => Dispatchability::Ready,
+            _ => Dispatchability::NotNow,
         }
     }
 
--- a/src/scheduler/estimates.rs
+++ b/src/scheduler/estimates.rs
@@ -57,8 +57,8 @@
 
     /// The design's closed form: units over the learned speed, plus the learned latency, in microseconds.
     ///
-    /// While several responses are owed, the time since the last one replaces a smaller latency: a pause of
-    /// the target brings no responses to learn from, and would admit into a backlog. One attempt alone may
+    /// While several attempts are in flight, the time since the last one replaces a smaller latency: a pause
+    /// of the target brings no responses to learn from, and would admit into a backlog. One attempt alone may
     /// have a silent connection; counted, it would close a target that could answer others.
     pub(super) fn predicted_micros(&self, now: Micros, target: TargetId, units: f64) -> f64 {
         let state = &self.targets[&target];
--- a/src/scheduler/fairness.rs
+++ b/src/scheduler/fairness.rs
@@ -33,7 +33,7 @@
     /// The largest excess of a volume over its reserve in the last second or so, for a weight of 1.
     largest_excess: f64,
     /// Asked for at the shard through this initiator.
-    asked: Rate,
+    demand: Rate,
 }
 
 impl ShareLevel {
@@ -45,13 +45,13 @@
         let seconds = now.saturating_sub(self.updated_at) as f64 / MICROS_PER_SECOND;
         self.updated_at = now.max(1);
         self.level *= (LEVEL_RISE_PER_SECOND * seconds.min(MAX_LEVEL_STEP_SECONDS)).exp();
-        self.asked.add(now, units);
+        self.demand.add(now, units);
         self.largest_excess = (self.largest_excess * (-seconds).exp()).max(excess);
     }
 
     /// A request within the fair share was rejected: the shard is overloaded, and the level falls.
     pub fn lower(&mut self, now: Micros, rejected_units: f64) {
-        let fraction = rejected_units / self.asked.per_second(now).max(rejected_units);
+        let fraction = rejected_units / self.demand.per_second(now).max(rejected_units);
         let fallen =
             self.level.min(self.largest_excess) * (-LEVEL_FALL_PER_REJECTED_FRACTION * fraction).exp();
         self.level = fallen.max(MIN_LEVEL_FRACTION * self.largest_excess);
@@ -86,7 +86,7 @@
     /// the shard. A request without a plan always is.
     ///
     /// Guards against a volume that asks for all that a target can do and leaves the others' requests late.
-    pub(super) fn charge_fair_share(&mut self, now: Micros, id: RequestId, shard: ShardId) -> bool {
+    pub(super) fn record_demand_within_share(&mut self, now: Micros, id: RequestId, shard: ShardId) -> bool {
         let request = &self.requests[&id];
         let Some(plan) = request.plan.map(|plan| &self.settings.plans[plan.0 as usize]) else {
             return true;
--- a/src/scheduler/quota.rs
+++ b/src/scheduler/quota.rs
@@ -130,8 +130,8 @@
         actions: &mut Vec<Action>,
     ) {
         let units = self.quota.buckets.get_mut(&volume).map_or(0.0, |bucket| {
-            let asked = self.volumes.get(&volume).map_or(0.0, |usage| usage.asked.per_second(now));
-            let kept = asked * KEPT_DEMAND_SECONDS;
+            let demand = self.volumes.get(&volume).map_or(0.0, |usage| usage.demand.per_second(now));
+            let kept = demand * KEPT_DEMAND_SECONDS;
             let free = bucket.available(now) - kept - bucket.low_mark(LOW_BUCKET_FRACTION);
             let offered = free.min(max_units).max(0.0);
             bucket.add(now, -offered);
--- a/src/scheduler/slow_start.rs
+++ b/src/scheduler/slow_start.rs
@@ -58,10 +58,10 @@
         let shard = self.targets.get(&target).map(|state| state.shard);
         let at_shard = volume.and_then(|volume| volume.by_shard.get(&shard?));
         let pacer = at_shard.and_then(|usage| usage.reserve_pacer);
-        let asked_all = volume.map_or(0.0, |usage| usage.asked_long.sum(now));
-        let asked_here = at_shard.map_or(0.0, |usage| usage.asked_long.sum(now)).max(mean_units);
+        let demand_all = volume.map_or(0.0, |usage| usage.demand_long.sum(now));
+        let demand_here = at_shard.map_or(0.0, |usage| usage.demand_long.sum(now)).max(mean_units);
         let nominal = plan.nominal.max(plan.reserve);
-        let nominal_here = nominal * asked_here / (asked_all + mean_units).max(asked_here);
+        let nominal_here = nominal * demand_here / (demand_all + mean_units).max(demand_here);
         Some(PacedReserve {
             pacer: pacer.unwrap_or_else(|| ReservePacer::new(u64::from(request.volume.0))),
             rate: nominal_here.min(plan.reserve) / request.initiators,
--- a/src/scheduler/stalled_attempts.rs
+++ b/src/scheduler/stalled_attempts.rs
@@ -17,8 +17,8 @@
 /// is well.
 const LONE_ATTEMPT_PATIENCE: f64 = 2.0;
 /// It also waits for this fraction of the tightest objective, longer where its target has not responded
-/// lately: what other targets' latencies predict says little of one that may just be slow. Such attempts were
-/// cancelled, ran all the same, and were sent once more (1ba956f).
+/// lately: the latencies of other targets predict little for one that may just be slow. Attempts that were
+/// cancelled earlier ran all the same, and their retries ran as well.
 const LONE_ATTEMPT_OBJECTIVE_FRACTION: f64 = 0.5;
 
 impl Scheduler {
@@ -26,7 +26,7 @@
     /// cancel, nothing is done.
     ///
     /// Guards against connections that fall silent: their attempts would hold capacity and their clients
-    /// until the deadline. How the multiples were found is in the history of docs/results.md, "silent
+    /// until the deadline. How the multiples were found: docs/results.md, row "silent
     /// connections are called off".
     pub(super) fn cancel_stalled_attempts(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if !self.settings.may_cancel {
--- a/src/scheduler/volume_usage.rs
+++ b/src/scheduler/volume_usage.rs
@@ -24,11 +24,11 @@
 #[derive(Default)]
 pub(super) struct ShardUsage {
     /// Asked for through this initiator.
-    asked: Rate,
+    demand: Rate,
     /// Served through other initiators, as responses report it.
     elsewhere: Rate,
     /// Asked for, over a longer time: the volume's part at this shard.
-    pub asked_long: LongRate,
+    pub demand_long: LongRate,
     /// Paces the volume's reserve while the shard's target warms up.
     pub reserve_pacer: Option<ReservePacer>,
     /// Units that are within the fair share now.
@@ -39,12 +39,12 @@
 /// A volume, as this initiator sees it.
 #[derive(Default)]
 pub(super) struct VolumeUsage {
-    pub asked: Rate,
+    pub demand: Rate,
     served: Rate,
     meter: Option<MeterReading>,
     pub last_request_at: Micros,
     /// Asked for at all shards, over a longer time.
-    pub asked_long: LongRate,
+    pub demand_long: LongRate,
     pub by_shard: BTreeMap<ShardId, ShardUsage>,
 }
 
@@ -70,11 +70,11 @@
 impl VolumeUsage {
     pub fn record_arrival(&mut self, now: Micros, shard: ShardId, units: f64) {
         self.last_request_at = now;
-        self.asked.add(now, units);
-        self.asked_long.add(now, units);
+        self.demand.add(now, units);
+        self.demand_long.add(now, units);
         let at_shard = self.by_shard.entry(shard).or_default();
-        at_shard.asked.add(now, units);
-        at_shard.asked_long.add(now, units);
+        at_shard.demand.add(now, units);
+        at_shard.demand_long.add(now, units);
     }
 
     /// What is asked for at a shard. What comes through other initiators is, in this order: what responses
@@ -88,10 +88,10 @@
         initiators: f64,
         settings: &Settings,
     ) -> ShardDemand {
-        let all_shards = self.asked.per_second(now).max(SMALLEST_RATE);
+        let all_shards = self.demand.per_second(now).max(SMALLEST_RATE);
         let meter_valid_for = METER_VALID_PERIODS * settings.meter_period;
         let at_shard = self.by_shard.get(&shard);
-        let here = at_shard.map_or(0.0, |usage| usage.asked.per_second(now));
+        let here = at_shard.map_or(0.0, |usage| usage.demand.per_second(now));
         let elsewhere = match self.meter.filter(|meter| now < meter.at + meter_valid_for) {
             _ if settings.reports_usage_elsewhere => {
                 at_shard.map_or(0.0, |usage| usage.elsewhere.per_second(now))
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -82,7 +82,7 @@
         let config = PollingConfig {
             delivery: self.delivery(),
             watch_mode,
-            instances: self.initiators,
+            initiators: self.initiators,
             instance_index: self.initiator_number,
         };
         Schedule::new(config, seed, now)
--- a/tests/compatibility/configuration.rs
+++ b/tests/compatibility/configuration.rs
@@ -36,10 +36,10 @@
     assert_eq!((config.name.as_str(), config.listen, config.seed), ("n1", addr(7070), 0xab));
     assert_eq!((config.discovery, config.admin), (Some(addr(7071)), Some(addr(7072))));
     assert_eq!((config.limits.memory_mb, config.limits.sockets), (300, 2_000));
-    let peers = config.peers.expect("peers");
+    let peers = config.gossip_peers.expect("peers");
     assert_eq!((peers.listen, peers.own_index), (addr(7073), 1));
     assert_eq!(peers.all, [addr(7073), addr(7074), addr(7075)]);
-    let known = serde_json::to_value(config.known.expect("a list")).expect("JSON");
+    let known = serde_json::to_value(config.cached_list.expect("a list")).expect("JSON");
     let sample: serde_json::Value = serde_json::from_str(PLATFORM).expect("JSON");
     assert_eq!(known, sample["known"]);
 }
@@ -144,7 +144,7 @@
     let target = &iscsi.targets[0];
     assert_eq!(target.name, "iqn.2026-12.example.kingston:box-0");
     assert_eq!((target.addr, target.zone.as_str(), target.shard), (addr(3261), "kingston", 4));
-    let fleet = config.fleet.expect("a fleet");
+    let fleet = config.quota_peers.expect("a fleet");
     assert_eq!((fleet.own.0, fleet.key), (1, [7; 32]));
     assert_eq!(fleet.addrs, [addr(7946), addr(7947)]);
     let sites = config.sites.expect("sites");
