--- a/crates/distribution/tests/model.rs
+++ b/crates/distribution/tests/model.rs
@@ -68,7 +68,7 @@
     }
 }
 
-struct World {
+struct SimulatedFleet {
     now: Millis,
     source: Relay,
     relays: Vec<Relay>,
@@ -92,10 +92,10 @@
     Follower::new(INSTANCES[i], upstreams, 2_000, Box::new(good), known)
 }
 
-impl World {
-    fn new() -> World {
+impl SimulatedFleet {
+    fn new() -> SimulatedFleet {
         let first = State::new(Version { epoch: 1, number: 1 }, [(Arc::from("a"), Arc::from("0"))]);
-        World {
+        SimulatedFleet {
             now: 0,
             source: Relay::source(SOURCE, LIMITS, first.clone()),
             relays: (0..2).map(|i| relay(i, None)).collect(),
@@ -238,7 +238,7 @@
     #![proptest_config(ProptestConfig { cases: 400, ..ProptestConfig::default() })]
     #[test]
     fn whatever_happens_newer_wins_and_all_end_with_the_newest(steps in prop::collection::vec(step(), 1..160)) {
-        let mut world = World::new();
+        let mut world = SimulatedFleet::new();
         world.poll();
         for step in steps {
             world.take(step);
--- a/crates/lab/src/curve.rs
+++ b/crates/lab/src/curve.rs
@@ -11,35 +11,35 @@
 /// The shape of a fitted law.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Law {
+pub enum GrowthModel {
     /// `base + slope * size`.
     Linear { base: f64, slope: f64 },
     /// `factor * size ^ exponent`.
     Power { factor: f64, exponent: f64 },
 }
 
-impl Law {
+impl GrowthModel {
     /// The cost that the law gives at a size, which may lie beyond those measured.
     pub fn at(&self, size: f64) -> f64 {
         match self {
-            Law::Linear { base, slope } => base + slope * size,
-            Law::Power { factor, exponent } => factor * size.powf(*exponent),
+            GrowthModel::Linear { base, slope } => base + slope * size,
+            GrowthModel::Power { factor, exponent } => factor * size.powf(*exponent),
         }
     }
 }
 
 /// A law, and how well the points lie on it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub struct Fit {
-    pub law: Law,
+pub struct FittedCurve {
+    pub law: GrowthModel,
     /// The part of the variance that the law explains, at most 1.
     pub r_squared: f64,
     /// The largest distance of a point from the law, as a part of the point.
     pub worst_residual: f64,
 }
 
-impl Fit {
-    fn of(law: Law, points: &[(f64, f64)]) -> Fit {
+impl FittedCurve {
+    fn of(law: GrowthModel, points: &[(f64, f64)]) -> FittedCurve {
         let mean = points.iter().map(|(_, cost)| cost).sum::<f64>() / points.len() as f64;
         let around = |center: &dyn Fn(f64) -> f64| -> f64 {
             points.iter().map(|(size, cost)| (cost - center(*size)).powi(2)).sum()
@@ -47,7 +47,7 @@
         let (left, all) = (around(&|size| law.at(size)), around(&|_| mean));
         let residual =
             |(size, cost): &(f64, f64)| (cost - law.at(*size)).abs() / cost.abs().max(f64::MIN_POSITIVE);
-        Fit {
+        FittedCurve {
             law,
             r_squared: if all > 0.0 { 1.0 - left / all } else { 1.0 },
             worst_residual: points.iter().map(residual).fold(0.0, f64::max),
@@ -66,7 +66,7 @@
     pub points: Vec<(f64, f64)>,
     /// The exponent of the power law through the points, whichever law lies nearest.
     pub exponent: f64,
-    pub fit: Fit,
+    pub fit: FittedCurve,
 }
 
 /// Least squares of `y = base + slope * x`.
@@ -96,8 +96,8 @@
         }
         let (base, slope) = line(points.iter().copied())?;
         let (log_factor, exponent) = line(points.iter().map(|(size, cost)| (size.ln(), cost.ln())))?;
-        let linear = Fit::of(Law::Linear { base, slope }, &points);
-        let power = Fit::of(Law::Power { factor: log_factor.exp(), exponent }, &points);
+        let linear = FittedCurve::of(GrowthModel::Linear { base, slope }, &points);
+        let power = FittedCurve::of(GrowthModel::Power { factor: log_factor.exp(), exponent }, &points);
         let fit = if linear.worst_residual < power.worst_residual { linear } else { power };
         Ok(Curve { name, size, unit, points, exponent, fit })
     }
@@ -143,10 +143,10 @@
             writeln!(f, "    {size:>10.0} {cost:>16.3}   by the law {:>16.3}", self.at(*size))?;
         }
         let law = match self.fit.law {
-            Law::Linear { base, slope } => format!("{base:.4} + {slope:.6} * size"),
-            Law::Power { factor, exponent } => format!("{factor:.6} * size^{exponent:.2}"),
+            GrowthModel::Linear { base, slope } => format!("{base:.4} + {slope:.6} * size"),
+            GrowthModel::Power { factor, exponent } => format!("{factor:.6} * size^{exponent:.2}"),
         };
-        let Fit { r_squared, worst_residual, .. } = self.fit;
+        let FittedCurve { r_squared, worst_residual, .. } = self.fit;
         writeln!(f, "    law: {law}; R2 {r_squared:.4}, worst residual {:.1}%", worst_residual * 100.0)
     }
 }
--- a/crates/lab/src/outcome.rs
+++ b/crates/lab/src/outcome.rs
@@ -16,7 +16,7 @@
 
 /// What an experiment says that has to hold.
 #[derive(Clone, Debug, Serialize)]
-struct Claim {
+struct CheckedClaim {
     text: String,
     holds: bool,
 }
@@ -29,7 +29,7 @@
     /// What it is about.
     pub about: String,
     figures: Vec<Figure>,
-    claims: Vec<Claim>,
+    claims: Vec<CheckedClaim>,
     plots: Vec<Plot>,
     curves: Vec<Curve>,
 }
@@ -42,7 +42,7 @@
 
     /// Adds a claim, and whether it holds.
     pub fn claim(&mut self, text: impl Into<String>, holds: bool) {
-        self.claims.push(Claim { text: text.into(), holds });
+        self.claims.push(CheckedClaim { text: text.into(), holds });
     }
 
     /// Adds lines over time.
@@ -80,7 +80,7 @@
         for curve in &self.curves {
             write!(f, "{curve}")?;
         }
-        for Claim { text, holds } in &self.claims {
+        for CheckedClaim { text, holds } in &self.claims {
             writeln!(f, "  {} {text}", if *holds { "holds:" } else { "BROKEN:" })?;
         }
         Ok(())
--- a/crates/lab/src/scale/tests.rs
+++ b/crates/lab/src/scale/tests.rs
@@ -1,6 +1,6 @@
 use super::distribution::{all_start, faults};
 use super::reads::all_served;
-use crate::curve::{Curve, Law};
+use crate::curve::{Curve, GrowthModel};
 
 const SIZES: [f64; 4] = [100.0, 200.0, 400.0, 800.0];
 
@@ -12,7 +12,7 @@
 #[test]
 fn a_square_is_a_power_law_of_two() {
     let made = curve(|size| 3.0 * size * size);
-    let Law::Power { factor, exponent } = made.fit.law else { panic!("{:?}", made.fit) };
+    let GrowthModel::Power { factor, exponent } = made.fit.law else { panic!("{:?}", made.fit) };
     assert!((factor - 3.0).abs() < 1e-6 && (exponent - 2.0).abs() < 1e-9, "{:?}", made.fit);
     assert!((made.at(1_600.0) / (3.0 * 1_600.0 * 1_600.0) - 1.0).abs() < 1e-6);
 }
@@ -20,7 +20,7 @@
 #[test]
 fn a_base_and_a_slope_are_a_line() {
     let made = curve(|size| 50.0 + 2.0 * size);
-    let Law::Linear { base, slope } = made.fit.law else { panic!("{:?}", made.fit) };
+    let GrowthModel::Linear { base, slope } = made.fit.law else { panic!("{:?}", made.fit) };
     assert!((base - 50.0).abs() < 1e-6 && (slope - 2.0).abs() < 1e-9, "{:?}", made.fit);
     assert!(made.fit.r_squared > 0.999_999 && made.fit.worst_residual < 1e-9);
 }
--- a/crates/replay/src/plan.rs
+++ b/crates/replay/src/plan.rs
@@ -100,7 +100,7 @@
 
 /// The last word on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum RequestOutcome {
     /// It was answered with success.
     Served,
     /// It was rejected.
@@ -123,7 +123,7 @@
     /// When the request was due.
     pub due: Micros,
     /// Its final response.
-    pub word: Word,
+    pub word: RequestOutcome,
     /// From the moment it was due to the last word.
     pub took: Micros,
     /// How often it was sent.
@@ -250,7 +250,7 @@
         let waiting: Vec<Number> = self.open.iter().filter(|(_, o)| !o.out).map(|(n, _)| *n).collect();
         for number in waiting {
             let tried = self.open.get(&number).is_some_and(|o| o.tries > 0);
-            self.tell(now, number, if tried { Word::Refused } else { Word::Unsent });
+            self.tell(now, number, if tried { RequestOutcome::Refused } else { RequestOutcome::Unsent });
         }
     }
 
@@ -281,7 +281,7 @@
         {
             self.deadlines.remove(&(at, number));
             let tried = self.open.get(&number).is_some_and(|o| o.tries > 0);
-            self.tell(now, number, if tried { Word::Refused } else { Word::Unsent });
+            self.tell(now, number, if tried { RequestOutcome::Refused } else { RequestOutcome::Unsent });
         }
         if let Some(action) = self.actions.pop_front() {
             return Some(action);
@@ -345,10 +345,10 @@
         open.out = false;
         self.out -= 1;
         let word = match end {
-            End::Served => return self.tell(now, number, Word::Served),
-            End::Refused { .. } => Word::Refused,
-            End::Failed => Word::Failed,
-            End::Unreachable | End::Lost => Word::Lost,
+            End::Served => return self.tell(now, number, RequestOutcome::Served),
+            End::Refused { .. } => RequestOutcome::Refused,
+            End::Failed => RequestOutcome::Failed,
+            End::Unreachable | End::Lost => RequestOutcome::Lost,
         };
         match self.tries_again(now, number, end) {
             Some(at) => self.again.push(Reverse((at, number))),
@@ -391,7 +391,7 @@
         (permitted && at < deadline).then_some(at)
     }
 
-    fn tell(&mut self, now: Micros, number: Number, word: Word) {
+    fn tell(&mut self, now: Micros, number: Number, word: RequestOutcome) {
         let Some(open) = self.open.remove(&number) else { return };
         self.deadlines.remove(&(open.deadline, number));
         self.actions.push_back(Action::Tell(Verdict {
--- a/crates/replay/src/recorder.rs
+++ b/crates/replay/src/recorder.rs
@@ -1,7 +1,7 @@
 //! Makes the report of a replay while it runs.
 
 use crate::latency::LatencyHistogram;
-use crate::plan::{Micros, Send, Verdict, Word};
+use crate::plan::{Micros, RequestOutcome, Send, Verdict};
 use crate::report::{Class, Report, Second, VERSION, Volume};
 use rowanglade_capture::{ClassTerms, Header, Record};
 use std::collections::{BTreeMap, HashMap};
@@ -112,33 +112,33 @@
     pub fn ended(&mut self, verdict: &Verdict) {
         let record = &verdict.record;
         self.due += 1;
-        let served = verdict.word == Word::Served;
+        let served = verdict.word == RequestOutcome::Served;
         self.served += u64::from(served);
         if let Some(class) = self.classes.get_mut(usize::from(record.class)) {
             class.due += 1;
             match verdict.word {
-                Word::Served => {
+                RequestOutcome::Served => {
                     class.served += 1;
                     class.in_time += u64::from(verdict.took <= u64::from(class.aim_ms) * 1_000);
                     class.latency.record(verdict.took);
                 }
-                Word::Refused => {
+                RequestOutcome::Refused => {
                     class.refused += 1;
                     class.refusal.record(verdict.took);
                 }
-                Word::Failed => class.failed += 1,
-                Word::Lost => class.lost += 1,
-                Word::Unsent => class.unsent += 1,
+                RequestOutcome::Failed => class.failed += 1,
+                RequestOutcome::Lost => class.lost += 1,
+                RequestOutcome::Unsent => class.unsent += 1,
             }
         }
         let second = self.second(verdict.due);
         second.due += 1;
         match verdict.word {
-            Word::Served => second.served += 1,
-            Word::Refused => second.refused += 1,
-            Word::Failed => second.failed += 1,
-            Word::Lost => second.lost += 1,
-            Word::Unsent => second.unsent += 1,
+            RequestOutcome::Served => second.served += 1,
+            RequestOutcome::Refused => second.refused += 1,
+            RequestOutcome::Failed => second.failed += 1,
+            RequestOutcome::Lost => second.lost += 1,
+            RequestOutcome::Unsent => second.unsent += 1,
         }
         let units = f64::from(record.units);
         let volume = self.volumes.entry(record.volume).or_default();
--- a/crates/replay/tests/modules/plan.rs
+++ b/crates/replay/tests/modules/plan.rs
@@ -3,7 +3,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rowanglade_capture::{ClassTerms, Record, Repeat};
-use rowanglade_replay::plan::{Action, End, Micros, Number, Planner, Send, Terms, Word};
+use rowanglade_replay::plan::{Action, End, Micros, Number, Planner, RequestOutcome, Send, Terms};
 use std::collections::BTreeMap;
 
 const MS: Micros = 1_000;
@@ -66,7 +66,7 @@
     sends
 }
 
-fn word(planner: &mut Planner, now: Micros) -> (Word, Micros, u32) {
+fn word(planner: &mut Planner, now: Micros) -> (RequestOutcome, Micros, u32) {
     match planner.poll(now) {
         Some(Action::Tell(v)) => (v.word, v.took, v.tries),
         other => panic!("{other:?}"),
@@ -93,7 +93,7 @@
     let mut planner = planner(10, &[record(10, 0)]);
     let send = sends(&mut planner, 500 * MS).remove(0);
     planner.ended(520 * MS, send.number, End::Served);
-    assert_eq!(word(&mut planner, 520 * MS), (Word::Served, 510 * MS, 1));
+    assert_eq!(word(&mut planner, 520 * MS), (RequestOutcome::Served, 510 * MS, 1));
     assert!(planner.idle());
 }
 
@@ -108,7 +108,7 @@
     assert!(second.id != first.id && second.initiator == first.initiator && second.again == 1);
     assert_eq!(second.until, first.until);
     planner.ended(at + MS, second.number, End::Refused { wait: MS });
-    assert_eq!(word(&mut planner, at + MS), (Word::Refused, at + MS, 2));
+    assert_eq!(word(&mut planner, at + MS), (RequestOutcome::Refused, at + MS, 2));
 }
 
 #[test]
@@ -116,12 +116,12 @@
     let mut late = planner(10, &[record(0, 0)]);
     let send = sends(&mut late, 0).remove(0);
     late.ended(MS, send.number, End::Refused { wait: 1_600 * MS });
-    assert_eq!(word(&mut late, MS).0, Word::Refused);
+    assert_eq!(word(&mut late, MS).0, RequestOutcome::Refused);
     let mut never = Planner::new(Terms { retries: false, ..terms(10) }).expect("usable");
     never.offer(record(0, 0));
     let send = sends(&mut never, 0).remove(0);
     never.ended(MS, send.number, End::Lost);
-    assert_eq!(word(&mut never, MS), (Word::Lost, MS, 1));
+    assert_eq!(word(&mut never, MS), (RequestOutcome::Lost, MS, 1));
 }
 
 // A deposit must not run twice: what may have run goes again only while the rack remembers it.
@@ -159,14 +159,14 @@
     let out = sends(&mut planner, 0);
     assert_eq!((out.len(), planner.out()), (2, 2));
     planner.ended(700 * MS, out[0].number, End::Served);
-    assert_eq!(word(&mut planner, 700 * MS).0, Word::Served);
+    assert_eq!(word(&mut planner, 700 * MS).0, RequestOutcome::Served);
     let third = sends(&mut planner, 700 * MS);
     assert!(third.len() == 1 && third[0].held && third[0].number == Number(2));
     assert_eq!(planner.wake(), Some(1_500 * MS));
-    assert_eq!(word(&mut planner, 1_500 * MS), (Word::Unsent, 1_500 * MS, 0));
+    assert_eq!(word(&mut planner, 1_500 * MS), (RequestOutcome::Unsent, 1_500 * MS, 0));
     for number in [1, 2] {
         planner.ended(1_500 * MS, Number(number), End::Lost);
-        assert_eq!(word(&mut planner, 1_500 * MS).0, Word::Lost);
+        assert_eq!(word(&mut planner, 1_500 * MS).0, RequestOutcome::Lost);
     }
     assert!(planner.idle());
 }
@@ -176,9 +176,9 @@
     let mut planner = planner(1, &[record(0, 0), record(0, 0), record(9_000, 0)]);
     let out = sends(&mut planner, 0);
     planner.stop(MS);
-    assert_eq!(word(&mut planner, MS).0, Word::Unsent);
+    assert_eq!(word(&mut planner, MS).0, RequestOutcome::Unsent);
     planner.ended(2 * MS, out[0].number, End::Lost);
-    assert_eq!(word(&mut planner, 2 * MS).0, Word::Lost);
+    assert_eq!(word(&mut planner, 2 * MS).0, RequestOutcome::Lost);
     assert!(planner.idle() && planner.wake().is_none());
 }
 
--- a/crates/routing/tests/model.rs
+++ b/crates/routing/tests/model.rs
@@ -72,14 +72,14 @@
     LateEnd,
 }
 
-struct World {
+struct GeneratedCase {
     table: RouteTable,
     targets: Vec<TargetInfo>,
     mutation: Mutation,
 }
 
-impl World {
-    fn new(mutation: Mutation) -> World {
+impl GeneratedCase {
+    fn new(mutation: Mutation) -> GeneratedCase {
         let pool = |names: &[&str]| Pool {
             name: names.join(" "),
             targets: TargetSelector {
@@ -102,7 +102,7 @@
             shard,
             addr: [10, 0, 0, i as u8].into(),
         };
-        World {
+        GeneratedCase {
             table: RouteTable::new(vec![route], vec![pool(&["s-0"]), pool(&["s-1", "s-2"])]),
             // The third holds other data.
             targets: vec![info(0, SHARD), info(1, SHARD), info(2, SHARD + 1)],
@@ -130,7 +130,7 @@
     }
 }
 
-impl Model for World {
+impl Model for GeneratedCase {
     type State = State;
     type Action = Event;
 
@@ -255,7 +255,7 @@
 
 /// The properties that some order of events breaks, or the examples that none shows.
 fn broken(mutation: Mutation) -> (Vec<&'static str>, usize) {
-    let checker = World::new(mutation).checker().spawn_bfs().join();
+    let checker = GeneratedCase::new(mutation).checker().spawn_bfs().join();
     assert!(checker.is_done());
     let found = checker.discoveries();
     let names = ["nothing new after the grace", "data on one box never routes elsewhere", "one answer"];
