--- a/crates/lab/src/scale/lists.rs
+++ b/crates/lab/src/scale/lists.rs
@@ -229,7 +229,7 @@
             admin_requests: operations,
             handover_requests: upgrades,
             admin_commands: calls,
-            object_sightings: seen,
+            object_observations: seen,
             sites: None,
             subset,
         };
--- a/src/core/actor.rs
+++ b/src/core/actor.rs
@@ -108,7 +108,7 @@
             admin_requests,
             handover_requests,
             admin_commands,
-            object_sightings,
+            object_observations,
             sites,
             subset,
         } = dependencies;
@@ -131,7 +131,7 @@
             quota_offered: 0.0,
             object_locations: ObjectLocations::new(MAX_OBJECT_LOCATIONS),
             subset,
-            handover: HandoverPort::new(handover_requests, admin_commands, object_sightings),
+            handover: HandoverPort::new(handover_requests, admin_commands, object_observations),
             readiness: Readiness::new(ready),
             diagnostics: Diagnostics::default(),
         }
@@ -213,7 +213,7 @@
             Message::Status => self.log_status(),
             // Whoever asked and has ended needs no answer.
             Message::ListTargets(answer) => drop(answer.send(self.routes.targets().cloned().collect())),
-            Message::Peer(from, message) => self.handle_quota_datagram(from, &message),
+            Message::QuotaDatagram(from, message) => self.handle_quota_datagram(from, &message),
             Message::BodyStarted { id, number } => self.body_started(id, number),
             // An attempt that ended meanwhile asks no more.
             Message::MayStart { id, number, answer } => drop(answer.send(self.may_start(id, number))),
--- a/src/core/actor/admin.rs
+++ b/src/core/actor/admin.rs
@@ -10,7 +10,7 @@
             self.handover.send_admin_command(request.command);
         }
         // A caller that has left meanwhile needs no answer; what it asked for holds.
-        let _ = request.done.send(known);
+        let _ = request.reply.send(known);
     }
 
     /// Does what an operator asks. False: no target has that name.
--- a/src/core/actor/handover.rs
+++ b/src/core/actor/handover.rs
@@ -33,7 +33,7 @@
             HandoverRequest::AdminCommand(command) => {
                 self.apply_admin_command(&command);
             }
-            HandoverRequest::ObjectSeen(object, seen) => self.object_locations.merge([(object, seen)]),
+            HandoverRequest::ObjectObserved(object, seen) => self.object_locations.merge([(object, seen)]),
         }
     }
 
--- a/src/core/admin.rs
+++ b/src/core/admin.rs
@@ -28,5 +28,5 @@
     /// What is asked.
     pub command: AdminCommand,
     /// Told once what is asked for holds; false: no target has that name.
-    pub done: oneshot::Sender<bool>,
+    pub reply: oneshot::Sender<bool>,
 }
--- a/src/core/body.rs
+++ b/src/core/body.rs
@@ -125,7 +125,7 @@
 #[derive(Debug)]
 pub enum ResponseBody {
     /// All of it.
-    Whole(Bytes),
+    Buffered(Bytes),
     /// A long one, which passes through.
     Streamed(BodyStream),
 }
@@ -143,7 +143,7 @@
     /// Its length in bytes; 0 where that is not known.
     pub fn length(&self) -> u64 {
         match self {
-            ResponseBody::Whole(body) => body.len() as u64,
+            ResponseBody::Buffered(body) => body.len() as u64,
             ResponseBody::Streamed(body) => body.length.unwrap_or(0),
         }
     }
@@ -151,13 +151,13 @@
 
 impl From<Bytes> for ResponseBody {
     fn from(body: Bytes) -> ResponseBody {
-        ResponseBody::Whole(body)
+        ResponseBody::Buffered(body)
     }
 }
 
 /// Streamed bodies are never equal: nobody has all of them.
 impl PartialEq for ResponseBody {
     fn eq(&self, other: &ResponseBody) -> bool {
-        matches!((self, other), (ResponseBody::Whole(a), ResponseBody::Whole(b)) if a == b)
+        matches!((self, other), (ResponseBody::Buffered(a), ResponseBody::Buffered(b)) if a == b)
     }
 }
--- a/src/core/dependencies.rs
+++ b/src/core/dependencies.rs
@@ -23,7 +23,7 @@
     /// Commands that hold here, for the other process, if there is one.
     pub admin_commands: mpsc::Sender<AdminCommand>,
     /// Where objects were seen, for the other process.
-    pub object_sightings: mpsc::Sender<(ObjectKey, Observation)>,
+    pub object_observations: mpsc::Sender<(ObjectKey, Observation)>,
     /// Absent where sites are not judged.
     pub sites: Option<SiteSettings>,
     /// Absent where no target is preferred to others.
--- a/src/core/handover_request.rs
+++ b/src/core/handover_request.rs
@@ -38,5 +38,5 @@
     /// An admin command came to the other process.
     AdminCommand(AdminCommand),
     /// The other process saw where an object is, or is not.
-    ObjectSeen(ObjectKey, Observation),
+    ObjectObserved(ObjectKey, Observation),
 }
--- a/src/core/mailbox.rs
+++ b/src/core/mailbox.rs
@@ -148,7 +148,7 @@
     }
 
     /// Whether requests can be served.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         *self.ready.borrow()
     }
 
--- a/src/core/message.rs
+++ b/src/core/message.rs
@@ -32,7 +32,7 @@
     /// Tell which targets are listed.
     ListTargets(oneshot::Sender<Vec<TargetInfo>>),
     /// A datagram of the quota exchange came from a peer.
-    Peer(Peer, rowanglade_quota_exchange::Message),
+    QuotaDatagram(Peer, rowanglade_quota_exchange::Message),
     /// An attempt has begun to send the streamed part of a request's body: the request cannot be sent again,
     /// and the attempt lasts as long as its client takes.
     BodyStarted {
@@ -107,7 +107,7 @@
             Message::ClientGone(_) => Step::ClientGone,
             Message::Shutdown => Step::Shutdown,
             Message::Status | Message::ListTargets(_) => Step::Status,
-            Message::Peer(..) => Step::Peer,
+            Message::QuotaDatagram(..) => Step::Peer,
             Message::BodyStarted { .. } | Message::MayStart { .. } | Message::ResponseStarted { .. } => {
                 Step::AttemptStarts
             }
--- a/src/handover/actor.rs
+++ b/src/handover/actor.rs
@@ -41,7 +41,7 @@
     /// Admin commands that it has applied.
     pub admin_commands: mpsc::Receiver<AdminCommand>,
     /// Where it saw objects.
-    pub object_sightings: mpsc::Receiver<(ObjectKey, Observation)>,
+    pub object_observations: mpsc::Receiver<(ObjectKey, Observation)>,
 }
 
 /// The actor.
@@ -128,8 +128,8 @@
         loop {
             self.execute_all().await;
             tokio::select! {
-                Some(seen) = updates.object_sightings.recv() => {
-                    self.links.broadcast(&Message { object_seen: Some(seen), ..Message::default() });
+                Some(seen) = updates.object_observations.recv() => {
+                    self.links.broadcast(&Message { object_observation: Some(seen), ..Message::default() });
                 }
                 Some(command) = updates.admin_commands.recv() => {
                     self.links.broadcast(&Message { admin_command: Some(command), ..Message::default() });
@@ -219,10 +219,10 @@
 
     /// Keeps what a message carries. `None`: it is no step of the protocol.
     fn handle_message(&mut self, link: LinkId, message: Message, descriptors: Vec<OwnedFd>) -> Option<Event> {
-        let Message { kind, welcome, state, admin_command, object_seen, share } = message;
+        let Message { kind, welcome, state, admin_command, object_observation, share } = message;
         self.core_requests.extend(admin_command.map(HandoverRequest::AdminCommand));
         self.core_requests
-            .extend(object_seen.map(|(object, seen)| HandoverRequest::ObjectSeen(object, seen)));
+            .extend(object_observation.map(|(object, seen)| HandoverRequest::ObjectObserved(object, seen)));
         if let (Some(share), Some(controls)) = (share, &self.controls) {
             controls.reserve_for_peer_process(share);
         }
--- a/src/handover/message.rs
+++ b/src/handover/message.rs
@@ -46,7 +46,7 @@
     pub admin_command: Option<AdminCommand>,
     /// Where an object was seen by the other process.
     #[serde(rename = "seen")]
-    pub object_seen: Option<(ObjectKey, Observation)>,
+    pub object_observation: Option<(ObjectKey, Observation)>,
     /// The predecessor uses less than before.
     pub share: Option<DescriptorShare>,
 }
--- a/src/initiator.rs
+++ b/src/initiator.rs
@@ -128,7 +128,7 @@
             admin_requests: channels.admin_requests.receiver,
             handover_requests: channels.handover_requests.receiver,
             admin_commands: channels.admin_commands.sender,
-            object_sightings: channels.object_sightings.sender,
+            object_observations: channels.object_observations.sender,
             sites: config.sites.take(),
             subset: config.subset.take(),
         };
@@ -146,7 +146,7 @@
         };
         let updates = CoreUpdates {
             admin_commands: channels.admin_commands.receiver,
-            object_sightings: channels.object_sightings.receiver,
+            object_observations: channels.object_observations.receiver,
         };
         let initiator = Initiator {
             core,
--- a/src/initiator/channels.rs
+++ b/src/initiator/channels.rs
@@ -35,7 +35,7 @@
     /// From the core to the other process.
     pub admin_commands: Channel<AdminCommand>,
     /// From the core to the other process.
-    pub object_sightings: Channel<(ObjectKey, Observation)>,
+    pub object_observations: Channel<(ObjectKey, Observation)>,
 }
 
 impl CoreChannels {
@@ -45,7 +45,7 @@
             admin_requests: Channel::with_capacity(REQUESTS),
             handover_requests: Channel::with_capacity(REQUESTS),
             admin_commands: Channel::with_capacity(REQUESTS),
-            object_sightings: Channel::with_capacity(OBJECT_SIGHTINGS),
+            object_observations: Channel::with_capacity(OBJECT_SIGHTINGS),
         }
     }
 }
--- a/src/net/admin/connection.rs
+++ b/src/net/admin/connection.rs
@@ -90,9 +90,9 @@
         // The predecessor owns the state, and hands it over later.
         return StatusCode::SERVICE_UNAVAILABLE;
     }
-    let (done, confirmed) = oneshot::channel();
+    let (reply, confirmed) = oneshot::channel();
     let confirmation = async {
-        service.commands.send(AdminRequest { command, done }).await.ok()?;
+        service.commands.send(AdminRequest { command, reply }).await.ok()?;
         confirmed.await.ok()
     };
     match tokio::time::timeout(COMMAND_TIMEOUT, confirmation).await {
--- a/src/net/http/handler.rs
+++ b/src/net/http/handler.rs
@@ -64,7 +64,7 @@
         return message::status(StatusCode::SERVICE_UNAVAILABLE);
     }
     if request.path() == READINESS_PATH {
-        let ready = request.method() == Method::GET && front.core.ready();
+        let ready = request.method() == Method::GET && front.core.is_ready();
         return message::status(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE });
     }
     serve_until_client_closes(front, request, connection).await
--- a/src/net/http/response_body.rs
+++ b/src/net/http/response_body.rs
@@ -50,15 +50,15 @@
 
     fn size(&self) -> BodySize {
         match self {
-            ResponseBody::Whole(body) => BodySize::Sized(body.len() as u64),
+            ResponseBody::Buffered(body) => BodySize::Sized(body.len() as u64),
             ResponseBody::Streamed(body) => body.length.map_or(BodySize::Stream, BodySize::Sized),
         }
     }
 
     fn poll_next(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<io::Result<Bytes>>> {
         match self.get_mut() {
-            ResponseBody::Whole(body) if body.is_empty() => Poll::Ready(None),
-            ResponseBody::Whole(body) => Poll::Ready(Some(Ok(std::mem::take(body)))),
+            ResponseBody::Buffered(body) if body.is_empty() => Poll::Ready(None),
+            ResponseBody::Buffered(body) => Poll::Ready(Some(Ok(std::mem::take(body)))),
             ResponseBody::Streamed(body) => {
                 let piece = body.chunks.poll_recv(cx);
                 piece.map(|piece| {
--- a/src/net/http/response_stream.rs
+++ b/src/net/http/response_stream.rs
@@ -29,7 +29,7 @@
         let long = declared_long || held.len() > MAX_BUFFERED_BODY;
         if long && head.status != StatusCode::OK {
             // No client gets it.
-            return Ok(ResponseBody::Whole(Bytes::new()));
+            return Ok(ResponseBody::Buffered(Bytes::new()));
         }
         // For one that is slow to come another attempt would be too late, and held it is no use to its client.
         let slow = Instant::now() >= hold_until && head.status == StatusCode::OK;
@@ -38,7 +38,7 @@
         }
     }
     transport.connections.check_in(connection);
-    Ok(ResponseBody::Whole(held.freeze()))
+    Ok(ResponseBody::Buffered(held.freeze()))
 }
 
 /// The length of a response's body in bytes, where its head has it.
--- a/src/net/iscsi/front/responses.rs
+++ b/src/net/iscsi/front/responses.rs
@@ -39,7 +39,7 @@
             Response::Failed | Response::Served(ResponseBody::Streamed(_)) => {
                 self.send_check_condition(itt, scsi::NO_RESPONSE);
             }
-            Response::Served(ResponseBody::Whole(body)) => match read_length {
+            Response::Served(ResponseBody::Buffered(body)) => match read_length {
                 None => self.send_status(itt, scsi::GOOD, Duration::ZERO, None),
                 Some(read_length) => self.send_read(itt, read_length, body),
             },
--- a/src/net/quota_exchange.rs
+++ b/src/net/quota_exchange.rs
@@ -99,7 +99,7 @@
                 let peer = by_address.get(&from).copied().filter(|peer| *peer != peers.own);
                 let message = peer.map(|peer| (peer, decode(&peers.key, peer, &buffer[..length])));
                 match message {
-                    Some((peer, Ok(message))) => core.send(Message::Peer(peer, message)).await,
+                    Some((peer, Ok(message))) => core.send(Message::QuotaDatagram(peer, message)).await,
                     _ => rejections.record(from),
                 }
             }
--- a/tests/compatibility/admin.rs
+++ b/tests/compatibility/admin.rs
@@ -39,10 +39,10 @@
     let admin = open(listener, AdminService { commands, ready, phase }).expect("opened");
     let owner = std::thread::spawn(move || {
         let mut calls = Vec::new();
-        while let Some(AdminRequest { command: call, done }) = requests.blocking_recv() {
+        while let Some(AdminRequest { command: call, reply }) = requests.blocking_recv() {
             let known = !matches!(&call, AdminCommand::Maint(id) if id == "box-9");
             calls.push(call);
-            done.send(known).expect("it waits");
+            reply.send(known).expect("it waits");
         }
         calls
     });
--- a/tests/compatibility/handover.rs
+++ b/tests/compatibility/handover.rs
@@ -38,7 +38,7 @@
     let mut all: Vec<Message> =
         kinds.into_iter().map(|kind| Message { kind: Some(kind), ..Message::default() }).collect();
     all.extend(commands.map(|command| Message { admin_command: Some(command), ..Message::default() }));
-    all.extend(seen.map(|seen| Message { object_seen: Some(seen), ..Message::default() }));
+    all.extend(seen.map(|seen| Message { object_observation: Some(seen), ..Message::default() }));
     all.push(Message { share: Some(DescriptorShare { descriptors: 5 }), ..Message::default() });
     all
 }
@@ -54,8 +54,8 @@
     for (line, message) in KINDS.lines().zip(messages()) {
         let read = decoded(line);
         assert_eq!(
-            (read.kind, &read.admin_command, read.object_seen, read.share),
-            (message.kind, &message.admin_command, message.object_seen, message.share)
+            (read.kind, &read.admin_command, read.object_observation, read.share),
+            (message.kind, &message.admin_command, message.object_observation, message.share)
         );
         assert_eq!(encoded(&read), line);
     }
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -37,7 +37,7 @@
             let (_operators, admin_requests) = mpsc::channel(1);
             let (_handover, handover_requests) = mpsc::channel(1);
             let (admin_commands, _admin_commands) = mpsc::channel(1);
-            let (object_sightings, _object_sightings) = mpsc::channel(1);
+            let (object_observations, _object_observations) = mpsc::channel(1);
             let core = Core::new(
                 scheduler,
                 names,
@@ -50,7 +50,7 @@
                     admin_requests,
                     handover_requests,
                     admin_commands,
-                    object_sightings,
+                    object_observations,
                     sites: None,
                     subset: None,
                 },
@@ -110,7 +110,7 @@
 fn without_a_target_it_is_not_ready_and_does_not_spin() {
     with_core(ended_actors, async |core| {
         tokio::time::sleep(Duration::from_secs(60)).await;
-        assert!(!core.ready());
+        assert!(!core.is_ready());
         send_cached_list(&core).await;
         core.readiness().wait_for(|ready| *ready).await.expect("it runs");
     });
@@ -122,7 +122,7 @@
     with_core(ended_actors, async |core| {
         let start = tokio::time::Instant::now();
         send_cached_list(&core).await;
-        assert!(!core.ready(), "discovery may just be about to answer");
+        assert!(!core.is_ready(), "discovery may just be about to answer");
         core.readiness().wait_for(|ready| *ready).await.expect("it runs");
         assert!(start.elapsed() <= Duration::from_millis(310), "{:?}", start.elapsed());
     });
