--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -1,33 +1,34 @@
-//! How a process that serves hands all that it owns over to another that was started beside it.
+//! Handover of everything that a serving process owns to a successor that is started beside it.
 //!
-//! Whoever serves owns things of which there must be one owner: the listeners from which clients are
-//! accepted, units of limited volumes, budgets of targets in slow start, maintenance. Ownership goes with a
-//! lock that the system frees when its holder dies, so at no moment do two processes hold it, and it never
-//! stays with a dead one. A link between two processes carries the rest:
+//! The serving process owns resources that must have exactly one owner: the listeners on which clients are
+//! accepted, units of limited volumes, budgets of targets in slow start, and maintenance. Ownership is tied
+//! to a lock that the system releases when its holder dies. So no two processes hold it at the same time, and
+//! it never stays with a dead process. Everything else is exchanged over a link between the two processes:
 //!
 //! ```text
-//! successor                      predecessor
-//!   finds the lock held            owns, serves
-//!   Hello ----------------------->
-//!         <----------------------- Welcome, with the listeners and all that may be known early
-//!   gets ready to serve            goes on serving, with all that it owns
-//!   Ready ----------------------->
-//!                                  accepts nothing new, spends nothing more
-//!         <----------------------- State, with what it owns
-//!   holds it, and waits
-//!   StateReceived --------------->
-//!                                  releases the lock
-//!         <----------------------- OwnershipGranted
-//!   acquires the lock, serves      finishes what it holds
+//!     successor                      predecessor
+//!       finds the lock held            owns, serves
+//!       Hello ----------------------->
+//!             <----------------------- Welcome, with the listeners and the state that can be sent in advance
+//!       prepares to serve              continues to serve, and to own everything
+//!       Ready ----------------------->
+//!                                      accepts no new clients, spends nothing
+//!             <----------------------- State, with what it owns
+//!       stores it, and waits
+//!       StateReceived --------------->
+//!                                      releases the lock
+//!             <----------------------- OwnershipGranted
+//!       acquires the lock, serves      finishes its open requests
 //! ```
 //!
-//! Until `StateReceived` has come, the predecessor owns all, and goes on with it when the link breaks. From
-//! then on the successor owns it. When a link breaks, either side tries the lock: who gets it is alone, and
-//! starts from nothing that the other may have spent meanwhile. So whichever dies, at whichever moment, the
-//! other serves on, and nothing is spent twice.
+//! Until it receives `StateReceived`, the predecessor owns everything, and it continues as the owner if the
+//! link breaks. From then on the successor is the owner. When a link breaks, either side tries to acquire the
+//! lock. The process that acquires it is the only owner, and starts without the state that the other process
+//! may have spent in the meantime. So whichever process dies at any moment, the other one serves, and nothing
+//! is spent twice.
 //!
-//! [`Handover`] is that conversation, for either side: a state machine without I/O, which takes [`Event`]s
-//! and returns [`Action`]s.
+//! [`Handover`] implements this protocol for both sides: a state machine without I/O, which receives
+//! [`Event`]s and returns [`Action`]s.
 
 #![forbid(unsafe_code)]
 
--- a/crates/handover/src/machine.rs
+++ b/crates/handover/src/machine.rs
@@ -1,98 +1,99 @@
-//! The state machine of either side of a handover.
+//! The handover state machine, for both sides.
 
 use crate::protocol::{LinkId, MessageKind, VERSION};
 use crate::timeouts::{CONFIRM_TIMEOUT, READY_TIMEOUT, RETRY_DELAY};
 use std::time::Duration;
 
-/// What has happened.
+/// An input of the state machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// The lock was tried, and is now held.
+    /// This process tried the lock and now holds it.
     LockAcquired,
-    /// The lock was tried, and another process holds it.
+    /// This process tried the lock, and another process holds it.
     LockUnavailable,
-    /// A connection to the process that serves came up.
+    /// A connection to the serving process was established.
     Connected(LinkId),
-    /// A connection to the process that serves did not come up.
+    /// A connection to the serving process could not be established.
     ConnectFailed,
     /// Another process connected to this one.
     Accepted(LinkId),
-    /// A message came.
+    /// A message arrived.
     Received(LinkId, MessageKind),
-    /// A link broke, or what came on it was no message.
+    /// A link broke, or data arrived on it that is not a valid message.
     LinkClosed(LinkId),
-    /// All that a successor needs to serve is there, but for the state.
+    /// This process, a successor, has everything that it needs to serve except for the state.
     Prepared,
-    /// The timer that [`Action::SetTimer`] set has fired.
+    /// The timer set by [`Action::SetTimer`] has expired.
     TimerFired,
 }
 
-/// What to do.
+/// An output of the state machine, to be executed by its driver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Try the lock.
+    /// Try to acquire the lock, and report [`Event::LockAcquired`] or [`Event::LockUnavailable`].
     TryLock,
     /// Release the lock.
     Unlock,
-    /// Connect to the process that serves.
+    /// Connect to the serving process, and report [`Event::Connected`] or [`Event::ConnectFailed`].
     Connect,
     /// Send a message.
     Send(LinkId, MessageKind),
     /// Close a link.
     Close(LinkId),
-    /// Report [`Event::TimerFired`] after this time, in place of any timer set before.
+    /// Report [`Event::TimerFired`] after this time, replacing a timer set before.
     SetTimer(Duration),
-    /// Get ready with what came with the welcome.
+    /// Prepare to serve with the contents of the welcome message, and report [`Event::Prepared`].
     Prepare,
     /// Serve as the owner.
     Serve {
-        /// Whether with the predecessor's state; else with none, as a process that was just started.
+        /// Whether with the predecessor's state; otherwise without state, like a process that was just
+        /// started.
         with_state: bool,
     },
-    /// Accept and spend nothing more. What is owned goes with [`MessageKind::State`].
+    /// Stop accepting clients and spending. The owned state is sent with [`MessageKind::State`].
     Freeze,
-    /// Accept and spend again, as if nothing had been.
+    /// Accept clients and spend again: the state was not handed over.
     Resume,
-    /// The successor owns the state for good: finish what is held.
+    /// Finish the open requests: the successor now owns the state.
     Retire,
-    /// Accept and spend again, without state: the successor had it meanwhile, and is dead.
+    /// Accept clients and spend again, without state: the successor owned it in the meantime, and is dead.
     ServeWithoutState,
-    /// This process cannot take over from one that speaks this version.
+    /// Report that the predecessor uses an unsupported protocol version, so this process cannot take over.
     RejectVersion {
-        /// The other's version.
+        /// The predecessor's protocol version.
         version: u32,
     },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum State {
-    /// Tries the lock, and else connects.
+    /// Trying the lock; if it is held, connecting to its holder.
     Seeking,
-    /// Said hello.
+    /// `Hello` is sent.
     AwaitingWelcome(LinkId),
-    /// Was welcomed, and gets ready.
+    /// `Welcome` was received; this process prepares to serve.
     Preparing(LinkId),
-    /// Said that it is ready.
+    /// `Ready` is sent.
     Ready(LinkId),
-    /// Holds the state, not yet as its owner.
+    /// The state was received, but this process does not own it yet.
     AwaitingOwnership(LinkId),
-    /// Was granted ownership, and acquires the lock.
+    /// `OwnershipGranted` was received; this process acquires the lock.
     AcquiringLock,
     Owner(Option<Successor>),
-    /// Has handed the state over; the link to its successor, while that holds.
+    /// This process has handed the state over. Holds the link to its successor until that breaks.
     Retired(Option<LinkId>),
     Failed,
 }
 
-/// A successor that is being served.
+/// A successor to which this process is handing over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Successor {
     link: LinkId,
-    /// The state is frozen and sent.
+    /// Whether the state is frozen and has been sent.
     state_sent: bool,
 }
 
-/// One process's side of handovers: first as a successor, then as an owner, which may hand over in turn.
+/// One process's side of handovers: at first as a successor, then as an owner that may hand over in turn.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Handover {
     state: State,
@@ -101,27 +102,27 @@
 }
 
 impl Handover {
-    /// A process that has just started, with its first actions.
+    /// The state machine of a process that has just started, with its first actions.
     pub fn start() -> (Handover, Vec<Action>) {
         Handover::with_version(VERSION)
     }
 
-    /// The same for a process that speaks another version.
+    /// As [`start`](Self::start), with another protocol version.
     pub fn with_version(version: u32) -> (Handover, Vec<Action>) {
         (Handover { state: State::Seeking, prepared: false, version }, vec![Action::TryLock])
     }
 
-    /// Whether this process may accept clients and spend what is owned.
+    /// Whether this process may accept clients and spend owned units.
     pub fn is_owner(&self) -> bool {
         matches!(self.state, State::Owner(None | Some(Successor { state_sent: false, .. })))
     }
 
-    /// Whether it has handed all over.
+    /// Whether this process has handed everything over.
     pub fn is_retired(&self) -> bool {
         matches!(self.state, State::Retired(_))
     }
 
-    /// Takes an event and returns what to do, in this order.
+    /// Handles an event, and returns the actions to execute, in order.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         if event == Event::Prepared {
             self.prepared = true;
@@ -141,8 +142,8 @@
         actions.unwrap_or_else(|| reject_or_ignore(event))
     }
 
-    // Each of the functions for a state handles the events that it expects; `None`: it does not expect this
-    // one.
+    // Each of these functions handles the events that are expected in one state, and returns `None` for all
+    // other events.
 
     fn handle_seeking(&mut self, event: Event) -> Option<Vec<Action>> {
         match event {
@@ -162,7 +163,7 @@
 
     fn handle_awaiting_welcome(&mut self, link: LinkId, event: Event) -> Option<Vec<Action>> {
         match input_on(link, event)? {
-            // One that had got ready before needs only the state.
+            // It has already prepared in an earlier attempt and needs only the state.
             LinkInput::Message(MessageKind::Welcome) if self.prepared => Some(self.send_ready(link)),
             LinkInput::Message(MessageKind::Welcome) => {
                 Some(self.transition(State::Preparing(link), vec![Action::Prepare]))
@@ -216,8 +217,8 @@
             Event::LockAcquired => {
                 Some(self.transition(State::Owner(None), vec![Action::Serve { with_state: true }]))
             }
-            // Whoever holds the lock acquired it after this one was granted ownership; all is to be had from
-            // it.
+            // Another process has acquired the lock after ownership was granted to this one: hand over from
+            // that process.
             Event::LockUnavailable => Some(self.transition(State::Seeking, vec![Action::Connect])),
             _ => None,
         }
@@ -264,7 +265,8 @@
             (Some(link), Event::LinkClosed(closed)) if closed == link => {
                 Some(self.transition(State::Retired(None), vec![Action::TryLock]))
             }
-            // The link broke and the successor lives: should it die later, no link would show that.
+            // The link broke while the successor is alive. Its later death would not be reported on any link,
+            // so the lock is tried periodically.
             (None, Event::LockUnavailable) => Some(vec![Action::SetTimer(RETRY_DELAY)]),
             (None, Event::TimerFired) => Some(vec![Action::TryLock]),
             _ => None,
@@ -275,12 +277,12 @@
         self.transition(State::Ready(link), vec![Action::Send(link, MessageKind::Ready)])
     }
 
-    /// The predecessor is gone, or does not hand over.
+    /// Starts over: the predecessor is gone, or does not hand over.
     fn seek_again(&mut self) -> Vec<Action> {
         self.transition(State::Seeking, vec![Action::TryLock])
     }
 
-    /// The successor is gone, or takes too long: the owner goes on by itself.
+    /// Stays the owner: the successor is gone, or takes too long.
     fn keep_ownership(&mut self, successor: Successor, mut actions: Vec<Action>) -> Vec<Action> {
         if successor.state_sent {
             actions.push(Action::Resume);
@@ -294,13 +296,13 @@
     }
 }
 
-/// What has happened to one link.
+/// An event that concerns one link.
 enum LinkInput {
     Message(MessageKind),
     Closed,
 }
 
-/// What an event means for the link; `None`: nothing.
+/// The meaning of an event for a link; `None` if it does not concern the link.
 fn input_on(link: LinkId, event: Event) -> Option<LinkInput> {
     match event {
         Event::Received(on, message) if on == link => Some(LinkInput::Message(message)),
@@ -309,8 +311,8 @@
     }
 }
 
-/// No successor is served before there is something to hand over, nor two at once. All else that a state does
-/// not expect is passed over.
+/// Answers a `Hello` with `Busy` in states in which no successor can be accepted: this process does not own
+/// the state yet, or another successor is connected. All other unexpected events are ignored.
 fn reject_or_ignore(event: Event) -> Vec<Action> {
     match event {
         Event::Received(link, MessageKind::Hello { .. }) => {
--- a/crates/handover/src/protocol.rs
+++ b/crates/handover/src/protocol.rs
@@ -1,43 +1,44 @@
-//! What two processes say to each other. The words on the wire are part of the protocol's version and stay.
+//! The messages between two processes. Their names on the wire are part of the protocol version and are
+//! stable.
 
 use serde::{Deserialize, Serialize};
 
-/// The version of the protocol. One in which a message means something else has another number; fields that
-/// are added and may be left out do not change it.
+/// The protocol version. It changes when the meaning of a message changes, but not when optional fields are
+/// added.
 pub const VERSION: u32 = 1;
 
-/// A connection between two processes. Numbers are a process's own.
+/// A connection between two processes. The number is local to a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct LinkId(pub u64);
 
-/// The kinds of messages on a link. What goes with them is the driver's.
+/// The kinds of messages on a link. The driver of the state machine defines their contents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MessageKind {
-    /// A process that has just started asks to be the successor.
+    /// Sent by a process that has just started, to become the successor.
     Hello {
-        /// The version that it speaks.
+        /// The sender's protocol version.
         version: u32,
     },
-    /// It is the successor. The listeners come along, and all that may be known early.
+    /// Accepts the successor. Carries the listeners, and the state that can be sent in advance.
     Welcome,
-    /// Another successor is being served, or what there is to hand over is not owned yet.
+    /// Rejects the successor for now: another one is connected, or the sender does not own the state yet.
     Busy,
-    /// The predecessor speaks another version.
+    /// Rejects the successor, because the predecessor uses another protocol version.
     #[serde(rename = "refuse")]
     VersionMismatch {
-        /// The version that it speaks.
+        /// The sender's protocol version.
         version: u32,
     },
-    /// The successor is ready to serve, but for the state.
+    /// The successor is ready to serve and needs only the state.
     Ready,
-    /// The state that the predecessor owns, frozen.
+    /// Carries the predecessor's state, which is frozen.
     #[serde(rename = "given")]
     State,
-    /// The successor has the state.
+    /// The successor has received the state.
     #[serde(rename = "taken")]
     StateReceived,
-    /// The predecessor has released the lock: the successor is the owner.
+    /// The predecessor has released the lock: the successor is now the owner.
     #[serde(rename = "yours")]
     OwnershipGranted,
 }
--- a/crates/handover/tests/model.rs
+++ b/crates/handover/tests/model.rs
@@ -1,13 +1,13 @@
-//! The handover, checked over every order of events of three processes: one that serves, and two that are
-//! started beside it, of which any may die at any moment and any link may break.
+//! Model check of the handover over every order of events of up to three processes: one that serves, and two
+//! that are started beside it. Any process may die and any link may break at any moment.
 
 use rowanglade_handover::{Action, Event, Handover, LinkId, MessageKind};
 use stateright::{Checker, Model, Property};
 
-/// What the first owner has to spend. Whoever starts from nothing has nothing.
+/// Units that the first owner may spend. A process that starts without state has none.
 const UNITS: u8 = 1;
 
-/// How much may happen.
+/// Limits on the number of processes and faults.
 #[derive(Clone, Copy)]
 struct Bounds {
     processes: usize,
@@ -16,22 +16,22 @@
     timers_fired: u8,
 }
 
-/// Two successors at once, and one that is followed by another; and much trouble between two.
-const THREE: Bounds = Bounds { processes: 3, deaths: 1, breaks: 0, timers_fired: 1 };
-const TWO: Bounds = Bounds { processes: 2, deaths: 1, breaks: 2, timers_fired: 2 };
+/// Three processes: two successors at once, or one after another. Two processes: with more faults.
+const THREE_PROCESSES: Bounds = Bounds { processes: 3, deaths: 1, breaks: 0, timers_fired: 1 };
+const TWO_PROCESSES: Bounds = Bounds { processes: 2, deaths: 1, breaks: 2, timers_fired: 2 };
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Mutation {
     None,
-    /// The predecessor goes on spending after it has sent the state.
+    /// The predecessor continues to spend after it has sent the state.
     SpendsFrozenState,
-    /// A successor serves once it has the state, without waiting for `OwnershipGranted`.
+    /// A successor serves when it has received the state, without waiting for `OwnershipGranted`.
     ServesBeforeOwnership,
-    /// A retired predecessor restarts when the link breaks, whoever has the lock.
+    /// A retired predecessor serves again when the link breaks, even if another process holds the lock.
     RestartsWithoutLock,
-    /// A successor that finds itself alone keeps the state that it received, which the other may have spent.
+    /// A successor that finds the lock free keeps the received state, which the predecessor may have spent.
     KeepsReceivedState,
-    /// A predecessor whose successor died does not try the lock.
+    /// A predecessor does not try the lock after its successor has died.
     NeverRetriesLock,
 }
 
@@ -40,13 +40,13 @@
     handover: Handover,
     alive: bool,
     started: bool,
-    /// It accepts clients and may spend.
+    /// Whether it accepts clients and may spend units.
     serving: bool,
     units: u8,
-    /// Units that came with the state, and those that it sent and may take back.
+    /// Units received with the state, and units sent that may be resumed.
     received_units: u8,
     frozen_units: u8,
-    /// The events that it will handle, in turn.
+    /// Events not handled yet, in order.
     inbox: Vec<Event>,
     timer_set: bool,
 }
@@ -55,13 +55,13 @@
 struct State {
     processes: Vec<Process>,
     lock: Option<usize>,
-    /// The ends of each link, while it holds: who connected, and to whom.
+    /// The two ends of each open link: the process that connected, and the one it connected to.
     links: Vec<Option<(usize, usize)>>,
     deaths: u8,
     breaks: u8,
     timers_fired: u8,
     spent: u8,
-    /// The successor became the owner of the state that it received.
+    /// Whether a successor has become the owner of the received state.
     state_moved: bool,
 }
 
@@ -82,72 +82,72 @@
 }
 
 impl HandoverModel {
-    fn apply_actions(&self, s: &mut State, process_id: usize, actions: Vec<Action>) {
+    fn apply_actions(&self, state: &mut State, process_id: usize, actions: Vec<Action>) {
         for action in actions {
-            let p = &mut s.processes[process_id];
+            let process = &mut state.processes[process_id];
             match action {
                 Action::TryLock => {
-                    let free = s.lock.is_none() || s.lock == Some(process_id);
+                    let free = state.lock.is_none() || state.lock == Some(process_id);
                     if free {
-                        s.lock = Some(process_id);
+                        state.lock = Some(process_id);
                     }
-                    p.inbox.push(if free { Event::LockAcquired } else { Event::LockUnavailable });
+                    process.inbox.push(if free { Event::LockAcquired } else { Event::LockUnavailable });
                 }
-                Action::Unlock => s.lock = s.lock.filter(|holder| *holder != process_id),
+                Action::Unlock => state.lock = state.lock.filter(|holder| *holder != process_id),
                 Action::Connect => {
-                    let to = s.lock.filter(|to| *to != process_id && s.processes[*to].alive);
+                    let to = state.lock.filter(|to| *to != process_id && state.processes[*to].alive);
                     let link = to.map(|to| {
-                        s.links.push(Some((process_id, to)));
-                        LinkId(s.links.len() as u64 - 1)
+                        state.links.push(Some((process_id, to)));
+                        LinkId(state.links.len() as u64 - 1)
                     });
                     let event = link.map_or(Event::ConnectFailed, Event::Connected);
-                    s.processes[process_id].inbox.push(event);
+                    state.processes[process_id].inbox.push(event);
                 }
                 Action::Send(link, message) => {
-                    if let Some((a, b)) = s.links[link.0 as usize] {
+                    if let Some((a, b)) = state.links[link.0 as usize] {
                         let to = if a == process_id { b } else { a };
                         if message == MessageKind::State {
-                            let units = s.processes[process_id].frozen_units;
-                            s.processes[to].received_units = units;
+                            let units = state.processes[process_id].frozen_units;
+                            state.processes[to].received_units = units;
                         }
-                        s.processes[to].inbox.push(Event::Received(link, message));
+                        state.processes[to].inbox.push(Event::Received(link, message));
                     }
                 }
-                Action::Close(link) => self.close_link(s, link.0 as usize),
-                Action::SetTimer(_) => p.timer_set = true,
+                Action::Close(link) => self.close_link(state, link.0 as usize),
+                Action::SetTimer(_) => process.timer_set = true,
                 Action::Prepare => {}
                 Action::Serve { with_state } => {
-                    p.serving = true;
+                    process.serving = true;
                     if with_state {
-                        p.units += p.received_units;
-                        s.state_moved = true;
+                        process.units += process.received_units;
+                        state.state_moved = true;
                     }
                 }
                 Action::Freeze => {
-                    p.serving = self.mutation == Mutation::SpendsFrozenState;
-                    p.frozen_units = p.units;
+                    process.serving = self.mutation == Mutation::SpendsFrozenState;
+                    process.frozen_units = process.units;
                 }
-                Action::Resume => p.serving = true,
+                Action::Resume => process.serving = true,
                 Action::Retire => {
-                    (p.serving, p.units) = (self.mutation == Mutation::SpendsFrozenState, 0);
+                    (process.serving, process.units) = (self.mutation == Mutation::SpendsFrozenState, 0);
                 }
-                Action::ServeWithoutState => (p.serving, p.units) = (true, 0),
-                Action::RejectVersion { .. } => p.alive = false,
+                Action::ServeWithoutState => (process.serving, process.units) = (true, 0),
+                Action::RejectVersion { .. } => process.alive = false,
             }
         }
     }
 
-    fn close_link(&self, s: &mut State, link: usize) {
-        if let Some((a, b)) = s.links[link].take() {
-            for p in [a, b] {
-                s.processes[p].inbox.push(Event::LinkClosed(LinkId(link as u64)));
+    fn close_link(&self, state: &mut State, link: usize) {
+        if let Some((a, b)) = state.links[link].take() {
+            for end in [a, b] {
+                state.processes[end].inbox.push(Event::LinkClosed(LinkId(link as u64)));
             }
         }
     }
 
-    fn deliver(&self, s: &mut State, process_id: usize, event: Event) {
-        let p = &mut s.processes[process_id];
-        let mut actions = p.handover.handle(event);
+    fn deliver(&self, state: &mut State, process_id: usize, event: Event) {
+        let process = &mut state.processes[process_id];
+        let mut actions = process.handover.handle(event);
         match self.mutation {
             Mutation::ServesBeforeOwnership
                 if actions.contains(&Action::Send(LinkId(0), MessageKind::StateReceived)) =>
@@ -155,19 +155,19 @@
                 actions.push(Action::Serve { with_state: true });
             }
             Mutation::RestartsWithoutLock
-                if p.handover.is_retired() && actions.contains(&Action::TryLock) =>
+                if process.handover.is_retired() && actions.contains(&Action::TryLock) =>
             {
                 actions.push(Action::ServeWithoutState);
             }
             Mutation::KeepsReceivedState if actions.contains(&Action::Serve { with_state: false }) => {
                 actions = vec![Action::Serve { with_state: true }];
             }
-            Mutation::NeverRetriesLock if p.handover.is_retired() => {
+            Mutation::NeverRetriesLock if process.handover.is_retired() => {
                 actions.retain(|a| *a != Action::TryLock)
             }
             _ => {}
         }
-        self.apply_actions(s, process_id, actions);
+        self.apply_actions(state, process_id, actions);
     }
 }
 
@@ -187,7 +187,7 @@
             inbox: Vec::new(),
             timer_set: false,
         };
-        let mut s = State {
+        let mut state = State {
             processes: (0..self.bounds.processes).map(process).collect(),
             lock: None,
             links: Vec::new(),
@@ -197,111 +197,123 @@
             spent: 0,
             state_moved: false,
         };
-        s.processes[0].started = true;
-        self.apply_actions(&mut s, 0, vec![Action::TryLock]);
-        let event = s.processes[0].inbox.remove(0);
-        self.deliver(&mut s, 0, event);
-        s.processes[0].units = UNITS;
-        vec![s]
+        state.processes[0].started = true;
+        self.apply_actions(&mut state, 0, vec![Action::TryLock]);
+        let event = state.processes[0].inbox.remove(0);
+        self.deliver(&mut state, 0, event);
+        state.processes[0].units = UNITS;
+        vec![state]
     }
 
-    fn actions(&self, s: &State, out: &mut Vec<Step>) {
-        for (i, p) in s.processes.iter().enumerate().filter(|(_, p)| p.alive) {
-            if !p.started {
+    fn actions(&self, state: &State, out: &mut Vec<Step>) {
+        for (i, process) in state.processes.iter().enumerate().filter(|(_, process)| process.alive) {
+            if !process.started {
                 out.push(Step::Start(i));
                 continue;
             }
-            if !p.inbox.is_empty() {
+            if !process.inbox.is_empty() {
                 out.push(Step::Deliver(i));
             }
             out.push(Step::Prepare(i));
-            if p.timer_set && s.timers_fired < self.bounds.timers_fired {
+            if process.timer_set && state.timers_fired < self.bounds.timers_fired {
                 out.push(Step::FireTimer(i));
             }
-            if p.serving && p.units > 0 {
+            if process.serving && process.units > 0 {
                 out.push(Step::Spend(i));
             }
-            if s.deaths < self.bounds.deaths {
+            if state.deaths < self.bounds.deaths {
                 out.push(Step::Kill(i));
             }
         }
-        if s.breaks < self.bounds.breaks {
+        if state.breaks < self.bounds.breaks {
             out.extend(
-                s.links.iter().enumerate().filter(|(_, l)| l.is_some()).map(|(i, _)| Step::BreakLink(i)),
+                state.links.iter().enumerate().filter(|(_, l)| l.is_some()).map(|(i, _)| Step::BreakLink(i)),
             );
         }
     }
 
     fn next_state(&self, last: &State, step: Step) -> Option<State> {
-        let mut s = last.clone();
+        let mut state = last.clone();
         match step {
             Step::Start(i) => {
-                s.processes[i].started = true;
-                self.apply_actions(&mut s, i, vec![Action::TryLock]);
+                state.processes[i].started = true;
+                self.apply_actions(&mut state, i, vec![Action::TryLock]);
             }
             Step::Deliver(i) => {
-                let event = s.processes[i].inbox.remove(0);
-                self.deliver(&mut s, i, event);
+                let event = state.processes[i].inbox.remove(0);
+                self.deliver(&mut state, i, event);
             }
-            Step::Prepare(i) => self.deliver(&mut s, i, Event::Prepared),
+            Step::Prepare(i) => self.deliver(&mut state, i, Event::Prepared),
             Step::FireTimer(i) => {
-                s.processes[i].timer_set = false;
-                s.timers_fired += 1;
-                self.deliver(&mut s, i, Event::TimerFired);
+                state.processes[i].timer_set = false;
+                state.timers_fired += 1;
+                self.deliver(&mut state, i, Event::TimerFired);
             }
             Step::Spend(i) => {
-                s.processes[i].units -= 1;
-                s.spent += 1;
+                state.processes[i].units -= 1;
+                state.spent += 1;
             }
             Step::Kill(i) => {
-                s.deaths += 1;
-                let p = &mut s.processes[i];
-                (p.alive, p.serving) = (false, false);
-                p.inbox.clear();
-                s.lock = s.lock.filter(|holder| *holder != i);
-                for link in 0..s.links.len() {
-                    if s.links[link].is_some_and(|(a, b)| a == i || b == i) {
-                        self.close_link(&mut s, link);
-                        s.processes[i].inbox.clear();
+                state.deaths += 1;
+                let process = &mut state.processes[i];
+                (process.alive, process.serving) = (false, false);
+                process.inbox.clear();
+                state.lock = state.lock.filter(|holder| *holder != i);
+                for link in 0..state.links.len() {
+                    if state.links[link].is_some_and(|(a, b)| a == i || b == i) {
+                        self.close_link(&mut state, link);
+                        state.processes[i].inbox.clear();
                     }
                 }
             }
             Step::BreakLink(link) => {
-                s.breaks += 1;
-                self.close_link(&mut s, link);
+                state.breaks += 1;
+                self.close_link(&mut state, link);
             }
         }
-        (s != *last).then_some(s)
+        (state != *last).then_some(state)
     }
 
     fn properties(&self) -> Vec<Property<HandoverModel>> {
         vec![
-            Property::always("one owner at most", |_, s: &State| {
-                s.processes.iter().filter(|p| p.alive && p.serving).count() <= 1
+            Property::always("at most one process serves", |_, state: &State| {
+                state.processes.iter().filter(|process| process.alive && process.serving).count() <= 1
             }),
-            Property::always("nothing is spent twice", |_, s: &State| {
-                let owned: u8 = s.processes.iter().filter(|p| p.alive && p.serving).map(|p| p.units).sum();
-                s.spent + owned <= UNITS
+            Property::always("no unit is spent twice", |_, state: &State| {
+                let owned: u8 = state
+                    .processes
+                    .iter()
+                    .filter(|process| process.alive && process.serving)
+                    .map(|process| process.units)
+                    .sum();
+                state.spent + owned <= UNITS
             }),
-            Property::always("whoever serves is the owner", |_, s: &State| {
-                s.processes.iter().all(|p| !p.alive || p.serving == p.handover.is_owner())
+            Property::always("a process serves exactly while it is the owner", |_, state: &State| {
+                state
+                    .processes
+                    .iter()
+                    .all(|process| !process.alive || process.serving == process.handover.is_owner())
             }),
-            Property::always("nothing is orphaned", |_, s: &State| {
-                // Where nothing more is to happen by itself, somebody serves, unless all are dead.
-                let started = |p: &&Process| p.alive && p.started;
-                let quiet = s.processes.iter().filter(started).all(|p| p.inbox.is_empty() && !p.timer_set);
-                let anybody = s.processes.iter().any(|p| started(&p));
-                let served = s.processes.iter().any(|p| p.alive && p.serving);
-                let preparing = s.links.iter().any(Option::is_some);
-                !quiet || !anybody || served || preparing
+            Property::always("ownership is not orphaned", |_, state: &State| {
+                // With no event pending and no link open, a process serves, unless none is running.
+                let started = |process: &&Process| process.alive && process.started;
+                let no_pending_events = state
+                    .processes
+                    .iter()
+                    .filter(started)
+                    .all(|process| process.inbox.is_empty() && !process.timer_set);
+                let any_started = state.processes.iter().any(|process| started(&process));
+                let any_serving = state.processes.iter().any(|process| process.alive && process.serving);
+                let any_link_open = state.links.iter().any(Option::is_some);
+                !no_pending_events || !any_started || any_serving || any_link_open
             }),
-            Property::sometimes("ownership moves on", |_, s: &State| {
-                s.state_moved && s.processes[1].units == UNITS
+            Property::sometimes("a successor becomes the owner", |_, state: &State| {
+                state.state_moved && state.processes[1].units == UNITS
             }),
-            Property::sometimes("ownership moves on twice", |_, s: &State| {
-                s.state_moved
-                    && s.processes.get(2).is_some_and(|p| p.serving && p.units == UNITS)
-                    && s.processes[1].handover.is_retired()
+            Property::sometimes("a second successor becomes the owner", |_, state: &State| {
+                state.state_moved
+                    && state.processes.get(2).is_some_and(|process| process.serving && process.units == UNITS)
+                    && state.processes[1].handover.is_retired()
             }),
         ]
     }
@@ -310,9 +322,14 @@
 fn broken_properties(mutation: Mutation, bounds: Bounds) -> Vec<&'static str> {
     let checker = HandoverModel { mutation, bounds }.checker().threads(4).spawn_bfs().join();
     println!("{} states", checker.unique_state_count());
-    let always =
-        ["one owner at most", "nothing is spent twice", "whoever serves is the owner", "nothing is orphaned"];
-    let mut broken: Vec<_> = always.into_iter().filter(|p| checker.discovery(p).is_some()).collect();
+    let always = [
+        "at most one process serves",
+        "no unit is spent twice",
+        "a process serves exactly while it is the owner",
+        "ownership is not orphaned",
+    ];
+    let mut broken: Vec<_> =
+        always.into_iter().filter(|property| checker.discovery(property).is_some()).collect();
     for name in &broken {
         if mutation == Mutation::None
             && let Some(path) = checker.discovery(name)
@@ -320,22 +337,22 @@
             println!("{name}: {:?}\n{:#?}", path.clone().into_actions(), path.last_state());
         }
     }
-    let sometimes = ["ownership moves on", "ownership moves on twice"];
+    let sometimes = ["a successor becomes the owner", "a second successor becomes the owner"];
     if mutation == Mutation::None {
         let reached = sometimes.into_iter().take(bounds.processes - 1);
-        broken.extend(reached.filter(|p| checker.discovery(p).is_none()));
+        broken.extend(reached.filter(|property| checker.discovery(property).is_none()));
     }
     broken
 }
 
 #[test]
-fn whatever_dies_or_breaks_there_is_one_owner_and_nothing_is_orphaned() {
-    assert_eq!(broken_properties(Mutation::None, TWO), Vec::<&str>::new());
-    assert_eq!(broken_properties(Mutation::None, THREE), Vec::<&str>::new());
+fn after_any_death_or_link_failure_ownership_is_unique_and_not_orphaned() {
+    assert_eq!(broken_properties(Mutation::None, TWO_PROCESSES), Vec::<&str>::new());
+    assert_eq!(broken_properties(Mutation::None, THREE_PROCESSES), Vec::<&str>::new());
 }
 
 #[test]
-fn the_model_catches_each_mutation() {
+fn each_mutation_violates_a_property() {
     for mutation in [
         Mutation::SpendsFrozenState,
         Mutation::ServesBeforeOwnership,
@@ -343,6 +360,10 @@
         Mutation::KeepsReceivedState,
         Mutation::NeverRetriesLock,
     ] {
-        assert_ne!(broken_properties(mutation, TWO), Vec::<&str>::new(), "{mutation:?} is not caught");
+        assert_ne!(
+            broken_properties(mutation, TWO_PROCESSES),
+            Vec::<&str>::new(),
+            "{mutation:?} violates no property"
+        );
     }
 }
--- a/crates/object-locations/src/lib.rs
+++ b/crates/object-locations/src/lib.rs
@@ -1,18 +1,18 @@
-//! Which shard holds an object, as the responses of targets show it.
+//! The shards that hold objects, as observed in responses from targets.
 //!
-//! A request names the shard that holds its object, and a target of another shard rejects it without a look at
-//! it. A client that began to write its request before a new object was placed names the shard that it then
-//! expected, and is rejected at every attempt, though the initiator itself may have placed the object a moment
-//! ago. What a target served is proof: its shard holds the object, and objects do not move. So what was
-//! observed here wins over what a request says.
+//! A request names the shard that holds its object, and a target of another shard rejects it without further
+//! checks. If a client began to write a request before a new object was placed, the request names the shard
+//! that was expected then and is rejected at every attempt, even though this initiator itself may have placed
+//! the object a moment ago. A response from the target that served the object is proof: its shard holds the
+//! object, and objects do not move. So observations take precedence over the shard that a request names.
 //!
-//! Only what is worth it is kept: where new objects were placed, and objects for which a request and a target
-//! once disagreed. All else is where requests say it is. The oldest are forgotten beyond a number; a request
-//! for them goes where it says, as it would without this.
+//! Only observations that can differ from requests are kept: of newly placed objects, and of objects for
+//! which a request and a target once disagreed. All other objects are where requests name them. When the
+//! capacity is exceeded, the oldest object is evicted; requests for it go to the shard that they name.
 //!
-//! In a handover, predecessor and successor send each other what they observe: all of it at once, and then each
-//! new observation. One that arrives late or twice is of an older response, and the next response of a target
-//! corrects it.
+//! During a handover, predecessor and successor exchange their observations: first all of them, then each new
+//! one. An observation that arrives late or twice stems from an older response, and is corrected by the next
+//! response from a target.
 
 #![forbid(unsafe_code)]
 
--- a/crates/object-locations/src/locations.rs
+++ b/crates/object-locations/src/locations.rs
@@ -1,25 +1,25 @@
-//! The observations that are kept, and the shard that follows from them.
+//! Stores observations, and derives an object's shard from them.
 
 use crate::{ObjectKey, Observation, Shard};
 use std::collections::{HashMap, VecDeque};
 
-/// What has been observed of objects.
+/// The observations of objects, with a limited number of objects.
 #[derive(Debug)]
 pub struct ObjectLocations {
     capacity: usize,
     observations: HashMap<ObjectKey, Observation>,
-    /// Their objects, in the order in which they were first observed.
+    /// The observed objects, in the order of their first observation.
     insertion_order: VecDeque<ObjectKey>,
 }
 
 impl ObjectLocations {
-    /// Keeps observations of up to `capacity` objects.
+    /// Creates an empty store for up to `capacity` objects.
     pub fn new(capacity: usize) -> ObjectLocations {
         ObjectLocations { capacity, observations: HashMap::new(), insertion_order: VecDeque::new() }
     }
 
-    /// The shard to which a request for the object goes, where the request names `requested`. None: a new
-    /// object.
+    /// The shard to which a request for the object is sent that names the shard `requested`. `None`: the
+    /// object is new.
     pub fn find(&self, object: ObjectKey, requested: Option<Shard>) -> Option<Shard> {
         match (requested, self.observations.get(&object)) {
             (Some(_), Some(Observation::At(shard))) => Some(*shard),
@@ -27,8 +27,8 @@
         }
     }
 
-    /// Notes that a target of `shard` served a request which named `requested`. Returns the observation if it
-    /// is new, for the other process of a handover.
+    /// Records that a target of `shard` served a request that named `requested`. Returns the observation if
+    /// it is new, to be sent to the other process of a handover.
     pub fn record_served(
         &mut self,
         object: ObjectKey,
@@ -42,21 +42,21 @@
         self.insert(object, Observation::At(shard))
     }
 
-    /// Notes that a target of `shard` rejected a request for the object, as it does not hold it. Returns the
-    /// observation if it is new, for the other process of a handover.
+    /// Records that a target of `shard` rejected a request because the shard does not hold the object.
+    /// Returns the observation if it is new, to be sent to the other process of a handover.
     pub fn record_rejected(&mut self, object: ObjectKey, shard: Shard) -> Option<(ObjectKey, Observation)> {
         self.insert(object, Observation::NotAt(shard))
     }
 
-    /// All observations, those of the oldest object first.
+    /// All observations, oldest object first.
     pub fn iter(&self) -> impl Iterator<Item = (ObjectKey, Observation)> {
         self.insertion_order.iter().filter_map(|object| Some((*object, *self.observations.get(object)?)))
     }
 
-    /// Takes over what another process observed.
+    /// Adds observations of another process.
     ///
-    /// An observation may be late. That a shard does not hold an object says nothing against another shard
-    /// that is known to hold it, so it does not replace that.
+    /// They may be out of date. An observation that a shard does not hold an object says nothing about
+    /// another shard that is known to hold it, and does not replace that location.
     pub fn merge(&mut self, observations: impl IntoIterator<Item = (ObjectKey, Observation)>) {
         for (object, observation) in observations {
             let known = self.observations.get(&object);
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Of how many objects there are observations.
+    /// The number of objects with an observation.
     pub fn len(&self) -> usize {
         self.observations.len()
     }
@@ -80,7 +80,8 @@
         self.observations.is_empty()
     }
 
-    /// Keeps an observation, and forgets the oldest object beyond the capacity. Returns it if it is new.
+    /// Stores an observation, evicting the oldest object if the capacity is exceeded. Returns it if it is
+    /// new.
     fn insert(&mut self, object: ObjectKey, observation: Observation) -> Option<(ObjectKey, Observation)> {
         let before = self.observations.insert(object, observation);
         if before.is_none() {
--- a/crates/object-locations/src/observation.rs
+++ b/crates/object-locations/src/observation.rs
@@ -1,19 +1,20 @@
-//! What responses show of one object.
+//! Observations of single objects.
 
 use serde::{Deserialize, Serialize};
 
-/// A volume's number and an object's within it.
+/// The number of a volume, and that of an object within the volume.
 pub type ObjectKey = (u64, u64);
-/// A shard's number.
+/// The number of a shard.
 pub type Shard = u32;
 
-/// What a response has shown of an object.
+/// What a response has shown about the location of an object.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Observation {
-    /// A target of this shard served it.
+    /// A target of this shard served the object.
     #[serde(rename = "at")]
     At(Shard),
-    /// A target of this shard rejected it as not held there; which shard holds it was not observed.
+    /// A target of this shard rejected the object because its shard does not hold it; the actual shard is not
+    /// known.
     #[serde(rename = "notat")]
     NotAt(Shard),
 }
--- a/crates/object-locations/tests/locations.rs
+++ b/crates/object-locations/tests/locations.rs
@@ -1,48 +1,54 @@
-//! Tests of where objects are found, by what targets answered.
+//! Tests of where objects are found, depending on the responses of targets.
 
 use rowanglade_object_locations::{ObjectKey, ObjectLocations, Observation};
 
 const OBJECT: ObjectKey = (7, 9);
 
-// Requests begun before an object was placed named another shard, and were turned away again and again.
+// Requests begun before their object was placed name another shard, and were rejected at every attempt.
 #[test]
-fn a_new_object_is_found_where_it_was_placed_whatever_a_request_says() {
+fn a_new_object_is_found_where_it_was_placed_regardless_of_the_requested_shard() {
     let mut locations = ObjectLocations::new(8);
-    assert_eq!(locations.find(OBJECT, None), None, "a new object may go anywhere");
+    assert_eq!(locations.find(OBJECT, None), None, "a new object may be placed on any shard");
     locations.record_served(OBJECT, None, 5);
     assert_eq!(locations.find(OBJECT, Some(2)), Some(5));
     assert_eq!(locations.find(OBJECT, Some(5)), Some(5));
-    assert_eq!(locations.find((7, 8), Some(2)), Some(2), "another object is where its request says");
+    assert_eq!(
+        locations.find((7, 8), Some(2)),
+        Some(2),
+        "an object without observations is on the requested shard"
+    );
 }
 
 #[test]
-fn where_requests_and_targets_agree_nothing_is_kept() {
+fn nothing_is_stored_where_requests_and_targets_agree() {
     let mut locations = ObjectLocations::new(8);
     assert!((0..100).all(|piece| locations.record_served((1, piece), Some(3), 3).is_none()));
     assert!(locations.is_empty());
 }
 
-// Placed through another initiator: the first that is turned away shows that its word is stale.
+// The object was placed through another initiator: the first rejection shows that its requests name a stale
+// shard.
 #[test]
-fn an_object_that_was_turned_away_is_found_once_it_is_served() {
+fn a_rejected_object_is_found_after_it_is_served_elsewhere() {
     let mut locations = ObjectLocations::new(8);
     locations.record_rejected(OBJECT, 2);
-    assert_eq!(locations.find(OBJECT, Some(2)), Some(2), "nobody knows better yet");
+    assert_eq!(locations.find(OBJECT, Some(2)), Some(2), "no other shard is known yet");
     locations.record_served(OBJECT, Some(6), 6);
     assert_eq!(locations.find(OBJECT, Some(2)), Some(6));
 }
 
 #[test]
-fn what_was_seen_wrongly_is_given_up_when_a_target_says_so() {
+fn a_rejection_replaces_the_location_at_that_shard() {
     let mut locations = ObjectLocations::new(8);
     locations.record_served(OBJECT, None, 5);
     locations.record_rejected(OBJECT, 5);
     assert_eq!(locations.find(OBJECT, Some(2)), Some(2));
 }
 
-// A successor began without them: its first requests for what the predecessor had placed were turned away.
+// A successor without the predecessor's observations had its first requests rejected for objects that the
+// predecessor had placed.
 #[test]
-fn what_another_process_saw_is_known_here_and_told_once() {
+fn merged_observations_are_used_and_new_ones_are_returned_once() {
     let (mut first, mut second) = (ObjectLocations::new(8), ObjectLocations::new(8));
     first.record_served(OBJECT, None, 5);
     first.record_rejected((7, 8), 2);
@@ -51,23 +57,23 @@
     assert_eq!(second.iter().collect::<Vec<_>>(), first.iter().collect::<Vec<_>>());
     let observation = first.record_served((7, 8), Some(3), 3);
     assert_eq!(observation, Some(((7, 8), Observation::At(3))));
-    assert_eq!(first.record_served((7, 8), Some(3), 3), None, "no news");
+    assert_eq!(first.record_served((7, 8), Some(3), 3), None, "already recorded");
     second.merge(observation);
     assert_eq!(second.find((7, 8), Some(2)), Some(3));
 }
 
 #[test]
-fn late_news_that_a_shard_lacks_an_object_does_not_hide_where_it_is() {
+fn a_late_rejection_by_another_shard_does_not_replace_a_known_location() {
     let mut locations = ObjectLocations::new(8);
     locations.record_served(OBJECT, None, 5);
     locations.merge([(OBJECT, Observation::NotAt(2))]);
     assert_eq!(locations.find(OBJECT, Some(2)), Some(5));
     locations.merge([(OBJECT, Observation::NotAt(5))]);
-    assert_eq!(locations.find(OBJECT, Some(2)), Some(2), "it was turned away there");
+    assert_eq!(locations.find(OBJECT, Some(2)), Some(2), "the known shard rejected it");
 }
 
 #[test]
-fn beyond_their_number_the_oldest_are_forgotten() {
+fn beyond_the_capacity_the_oldest_objects_are_evicted() {
     let mut locations = ObjectLocations::new(4);
     for piece in 0..1_000 {
         locations.record_served((1, piece), None, 5);
