--- a/src/core/access_log.rs
+++ b/src/core/access_log.rs
@@ -1,5 +1,5 @@
-//! The access log: one line a request, written by a thread of its own. The request path only puts a record
-//! into a bounded queue; what finds it full is dropped and counted.
+//! The access log: one line per request, written by a dedicated thread. The request path only enqueues a
+//! record into a bounded queue; records that do not fit are dropped and counted.
 
 mod writer;
 
@@ -16,38 +16,38 @@
 use tokio::time::Instant;
 use writer::Writer;
 
-/// What the request path and the writer's thread share.
+/// State shared between the request path and the writer thread.
 #[derive(Debug, Default)]
 struct Shared {
-    /// Records put into the queue.
+    /// Records enqueued.
     queued: AtomicU64,
-    /// Records taken out of it, written or not.
-    done: AtomicU64,
-    /// Records that found it full.
+    /// Records removed from the queue, whether written or not.
+    processed: AtomicU64,
+    /// Records dropped because the queue was full.
     dropped: AtomicU64,
-    /// Records that the disk did not take.
+    /// Records that could not be written to the file.
     failed: AtomicU64,
-    /// The file is to be opened anew.
+    /// Set if the file is to be reopened before the next record.
     reopen: AtomicBool,
 }
 
-/// Where requests are logged.
+/// A handle by which requests are logged. The writer thread ends when the last handle is dropped.
 #[derive(Clone, Debug)]
 pub struct AccessLog {
     queue: SyncSender<Record>,
     shared: Arc<Shared>,
 }
 
-/// An open request, and what its line will say.
+/// The log line of an open request; it is enqueued when this is dropped.
 #[derive(Debug)]
 pub struct LogEntry {
     log: AccessLog,
     started: Instant,
-    /// Absent once it is in the queue.
+    /// Absent once the record is enqueued.
     record: Option<Record>,
 }
 
-/// What a line says, before it is text.
+/// The values of one line, before formatting.
 #[derive(Debug)]
 struct Record {
     at_us: i64,
@@ -72,24 +72,26 @@
 }
 
 impl AccessLog {
-    /// Opens the file, behind what it holds, and starts the thread, which ends with the last handle.
+    /// Opens the file for appending and starts the writer thread. At most `queue` records wait for the
+    /// thread.
     ///
     /// # Errors
-    /// The file cannot be opened, or the thread not be started.
+    /// The file cannot be opened, or the thread cannot be started.
     pub fn open(path: &Path, queue: usize) -> io::Result<AccessLog> {
-        let named = |e: io::Error| io::Error::new(e.kind(), format!("access log {}: {e}", path.display()));
-        let file = writer::append(path).map_err(named)?;
+        let with_path =
+            |e: io::Error| io::Error::new(e.kind(), format!("access log {}: {e}", path.display()));
+        let file = writer::open_for_append(path).map_err(with_path)?;
         let (sender, records) = sync_channel(queue);
         let shared = Arc::new(Shared::default());
         let writer = Writer::new(path.to_path_buf(), file, Arc::clone(&shared));
         std::thread::Builder::new()
             .name("access-log".into())
             .spawn(move || writer.run(&records))
-            .map_err(named)?;
+            .map_err(with_path)?;
         Ok(AccessLog { queue: sender, shared })
     }
 
-    /// Begins a request's line.
+    /// Begins the line of a request.
     pub(super) fn begin(&self, request: &Request) -> LogEntry {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let record = Record {
@@ -116,26 +118,26 @@
         LogEntry { log: self.clone(), started: Instant::now(), record: Some(record) }
     }
 
-    /// Has the file opened anew before the next line is written.
+    /// Makes the writer reopen the file before it writes the next line, for log rotation.
     pub fn reopen(&self) {
         self.shared.reopen.store(true, Ordering::Relaxed);
     }
 
-    /// How many lines were dropped because the queue was full, and how many the disk did not take.
-    pub fn lost(&self) -> (u64, u64) {
+    /// The number of lines dropped because the queue was full, and of those that could not be written.
+    pub fn lost_lines(&self) -> (u64, u64) {
         (self.shared.dropped.load(Ordering::Relaxed), self.shared.failed.load(Ordering::Relaxed))
     }
 
-    /// Waits until all lines so far are written, at most so long.
-    pub async fn settle(&self, most: Duration) {
-        let until = Instant::now() + most;
+    /// Waits until all records enqueued so far are written, for at most `timeout`.
+    pub async fn wait_until_written(&self, timeout: Duration) {
+        let deadline = Instant::now() + timeout;
         let queued = self.shared.queued.load(Ordering::Relaxed);
-        while self.shared.done.load(Ordering::Acquire) < queued && Instant::now() < until {
+        while self.shared.processed.load(Ordering::Acquire) < queued && Instant::now() < deadline {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
     }
 
-    fn put(&self, record: Record) {
+    fn enqueue(&self, record: Record) {
         let count = match self.queue.try_send(record) {
             Ok(()) => &self.shared.queued,
             Err(_) => &self.shared.dropped,
@@ -145,7 +147,7 @@
 }
 
 impl LogEntry {
-    /// The request has its response.
+    /// Completes the line with the request's response.
     pub(super) fn finish(mut self, response: &Response) {
         if let Some(record) = &mut self.record {
             (record.end, record.received, record.wait_ms) = match response {
@@ -159,12 +161,12 @@
     }
 }
 
-/// Dropped without a response, its client has gone.
+/// An entry dropped without a response is logged as a client that disconnected.
 impl Drop for LogEntry {
     fn drop(&mut self) {
         if let Some(mut record) = self.record.take() {
             record.took_us = u64::try_from(self.started.elapsed().as_micros()).unwrap_or(u64::MAX);
-            self.log.put(record);
+            self.log.enqueue(record);
         }
     }
 }
--- a/src/core/access_log/tests.rs
+++ b/src/core/access_log/tests.rs
@@ -39,54 +39,54 @@
 fn read(path: &Path) -> Vec<String> {
     let text = std::fs::read_to_string(path).expect("a file");
     let line = |l: &str| {
-        let offer = rowanglade_capture::own_log::parse(l.as_bytes()).expect("a line").expect("a request");
-        let known = offer.known.expect("known");
-        format!("{} {} {:?} {:?}", known.class, offer.status, offer.key.as_deref(), known.shard)
+        let request = rowanglade_capture::own_log::parse(l.as_bytes()).expect("a line").expect("a request");
+        let known = request.known.expect("known");
+        format!("{} {} {:?} {:?}", known.class, request.status, request.key.as_deref(), known.shard)
     };
     let lines: Vec<String> = text.lines().map(line).collect();
     std::fs::remove_file(path).expect("removed");
     lines
 }
 
-// The reader of the replay reads what the daemon writes.
+// What the daemon writes must be readable for the replay's log parser.
 #[tokio::test]
-async fn lines_tell_how_requests_ended_and_are_read_again() {
+async fn each_line_records_the_outcome_and_can_be_parsed_again() {
     let path = file("ends");
     let log = AccessLog::open(&path, 10).expect("opened");
     log.begin(&request("a")).finish(&Response::Served(Bytes::from_static(b"x").into()));
     log.begin(&request("b")).finish(&Response::Rejected { retry_after: Duration::from_millis(5) });
     log.begin(&request("c")).finish(&Response::Failed);
     drop(log.begin(&request("d")));
-    log.settle(Duration::from_secs(5)).await;
+    log.wait_until_written(Duration::from_secs(5)).await;
     let key = "Some(\"k\\\"1\") None";
     assert_eq!(read(&path), [200, 503, 500, 0].map(|status| format!("deposit {status} {key}")));
-    assert_eq!(log.lost(), (0, 0));
+    assert_eq!(log.lost_lines(), (0, 0));
 }
 
 #[tokio::test]
-async fn a_log_moved_away_is_opened_anew() {
+async fn after_reopen_lines_go_to_a_new_file() {
     let (path, moved) = (file("moved"), file("moved-away"));
     let log = AccessLog::open(&path, 10).expect("opened");
     log.begin(&request("a")).finish(&Response::Failed);
-    log.settle(Duration::from_secs(5)).await;
+    log.wait_until_written(Duration::from_secs(5)).await;
     std::fs::rename(&path, &moved).expect("moved");
     log.reopen();
     log.begin(&request("b")).finish(&Response::Failed);
-    log.settle(Duration::from_secs(5)).await;
+    log.wait_until_written(Duration::from_secs(5)).await;
     assert_eq!((read(&moved).len(), read(&path).len()), (1, 1));
 }
 
-// A disk that is behind, or full, must neither hold a request up nor go unnoticed.
+// A disk that is slow or full must not delay requests, and the lost lines must be counted.
 #[tokio::test]
-async fn what_the_queue_or_the_disk_does_not_take_is_counted() {
+async fn lines_lost_to_a_full_queue_or_disk_are_counted() {
     let (queue, _stuck) = sync_channel(1);
     let log = AccessLog { queue, shared: Arc::default() };
     for id in ["a", "b", "c"] {
         log.begin(&request(id)).finish(&Response::Failed);
     }
-    assert_eq!(log.lost(), (2, 0));
+    assert_eq!(log.lost_lines(), (2, 0));
     let full = AccessLog::open(Path::new("/dev/full"), 10).expect("opened");
     full.begin(&request("a")).finish(&Response::Failed);
-    full.settle(Duration::from_secs(5)).await;
-    assert_eq!(full.lost(), (0, 1));
+    full.wait_until_written(Duration::from_secs(5)).await;
+    assert_eq!(full.lost_lines(), (0, 1));
 }
--- a/src/core/access_log/writer.rs
+++ b/src/core/access_log/writer.rs
@@ -1,4 +1,4 @@
-//! The thread that writes the access log's lines.
+//! The access log's writer thread.
 
 use super::{Record, Shared};
 use crate::core::endpoint::Protocol;
@@ -12,25 +12,25 @@
 use std::sync::mpsc::Receiver;
 use std::time::{Duration, Instant};
 
-/// How often lost lines are logged.
+/// Minimum interval between log messages about lost lines.
 const LOG_INTERVAL: Duration = Duration::from_secs(10);
-/// Lines that are written before the file is flushed.
+/// Lines written before the file is flushed.
 const MAX_BATCH: u64 = 1_024;
 
-/// Opens the file behind what it holds.
-pub(super) fn append(path: &Path) -> io::Result<File> {
+/// Opens the file for appending, creating it if needed.
+pub(super) fn open_for_append(path: &Path) -> io::Result<File> {
     OpenOptions::new().create(true).append(true).open(path)
 }
 
-/// The thread that writes.
+/// The writer thread's state.
 pub(super) struct Writer {
     path: PathBuf,
-    out: BufWriter<File>,
+    output: BufWriter<File>,
     shared: Arc<Shared>,
     logged: LoggedLosses,
 }
 
-/// The losses that the program's log has reported.
+/// The losses already reported in the program's log.
 struct LoggedLosses {
     dropped: u64,
     failed: u64,
@@ -40,10 +40,10 @@
 impl Writer {
     pub(super) fn new(path: PathBuf, file: File, shared: Arc<Shared>) -> Writer {
         let logged = LoggedLosses { dropped: 0, failed: 0, at: Instant::now() };
-        Writer { path, out: BufWriter::new(file), shared, logged }
+        Writer { path, output: BufWriter::new(file), shared, logged }
     }
 
-    /// Writes until the last [`AccessLog`](super::AccessLog) is gone.
+    /// Writes records until the last [`AccessLog`](super::AccessLog) is dropped.
     pub(super) fn run(mut self, records: &Receiver<Record>) {
         while let Ok(first) = records.recv() {
             if self.shared.reopen.swap(false, Ordering::Relaxed) {
@@ -52,39 +52,43 @@
             self.write_batch(first, records);
             self.log_losses();
         }
-        let _ = self.out.flush();
+        let _ = self.output.flush();
     }
 
     fn reopen(&mut self) {
-        match append(&self.path) {
-            Ok(file) => self.out = BufWriter::new(file),
-            // The file at hand goes on: its lines are not lost.
-            Err(error) => tracing::error!(%error, "access log not reopened"),
+        match open_for_append(&self.path) {
+            Ok(file) => self.output = BufWriter::new(file),
+            // Lines continue to go to the file that is still open, so none are lost.
+            Err(error) => {
+                tracing::error!(%error, "access log could not be reopened, still writing to the previous file")
+            }
         }
     }
 
-    /// Writes what is in the queue, up to a batch. A flush for each line only where lines are rare.
+    /// Writes the queued records, up to one batch, and flushes once. Only where requests are rare is there
+    /// one flush per line.
     fn write_batch(&mut self, first: Record, records: &Receiver<Record>) {
         let mut count = 0;
         let mut failed = 0;
         let mut next = Some(first);
         while let Some(record) = next {
             count += 1;
-            failed += u64::from(self.write(&record).is_err());
+            failed += u64::from(self.write_record(&record).is_err());
             next = records.try_recv().ok().filter(|_| count < MAX_BATCH);
         }
-        if self.out.flush().is_err() {
+        if self.output.flush().is_err() {
             failed = count;
             self.discard_buffer();
         }
         self.shared.failed.fetch_add(failed, Ordering::Relaxed);
-        self.shared.done.fetch_add(count, Ordering::Release);
+        self.shared.processed.fetch_add(count, Ordering::Release);
     }
 
-    /// What a full disk did not take must not stand in the way of what comes.
+    /// Reopens the file without the buffered lines that the disk rejected, so that they do not block later
+    /// lines.
     fn discard_buffer(&mut self) {
-        if let Ok(file) = append(&self.path) {
-            let (_, _) = std::mem::replace(&mut self.out, BufWriter::new(file)).into_parts();
+        if let Ok(file) = open_for_append(&self.path) {
+            let (_, _) = std::mem::replace(&mut self.output, BufWriter::new(file)).into_parts();
         }
     }
 
@@ -98,7 +102,7 @@
         }
     }
 
-    fn write(&mut self, record: &Record) -> io::Result<()> {
+    fn write_record(&mut self, record: &Record) -> io::Result<()> {
         let line = AccessLine {
             rowanglade: VERSION,
             at_us: record.at_us,
@@ -124,7 +128,7 @@
             took_us: record.took_us,
             wait_ms: record.wait_ms,
         };
-        serde_json::to_writer(&mut self.out, &line)?;
-        self.out.write_all(b"\n")
+        serde_json::to_writer(&mut self.output, &line)?;
+        self.output.write_all(b"\n")
     }
 }
--- a/src/core/actor.rs
+++ b/src/core/actor.rs
@@ -1,4 +1,4 @@
-//! The core's actor: it alone owns the [`Scheduler`] and all state beside it, and assembles the parts.
+//! The core's actor. It exclusively owns the [`Scheduler`] and the state around it.
 
 mod admin;
 mod attempt_results;
@@ -35,43 +35,40 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
-/// Objects whose locations are kept: about a megabyte.
+/// Objects whose observed locations are kept, about 1 MB.
 const MAX_OBJECT_LOCATIONS: usize = 16_384;
 
-/// The actor; [`Core::run`] is its life.
+/// The core's actor: processes one input at a time until its mailbox is closed; see [`Core::run`].
 pub struct Core {
     clock: Clock,
     names: Names,
     scheduler: Scheduler,
-    /// Events that an action brought about at once; they come after the present one.
+    /// Events caused by an action, to be processed after the current event.
     queued_events: VecDeque<Event>,
     timers: Timers,
     mailbox: mpsc::Receiver<Message>,
-    /// Weak, so that the core ends when all others have let go of its mailbox.
+    /// Weak, so that the core stops once all [`CoreHandle`](crate::core::CoreHandle)s are dropped.
     mailbox_sender: mpsc::WeakSender<Message>,
     admin_requests: mpsc::Receiver<AdminRequest>,
     open_requests: OpenRequests,
     endpoints: Endpoints,
     routes: Routes,
-    /// New routes are taken up between two messages.
+    /// Newly loaded routes take effect between two messages.
     loaded_routes: watch::Receiver<Arc<LoadedRoutes>>,
-    /// Absent where no peer may be talked to.
+    /// Absent where initiators do not exchange quota.
     quota: Option<QuotaPeers>,
-    /// Units that the scheduler offered last.
+    /// Units that the scheduler offered in its latest [`Action::QuotaOffered`].
     quota_offered: f64,
     object_locations: ObjectLocations,
-    /// Absent where no target is preferred to others.
+    /// Absent where no targets are preferred.
     subset: Option<Subset>,
     handover: HandoverPort,
     readiness: Readiness,
     diagnostics: Diagnostics,
 }
 
-/// What the actor handles in one step.
-#[expect(
-    clippy::large_enum_variant,
-    reason = "it lives for one step: a box would cost an allocation a message"
-)]
+/// An input that the actor handles in one step.
+#[expect(clippy::large_enum_variant, reason = "short-lived, and a box would cost an allocation per message")]
 enum Input {
     Admin(AdminRequest),
     Handover(HandoverRequest),
@@ -93,7 +90,7 @@
 }
 
 impl Core {
-    /// A core that has not begun to run. `connect` makes the actors of targets.
+    /// A core that is not running yet. `connect` starts the actor of a target.
     pub fn new(
         scheduler: Scheduler,
         names: Names,
@@ -141,22 +138,22 @@
     pub async fn run(mut self) {
         self.readiness.start(self.clock.now());
         while let Some(input) = self.next_input().await {
-            let begun = Instant::now();
+            let started_at = Instant::now();
             let step = input.step();
             self.handle_input(input);
-            self.end_step(step, begun);
-            let begun = Instant::now();
-            self.run_due();
-            self.end_step(Step::Timers, begun);
+            self.end_step(step, started_at);
+            let started_at = Instant::now();
+            self.run_due_work();
+            self.end_step(Step::Timers, started_at);
         }
     }
 
-    /// Waits for the next thing to do. `None`: nobody has the core's mailbox any more.
+    /// Waits for the next input. `None`: every [`CoreHandle`](crate::core::CoreHandle) has been dropped.
     async fn next_input(&mut self) -> Option<Input> {
-        let wake = self.next_wake();
+        let wake_at = self.next_wake();
         let clock = self.clock;
-        let pause = async {
-            match wake {
+        let timer = async {
+            match wake_at {
                 Some(at) => tokio::time::sleep_until(clock.instant(at)).await,
                 None => std::future::pending().await,
             }
@@ -165,14 +162,14 @@
             Some(request) = self.admin_requests.recv() => Some(Input::Admin(request)),
             Some(request) = self.handover.requests.recv() => Some(Input::Handover(request)),
             message = self.mailbox.recv() => message.map(Input::Message),
-            () = pause => Some(Input::TimerDue),
+            () = timer => Some(Input::TimerDue),
             Ok(()) = self.loaded_routes.changed() => {
                 Some(Input::RoutesLoaded(Arc::clone(&self.loaded_routes.borrow_and_update())))
             }
         }
     }
 
-    /// When something is due, whatever comes until then.
+    /// When timed work is due even if no other input arrives. `None`: no work is scheduled.
     fn next_wake(&self) -> Option<Micros> {
         let quota = self.quota.as_ref().filter(|_| !self.handover.is_handed_over());
         let wakes = [
@@ -198,9 +195,9 @@
         }
     }
 
-    fn end_step(&mut self, step: Step, begun: Instant) {
+    fn end_step(&mut self, step: Step, started_at: Instant) {
         let (targets, open) = (self.endpoints.len(), self.open_requests.unanswered());
-        self.diagnostics.step_ended(step, begun, targets, open);
+        self.diagnostics.record_step(step, started_at, targets, open);
     }
 
     fn handle_message(&mut self, message: Message) {
@@ -208,26 +205,26 @@
             Message::Submit { id, request, arrived, response } => {
                 self.submit(id, request, arrived, response);
             }
-            Message::ClientGone(id) => self.client_gone(id),
+            Message::ClientGone(id) => self.handle_client_gone(id),
             Message::Shutdown => self.fail_all_requests(),
             Message::Status => self.log_status(),
-            // Whoever asked and has ended needs no answer.
+            // The receiver may have stopped waiting.
             Message::ListTargets(answer) => drop(answer.send(self.routes.targets().cloned().collect())),
             Message::QuotaDatagram(from, message) => self.handle_quota_datagram(from, &message),
-            Message::BodyStarted { id, number } => self.body_started(id, number),
-            // An attempt that ended meanwhile asks no more.
+            Message::BodyStarted { id, number } => self.handle_body_started(id, number),
+            // The attempt may have ended in the meantime.
             Message::MayStart { id, number, answer } => drop(answer.send(self.may_start(id, number))),
-            Message::ResponseStarted { id, number } => self.response_started(id, number),
-            Message::AttemptEnded { id, number, result } => self.attempt_ended(id, number, result),
+            Message::ResponseStarted { id, number } => self.handle_response_started(id, number),
+            Message::AttemptEnded { id, number, result } => self.handle_attempt_end(id, number, result),
             Message::ProbeEnded { target, outcome, elapsed, load } => {
-                self.probe_ended(target, outcome, elapsed, load);
+                self.handle_probe_end(target, outcome, elapsed, load);
             }
-            Message::PeersReportDraining(targets) => self.peers_report_draining(&targets),
+            Message::PeersReportDraining(targets) => self.handle_drain_gossip(&targets),
             Message::EndpointsChanged { protocol, kind, entries, more, received } => {
                 let count = entries.len();
                 self.update_endpoints(protocol, kind, entries, more);
                 if !more {
-                    self.diagnostics.endpoints_in_force(received, count);
+                    self.diagnostics.record_endpoint_update(received, count);
                 }
             }
         }
@@ -240,8 +237,8 @@
         self.diagnostics.counters.log();
     }
 
-    /// Does all that is due.
-    fn run_due(&mut self) {
+    /// Does all timed work that is due.
+    fn run_due_work(&mut self) {
         if self.readiness.trust_cached_list_if_due(self.clock.now()) {
             self.update_readiness();
         }
@@ -262,7 +259,8 @@
         }
     }
 
-    /// Gives the scheduler an event, and does what it says, until nothing follows from that.
+    /// Passes an event to the scheduler and executes the resulting actions, including those of the events
+    /// that the actions cause.
     fn apply_event(&mut self, event: Event) {
         self.queued_events.push_back(event);
         let mut actions = Vec::new();
@@ -289,7 +287,7 @@
             Action::SetTimer { token, after } => self.timers.set(now + after, token),
             Action::QuotaNeeded { volume, units, initiators } => {
                 if let Some(quota) = self.quota.as_mut().filter(|_| !self.handover.is_handed_over()) {
-                    quota.quota_needed(now, volume, units, initiators);
+                    quota.record_need(now, volume, units, initiators);
                 }
             }
             Action::QuotaOffered { units, .. } => self.quota_offered = units,
--- a/src/core/actor/admin.rs
+++ b/src/core/actor/admin.rs
@@ -1,4 +1,4 @@
-//! Operators' commands.
+//! Handles operators' commands.
 
 use super::Core;
 use crate::core::admin::{AdminCommand, AdminRequest};
@@ -9,17 +9,17 @@
         if known {
             self.handover.send_admin_command(request.command);
         }
-        // A caller that has left meanwhile needs no answer; what it asked for holds.
+        // The caller may have disconnected; the command stays in effect.
         let _ = request.reply.send(known);
     }
 
-    /// Does what an operator asks. False: no target has that name.
+    /// Applies an operator's command. Returns false if no target of that name is known.
     pub(super) fn apply_admin_command(&mut self, command: &AdminCommand) -> bool {
         let name = command.target();
         let target = self.names.target(name);
         let listed = target.filter(|target| self.endpoints.contains(*target));
-        let used = target.is_some_and(|target| self.open_requests.any_attempt_at(target));
-        if listed.is_none() && !used && !self.endpoints.maintenance().is_out(name) {
+        let has_attempts = target.is_some_and(|target| self.open_requests.any_attempt_at(target));
+        if listed.is_none() && !has_attempts && !self.endpoints.maintenance().is_out(name) {
             return false;
         }
         let now = self.clock.now();
--- a/src/core/actor/attempt_results.rs
+++ b/src/core/actor/attempt_results.rs
@@ -1,4 +1,4 @@
-//! What attempts report: the start of a body or a response, and how they ended.
+//! Handles what attempts report: the start of a request body, the head of a response, and the outcome.
 
 use super::Core;
 use crate::core::body::ResponseBody;
@@ -9,17 +9,17 @@
 use std::time::Duration;
 
 impl Core {
-    /// The streamed part of a request's body is being sent. Its deadline runs from the last byte on, which
-    /// the attempt itself keeps.
-    pub(super) fn body_started(&mut self, id: RequestId, number: AttemptNumber) {
+    /// An attempt has begun to send the streamed part of a request's body. From here on the deadline counts
+    /// from the body's last byte and is enforced by the attempt itself.
+    pub(super) fn handle_body_started(&mut self, id: RequestId, number: AttemptNumber) {
         if self.open_requests.get(id).is_some() {
             self.open_requests.stop_watching(id);
             self.apply_event(Event::TransferStarted { id, attempt: number, deadline_applies: false });
         }
     }
 
-    /// The head of an attempt's response has come.
-    pub(super) fn response_started(&mut self, id: RequestId, number: AttemptNumber) {
+    /// The head of an attempt's response has arrived.
+    pub(super) fn handle_response_started(&mut self, id: RequestId, number: AttemptNumber) {
         let now = self.clock.now();
         let Some(open) = self.open_requests.get_mut(id) else { return };
         open.trace(number, |trace| trace.response_started = Some(now));
@@ -29,8 +29,8 @@
         }
     }
 
-    /// An attempt's end. The first served one is the client's response.
-    pub(super) fn attempt_ended(&mut self, id: RequestId, number: AttemptNumber, result: AttemptResult) {
+    /// An attempt has ended. The first served attempt of a request determines the client's response.
+    pub(super) fn handle_attempt_end(&mut self, id: RequestId, number: AttemptNumber, result: AttemptResult) {
         let Some(open) = self.open_requests.get_mut(id) else { return };
         let Some(attempt) = open.take_attempt(number) else { return };
         let result = as_not_sent_if_unstarted(&attempt, result);
@@ -38,7 +38,7 @@
         let now = self.clock.now();
         open.trace(number, |trace| trace.ended = Some((now, outcome)));
         let request = Rc::clone(&open.request);
-        self.learn_location(attempt.target, &request, outcome);
+        self.record_location(attempt.target, &request, outcome);
         let consumed = request.body_rest.as_ref().is_some_and(|upload| upload.is_consumed());
         if let Some(response) = final_response_for(outcome, consumed, result.body) {
             self.finish_request(id, Some(response));
@@ -46,11 +46,11 @@
         tracing::debug!(request = id.0, attempt = number.0, ?outcome, "attempt ended");
         let request_over = self.open_requests.get(id).is_none_or(OpenRequest::is_finished);
         let elapsed = self.response_time(&attempt, &request, now);
-        // One whose client left says nothing of its target.
+        // An attempt cancelled because its client left is no evidence about the site.
         if !(request_over && outcome == Outcome::Cancelled)
             && let Some((sites, name)) = self.endpoints.site_of(attempt.target)
         {
-            sites.attempt_ended(now, name, outcome, attempt.response_started.is_some(), Some(elapsed));
+            sites.handle_attempt_end(now, name, outcome, attempt.response_started.is_some(), Some(elapsed));
         }
         self.apply_event(Event::AttemptEnded {
             id,
@@ -66,31 +66,32 @@
         self.remove_if_settled(id);
     }
 
-    /// What the target took for an attempt that has ended now. A streamed request counts from its last byte;
-    /// what a response takes on its way, once it has begun, says nothing of the target.
+    /// The time that the target took for an attempt that ends now. For a streamed request it counts from the
+    /// body's last byte. The transfer time of the response body is not counted, since it does not depend on
+    /// the target.
     fn response_time(&self, attempt: &InFlightAttempt, request: &Request, now: Micros) -> Micros {
         let completed_at = request.body_rest.as_ref().and_then(|upload| upload.completed_at());
-        let complete = completed_at.map_or(0, |at| self.clock.at(at));
-        let answered = attempt.response_started.filter(|at| *at >= complete).unwrap_or(now);
-        answered.saturating_sub(attempt.sent.max(complete))
+        let body_completed_at = completed_at.map_or(0, |at| self.clock.at(at));
+        let response_at = attempt.response_started.filter(|at| *at >= body_completed_at).unwrap_or(now);
+        response_at.saturating_sub(attempt.sent.max(body_completed_at))
     }
 
-    /// Learns from an attempt's outcome where its object is.
-    fn learn_location(&mut self, target: TargetId, request: &Request, outcome: Outcome) {
+    /// Records what an attempt's outcome shows about the location of its object.
+    fn record_location(&mut self, target: TargetId, request: &Request, outcome: Outcome) {
         let Some(shard) = self.endpoints.get(target).map(|target| target.reported.shard) else { return };
         let object = (request.volume, request.object);
-        let sighting = match outcome {
+        let observation = match outcome {
             Outcome::Served => self.object_locations.record_served(object, request.shard, shard),
             Outcome::DeadlineExceeded => self.object_locations.record_rejected(object, shard),
             _ => None,
         };
-        if let Some(sighting) = sighting {
-            self.handover.send_sighting(sighting);
+        if let Some(observation) = observation {
+            self.handover.send_observation(observation);
         }
     }
 }
 
-/// The result of an attempt, corrected: nothing of an attempt that had not started was sent, whatever its
+/// Corrects the result of an attempt that was never allowed to start: none of it was sent, whatever the
 /// target's actor reports.
 fn as_not_sent_if_unstarted(attempt: &InFlightAttempt, result: AttemptResult) -> AttemptResult {
     match attempt.started || result.outcome.proves_not_executed() {
@@ -99,8 +100,8 @@
     }
 }
 
-/// The response that an attempt's outcome is for its client. `None`: the scheduler may retry. What was
-/// read of a streamed body (`consumed`) is not there for another attempt.
+/// The response that an attempt's outcome determines for its client. `None`: the scheduler may retry. If part
+/// of a streamed body was read (`consumed`), it cannot be sent to another attempt.
 fn final_response_for(outcome: Outcome, consumed: bool, body: ResponseBody) -> Option<Response> {
     match outcome {
         Outcome::Served => Some(Response::Served(body)),
--- a/src/core/actor/attempts.rs
+++ b/src/core/actor/attempts.rs
@@ -1,5 +1,5 @@
-//! Attempts and probes on their way out: handed to a target's actor, and checked once more before their first
-//! byte.
+//! Starts attempts and probes: each is sent to its target's actor, and an attempt is checked again before its
+//! first byte is sent.
 
 use super::Core;
 use crate::core::attempt::{Attempt, AttemptPermits, AttemptReporter, Probe, ProbeReporter, TargetMessage};
@@ -11,23 +11,23 @@
 use tokio::sync::mpsc::{self, OwnedPermit};
 use tokio::sync::oneshot;
 
-/// How long a probe may take.
+/// Timeout of a probe, in microseconds.
 const PROBE_TIMEOUT: Micros = 1_000_000;
 
 impl Core {
-    /// Asks a target whether it answers. False: it was not asked.
+    /// Sends a health check to a target. Returns false if it could not be sent.
     pub(super) fn start_probe(&mut self, now: Micros, target: TargetId) -> bool {
         let until = self.clock.instant(now + PROBE_TIMEOUT);
-        let permit = reserve(&self.mailbox_sender);
+        let permit = reserve_permit(&self.mailbox_sender);
         let (Some(mailbox), Some(permit)) = (self.endpoints.mailbox(target), permit) else { return false };
         let probe = Probe { until, report: ProbeReporter::new(target, now, self.clock, permit) };
-        // A probe that finds no place reports that by its drop.
+        // If the mailbox is full, the reporter in the dropped probe reports it as not sent.
         let _ = mailbox.try_send(TargetMessage::Probe(probe));
         true
     }
 
-    /// A probe's end.
-    pub(super) fn probe_ended(
+    /// A probe has ended.
+    pub(super) fn handle_probe_end(
         &mut self,
         target: TargetId,
         outcome: Outcome,
@@ -36,12 +36,13 @@
     ) {
         let now = self.clock.now();
         if let Some((sites, name)) = self.endpoints.site_of(target) {
-            sites.attempt_ended(now, name, outcome, false, None);
+            sites.handle_attempt_end(now, name, outcome, false, None);
         }
         self.apply_event(Event::ProbeEnded { target, outcome, elapsed, load });
     }
 
-    /// Hands an attempt to its target's actor, which asks once more before its first byte.
+    /// Sends an attempt to its target's actor, which asks again by [`Message::MayStart`] before the first
+    /// byte.
     pub(super) fn start_attempt(
         &mut self,
         now: Micros,
@@ -70,7 +71,8 @@
             response_started: None,
             cancel: Some(cancel),
         }));
-        // Without places for its start and its end, or a target that takes it, the attempt never was.
+        // If permits for its reports are lacking or the target's mailbox is full, the attempt counts as not
+        // sent.
         let sent = !open.is_finished()
             && mailbox.zip(reserve_attempt_permits(open, &self.mailbox_sender)).is_some_and(
                 |(mailbox, permits)| {
@@ -86,13 +88,13 @@
         }
     }
 
-    /// The last check before an attempt's first byte: its connection is up, which may have taken long. What
-    /// was true when it was sent must still be: its target is wanted and where it was, its client waits,
-    /// there is time, and it may run beside what ran before. The units that it took are held for as long as
-    /// it is in flight.
+    /// The last check before an attempt's first byte, after its connection has been established, which may
+    /// have taken long. The conditions under which the attempt was sent must still hold: the target is active
+    /// at the same address, the client is waiting, time is left, and the scheduler still allows it beside the
+    /// earlier attempts. Its reserved units stay reserved while it is in flight.
     pub(super) fn may_start(&mut self, id: RequestId, number: AttemptNumber) -> bool {
         let now = self.clock.now();
-        let wanted = self.scheduler.may_start(now, id, number);
+        let allowed = self.scheduler.may_start(now, id, number);
         let Some(open) = self.open_requests.get_mut(id).filter(|open| !open.is_finished()) else {
             return false;
         };
@@ -100,9 +102,9 @@
         let Some(attempt) = open.attempt_mut(number) else { return false };
         let target = attempt.target;
         let same_addr = self.endpoints.get(target).is_some_and(|listed| listed.reported.addr == attempt.addr);
-        let started = wanted && same_addr && !attempt.is_cancelled();
+        let started = allowed && same_addr && !attempt.is_cancelled();
         attempt.started = started;
-        // A streamed body's last byte comes much later: the end of its attempt settles that.
+        // The last byte of a streamed body comes much later: the units are settled when the attempt ends.
         if started && !streamed {
             self.scheduler.commit_reserved(now, id);
         }
@@ -113,22 +115,22 @@
     }
 }
 
-fn reserve(mailbox: &mpsc::WeakSender<Message>) -> Option<OwnedPermit<Message>> {
+fn reserve_permit(mailbox: &mpsc::WeakSender<Message>) -> Option<OwnedPermit<Message>> {
     mailbox.upgrade()?.try_reserve_owned().ok()
 }
 
-/// Places in the core's mailbox for all that an attempt must report. `None`: there are too few.
+/// Reserves mailbox permits for all reports of an attempt. `None`: the mailbox has too few left.
 fn reserve_attempt_permits(
     open: &OpenRequest,
     mailbox: &mpsc::WeakSender<Message>,
 ) -> Option<AttemptPermits> {
-    let start = reserve(mailbox)?;
-    let end = reserve(mailbox)?;
-    let body_started = if open.is_streamed() { reserve(mailbox) } else { None };
-    Some(AttemptPermits { start, end, body_started, response_started: reserve(mailbox) })
+    let start = reserve_permit(mailbox)?;
+    let end = reserve_permit(mailbox)?;
+    let body_started = if open.is_streamed() { reserve_permit(mailbox) } else { None };
+    Some(AttemptPermits { start, end, body_started, response_started: reserve_permit(mailbox) })
 }
 
-/// False: the target's actor does not take it.
+/// Returns false if the target's actor does not accept the attempt.
 fn send_attempt(mailbox: &mpsc::Sender<TargetMessage>, attempt: Attempt) -> bool {
     match mailbox.try_send(TargetMessage::Attempt(Box::new(attempt))) {
         Ok(()) => true,
--- a/src/core/actor/endpoint_updates.rs
+++ b/src/core/actor/endpoint_updates.rs
@@ -1,12 +1,12 @@
-//! Changes of the known targets, and how they take effect: for the routes first, then for the scheduler, then
-//! for the attempts that have not started.
+//! Applies changes of the listed targets: first to the routes, then to the scheduler, then to attempts that
+//! have not started.
 
 use super::Core;
 use crate::core::endpoint::{Endpoint, Protocol};
 use crate::interface::{EndpointUpdateKind, Event, Micros, TargetId};
 
 impl Core {
-    /// An update of one list, or a part of one.
+    /// Applies an update of one endpoint list, or a part of one.
     pub(super) fn update_endpoints(
         &mut self,
         protocol: Protocol,
@@ -22,20 +22,20 @@
         }
     }
 
-    /// Peers report that these targets drain: nothing new goes to them until discovery answers.
-    pub(super) fn peers_report_draining(&mut self, targets: &[String]) {
+    /// Peers report these targets as draining: no new requests are sent to them until discovery answers.
+    pub(super) fn handle_drain_gossip(&mut self, targets: &[String]) {
         let changed = self.endpoints.report_draining(self.clock.now(), &self.names, targets);
         self.diagnostics.counters.drain_gossip_applied += changed.len() as u64;
         self.apply_changes(&changed);
     }
 
-    /// Others than discovery have said that these targets drain or are back.
+    /// Re-evaluates targets whose state was changed by a source other than discovery.
     pub(super) fn refresh_targets(&mut self, targets: &[TargetId], draining: bool) {
         let changed = self.endpoints.refresh(self.clock.now(), targets, draining);
         self.apply_changes(&changed);
     }
 
-    /// Has changes of targets take effect.
+    /// Publishes changed targets to the routes, the scheduler and attempts that have not started.
     fn apply_changes(&mut self, changed: &[TargetId]) {
         if changed.is_empty() {
             return;
@@ -51,8 +51,8 @@
         self.endpoints.drop_removed(changed);
     }
 
-    /// Cancels what has not started at a target that takes nothing new, so that it need not wait for a
-    /// connection that it may not use.
+    /// Cancels attempts that have not started and whose target no longer accepts new requests, so that they
+    /// do not wait for a connection that they may not use.
     fn cancel_unstarted_attempts(&mut self) {
         let endpoints = &self.endpoints;
         self.open_requests.cancel_unstarted(|attempt| {
@@ -61,15 +61,16 @@
         });
     }
 
-    /// What has become of sites by now.
+    /// Applies the site failover decisions that are due.
     pub(super) fn poll_sites(&mut self, now: Micros) {
         let Some(actions) = self.endpoints.sites_mut().map(|sites| sites.poll(now)) else { return };
         let probes = self.listed_targets(&actions.probes);
         let changed = self.listed_targets(&actions.changed);
         if !changed.is_empty() {
-            let held_out = |target: &TargetId| self.endpoints.is_suspended(self.clock.now(), *target);
-            let (draining, back): (Vec<TargetId>, Vec<TargetId>) = changed.into_iter().partition(held_out);
-            for (targets, draining) in [(draining, true), (back, false)] {
+            let is_suspended = |target: &TargetId| self.endpoints.is_suspended(self.clock.now(), *target);
+            let (draining, active): (Vec<TargetId>, Vec<TargetId>) =
+                changed.into_iter().partition(is_suspended);
+            for (targets, draining) in [(draining, true), (active, false)] {
                 if !targets.is_empty() {
                     self.refresh_targets(&targets, draining);
                 }
@@ -85,14 +86,15 @@
         targets.filter(|target| self.endpoints.contains(*target)).collect()
     }
 
-    /// Tells the scheduler whom routes let requests reach, where that has changed.
+    /// Informs the scheduler about target sets that have changed.
     pub(super) fn publish_target_sets(&mut self) {
         for event in self.routes.take_events() {
             self.apply_event(event);
         }
     }
 
-    /// Tells the scheduler which targets this initiator's new objects go to, where the list has changed that.
+    /// Informs the scheduler which targets this initiator prefers for new objects, if the list has changed
+    /// them.
     fn publish_preferred_targets(&mut self) {
         let Some(subset) = &mut self.subset else { return };
         let active = self.endpoints.active().map(|target| target.effective.name.clone());
--- a/src/core/actor/handover.rs
+++ b/src/core/actor/handover.rs
@@ -1,4 +1,4 @@
-//! What a handover asks of the core.
+//! Handles the requests of a handover.
 
 use super::Core;
 use crate::core::endpoint::{Endpoint, Protocol};
@@ -7,7 +7,7 @@
 use std::collections::HashMap;
 
 impl Core {
-    /// Does what a handover asks. Whoever asks and has ended needs no answer.
+    /// Handles a request of a handover. The requester may have stopped waiting for the answer.
     pub(super) fn handle_handover_request(&mut self, request: HandoverRequest) {
         match request {
             HandoverRequest::Describe(answer) => {
@@ -33,17 +33,19 @@
             HandoverRequest::AdminCommand(command) => {
                 self.apply_admin_command(&command);
             }
-            HandoverRequest::ObjectObserved(object, seen) => self.object_locations.merge([(object, seen)]),
+            HandoverRequest::ObjectObserved(object, observation) => {
+                self.object_locations.merge([(object, observation)])
+            }
         }
     }
 
-    /// The HTTP targets, as discovery reported them.
+    /// The HTTP targets as discovery reported them.
     fn reported_endpoints(&self) -> Vec<Endpoint> {
         let reported = self.endpoints.iter().map(|(_, target)| &target.reported);
         reported.filter(|endpoint| endpoint.protocol == Protocol::Http).cloned().collect()
     }
 
-    /// All that is owned here.
+    /// All state that this process owns.
     fn handover_state(&self) -> HandoverState {
         let scheduler = self.scheduler.snapshot(self.clock.now()).map_names(
             |target| self.names.target_name(target).map(str::to_string),
@@ -56,13 +58,13 @@
         }
     }
 
-    /// Goes on with what another process owned.
+    /// Continues with the state that another process owned.
     fn take_over(&mut self, state: HandoverState) {
         let HandoverState { maintenance, scheduler, object_locations } = state;
         self.endpoints.set_maintenance(maintenance);
         self.object_locations.merge(object_locations);
-        // The scheduler learns what maintenance changes of the targets before what was learned of them, which
-        // is void for another start.
+        // The end of a maintenance changes a target's effective start, so it is applied first: the scheduler
+        // restores its estimates of a target only if the target's start is the same as when they were made.
         self.refresh_all_targets();
         let names = &mut self.names;
         let targets: HashMap<&str, TargetId> =
@@ -74,16 +76,16 @@
 
     fn refresh_all_targets(&mut self) {
         let maintenance = self.endpoints.maintenance();
-        let is_out = |id: &TargetId| {
+        let is_in_maintenance = |id: &TargetId| {
             self.endpoints.get(*id).is_some_and(|target| maintenance.is_out(&target.reported.name))
         };
-        let (out, back): (Vec<TargetId>, Vec<TargetId>) =
-            self.endpoints.iter().map(|(id, _)| id).partition(is_out);
-        self.refresh_targets(&out, true);
-        self.refresh_targets(&back, false);
+        let (suspended, active): (Vec<TargetId>, Vec<TargetId>) =
+            self.endpoints.iter().map(|(id, _)| id).partition(is_in_maintenance);
+        self.refresh_targets(&suspended, true);
+        self.refresh_targets(&active, false);
     }
 
-    /// What is owned is another process's from now on, or this one's again.
+    /// Ownership of the state has passed to another process (`true`), or is this process's again (`false`).
     fn set_handed_over(&mut self, handed_over: bool) {
         self.handover.set_handed_over(handed_over);
         self.apply_event(Event::OwnershipChanged { owned_here: !handed_over });
--- a/src/core/actor/quota.rs
+++ b/src/core/actor/quota.rs
@@ -1,4 +1,4 @@
-//! Peers' datagrams of the quota exchange, and the scheduler's token buckets behind it.
+//! Connects the quota exchange with peers to the scheduler's token buckets.
 
 use super::Core;
 use crate::core::quota::Buckets;
@@ -18,7 +18,7 @@
 }
 
 impl Core {
-    /// Handles a peer's datagram. What peers are given must be this process's to give.
+    /// Handles a peer's datagram, unless the state is handed over: only the owner may give units away.
     pub(super) fn handle_quota_datagram(&mut self, from: Peer, message: &Message) {
         let now = self.clock.now();
         let Some(mut quota) = self.quota.take_if(|_| !self.handover.is_handed_over()) else { return };
--- a/src/core/actor/requests.rs
+++ b/src/core/actor/requests.rs
@@ -1,4 +1,5 @@
-//! The life of a request: submitted, finished with one response, and removed when its last attempt has ended.
+//! The life cycle of a request: it is submitted, finished with one response, and removed when its last
+//! attempt has ended.
 
 use super::Core;
 use crate::core::clock::micros;
@@ -12,11 +13,11 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// A client that says it waits longer is held to wait this long.
+/// Upper bound on the time that a client claims to wait.
 const MAX_TIME_LEFT: Duration = Duration::from_secs(3_600);
 
 impl Core {
-    /// Takes a request up. The client's time runs while it waits for the core's turn.
+    /// Registers a request. The client's time counts from `arrived`, so it includes the wait for the core.
     pub(super) fn submit(
         &mut self,
         id: RequestId,
@@ -24,16 +25,16 @@
         arrived: Instant,
         response: oneshot::Sender<Response>,
     ) {
-        self.diagnostics.request_submitted(arrived);
+        self.diagnostics.record_submission(arrived);
         let (arrived, submitted) = (self.clock.at(arrived), self.clock.now());
         let deadline = arrived + micros(request.time_left.min(MAX_TIME_LEFT));
         let target_set = self.routes.acquire(&request);
         self.publish_target_sets();
-        let profile = self.profile(id, &request, deadline, target_set);
+        let profile = self.build_profile(id, &request, deadline, target_set);
         let shard = profile.shard.map(|shard| shard.0);
         let unavailable = self.endpoints.sites().and_then(|sites| sites.unavailable(submitted, shard));
         if let Some(quota) = &mut self.quota {
-            quota.volume_seen(request.volume, profile.volume);
+            quota.record_volume(request.volume, profile.volume);
         }
         let open = OpenRequest {
             request: Rc::new(request),
@@ -47,15 +48,15 @@
         };
         self.open_requests.insert(id, open);
         if let Some((site, retry_after)) = unavailable {
-            // No target could take it: the scheduler need not find that out.
+            // No target could serve the request, so the scheduler is not involved.
             self.finish_request(id, Some(Response::SiteUnavailable { site, retry_after }));
             return;
         }
         self.apply_event(Event::RequestArrived(profile));
     }
 
-    /// A request as the scheduler sees it.
-    fn profile(
+    /// The request as the scheduler represents it.
+    fn build_profile(
         &mut self,
         id: RequestId,
         request: &Request,
@@ -77,14 +78,14 @@
         }
     }
 
-    /// A request's client has gone.
-    pub(super) fn client_gone(&mut self, id: RequestId) {
+    /// A request's client has disconnected.
+    pub(super) fn handle_client_gone(&mut self, id: RequestId) {
         if self.finish_request(id, None) {
             self.apply_event(Event::ClientGone { id });
         }
     }
 
-    /// The program is about to end.
+    /// Fails all open requests before the process exits.
     pub(super) fn fail_all_requests(&mut self) {
         for id in self.open_requests.ids() {
             if self.finish_request(id, Some(Response::Failed)) {
@@ -93,8 +94,8 @@
         }
     }
 
-    /// Requests that the scheduler has not answered in time fail here. Its own responses come before this;
-    /// whatever keeps one back, the client gets its own.
+    /// Fails the requests that the scheduler has not answered in time. The scheduler's own responses come
+    /// before this deadline; the watchdog guarantees a response if one of them fails to appear.
     pub(super) fn fail_overdue(&mut self, now: Micros) {
         while let Some(id) = self.open_requests.first_overdue(now) {
             self.diagnostics.counters.watchdog_failures += 1;
@@ -103,13 +104,14 @@
         }
     }
 
-    /// Finishes a request, with a response unless its client has gone. False: it was finished before.
+    /// Finishes a request, with a response unless its client has disconnected. Returns false if it was
+    /// already finished.
     pub(super) fn finish_request(&mut self, id: RequestId, response: Option<Response>) -> bool {
         let Some(client) = self.open_requests.take_response(id) else { return false };
         self.count_finished(id, response.as_ref());
         self.open_requests.cancel_attempts(id);
         if let Some(response) = response {
-            // A client that left this moment has nobody to tell.
+            // The client may have disconnected in this moment.
             let _ = client.send(response);
         }
         self.remove_if_settled(id);
@@ -122,27 +124,27 @@
             return;
         };
         let now = self.clock.now();
-        // The time of a streamed request's response runs from its last byte.
-        let late = |open: &&OpenRequest| now > open.deadline && !open.is_streamed();
-        if let Some(open) = self.open_requests.get(id).filter(late) {
+        // The deadline of a streamed request counts from the last byte of its body.
+        let is_late = |open: &&OpenRequest| now > open.deadline && !open.is_streamed();
+        if let Some(open) = self.open_requests.get(id).filter(is_late) {
             self.diagnostics.counters.late_responses += 1;
             log_late_response(open, response.kind(), now, &self.names);
         }
     }
 
-    /// Forgets a request that is finished and has no attempt in flight.
+    /// Removes a request that is finished and has no attempt in flight.
     pub(super) fn remove_if_settled(&mut self, id: RequestId) {
         let Some(open) = self.open_requests.remove_if_settled(id) else { return };
         if let Some(target_set) = open.target_set {
             self.routes.release(target_set);
-            // The scheduler learns of it with the next event.
+            // The scheduler receives these events together with the next one.
             self.queued_events.extend(self.routes.take_events());
         }
     }
 }
 
-/// One line on a request whose response came late: when it came, and what became of each attempt. Times are
-/// in microseconds from its arrival.
+/// Logs a request whose response was late, with the history of each attempt. Times are in microseconds since
+/// the request's arrival.
 fn log_late_response(open: &OpenRequest, end: &str, now: Micros, names: &Names) {
     let since = |at: Micros| at.saturating_sub(open.arrived);
     tracing::warn!(
@@ -163,7 +165,7 @@
     let mut attempts = String::new();
     for trace in &open.traces {
         let target = names.target_name(trace.target).unwrap_or("?");
-        // Writing to a string does not fail.
+        // Writing to a string is infallible.
         let _ = write!(attempts, "[{target} sent {}", since(trace.sent));
         for (event, at) in [("started", trace.started), ("heard", trace.response_started)] {
             let _ = at.map_or(Ok(()), |at| write!(attempts, " {event} {}", since(at)));
--- a/src/core/admin.rs
+++ b/src/core/admin.rs
@@ -1,20 +1,21 @@
-//! What operators ask of the core.
+//! Operators' commands to the core.
 
 use serde::{Deserialize, Serialize};
 use tokio::sync::oneshot;
 
-/// What operators ask of one target, which they name. A message between two builds: its form stays.
+/// An operator's command for one target, given by name. Sent between builds during a handover: its serialized
+/// form is stable.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum AdminCommand {
-    /// It is to be taken out for maintenance.
+    /// Take the target out of service for maintenance.
     Maint(String),
-    /// It may serve again.
+    /// Return the target to service.
     Ready(String),
 }
 
 impl AdminCommand {
-    /// The target's name.
+    /// The name of the target.
     pub fn target(&self) -> &str {
         match self {
             AdminCommand::Maint(target) | AdminCommand::Ready(target) => target,
@@ -22,11 +23,11 @@
     }
 }
 
-/// An operator's command, and where its answer goes.
+/// An operator's command, and where its result is sent.
 #[derive(Debug)]
 pub struct AdminRequest {
-    /// What is asked.
+    /// The command to apply.
     pub command: AdminCommand,
-    /// Told once what is asked for holds; false: no target has that name.
+    /// Receives one result: true once the command is in effect, false if no target of that name is known.
     pub reply: oneshot::Sender<bool>,
 }
--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -1,5 +1,5 @@
-//! Attempts and probes on their way to a target's actor, and the reporters that guarantee that the core
-//! learns how each of them ended.
+//! Attempts and probes as they are sent to a target's actor, and the reporters that guarantee that the core
+//! is notified of the outcome of each.
 
 use crate::core::clock::Clock;
 use crate::core::endpoint::Endpoint;
@@ -12,59 +12,59 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// An attempt, as its target's actor gets it.
+/// An attempt, as sent to its target's actor.
 #[derive(Debug)]
 pub struct Attempt {
-    /// What to send.
+    /// The request to send.
     pub request: Rc<Request>,
-    /// When the initiator stops waiting.
+    /// When the attempt times out.
     pub until: Instant,
-    /// Resolves, or breaks, when the core gives the attempt up.
+    /// Resolves, with a value or an error, when the core cancels the attempt.
     pub cancel: oneshot::Receiver<()>,
-    /// Must hear of the attempt's start and end.
+    /// Reports the attempt's progress and outcome to the core.
     pub report: AttemptReporter,
 }
 
 /// A health check of a target.
 #[derive(Debug)]
 pub struct Probe {
-    /// When the initiator stops waiting.
+    /// When the probe times out.
     pub until: Instant,
-    /// Must hear of the probe's end.
+    /// Reports the probe's outcome to the core.
     pub report: ProbeReporter,
 }
 
-/// What a target's actor is asked.
+/// A message to a target's actor.
 #[derive(Debug)]
 pub enum TargetMessage {
     /// Send a request.
     Attempt(Box<Attempt>),
     /// Check the target.
     Probe(Probe),
-    /// Whether operators or a lost site keep new requests from the target. While they do, its connections end
-    /// once they carry nothing.
+    /// Whether new requests are kept away from the target, by maintenance or because its site is lost. While
+    /// suspended, its connections are closed once they are idle.
     SetSuspended(bool),
 }
 
-/// Makes the actor of a target, which lives as long as its mailbox is held.
+/// Starts the actor of a target and returns its mailbox. The actor ends when the mailbox is dropped.
 pub type Connect = Box<dyn Fn(&Endpoint) -> mpsc::Sender<TargetMessage>>;
 
-/// The mailbox places that an attempt reserves before it is sent, so that a full mailbox loses none of its
-/// messages.
+/// The core mailbox permits that an attempt reserves before it is sent, so that none of its messages is lost
+/// to a full mailbox.
 #[derive(Debug)]
 pub(super) struct AttemptPermits {
-    /// For the question whether its first byte may go out.
+    /// For [`Message::MayStart`].
     pub(super) start: OwnedPermit<Message>,
-    /// For its end.
+    /// For [`Message::AttemptEnded`].
     pub(super) end: OwnedPermit<Message>,
-    /// For the start of a streamed request body.
+    /// For [`Message::BodyStarted`]; absent if the request body is not streamed.
     pub(super) body_started: Option<OwnedPermit<Message>>,
-    /// For the head of its response. Without one the core takes its end for that.
+    /// For [`Message::ResponseStarted`]. If absent, the core uses the time of the attempt's end instead.
     pub(super) response_started: Option<OwnedPermit<Message>>,
 }
 
-/// The duty to ask before an attempt's first byte, and to report how the attempt ended. Dropped without a
-/// result, the attempt counts as broken if it had started: it may have run.
+/// Reports an attempt's progress and outcome to the core, and asks for permission before its first byte. If
+/// dropped without a result, the attempt counts as broken if it had started, since it may have been executed.
 #[derive(Debug)]
 pub struct AttemptReporter {
     id: RequestId,
@@ -72,7 +72,7 @@
     start: RefCell<Option<OwnedPermit<Message>>>,
     body_started: RefCell<Option<OwnedPermit<Message>>>,
     response_started: RefCell<Option<OwnedPermit<Message>>>,
-    /// Absent once the end was reported.
+    /// Absent once the outcome has been reported.
     end: Option<OwnedPermit<Message>>,
 }
 
@@ -88,8 +88,8 @@
         }
     }
 
-    /// Whether the first byte may go out. It is asked once, when nothing else is left to wait for; false: the
-    /// attempt ends as not sent.
+    /// Asks the core whether the first byte may be sent. Called once, when the attempt has nothing else to
+    /// wait for. If false, the attempt ends as not sent.
     pub async fn may_start(&self) -> bool {
         let Some(permit) = self.start.take() else { return false };
         let (answer, allowed) = oneshot::channel();
@@ -97,26 +97,26 @@
         allowed.await.unwrap_or(false)
     }
 
-    /// The head of a response has come.
+    /// Reports that the head of a response has arrived.
     pub fn response_started(&self) {
         if let Some(permit) = self.response_started.take() {
             permit.send(Message::ResponseStarted { id: self.id, number: self.number });
         }
     }
 
-    /// The streamed part of the request's body is being sent.
+    /// Reports that the streamed part of the request's body is being sent.
     pub fn body_started(&self) {
         if let Some(permit) = self.body_started.take() {
             permit.send(Message::BodyStarted { id: self.id, number: self.number });
         }
     }
 
-    /// Reports how the attempt ended.
+    /// Reports the outcome of the attempt.
     pub fn finish(mut self, result: AttemptResult) {
         self.send(result);
     }
 
-    /// Nothing was sent, and the core knows.
+    /// Suppresses the report on drop: nothing was sent, and the core has already recorded that.
     pub(super) fn disarm(mut self) {
         self.end = None;
     }
@@ -134,13 +134,13 @@
     }
 }
 
-/// The duty to report how a probe ended. Dropped without an outcome, the probe was not sent.
+/// Reports the outcome of a probe. If dropped without one, the probe counts as not sent.
 #[derive(Debug)]
 pub struct ProbeReporter {
     target: TargetId,
     sent: Micros,
     clock: Clock,
-    /// Absent once the end was reported.
+    /// Absent once the outcome has been reported.
     end: Option<OwnedPermit<Message>>,
 }
 
@@ -154,7 +154,7 @@
         ProbeReporter { target, sent, clock, end: Some(end) }
     }
 
-    /// Reports how the probe ended, and the load that the target reported with it.
+    /// Reports the outcome of the probe, and the load that the target reported with it.
     pub fn finish(mut self, outcome: Outcome, load: LoadReport) {
         self.send(outcome, load);
     }
--- a/src/core/body.rs
+++ b/src/core/body.rs
@@ -1,4 +1,5 @@
-//! Bodies that are not buffered whole: their chunks pass through, no faster than the receiver takes them.
+//! Bodies that are streamed instead of buffered: their chunks are forwarded with back-pressure from the
+//! receiver.
 
 use bytes::Bytes;
 use futures_util::StreamExt;
@@ -8,32 +9,32 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::time::Instant;
 
-/// Bodies up to this many bytes are buffered whole, so that a request can be sent again, and a response be
-/// tried for again.
+/// Bodies of up to this many bytes are buffered, so that a request can be sent again and a response can be
+/// retried.
 pub const MAX_BUFFERED_BODY: usize = 64 * 1024;
-/// Chunks of a streamed response that may wait for its client.
+/// Capacity of the channel between a streamed response and its client, in chunks.
 pub const STREAMED_CHUNKS: usize = 2;
 
 type Chunks = LocalBoxStream<'static, Result<Bytes, IncompleteBody>>;
 
-/// What follows the buffered bytes of a long request, as its client sends it. One attempt reads it: what was
-/// read is not there for another.
+/// The part of a long request body that follows the buffered bytes, streamed from the client. Only one
+/// attempt can send it: chunks that have been read are not available to another.
 pub struct Upload {
-    /// Bytes of the whole body, where its head says it.
+    /// Bytes of the entire body; absent if its head does not declare a length.
     length: Option<u64>,
-    /// Absent while a reader has it, and once some of it was read.
+    /// Absent while a reader has them, and once any of them was read.
     chunks: RefCell<Option<Chunks>>,
     consumed: Cell<bool>,
     completed_at: Cell<Option<Instant>>,
     completion: Notify,
 }
 
-/// The rest of a body will not come.
+/// Error: the rest of a body will not arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct IncompleteBody;
 
 impl Upload {
-    /// A body of `length` bytes altogether, of which `chunks` are still to come.
+    /// A body of `length` bytes in total, of which `chunks` are still to arrive.
     pub fn new(
         length: Option<u64>,
         chunks: LocalBoxStream<'static, Result<Bytes, IncompleteBody>>,
@@ -47,22 +48,22 @@
         }
     }
 
-    /// Bytes of the whole body; `None` where its head does not say.
+    /// Bytes of the entire body; `None` if its head does not declare a length.
     pub fn length(&self) -> Option<u64> {
         self.length
     }
 
-    /// Whether some of it was read, and cannot be sent again.
+    /// Whether any chunk has been read, so that the body cannot be sent again.
     pub fn is_consumed(&self) -> bool {
         self.consumed.get()
     }
 
-    /// When the last byte had been read; `None` before that.
+    /// When the last byte was read; `None` before that.
     pub fn completed_at(&self) -> Option<Instant> {
         self.completed_at.get()
     }
 
-    /// Resolves once the last byte has been read, with the time of that.
+    /// Resolves once the last byte has been read, with the time at which it was.
     pub async fn completed(&self) -> Instant {
         loop {
             let completion = self.completion.notified();
@@ -73,7 +74,7 @@
         }
     }
 
-    /// A reader for an attempt. `None`: another attempt has it, or has read some of it.
+    /// A reader for an attempt. `None` if another attempt has a reader or has read some of the body.
     pub fn reader(&self) -> Option<UploadReader<'_>> {
         let chunks = self.chunks.borrow_mut().take()?;
         Some(UploadReader { upload: self, chunks: Some(chunks) })
@@ -86,14 +87,15 @@
     }
 }
 
-/// Reads the rest of a body for an attempt. Dropped before any of it was read, another attempt may have it.
+/// Reads the rest of a body for an attempt. If dropped before anything was read, another attempt may read it.
 pub struct UploadReader<'a> {
     upload: &'a Upload,
     chunks: Option<Chunks>,
 }
 
 impl UploadReader<'_> {
-    /// The next chunk; `None`: the body is complete. Dropped before it resolves, it has read nothing.
+    /// The next chunk; `None` at the end of the body. Cancel safe: if dropped before it resolves, no chunk is
+    /// lost.
     ///
     /// # Errors
     /// The client will not send the rest.
@@ -124,23 +126,23 @@
 /// The body of a response.
 #[derive(Debug)]
 pub enum ResponseBody {
-    /// All of it.
+    /// All of it, in memory.
     Buffered(Bytes),
-    /// A long one, which passes through.
+    /// A long body, forwarded as it arrives.
     Streamed(BodyStream),
 }
 
-/// The body of a long response, as its target sends it.
+/// The body of a long response, as it arrives from the target.
 #[derive(Debug)]
 pub struct BodyStream {
-    /// Bytes of the whole body, where its head says it.
+    /// Bytes of the entire body; absent if its head does not declare a length.
     pub length: Option<u64>,
-    /// An error: the rest will not come. The same holds for an end before `length`.
+    /// The chunks. An error, or an end before `length` bytes, means that the rest will not arrive.
     pub chunks: mpsc::Receiver<Result<Bytes, IncompleteBody>>,
 }
 
 impl ResponseBody {
-    /// Its length in bytes; 0 where that is not known.
+    /// Its length in bytes; 0 if not known.
     pub fn length(&self) -> u64 {
         match self {
             ResponseBody::Buffered(body) => body.len() as u64,
@@ -155,7 +157,7 @@
     }
 }
 
-/// Streamed bodies are never equal: nobody has all of them.
+/// Streamed bodies are never equal, because their content is not in memory.
 impl PartialEq for ResponseBody {
     fn eq(&self, other: &ResponseBody) -> bool {
         matches!((self, other), (ResponseBody::Buffered(a), ResponseBody::Buffered(b)) if a == b)
--- a/src/core/dependencies.rs
+++ b/src/core/dependencies.rs
@@ -1,4 +1,4 @@
-//! What the core is given beside its scheduler and its mailbox.
+//! What the core is constructed with beside its scheduler and its mailbox.
 
 use crate::core::admin::{AdminCommand, AdminRequest};
 use crate::core::handover_request::HandoverRequest;
@@ -12,20 +12,20 @@
 
 /// What the core needs beside its scheduler and its mailbox.
 pub struct CoreDependencies {
-    /// The routes to be in force.
+    /// The routes in force; a new value replaces them.
     pub routes: watch::Receiver<Arc<LoadedRoutes>>,
     /// Absent where initiators do not exchange quota.
     pub quota: Option<QuotaPeers>,
-    /// Operators' commands. They do not wait behind the requests in the core's mailbox.
+    /// Operators' commands. They have a channel of their own so that they do not queue behind requests.
     pub admin_requests: mpsc::Receiver<AdminRequest>,
-    /// What a handover asks.
+    /// Requests of the handover actor.
     pub handover_requests: mpsc::Receiver<HandoverRequest>,
-    /// Commands that hold here, for the other process, if there is one.
+    /// Admin commands applied here, to be forwarded to the other process of a handover, if there is one.
     pub admin_commands: mpsc::Sender<AdminCommand>,
-    /// Where objects were seen, for the other process.
+    /// Observed object locations, to be forwarded to the other process of a handover, if there is one.
     pub object_observations: mpsc::Sender<(ObjectKey, Observation)>,
-    /// Absent where sites are not judged.
+    /// Absent where site failover is disabled.
     pub sites: Option<SiteSettings>,
-    /// Absent where no target is preferred to others.
+    /// Absent where no targets are preferred.
     pub subset: Option<Subset>,
 }
--- a/src/core/diagnostics.rs
+++ b/src/core/diagnostics.rs
@@ -1,56 +1,55 @@
-//! What the core measures of itself and writes to the log: steps that take long, messages that wait long, and
-//! how long an endpoint list takes from its arrival until it is in force.
+//! The core's measurements of itself, and what it logs of them: steps that take long, messages that wait
+//! long, and how long an endpoint list takes from its arrival until it is in force.
 //!
-//! One thread gives every response. A step that takes long holds up the last responses of all open requests
-//! and the changes of targets that drain, so the log says what the step was for. [`Counters`] go to the log
-//! with SIGUSR1, and at the end.
+//! One thread produces every response. A long step delays the last responses of all open requests and the
+//! state changes of draining targets, so the log names the kind of step. [`Counters`] are logged on
+//! SIGUSR1.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A step that takes longer is logged: the last responses of requests leave 4 ms before their clients' time
-/// is up.
+/// Steps that take at least this long are logged: final responses are sent 4 ms before the client's deadline.
 pub const LONG_STEP: Duration = Duration::from_millis(5);
-/// A message that waited longer for its turn is counted.
+/// Requests that waited at least this long for the core are counted.
 const LONG_WAIT: Duration = Duration::from_millis(20);
-/// Of each kind of log line that can come often, one is written in this time.
+/// At most one log line of each frequent kind is written per interval.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a step of the core was for.
+/// The kind of a core step.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Step {
-    /// Timers, the deadline watchdog and what else was due.
+    /// Timers, the deadline watchdog and other timed work.
     #[default]
     Timers,
     /// A request was submitted.
     Submit,
-    /// A client has gone.
+    /// A client disconnected.
     ClientGone,
-    /// An attempt, its body or its response has started.
+    /// An attempt, its body or its response started.
     AttemptStarts,
-    /// An attempt has ended.
+    /// An attempt ended.
     AttemptEnds,
-    /// An endpoint list, or a part of one.
+    /// An endpoint list, or a part of one, was received.
     Endpoints,
-    /// Targets that peers report as draining.
+    /// Peers reported targets as draining.
     DrainGossip,
-    /// A peer's datagram of the quota exchange.
+    /// A peer's datagram of the quota exchange was received.
     Peer,
-    /// A probe has ended.
+    /// A probe ended.
     Probe,
-    /// An operator's command.
+    /// An operator's command was received.
     Admin,
-    /// A step of a handover.
+    /// A handover request was received.
     Handover,
     /// Routes were loaded.
     Routes,
-    /// The core's state was asked for.
+    /// A status summary or the list of targets was requested.
     Status,
-    /// The program is about to end.
+    /// The process is shutting down.
     Shutdown,
 }
 
-/// What has been counted since the start.
+/// Counts and maxima since the start of the process.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Steps of the core.
@@ -60,73 +59,76 @@
     /// The longest step.
     pub longest_step: Duration,
     /// What the longest step was for.
-    pub longest_step_was: Step,
-    /// The longest that a request waited between its front and the core.
+    pub longest_step_kind: Step,
+    /// The longest time that a request waited between its front and the core.
     pub longest_wait: Duration,
-    /// Requests that waited 20 ms or more.
+    /// Requests that waited at least 20 ms for the core.
     pub long_waits: u64,
     /// Requests submitted.
     pub requests: u64,
-    /// Responses that were given later than the request's deadline.
+    /// Responses sent after the request's deadline.
     pub late_responses: u64,
-    /// Requests that the deadline watchdog failed.
+    /// Requests failed by the deadline watchdog.
     pub watchdog_failures: u64,
-    /// Requests whose client left before the response.
+    /// Requests whose client disconnected before the response.
     pub clients_gone: u64,
-    /// Endpoint lists taken, those without an entry left out.
+    /// Endpoint list updates applied.
     pub lists: u64,
-    /// The longest time from a list's last byte until it was in force.
+    /// The longest time between the last byte of a list and its taking effect.
     pub longest_list: Duration,
-    /// Targets that were set to draining because peers reported that.
+    /// Targets set to draining because of drain gossip.
     pub drain_gossip_applied: u64,
 }
 
-/// The core's measurements, and when lines of the log were written last.
+/// The core's counters, and the state of its log rate limit.
 #[derive(Debug, Default)]
 pub(super) struct Diagnostics {
     pub(super) counters: Counters,
-    long_step_logged: Option<Instant>,
-    /// Long steps since then.
+    long_step_logged_at: Option<Instant>,
+    /// Long steps since then that were not logged.
     long_steps_suppressed: u64,
 }
 
 impl Diagnostics {
-    /// A step has ended that began at `begun`.
-    pub(super) fn step_ended(&mut self, step: Step, begun: Instant, targets: usize, open: usize) {
+    /// Records a step that ends now.
+    pub(super) fn record_step(&mut self, step: Step, started_at: Instant, targets: usize, open: usize) {
         let now = Instant::now();
-        let took = now.saturating_duration_since(begun);
+        let elapsed = now.saturating_duration_since(started_at);
         self.counters.steps += 1;
-        if took > self.counters.longest_step {
-            (self.counters.longest_step, self.counters.longest_step_was) = (took, step);
+        if elapsed > self.counters.longest_step {
+            (self.counters.longest_step, self.counters.longest_step_kind) = (elapsed, step);
         }
-        if took < LONG_STEP {
+        if elapsed < LONG_STEP {
             return;
         }
         self.counters.long_steps += 1;
-        if self.long_step_logged.is_some_and(|logged| now.saturating_duration_since(logged) < LOG_INTERVAL) {
+        if self
+            .long_step_logged_at
+            .is_some_and(|logged_at| now.saturating_duration_since(logged_at) < LOG_INTERVAL)
+        {
             self.long_steps_suppressed += 1;
             return;
         }
         let suppressed = std::mem::take(&mut self.long_steps_suppressed);
-        self.long_step_logged = Some(now);
-        let took_us = took.as_micros();
+        self.long_step_logged_at = Some(now);
+        let took_us = elapsed.as_micros();
         tracing::warn!(?step, took_us, targets, open, suppressed, "core step took long");
     }
 
-    /// A request has come to the core, which its front had whole at `arrived`.
-    pub(super) fn request_submitted(&mut self, arrived: Instant) {
+    /// Records a request that the core now handles, which its front had received entirely at `arrived`.
+    pub(super) fn record_submission(&mut self, arrived: Instant) {
         let waited = Instant::now().saturating_duration_since(arrived);
         self.counters.requests += 1;
         self.counters.longest_wait = self.counters.longest_wait.max(waited);
         self.counters.long_waits += u64::from(waited >= LONG_WAIT);
     }
 
-    /// An endpoint list is in force whose last byte came at `received`.
-    pub(super) fn endpoints_in_force(&mut self, received: Instant, lines: usize) {
-        let took = Instant::now().saturating_duration_since(received);
+    /// Records that an endpoint list took effect whose last byte arrived at `received`.
+    pub(super) fn record_endpoint_update(&mut self, received: Instant, lines: usize) {
+        let elapsed = Instant::now().saturating_duration_since(received);
         self.counters.lists += 1;
-        self.counters.longest_list = self.counters.longest_list.max(took);
-        tracing::debug!(lines, took_us = took.as_micros(), "endpoint list in force");
+        self.counters.longest_list = self.counters.longest_list.max(elapsed);
+        tracing::debug!(lines, took_us = elapsed.as_micros(), "endpoint list in force");
     }
 }
 
@@ -137,7 +139,7 @@
             steps = self.steps,
             long_steps = self.long_steps,
             longest_step_us = self.longest_step.as_micros(),
-            longest_step = ?self.longest_step_was,
+            longest_step = ?self.longest_step_kind,
             longest_wait_us = self.longest_wait.as_micros(),
             long_waits = self.long_waits,
             requests = self.requests,
--- a/src/core/endpoint.rs
+++ b/src/core/endpoint.rs
@@ -1,9 +1,9 @@
-//! Endpoints: targets as a list names them.
+//! Endpoints: targets as they appear in an endpoint list.
 
 use crate::interface::{Micros, TargetState};
 use std::net::SocketAddr;
 
-/// Which protocol a front or a target speaks.
+/// The protocol of a front or a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Protocol {
     /// HTTP/1.1.
@@ -15,20 +15,20 @@
 /// An entry of an endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// The target's name.
+    /// The target's name, which identifies it.
     pub name: String,
-    /// How it is reached; each protocol has a list of its own.
+    /// How the target is reached; each protocol has its own list.
     pub protocol: Protocol,
-    /// Where it is reached.
+    /// The address to connect to.
     pub addr: SocketAddr,
-    /// Its failure domain.
+    /// The failure domain.
     pub zone: String,
-    /// The kind of machine; empty: not known.
+    /// The machine type; empty if not known.
     pub kind: String,
-    /// The part of the data that it holds.
+    /// The shard of the data that the target holds.
     pub shard: u32,
-    /// Whether it may be sent requests.
+    /// Whether the target accepts new requests.
     pub state: TargetState,
-    /// When it started, in Unix time; absent: long ago.
+    /// When the target started, in microseconds of Unix time; absent if it has been running for long.
     pub started: Option<Micros>,
 }
--- a/src/core/endpoints.rs
+++ b/src/core/endpoints.rs
@@ -1,5 +1,5 @@
-//! The known targets: what discovery, peers, operators and judged sites say of each, and what follows from
-//! all of them.
+//! The listed targets. Discovery, peers, operators and site failover each report a state for a target; its
+//! effective state follows from all of them.
 
 mod updates;
 
@@ -13,48 +13,49 @@
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use tokio::sync::{mpsc, watch};
 
-/// A target that is listed.
+/// A listed target.
 pub(super) struct Target {
-    /// As its list has it, or, where discovery does not answer, as peers report it.
+    /// As reported by its list, or by peers while discovery does not answer.
     pub(super) reported: Endpoint,
-    /// As it holds, with maintenance and what is known of its site.
+    /// As it is in effect, with maintenance and site failover applied.
     pub(super) effective: Endpoint,
-    /// Of its actor; absent until it is needed.
+    /// The mailbox of its actor; absent until the actor is first needed.
     mailbox: Option<mpsc::Sender<TargetMessage>>,
 }
 
 impl Target {
-    /// Whether it may be sent requests.
+    /// Whether it accepts new requests.
     pub(super) fn is_active(&self) -> bool {
         self.effective.state == TargetState::Active
     }
 }
 
-/// A snapshot that comes in parts.
+/// A snapshot of which some parts have arrived.
 struct PartialSnapshot {
     protocol: Protocol,
-    /// The targets that the parts so far have named.
+    /// The targets in the parts received so far.
     members: HashSet<TargetId>,
 }
 
-/// All listed targets. What a change costs goes with what has changed, beyond a look at each entry that came.
+/// All listed targets. Applying an update looks at each of its entries; the cost beyond that is proportional
+/// to the number of changed targets.
 pub(super) struct Endpoints {
     targets: BTreeMap<TargetId, Target>,
-    /// Targets that peers report as draining, while discovery itself does not answer.
+    /// Targets that drain according to peers' gossip, while discovery does not answer.
     draining_by_gossip: BTreeSet<TargetId>,
-    /// Absent: no part of a snapshot has come.
+    /// Absent while no snapshot is incomplete.
     partial_snapshot: Option<PartialSnapshot>,
     maintenance: Maintenance,
-    /// Absent where sites are not judged.
+    /// Absent where site failover is disabled.
     sites: Option<SiteMonitor>,
     start_times: StartTimes,
     connect: Connect,
-    /// Grows with every change that takes effect.
+    /// Incremented with every change that takes effect.
     revision: watch::Sender<u64>,
 }
 
 impl Endpoints {
-    /// Without any target.
+    /// An empty list of targets.
     pub(super) fn new(
         connect: Connect,
         sites: Option<SiteSettings>,
@@ -88,7 +89,8 @@
         self.targets.iter().map(|(id, target)| (*id, target))
     }
 
-    /// The targets that may be sent requests. Looks through all: for what comes with a change.
+    /// The targets that accept new requests. Iterates over all targets: use it only where the list has
+    /// changed.
     pub(super) fn active(&self) -> impl Iterator<Item = &Target> {
         self.targets.values().filter(|target| target.is_active())
     }
@@ -101,7 +103,8 @@
         self.sites.as_mut()
     }
 
-    /// The sites, with the name of a listed target by which they know it.
+    /// The site monitor, together with the name by which it identifies the target. `None`: the target is not
+    /// listed, or site failover is disabled.
     pub(super) fn site_of(&mut self, target: TargetId) -> Option<(&mut SiteMonitor, &str)> {
         let name = &self.targets.get(&target)?.reported.name;
         Some((self.sites.as_mut()?, name))
@@ -115,13 +118,13 @@
         &mut self.maintenance
     }
 
-    /// Takes over another process's maintenance. [`refresh`](Self::refresh) has it take effect.
+    /// Replaces the maintenance state by another process's. It takes effect with [`refresh`](Self::refresh).
     pub(super) fn set_maintenance(&mut self, maintenance: Maintenance) {
         self.maintenance = maintenance;
     }
 
-    /// Peers report that these targets drain: nothing new goes to them until discovery answers. Returns the
-    /// targets that this changed.
+    /// Marks targets as draining that peers report as such, until discovery answers: no new requests are sent
+    /// to them. Returns the targets that changed.
     pub(super) fn report_draining(
         &mut self,
         now: Micros,
@@ -142,7 +145,7 @@
         changed
     }
 
-    /// An endpoint as it holds, with maintenance and what is known of its site.
+    /// An endpoint as it is in effect, with maintenance and site failover applied.
     pub(super) fn effective(&self, now: Micros, reported: &Endpoint) -> Endpoint {
         let started = reported.started.map(|started| self.start_times.on_clock(now, started));
         let (state, started) =
@@ -159,8 +162,8 @@
         }
     }
 
-    /// Whether maintenance or a lost site keeps requests from a target. A target that discovery reports as draining
-    /// is not suspended by its site: its connections would not learn when the site returns.
+    /// Whether maintenance or a lost site keeps requests from a target. A target that discovery reports as
+    /// draining is not suspended because of its site: its actor would not be notified when the site returns.
     pub(super) fn is_suspended(&self, now: Micros, id: TargetId) -> bool {
         self.targets.get(&id).is_some_and(|target| {
             let suspended_by_site = target.reported.state == TargetState::Active
@@ -169,8 +172,8 @@
         })
     }
 
-    /// Works out anew what holds for targets, of which others than discovery have said that they drain or are
-    /// back, and informs their actors. Returns the targets that this changed.
+    /// Re-evaluates targets whose state was changed by a source other than discovery, and notifies their
+    /// actors. Returns the targets that changed.
     pub(super) fn refresh(&mut self, now: Micros, targets: &[TargetId], suspended: bool) -> Vec<TargetId> {
         let mut changed = Vec::with_capacity(targets.len());
         for id in targets {
@@ -181,20 +184,20 @@
                 target.effective = effective;
                 changed.push(*id);
             }
-            // An actor that starts later is informed then.
+            // An actor that starts later is notified on start.
             if let Some(mailbox) = &target.mailbox
                 && mailbox.try_send(TargetMessage::SetSuspended(suspended)).is_err()
             {
                 tracing::warn!(
                     target = target.reported.name,
-                    "draining state not sent to target's connections, mailbox full"
+                    "suspension not sent to target's connections, mailbox full"
                 );
             }
         }
         changed
     }
 
-    /// The mailbox of a new actor for a target.
+    /// Starts the actor of a target and returns its mailbox.
     fn start_actor(&self, endpoint: &Endpoint) -> mpsc::Sender<TargetMessage> {
         let mailbox = (self.connect)(endpoint);
         if self.maintenance.is_out(&endpoint.name) {
@@ -204,7 +207,7 @@
         mailbox
     }
 
-    /// The mailbox of a target's actor, which begins with its first message. `None`: it is not listed.
+    /// The mailbox of a target's actor, which is started on first use. `None`: the target is not listed.
     pub(super) fn mailbox(&mut self, id: TargetId) -> Option<mpsc::Sender<TargetMessage>> {
         let target = self.targets.get(&id)?;
         if let Some(mailbox) = &target.mailbox {
@@ -215,12 +218,12 @@
         Some(mailbox)
     }
 
-    /// The listed ones of these targets, as they hold.
+    /// The effective state of those of the given targets that are listed.
     pub(super) fn effective_of(&self, ids: &[TargetId]) -> impl Iterator<Item = (TargetId, &Endpoint)> {
         ids.iter().filter_map(|id| Some((*id, &self.targets.get(id)?.effective)))
     }
 
-    /// The same, as the scheduler takes it.
+    /// The same as [`effective_of`](Self::effective_of), in the scheduler's representation.
     pub(super) fn entries(&self, names: &Names, ids: &[TargetId]) -> Vec<EndpointEntry> {
         let entry = |(target, endpoint): (TargetId, &Endpoint)| EndpointEntry {
             target,
@@ -232,12 +235,12 @@
         self.effective_of(ids).map(entry).collect()
     }
 
-    /// Counts a change that has taken effect, for those who wait for one.
+    /// Announces to subscribers that a change has taken effect.
     pub(super) fn bump_revision(&self) {
         self.revision.send_modify(|revision| *revision += 1);
     }
 
-    /// Forgets those of these targets that are removed.
+    /// Deletes those of the given targets that are removed.
     pub(super) fn drop_removed(&mut self, ids: &[TargetId]) {
         for id in ids {
             if self.targets.get(id).is_some_and(|target| target.effective.state == TargetState::Removed) {
--- a/src/core/endpoints/updates.rs
+++ b/src/core/endpoints/updates.rs
@@ -1,4 +1,4 @@
-//! Updates of an endpoint list: snapshots, which may come in parts, and deltas.
+//! Updates of an endpoint list: snapshots, which may arrive in parts, and deltas.
 
 use super::{Endpoints, PartialSnapshot, Target, maintenance_state};
 use crate::core::endpoint::{Endpoint, Protocol};
@@ -7,8 +7,8 @@
 use std::collections::HashSet;
 
 impl Endpoints {
-    /// Takes an update of one list, or a part of one, and returns the targets that it changed. Targets of
-    /// another protocol are not in that list, and stay.
+    /// Applies an update of one list, or a part of one, and returns the targets that changed. Targets of
+    /// other protocols are not in that list and remain unchanged.
     pub(in crate::core) fn update(
         &mut self,
         now: Micros,
@@ -19,11 +19,11 @@
         more: bool,
     ) -> Vec<TargetId> {
         if matches!(kind, EndpointUpdateKind::Snapshot | EndpointUpdateKind::Cached) {
-            entries.extend(self.left_out_of_snapshot(names, protocol, &entries, more));
+            entries.extend(self.missing_from_snapshot(names, protocol, &entries, more));
         }
         if protocol == Protocol::Http {
             if kind == EndpointUpdateKind::Delta && !more {
-                entries.extend(self.gossip_refuted_by(&entries));
+                entries.extend(self.gossip_superseded_by(&entries));
             }
             if !more {
                 self.draining_by_gossip.clear();
@@ -32,9 +32,9 @@
         entries.into_iter().filter_map(|reported| self.update_entry(now, names, reported)).collect()
     }
 
-    /// Notes whom a part of a snapshot names. At the snapshot's end: the targets of its list that no part has
-    /// named, as removed.
-    fn left_out_of_snapshot(
+    /// Records which targets a part of a snapshot contains. With the last part, returns the targets of this
+    /// list that no part contained, as removed.
+    fn missing_from_snapshot(
         &mut self,
         names: &mut Names,
         protocol: Protocol,
@@ -49,26 +49,26 @@
             return Vec::new();
         }
         let listed = self.targets.iter().filter(|(_, target)| target.reported.protocol == protocol);
-        let left_out = listed.filter(|(id, _)| !members.contains(id));
-        left_out
+        let missing = listed.filter(|(id, _)| !members.contains(id));
+        missing
             .map(|(_, target)| Endpoint { state: TargetState::Removed, ..target.reported.clone() })
             .collect()
     }
 
-    /// The targets that peers reported as draining, and of which discovery, which has answered now, reports
-    /// no change: as discovery had them.
-    fn gossip_refuted_by(&self, changes: &[Endpoint]) -> Vec<Endpoint> {
+    /// The targets that peers reported as draining and that are not in a delta from discovery, with the state
+    /// that discovery last reported: discovery has answered, so its own report is valid again.
+    fn gossip_superseded_by(&self, changes: &[Endpoint]) -> Vec<Endpoint> {
         let changed: HashSet<&str> = changes.iter().map(|change| change.name.as_str()).collect();
         let draining = self.draining_by_gossip.iter().filter_map(|id| self.targets.get(id));
         let unchanged = draining.filter(|target| !changed.contains(target.reported.name.as_str()));
         unchanged.map(|target| Endpoint { state: TargetState::Active, ..target.reported.clone() }).collect()
     }
 
-    /// Takes an entry of a list. `None`: it changes nothing.
+    /// Applies an entry of a list. `None` if it changes nothing.
     fn update_entry(&mut self, now: Micros, names: &mut Names, reported: Endpoint) -> Option<TargetId> {
         let id = names.intern_target(&reported.name);
         if reported.protocol == Protocol::Http {
-            // Discovery's own word holds again.
+            // Discovery's report supersedes the peers'.
             self.draining_by_gossip.remove(&id);
         }
         self.maintenance.endpoint_reported(
@@ -77,13 +77,13 @@
             reported.started,
         );
         if let Some(sites) = &mut self.sites {
-            sites.endpoint_listed(now, &reported);
+            sites.handle_endpoint(now, &reported);
         }
         self.check_clock(now, id, &reported);
         let effective = self.effective(now, &reported);
         match self.targets.get_mut(&id) {
             Some(target) if target.reported.addr == reported.addr => {
-                // A start that lay in the future counts from when it was reported first.
+                // A start time in the future is replaced by the time at which it was first reported.
                 let same_start = target.reported.started == reported.started;
                 let started = if same_start { target.effective.started } else { effective.started };
                 let effective = Endpoint { started, ..effective };
@@ -93,7 +93,7 @@
             }
             None if reported.state == TargetState::Removed => None,
             _ => {
-                // Sessions are kept up whether or not they are used.
+                // iSCSI sessions are kept open even while unused.
                 let mailbox = (reported.protocol == Protocol::Iscsi).then(|| self.start_actor(&effective));
                 self.targets.insert(id, Target { reported, effective, mailbox });
                 Some(id)
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Learns from a target's restart whether this process's clock is ahead.
+    /// Checks by a target's restart whether this process's clock is ahead.
     fn check_clock(&mut self, now: Micros, id: TargetId, reported: &Endpoint) {
         let before = self.targets.get(&id).map(|target| target.reported.started);
         if let (Some(before), Some(started)) = (before, reported.started)
--- a/src/core/handover_request.rs
+++ b/src/core/handover_request.rs
@@ -1,4 +1,4 @@
-//! What a handover asks of the core, and the state that goes from one process to the next.
+//! Requests of a handover to the core, and the state that one process hands over to the next.
 
 use crate::core::admin::AdminCommand;
 use crate::core::endpoint::Endpoint;
@@ -9,34 +9,35 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::oneshot;
 
-/// All that one process owns and hands over. A message between two builds: its form stays.
+/// The state that a process owns and hands over. Sent between builds: its serialized form is stable.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct HandoverState {
-    /// The admin commands that hold.
+    /// The maintenance that admin commands have put in effect.
     pub maintenance: Maintenance,
-    /// What the scheduler owns and has learned.
+    /// The scheduler's owned state and its estimates.
     #[serde(rename = "module")]
     pub scheduler: SchedulerSnapshot<String, String>,
-    /// Where objects were seen, the oldest first. A build that does not know of it learns that again.
+    /// Observed object locations, oldest object first. A build that does not support the field ignores it and
+    /// observes the locations again.
     #[serde(default, rename = "places")]
     pub object_locations: Vec<(ObjectKey, Observation)>,
 }
 
-/// What a handover asks of the core.
+/// A request of the handover actor to the core.
 #[derive(Debug)]
 pub enum HandoverRequest {
-    /// The time, and the endpoint list as discovery reported it.
+    /// Return the current time, and the endpoint list as discovery reported it.
     Describe(oneshot::Sender<(Micros, Vec<Endpoint>)>),
-    /// To spend nothing that is owned from now on, and to report all of it.
+    /// Stop spending owned state, and return all of it.
     Freeze(oneshot::Sender<Box<HandoverState>>),
-    /// To spend it again.
+    /// Spend owned state again, after [`Freeze`](Self::Freeze).
     Resume(oneshot::Sender<()>),
-    /// To go on from nothing: another process had what is owned.
+    /// Continue with reset owned state, because another process owned it in the meantime.
     ServeWithoutState(oneshot::Sender<()>),
-    /// To go on with what another process owned.
+    /// Continue with the state that another process owned.
     TakeOver(Box<HandoverState>, oneshot::Sender<()>),
-    /// An admin command came to the other process.
+    /// Apply an admin command that the other process received.
     AdminCommand(AdminCommand),
-    /// The other process saw where an object is, or is not.
+    /// Record an object location that the other process observed.
     ObjectObserved(ObjectKey, Observation),
 }
--- a/src/core/mailbox.rs
+++ b/src/core/mailbox.rs
@@ -1,5 +1,5 @@
-//! The core's mailbox, the handle by which fronts submit requests, and the guarantee that the core learns of
-//! a client that has gone.
+//! The core's mailbox, and the handle by which fronts submit requests. The handle guarantees that the core is
+//! notified when a client disconnects.
 
 use crate::core::access_log::{AccessLog, LogEntry};
 use crate::core::endpoint::{Endpoint, Protocol};
@@ -16,19 +16,19 @@
 use tokio::sync::{oneshot, watch};
 use tokio::time::Instant;
 
-/// Places in the core's mailbox: two for each descriptor's request and four for its attempts' starts and
-/// ends.
+/// Capacity of the core's mailbox, in messages: two for each descriptor's request and four for the starts and
+/// ends of its attempts.
 const MAILBOX_CAPACITY: usize = 8_192;
 
-/// Entries of an endpoint list that the core, or whoever reads a list, handles in one step: a fraction of a
-/// millisecond.
+/// Entries of an endpoint list that the core, or a reader of a list, handles in one step, which then takes a
+/// fraction of a millisecond.
 pub const MAX_ENTRIES_PER_STEP: usize = 128;
 
 /// The core's end of its mailbox.
 #[derive(Debug)]
 pub struct CoreMailbox {
     pub(super) receiver: mpsc::Receiver<Message>,
-    /// Weak, so that the core ends when all others have let go of its mailbox.
+    /// Weak, so that the core stops once all [`CoreHandle`]s are dropped.
     pub(super) sender: mpsc::WeakSender<Message>,
     pub(super) ready: watch::Sender<bool>,
     pub(super) unanswered: Rc<Cell<usize>>,
@@ -36,7 +36,7 @@
     pub(super) revision: watch::Sender<u64>,
 }
 
-/// Makes the core's mailbox, for requests as the settings have them. Each gets a line of `log`.
+/// Creates the core's mailbox. Requests are validated against the settings; each gets a line in `log`.
 pub fn mailbox(settings: &Settings, log: Option<AccessLog>) -> (CoreMailbox, CoreHandle) {
     let client_ids = ClientIds::default();
     let (sender, receiver) = mpsc::channel(MAILBOX_CAPACITY);
@@ -57,14 +57,14 @@
         ready,
         unanswered,
         client_ids,
-        constraints: Rc::new(RequestConstraints::of(settings)),
+        constraints: Rc::new(RequestConstraints::from_settings(settings)),
         log,
         revision,
     };
     (mailbox, handle)
 }
 
-/// The core's mailbox, as fronts and discovery hold it.
+/// A handle to the core's mailbox, for fronts and discovery.
 #[derive(Clone, Debug)]
 pub struct CoreHandle {
     sender: mpsc::Sender<Message>,
@@ -81,8 +81,8 @@
     /// Checks a request against the settings and the open requests.
     ///
     /// # Errors
-    /// The settings have no such request, or another has its id: served, it would get a response made for
-    /// something else.
+    /// The settings do not allow the request, or an open request has the same id: if served, it could get the
+    /// response to the other request.
     pub fn validate(&self, request: &Request) -> Result<(), InvalidRequest> {
         self.constraints.check(request)?;
         if self.client_ids.borrow().contains(&request.id) {
@@ -91,43 +91,43 @@
         Ok(())
     }
 
-    /// Submits a request. The mailbox place for the message that its client has gone is reserved beforehand,
-    /// so that a full mailbox cannot lose it. Cancelled while it waits for places, it leaves nothing behind.
+    /// Submits a request. The mailbox permit for the notification that its client has disconnected is
+    /// reserved in advance, so that a full mailbox cannot lose it. Cancel safe: cancelled while it waits for
+    /// permits, it has no effect.
     ///
     /// # Errors
-    /// The request is not valid; see [`validate`](Self::validate).
+    /// The request is invalid; see [`validate`](Self::validate).
     pub async fn submit(&self, request: Request) -> Result<PendingResponse, InvalidRequest> {
         let arrived = Instant::now();
-        let permits = self.two_permits().await;
-        // Another request of its id may have come meanwhile.
+        let permits = self.reserve_two_permits().await;
+        // Another request with the same id may have arrived in the meantime.
         self.validate(&request)?;
         self.client_ids.borrow_mut().insert(request.id.clone());
         let (response, receiver) = oneshot::channel();
         let id = RequestId(self.next_id.get());
         self.next_id.set(id.0 + 1);
         let log = self.log.as_ref().map(|log| log.begin(&request));
-        let mut pending = PendingResponse { receiver, gone: None, log };
-        if let Some((submit, gone)) = permits {
+        let mut pending = PendingResponse { receiver, client_gone: None, log };
+        if let Some((submit, client_gone)) = permits {
             submit.send(Message::Submit { id, request, arrived, response });
-            pending.gone = Some((id, gone));
+            pending.client_gone = Some((id, client_gone));
         }
         Ok(pending)
     }
 
-    /// Two places in the core's mailbox. `None`: the core has ended.
-    async fn two_permits(&self) -> Option<(OwnedPermit<Message>, OwnedPermit<Message>)> {
+    /// Reserves two mailbox permits. `None`: the core has stopped.
+    async fn reserve_two_permits(&self) -> Option<(OwnedPermit<Message>, OwnedPermit<Message>)> {
         let first = self.sender.clone().reserve_owned().await.ok()?;
         Some((first, self.sender.clone().reserve_owned().await.ok()?))
     }
 
-    /// Sends a message, once there is room for it.
+    /// Sends a message, waiting for room in the mailbox. Has no effect once the core has stopped.
     pub async fn send(&self, message: Message) {
-        // A core that has ended needs none.
         let _ = self.sender.send(message).await;
     }
 
-    /// Sends an endpoint update that came at `received`, in parts: between two of them requests have their
-    /// turn.
+    /// Sends an endpoint update that arrived at `received`. Long updates are split into parts, so that
+    /// requests are handled between them.
     pub async fn send_endpoints(
         &self,
         protocol: Protocol,
@@ -152,44 +152,44 @@
         *self.ready.borrow()
     }
 
-    /// Tells when requests can be served.
+    /// Notifies of changes of [`is_ready`](Self::is_ready).
     pub fn readiness(&self) -> watch::Receiver<bool> {
         self.ready.clone()
     }
 
-    /// A number that grows with every change of targets that takes effect.
+    /// A revision that is incremented with every change of targets that takes effect.
     pub fn endpoint_revision(&self) -> watch::Receiver<u64> {
         self.revision.clone()
     }
 
-    /// The targets that are listed; none where the core has ended.
+    /// The listed targets; empty if the core has stopped.
     pub async fn targets(&self) -> Vec<TargetInfo> {
         let (answer, targets) = oneshot::channel();
         self.send(Message::ListTargets(answer)).await;
         targets.await.unwrap_or_default()
     }
 
-    /// How many requests have no response yet.
+    /// The number of requests that have no response yet.
     pub fn open_requests(&self) -> usize {
         self.unanswered.get()
     }
 }
 
-/// The response to a submitted request. Dropped before it has come, it informs the core that the client has
-/// gone.
+/// The response to a submitted request. If dropped before the response has arrived, the core is notified that
+/// the client has disconnected.
 #[derive(Debug)]
 pub struct PendingResponse {
     receiver: oneshot::Receiver<Response>,
-    /// The place for that message.
-    gone: Option<(RequestId, OwnedPermit<Message>)>,
+    /// The permit for that notification; absent once the response has arrived.
+    client_gone: Option<(RequestId, OwnedPermit<Message>)>,
     log: Option<LogEntry>,
 }
 
 impl PendingResponse {
-    /// Waits for the response. One whose core has ended is failed.
+    /// Waits for the response. It is [`Response::Failed`] if the core has stopped.
     pub async fn response(mut self) -> Response {
         let response = (&mut self.receiver).await.unwrap_or(Response::Failed);
-        self.gone = None;
+        self.client_gone = None;
         if let Some(log) = self.log.take() {
             log.finish(&response);
         }
@@ -199,8 +199,8 @@
 
 impl Drop for PendingResponse {
     fn drop(&mut self) {
-        if let Some((id, gone)) = self.gone.take() {
-            gone.send(Message::ClientGone(id));
+        if let Some((id, client_gone)) = self.client_gone.take() {
+            client_gone.send(Message::ClientGone(id));
         }
     }
 }
--- a/src/core/message.rs
+++ b/src/core/message.rs
@@ -1,4 +1,4 @@
-//! The messages that come to the core.
+//! The messages to the core.
 
 use crate::core::diagnostics::Step;
 use crate::core::endpoint::{Endpoint, Protocol};
@@ -9,77 +9,77 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// What comes to the core.
+/// A message to the core.
 #[derive(Debug)]
 pub enum Message {
     /// A client's request.
     Submit {
-        /// Its number.
+        /// The core's number of the request.
         id: RequestId,
-        /// What is asked.
+        /// The request as decoded by its front.
         request: Request,
-        /// When the front had the request whole.
+        /// When the front had received the entire request.
         arrived: Instant,
-        /// Where its one response goes.
+        /// Receives the request's one response.
         response: oneshot::Sender<Response>,
     },
-    /// The client has gone.
+    /// A request's client has disconnected.
     ClientGone(RequestId),
-    /// The program is about to end: whatever is open fails.
+    /// The process is shutting down: fail all open requests.
     Shutdown,
     /// Write a summary of the core's state to the log.
     Status,
-    /// Tell which targets are listed.
+    /// Return the listed targets.
     ListTargets(oneshot::Sender<Vec<TargetInfo>>),
-    /// A datagram of the quota exchange came from a peer.
+    /// A datagram of the quota exchange has arrived from a peer.
     QuotaDatagram(Peer, rowanglade_quota_exchange::Message),
-    /// An attempt has begun to send the streamed part of a request's body: the request cannot be sent again,
-    /// and the attempt lasts as long as its client takes.
+    /// An attempt has begun to send the streamed part of a request's body. The request cannot be sent again,
+    /// and the attempt's duration depends on the client.
     BodyStarted {
         /// The attempt's request.
         id: RequestId,
-        /// The attempt.
+        /// The attempt, by its number within the request.
         number: AttemptNumber,
     },
-    /// An attempt's connection is up: whether its first byte may go out.
+    /// An attempt's connection has been established: may its first byte be sent?
     MayStart {
         /// The attempt's request.
         id: RequestId,
-        /// The attempt.
+        /// The attempt, by its number within the request.
         number: AttemptNumber,
-        /// Where the answer goes.
+        /// Receives the decision.
         answer: oneshot::Sender<bool>,
     },
-    /// The head of an attempt's response has come.
+    /// The head of an attempt's response has arrived.
     ResponseStarted {
         /// The attempt's request.
         id: RequestId,
-        /// The attempt.
+        /// The attempt, by its number within the request.
         number: AttemptNumber,
     },
-    /// An attempt has its outcome.
+    /// An attempt has ended.
     AttemptEnded {
         /// The attempt's request.
         id: RequestId,
-        /// The attempt.
+        /// The attempt, by its number within the request.
         number: AttemptNumber,
-        /// How it ended.
+        /// The outcome, with the target's response if there is one.
         result: AttemptResult,
     },
-    /// A probe has its outcome.
+    /// A probe has ended.
     ProbeEnded {
         /// The target that was probed.
         target: TargetId,
-        /// How it ended.
+        /// The probe's outcome.
         outcome: Outcome,
-        /// Microseconds since it was sent.
+        /// Microseconds since the probe was sent.
         elapsed: Micros,
         /// The load that the target reported.
         load: LoadReport,
     },
-    /// Peers report that these targets drain. The next update from discovery overrides it.
+    /// Peers report these targets as draining. The next update from discovery overrides this.
     PeersReportDraining(Vec<String>),
-    /// A list, or a part of one, has come.
+    /// An endpoint list, or a part of one, has arrived.
     EndpointsChanged {
         /// Which list: each protocol has its own.
         protocol: Protocol,
@@ -87,20 +87,20 @@
         kind: EndpointUpdateKind,
         /// Its entries, or the part of them that this message carries.
         entries: Vec<Endpoint>,
-        /// More of the same update follows.
+        /// Whether more parts of the same update follow.
         more: bool,
-        /// When its last byte had come.
+        /// When the update's last byte had arrived.
         received: Instant,
     },
 }
 
 impl Message {
-    /// A short endpoint update that has come just now.
+    /// An endpoint update in one part that has just arrived.
     pub fn endpoints(protocol: Protocol, kind: EndpointUpdateKind, entries: Vec<Endpoint>) -> Message {
         Message::EndpointsChanged { protocol, kind, entries, more: false, received: Instant::now() }
     }
 
-    /// What a step of the core that handles it is for.
+    /// The kind of the core step that handles this message.
     pub fn step(&self) -> Step {
         match self {
             Message::Submit { .. } => Step::Submit,
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,9 +1,8 @@
-//! The core: the actor that alone owns the scheduler, the parts of its state, and the messages that it
-//! exchanges with fronts, targets and discovery. Nothing here knows a wire.
+//! The core: the actor that exclusively owns the scheduler, the components of its state, and the messages
+//! that it exchanges with fronts, targets and discovery. Nothing in this module depends on a wire format.
 //!
-//! The parts (`open_requests`, `endpoints`, `routes`, `quota`, `site_monitor`, `timers`,
-//! `readiness`, `handover_port`) each own one kind of state and know nothing of the actor, which
-//! assembles them.
+//! Each component (`open_requests`, `endpoints`, `routes`, `quota`, `site_monitor`, `timers`, `readiness`,
+//! `handover_port`) owns one kind of state and does not depend on the actor, which assembles them.
 
 mod access_log;
 mod actor;
--- a/src/core/open_requests.rs
+++ b/src/core/open_requests.rs
@@ -1,5 +1,5 @@
-//! The requests that are not settled: each has one response for its client, and is removed once that is
-//! sent and none of its attempts is in flight. Their deadlines are watched here.
+//! The requests that are not settled. Each has exactly one response for its client, and is removed once the
+//! response is sent and none of its attempts is in flight. A watchdog watches their deadlines.
 
 use crate::core::request::{Request, Response};
 use crate::interface::{AttemptNumber, Micros, Outcome, RequestId, TargetId, TargetSetId};
@@ -9,24 +9,25 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// A request that the scheduler has not answered this long past its deadline is failed by the core: later
-/// than the scheduler's own last response, and well inside the slack that the platform's rules give.
+/// A request that the scheduler has not answered this long after its deadline is failed by the core. This is
+/// later than the scheduler's own last response, and well within the slack that the platform's rules allow.
 const WATCHDOG_DELAY: Micros = 10_000;
 
-/// The clients' ids of the requests that are not settled, which no other request may have meanwhile.
+/// The client-assigned ids of the requests that are not settled. No other request may use them meanwhile.
 pub(super) type ClientIds = Rc<RefCell<HashSet<String>>>;
 
-/// An attempt without an outcome.
+/// An attempt that has not ended.
 pub(super) struct InFlightAttempt {
     pub(super) target: TargetId,
-    /// Where the target was listed when the attempt was sent.
+    /// The target's address at the time the attempt was sent.
     pub(super) addr: SocketAddr,
     pub(super) sent: Micros,
-    /// Its first byte may have gone out.
+    /// Whether its first byte may have been sent.
     pub(super) started: bool,
-    /// When the head of its response came.
+    /// When the head of its response arrived.
     pub(super) response_started: Option<Micros>,
-    /// Absent once the attempt is cancelled: its drop is the signal, and the attempt still reports its end.
+    /// Absent once the attempt is cancelled. Dropping it signals the cancellation; the attempt still reports
+    /// its end.
     pub(super) cancel: Option<oneshot::Sender<()>>,
 }
 
@@ -40,7 +41,7 @@
     }
 }
 
-/// How an attempt went so far, for the log.
+/// The history of an attempt, for the log.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AttemptTrace {
     pub(super) target: TargetId,
@@ -53,23 +54,23 @@
 /// A request that has no response yet, or has an attempt in flight.
 pub(super) struct OpenRequest {
     pub(super) request: Rc<Request>,
-    /// When its front had it whole; the client's time runs from then.
+    /// When its front had received it entirely. The client's time counts from then.
     pub(super) arrived: Micros,
-    /// When the core took it up.
+    /// When the core began to handle it.
     pub(super) submitted: Micros,
     pub(super) deadline: Micros,
-    /// Absent once the response is sent, or the client has gone.
+    /// Absent once the response is sent or the client has disconnected.
     pub(super) response: Option<oneshot::Sender<Response>>,
-    /// By their numbers; absent: it has ended.
+    /// Indexed by attempt number; `None` once the attempt has ended.
     pub(super) attempts: Vec<Option<InFlightAttempt>>,
-    /// Of all attempts, for the log.
+    /// The history of all attempts, by attempt number, for the log.
     pub(super) traces: Vec<AttemptTrace>,
-    /// The targets that its route lets it reach; absent: all.
+    /// The targets that its route allows; absent if all are allowed.
     pub(super) target_set: Option<TargetSetId>,
 }
 
 impl OpenRequest {
-    /// Whether its response is sent or its client has gone.
+    /// Whether its response is sent or its client has disconnected.
     pub(super) fn is_finished(&self) -> bool {
         self.response.is_none()
     }
@@ -79,29 +80,29 @@
         self.attempts.get_mut(number.0 as usize)?.as_mut()
     }
 
-    /// Ends an attempt that was in flight.
+    /// Removes an attempt that was in flight and returns it.
     pub(super) fn take_attempt(&mut self, number: AttemptNumber) -> Option<InFlightAttempt> {
         self.attempts.get_mut(number.0 as usize)?.take()
     }
 
-    /// Notes something of an attempt, for the log.
+    /// Updates the history of an attempt.
     pub(super) fn trace(&mut self, number: AttemptNumber, note: impl FnOnce(&mut AttemptTrace)) {
         if let Some(trace) = self.traces.get_mut(number.0 as usize) {
             note(trace);
         }
     }
 
-    /// Whether its body is streamed: only one attempt can send it, which may last beyond the deadline.
+    /// Whether its body is streamed: then only one attempt can send it, which may last beyond the deadline.
     pub(super) fn is_streamed(&self) -> bool {
         self.request.body_rest.is_some()
     }
 
-    /// Cancels what its client has no use for any more. What has started runs on, since the target may have
-    /// done the work, unless its body is streamed from the client.
+    /// Cancels the attempts that are no longer useful to its client. Attempts that have started continue,
+    /// since the target may already have done the work, unless their body is streamed from the client.
     fn cancel_attempts(&mut self) {
         let streamed = self.is_streamed();
-        let idle = self.attempts.iter_mut().flatten().filter(|attempt| streamed || !attempt.started);
-        idle.for_each(InFlightAttempt::cancel);
+        let cancellable = self.attempts.iter_mut().flatten().filter(|attempt| streamed || !attempt.started);
+        cancellable.for_each(InFlightAttempt::cancel);
     }
 
     fn is_settled(&self) -> bool {
@@ -112,20 +113,21 @@
 /// All requests that are not settled.
 pub(super) struct OpenRequests {
     requests: HashMap<RequestId, OpenRequest>,
-    /// When the deadline watchdog fails a request without a response.
+    /// Ordered by the time at which the deadline watchdog fails the request; only requests without a
+    /// response.
     watchdog: BTreeSet<(Micros, RequestId)>,
     client_ids: ClientIds,
-    /// How many have no response yet, for those outside the core.
+    /// The number of requests without a response, shared with the world outside the core.
     unanswered: Rc<Cell<usize>>,
 }
 
 impl OpenRequests {
-    /// Without any request. The ids and the count are shared with [`CoreHandle`](crate::core::CoreHandle).
+    /// Creates an empty set. The ids and the count are shared with [`CoreHandle`](crate::core::CoreHandle).
     pub(super) fn new(client_ids: ClientIds, unanswered: Rc<Cell<usize>>) -> OpenRequests {
         OpenRequests { requests: HashMap::new(), watchdog: BTreeSet::new(), client_ids, unanswered }
     }
 
-    /// How many have no response yet.
+    /// The number of requests without a response.
     pub(super) fn unanswered(&self) -> usize {
         self.unanswered.get()
     }
@@ -148,8 +150,7 @@
         self.requests.get_mut(&id)
     }
 
-    /// Takes the client's end of a request's response, after which the request is finished. `None`: it was
-    /// finished before.
+    /// Takes the sender of a request's response, which finishes the request. `None`: it was already finished.
     pub(super) fn take_response(&mut self, id: RequestId) -> Option<oneshot::Sender<Response>> {
         let request = self.requests.get_mut(&id)?;
         let response = request.response.take()?;
@@ -158,7 +159,7 @@
         Some(response)
     }
 
-    /// Cancels the attempts of a finished request that its client has no use for.
+    /// Cancels the attempts of a finished request that are no longer useful to its client.
     pub(super) fn cancel_attempts(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.cancel_attempts();
@@ -172,19 +173,19 @@
         }
     }
 
-    /// Cancels the attempts that have not started and whose target is not `usable` any more.
+    /// Cancels the attempts that have not started and for which `usable` returns false.
     pub(super) fn cancel_unstarted(&mut self, usable: impl Fn(&InFlightAttempt) -> bool) {
         let attempts = self.requests.values_mut().flat_map(|request| request.attempts.iter_mut().flatten());
         attempts.filter(|attempt| !attempt.started && !usable(attempt)).for_each(InFlightAttempt::cancel);
     }
 
-    /// Whether an attempt is in flight at the target. Looks through all requests: for what is rare.
+    /// Whether an attempt is in flight at the target. Iterates over all requests: for rare operations only.
     pub(super) fn any_attempt_at(&self, target: TargetId) -> bool {
         let attempts = self.requests.values().flat_map(|request| request.attempts.iter().flatten());
         attempts.into_iter().any(|attempt| attempt.target == target)
     }
 
-    /// Removes a request that is finished and has no attempt in flight. Its client's id is free again.
+    /// Removes a request that is finished and has no attempt in flight, which frees its client-assigned id.
     pub(super) fn remove_if_settled(&mut self, id: RequestId) -> Option<OpenRequest> {
         self.requests.get(&id).filter(|request| request.is_settled())?;
         let request = self.requests.remove(&id)?;
@@ -192,19 +193,19 @@
         Some(request)
     }
 
-    /// Ends the watch over a request's deadline, which does not hold while its body is streamed.
+    /// Stops watching a request's deadline, which does not apply while its body is streamed.
     pub(super) fn stop_watching(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get(&id) {
             self.watchdog.remove(&(request.deadline + WATCHDOG_DELAY, id));
         }
     }
 
-    /// When the deadline watchdog must look next.
+    /// When the deadline watchdog is due next.
     pub(super) fn next_wake(&self) -> Option<Micros> {
         self.watchdog.first().map(|(at, _)| *at)
     }
 
-    /// A request that the scheduler has not answered in time.
+    /// A request whose watchdog time has passed.
     pub(super) fn first_overdue(&self, now: Micros) -> Option<RequestId> {
         self.watchdog.first().filter(|(at, _)| *at <= now).map(|(_, id)| *id)
     }
--- a/src/core/readiness.rs
+++ b/src/core/readiness.rs
@@ -1,26 +1,26 @@
-//! Whether requests can be served: a target is active, and either discovery has answered or it has had its
-//! time, after which the cached list must do.
+//! Whether requests can be served: a target is active, and discovery has either answered or missed its
+//! timeout, after which the cached list is trusted.
 
 use crate::core::clock::micros;
 use crate::interface::{EndpointUpdateKind, Micros};
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// Without an answer of discovery, the cached list must do after this long. A discovery that is not
-/// overloaded has answered by then; after a release that killed most initiators it takes seconds, and clients
-/// whose initiators are away are served by nobody.
+/// If discovery has not answered after this long, the cached list is trusted. A discovery service that is not
+/// overloaded has answered by then. After a release that restarted most initiators at once it takes seconds,
+/// during which clients without a ready initiator are not served.
 const TRUST_CACHED_LIST_AFTER: Duration = Duration::from_millis(300);
 
-/// What is known of discovery's first answer.
+/// The state of the wait for discovery's first answer.
 #[derive(Clone, Copy, Debug)]
 enum CachedList {
-    /// Discovery still has until then to answer.
+    /// Discovery has until this time to answer.
     WaitUntil(Micros),
-    /// Discovery has had its time.
+    /// The timeout has passed.
     Trusted,
 }
 
-/// Tells all who wait for it when requests can be served. Once ready, it stays so.
+/// Publishes whether requests can be served. Once ready, the core stays ready.
 #[derive(Debug)]
 pub(super) struct Readiness {
     ready: watch::Sender<bool>,
@@ -28,12 +28,12 @@
 }
 
 impl Readiness {
-    /// Discovery has not been asked yet.
+    /// Not ready, with discovery's timeout not started.
     pub(super) fn new(ready: watch::Sender<bool>) -> Readiness {
         Readiness { ready, cached_list: CachedList::WaitUntil(Micros::MAX) }
     }
 
-    /// The core runs from now on, and discovery's time with it.
+    /// Starts discovery's timeout.
     pub(super) fn start(&mut self, now: Micros) {
         self.cached_list = CachedList::WaitUntil(now + micros(TRUST_CACHED_LIST_AFTER));
     }
@@ -42,12 +42,12 @@
         *self.ready.borrow()
     }
 
-    /// Requests can be served from now on.
+    /// Publishes that requests can be served.
     pub(super) fn set_ready(&self) {
         self.ready.send_replace(true);
     }
 
-    /// When discovery has had its time; `None` once that is over.
+    /// When discovery's timeout expires; `None` once it has.
     pub(super) fn next_wake(&self) -> Option<Micros> {
         match self.cached_list {
             CachedList::WaitUntil(at) => Some(at),
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Whether discovery's time has just run out. True once at most, whether or not there is a target: a time
-    /// that has passed must not be waited for again.
+    /// Whether discovery's timeout has just expired. Returns true only once, whether or not there is a
+    /// target, so that the core does not wait again for a time that has passed.
     pub(super) fn trust_cached_list_if_due(&mut self, now: Micros) -> bool {
         let due = self.next_wake().is_some_and(|at| now >= at);
         if due {
@@ -65,7 +65,7 @@
         due
     }
 
-    /// Whether a list of this kind is enough to serve from.
+    /// Whether a list of this kind is sufficient for serving.
     pub(super) fn accepts(&self, kind: EndpointUpdateKind) -> bool {
         matches!(self.cached_list, CachedList::Trusted)
             || matches!(kind, EndpointUpdateKind::Snapshot | EndpointUpdateKind::Delta)
--- a/src/core/request.rs
+++ b/src/core/request.rs
@@ -1,4 +1,4 @@
-//! Requests and responses in the core, in no wire's words.
+//! Requests and responses in the core's representation, independent of any wire format.
 
 use crate::core::body::{ResponseBody, Upload};
 use crate::core::endpoint::Protocol;
@@ -8,77 +8,78 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Through which front a request came, and from where.
+/// The origin of a request: the front, and the client's address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestOrigin {
     /// The front's protocol.
     pub front: Protocol,
-    /// The client's address; absent: not known.
+    /// The client's address; absent if not known.
     pub client: Option<IpAddr>,
-    /// The client's port, which tells its connections apart in the log.
+    /// The client's port, which distinguishes its connections in the log; absent if not known.
     pub connection: Option<u16>,
 }
 
-/// A client's request. A front decodes it once; a target encodes it once.
+/// A client's request. It is decoded once by a front and encoded once by a target.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Where it came from.
+    /// Where the request came from.
     pub origin: RequestOrigin,
-    /// The client's own name for it.
+    /// The id that the client assigned to it.
     pub id: String,
     /// The name of its request class.
     pub class: String,
-    /// The name of its QoS plan; absent: none.
+    /// The name of its QoS plan; absent if it has none.
     pub plan: Option<String>,
-    /// Whether it writes.
+    /// Whether the request writes.
     pub write: bool,
-    /// The volume that it reads or writes.
+    /// The number of the volume that it reads or writes.
     pub volume: u64,
-    /// The object that it reads or writes.
+    /// The number of the object that it reads or writes.
     pub object: u64,
-    /// What a client of a hierarchical wire called the object; it reaches a target unchanged.
+    /// The client's name of the object, where the front's protocol is hierarchical; sent to targets
+    /// unchanged.
     pub locator: String,
-    /// The key by which targets drop a repeat.
+    /// The key by which targets recognize a repeated request.
     pub idempotency_key: Option<String>,
-    /// Its size, as the platform counts it.
+    /// Its size in the platform's units.
     pub units: f64,
-    /// The shard that has the object; absent: a new object.
+    /// The shard that holds the object; absent for a new object.
     pub shard: Option<u32>,
-    /// Through how many initiators the volume's requests come. 0: not known.
+    /// The number of initiators that receive requests for the volume; 0 if not known.
     pub initiators: u32,
-    /// The bytes that a read asks for. 0: not known.
+    /// The number of bytes that a read requests; 0 if not known.
     pub length: u32,
-    /// All of its body, or the first bytes of a long one.
+    /// The entire body, or the first bytes of a long one.
     pub body: Bytes,
-    /// The rest of a long body, which is streamed.
+    /// The rest of a long body, which is streamed; absent if `body` is entire.
     pub body_rest: Option<Rc<Upload>>,
-    /// How long the client waits, from now, or from the last byte of a long body.
+    /// How long the client waits, counted from now, or from the last byte of a long body.
     pub time_left: Duration,
 }
 
-/// The one final response.
+/// The final response to a request.
 #[derive(Debug, PartialEq)]
 pub enum Response {
-    /// What a target made for it.
+    /// A target served the request.
     Served(ResponseBody),
-    /// It had no effect. Sending it again does no harm.
+    /// The request had no effect and can be sent again safely.
     Rejected {
-        /// How long the client should wait before that.
+        /// How long the client should wait before sending the request again.
         retry_after: Duration,
     },
-    /// The same, since the site that has its data is lost.
+    /// As [`Rejected`](Self::Rejected), because the site that holds its data is lost.
     SiteUnavailable {
         /// The site's name.
         site: Rc<str>,
         /// How long the client should wait before it sends the request again.
         retry_after: Duration,
     },
-    /// It may have had an effect.
+    /// The request may have had an effect.
     Failed,
 }
 
 impl Response {
-    /// Its kind, for the log.
+    /// The name of the variant, for the log.
     pub fn kind(&self) -> &'static str {
         match self {
             Response::Served(_) => "served",
@@ -89,23 +90,24 @@
     }
 }
 
-/// How an attempt ended, and what the target's response reported.
+/// The outcome of an attempt, and what the target's response reported.
 #[derive(Debug, PartialEq)]
 pub struct AttemptResult {
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// Of a served attempt.
+    /// The response body of a served attempt; empty otherwise.
     pub body: ResponseBody,
-    /// Units served for the volume everywhere in a finished period, as a part of the plan's rate.
+    /// Units served for the volume by all targets in a completed period, as a fraction of the plan's rate;
+    /// absent if not reported.
     pub used_fraction: Option<f64>,
     /// Units that the shard served for the volume through other initiators.
     pub units_elsewhere: f64,
-    /// The target's load.
+    /// The load that the target reported.
     pub load: LoadReport,
 }
 
 impl AttemptResult {
-    /// An end without a response of the target.
+    /// The result of an attempt that ended without a response from the target.
     pub fn without_response(outcome: Outcome) -> AttemptResult {
         AttemptResult {
             outcome,
--- a/src/core/routes.rs
+++ b/src/core/routes.rs
@@ -1,6 +1,6 @@
-//! The routing table in force, and the targets that each open request may reach under the table it began
-//! with. Without I/O: it takes requests and changes of targets, and gives the scheduler's
-//! [`Event::TargetSetChanged`]s.
+//! The routing table in force, and the targets that each open request may reach under the table that was in
+//! force when it arrived. Without I/O: it is given requests and changes of targets, and returns
+//! [`Event::TargetSetChanged`] events for the scheduler.
 
 use crate::core::endpoint::{Endpoint, Protocol};
 use crate::core::request::Request;
@@ -9,19 +9,21 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// With this many sets, those that no request uses are dropped: until then they serve the next request.
+/// When there are this many target sets, those without an open request are dropped; until then they are kept
+/// for later requests.
 const MAX_SETS: usize = 4_096;
 
-/// A routing table, and its version.
+/// A routing table with its version.
 #[derive(Debug, Default)]
 pub struct LoadedRoutes {
-    /// Grows with each table that is loaded.
+    /// Incremented with each table that is loaded.
     pub version: u64,
-    /// The routes.
+    /// The routing table.
     pub table: RouteTable,
 }
 
-/// What a target set is for: a table, a route in it, and the shard of the requests.
+/// What determines a target set: the version of the table, the index of the route in it, and the shard of the
+/// requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct TargetSetKey {
     version: u64,
@@ -33,14 +35,14 @@
 #[derive(Debug)]
 struct TargetSet {
     key: TargetSetKey,
-    /// The table is dropped with its last set.
+    /// Keeps the table alive until its last set is dropped.
     table: Arc<LoadedRoutes>,
-    /// Open requests that use the set.
+    /// The number of open requests that use the set.
     users: usize,
     targets: Vec<TargetId>,
 }
 
-/// The routes, as the core holds them.
+/// The routing table in force, the listed targets, and the target sets of open requests.
 #[derive(Debug)]
 pub struct Routes {
     current: Arc<LoadedRoutes>,
@@ -48,12 +50,12 @@
     sets: BTreeMap<TargetSetId, TargetSet>,
     by_key: HashMap<TargetSetKey, TargetSetId>,
     next_id: u32,
-    /// What the scheduler has not taken yet.
+    /// Events that the scheduler has not received yet.
     events: Vec<Event>,
 }
 
 impl Routes {
-    /// Routes with this table in force, and no target.
+    /// Creates routes with this table in force and without targets.
     pub fn new(current: Arc<LoadedRoutes>) -> Routes {
         Routes {
             current,
@@ -65,28 +67,29 @@
         }
     }
 
-    /// Puts another table in force. Open requests keep the one they began with, which ends with the last of
-    /// them.
+    /// Puts another table in force. Open requests keep the table they arrived under; it is dropped with the
+    /// last of them.
     pub fn load(&mut self, table: Arc<LoadedRoutes>) {
         self.current = table;
         self.drop_idle(|set, current| set.key.version != current);
     }
 
-    /// The version in force, and those that open requests still have.
+    /// The version in force and the versions that open requests still use, ascending.
     pub fn versions(&self) -> Vec<u64> {
-        let held = self.sets.values().filter(|s| s.users > 0).map(|s| s.key.version);
-        let mut versions: Vec<u64> = held.chain([self.current.version]).collect();
+        let in_use = self.sets.values().filter(|s| s.users > 0).map(|s| s.key.version);
+        let mut versions: Vec<u64> = in_use.chain([self.current.version]).collect();
         versions.sort_unstable();
         versions.dedup();
         versions
     }
 
-    /// The targets that are listed.
+    /// The listed targets.
     pub fn targets(&self) -> impl Iterator<Item = &TargetInfo> {
         self.listed.all.values().map(|(info, _)| info)
     }
 
-    /// What a request that begins now may reach; `None`: every target. It is to be released once.
+    /// The target set of a request that arrives now; `None` if it may reach every target. The caller must
+    /// [`release`](Self::release) the set once.
     pub fn acquire(&mut self, request: &Request) -> Option<TargetSetId> {
         if self.current.table.is_empty() {
             return None;
@@ -123,7 +126,7 @@
         Some(id)
     }
 
-    /// A request that had this set is over.
+    /// Releases the target set of a request that has ended.
     pub fn release(&mut self, id: TargetSetId) {
         let Some(set) = self.sets.get_mut(&id) else { return };
         set.users -= 1;
@@ -132,11 +135,12 @@
         }
     }
 
-    fn drop_idle(&mut self, which: impl Fn(&TargetSet, u64) -> bool) {
+    fn drop_idle(&mut self, filter: impl Fn(&TargetSet, u64) -> bool) {
         let current = self.current.version;
-        let idle = |set: &TargetSet| set.users == 0 && which(set, current);
-        let gone: Vec<TargetSetId> = self.sets.iter().filter(|(_, s)| idle(s)).map(|(id, _)| *id).collect();
-        for id in gone {
+        let idle = |set: &TargetSet| set.users == 0 && filter(set, current);
+        let idle_ids: Vec<TargetSetId> =
+            self.sets.iter().filter(|(_, s)| idle(s)).map(|(id, _)| *id).collect();
+        for id in idle_ids {
             if let Some(set) = self.sets.remove(&id) {
                 self.by_key.remove(&set.key);
                 let version = set.key.version;
@@ -148,7 +152,7 @@
         }
     }
 
-    /// Takes targets that have changed. Sets change where a pool has got a target, or has none any more.
+    /// Applies changes of targets. Emits an event for each set whose targets change as a result.
     pub fn apply_changes<'a>(&mut self, changed: impl Iterator<Item = (TargetId, &'a Endpoint)>) {
         let mut shards = BTreeSet::new();
         for (target, endpoint) in changed {
@@ -170,13 +174,13 @@
         }
     }
 
-    /// What the scheduler has not taken yet, in its order.
+    /// Takes the events that the scheduler has not received yet, in order.
     pub fn take_events(&mut self) -> Vec<Event> {
         std::mem::take(&mut self.events)
     }
 }
 
-/// The targets that are listed, also by their shards.
+/// The listed targets, also indexed by shard.
 #[derive(Debug, Default)]
 struct ListedTargets {
     all: BTreeMap<TargetId, (TargetInfo, ListedState)>,
@@ -184,7 +188,7 @@
 }
 
 impl ListedTargets {
-    /// Removes a target, and returns the shard that it had.
+    /// Removes a target and returns its shard. `None`: it was not listed.
     fn remove(&mut self, target: TargetId) -> Option<u32> {
         let (info, _) = self.all.remove(&target)?;
         if let Some(targets) = self.by_shard.get_mut(&info.shard) {
@@ -213,18 +217,18 @@
         self.all.insert(target, (info, state));
     }
 
-    /// The targets that a set holds: of a shard's targets where it is for one shard, else of all.
+    /// The targets of a set, chosen from the targets of the key's shard, or from all if it has none.
     fn reachable(&self, table: &RouteTable, key: TargetSetKey) -> Vec<TargetId> {
-        let known = |target: &TargetId| {
+        let with_info = |target: &TargetId| {
             let (info, state) = &self.all[target];
             (info, *state, *target)
         };
         match key.shard {
             Some(shard) => {
                 let targets = self.by_shard.get(&shard).into_iter().flatten();
-                table.reachable(Some(key.route), key.shard, targets.map(known))
+                table.reachable(Some(key.route), key.shard, targets.map(with_info))
             }
-            None => table.reachable(Some(key.route), None, self.all.keys().map(known)),
+            None => table.reachable(Some(key.route), None, self.all.keys().map(with_info)),
         }
     }
 }
--- a/src/core/routes/tests.rs
+++ b/src/core/routes/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the reach sets that requests take from a routing table.
+//! Tests of the target sets that requests acquire from a routing table.
 
 use super::*;
 use crate::core::request::RequestOrigin;
@@ -50,7 +50,7 @@
     }
 }
 
-fn line(i: u32, state: TargetState) -> (TargetId, Endpoint) {
+fn listed_target(i: u32, state: TargetState) -> (TargetId, Endpoint) {
     let listed = Endpoint {
         name: format!("s-{i}"),
         protocol: Protocol::Http,
@@ -64,12 +64,12 @@
     (TargetId(i), listed)
 }
 
-fn list(routes: &mut Routes, first: TargetState) {
-    let lines = [line(0, first), line(1, TargetState::Active)];
-    routes.apply_changes(lines.iter().map(|(n, l)| (*n, l)));
+fn apply_list(routes: &mut Routes, first: TargetState) {
+    let entries = [listed_target(0, first), listed_target(1, TargetState::Active)];
+    routes.apply_changes(entries.iter().map(|(id, endpoint)| (*id, endpoint)));
 }
 
-fn told(routes: &mut Routes) -> Vec<(u32, Option<Vec<u32>>)> {
+fn changed_sets(routes: &mut Routes) -> Vec<(u32, Option<Vec<u32>>)> {
     let one = |e: Event| match e {
         Event::TargetSetChanged { set: target_set, targets } => {
             (target_set.0, targets.map(|n| n.iter().map(|n| n.0).collect()))
@@ -80,36 +80,36 @@
 }
 
 #[test]
-fn a_set_follows_the_list_and_falls_back_where_its_pool_has_nobody() {
+fn a_target_set_follows_the_list_and_uses_the_fallback_if_its_pool_has_no_target() {
     let mut routes = Routes::new(loaded(1, TABLE));
-    list(&mut routes, TargetState::Active);
-    assert_eq!(routes.acquire(&request(8, Some(0))), None, "no route");
-    let reach = routes.acquire(&request(7, Some(0)));
-    assert_eq!(routes.acquire(&request(7, Some(0))), reach, "one set for the same");
-    assert_eq!(told(&mut routes), [(0, Some(vec![0]))]);
-    list(&mut routes, TargetState::Draining);
-    assert_eq!(told(&mut routes), [(0, Some(vec![1]))]);
-    list(&mut routes, TargetState::Draining);
-    assert_eq!(told(&mut routes), [], "nothing has changed");
+    apply_list(&mut routes, TargetState::Active);
+    assert_eq!(routes.acquire(&request(8, Some(0))), None, "no route matches");
+    let set = routes.acquire(&request(7, Some(0)));
+    assert_eq!(routes.acquire(&request(7, Some(0))), set, "the same route and shard share a set");
+    assert_eq!(changed_sets(&mut routes), [(0, Some(vec![0]))]);
+    apply_list(&mut routes, TargetState::Draining);
+    assert_eq!(changed_sets(&mut routes), [(0, Some(vec![1]))]);
+    apply_list(&mut routes, TargetState::Draining);
+    assert_eq!(changed_sets(&mut routes), [], "the list has not changed");
     assert!(routes.acquire(&request(7, Some(5))).is_some());
-    assert_eq!(told(&mut routes), [(1, Some(vec![]))], "no box holds that shard");
+    assert_eq!(changed_sets(&mut routes), [(1, Some(vec![]))], "no target holds that shard");
 }
 
-// A request keeps the table it began with, and the table goes with its last request.
+// A request keeps the table it arrived under, and the table is dropped with its last request.
 #[test]
-fn an_old_table_lasts_as_long_as_its_requests() {
+fn an_old_table_is_kept_until_its_last_request_ends() {
     let mut routes = Routes::new(loaded(1, TABLE));
-    list(&mut routes, TargetState::Active);
+    apply_list(&mut routes, TargetState::Active);
     let old = routes.acquire(&request(7, Some(0))).expect("a set");
     routes.load(loaded(2, &TABLE.replace("pool = \"first\"", "pool = \"second\"")));
     let new = routes.acquire(&request(7, Some(0))).expect("a set");
     assert!(new != old && routes.versions() == [1, 2]);
-    assert_eq!(told(&mut routes), [(0, Some(vec![0])), (1, Some(vec![1]))]);
-    list(&mut routes, TargetState::Removed);
-    assert_eq!(told(&mut routes), [(0, Some(vec![1]))], "the old one follows the list too");
+    assert_eq!(changed_sets(&mut routes), [(0, Some(vec![0])), (1, Some(vec![1]))]);
+    apply_list(&mut routes, TargetState::Removed);
+    assert_eq!(changed_sets(&mut routes), [(0, Some(vec![1]))], "the old set follows the list too");
     routes.release(old);
-    assert_eq!(told(&mut routes), [(0, None)]);
+    assert_eq!(changed_sets(&mut routes), [(0, None)]);
     assert_eq!(routes.versions(), [2]);
     routes.release(new);
-    assert_eq!(told(&mut routes), [], "the present one's sets are kept for the next");
+    assert_eq!(changed_sets(&mut routes), [], "sets of the table in force are kept for later requests");
 }
--- a/src/core/site_monitor.rs
+++ b/src/core/site_monitor.rs
@@ -1,4 +1,5 @@
-//! What attempts, probes and the endpoint list reveal of sites, and what follows for a site's targets.
+//! Passes evidence from attempts, probes and the endpoint list to site failover, and applies its decisions to
+//! the targets of each site.
 
 use crate::core::endpoint::Endpoint;
 use crate::interface::{Micros, Outcome, TargetState};
@@ -8,27 +9,27 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Which sites are judged, and by what figures.
+/// Which sites are monitored, and the parameters of site failover.
 #[derive(Clone, Debug)]
 pub struct SiteSettings {
-    /// The zones that are sites; empty: all.
+    /// The zones that are monitored as sites; if empty, all zones.
     pub names: BTreeSet<String>,
-    /// When a site counts as lost, and how it returns.
+    /// When a site counts as lost, and how it recovers.
     pub rules: FailoverConfig,
-    /// The longest time for which a client is asked to stay away.
+    /// The longest Retry-After that clients are given while a site is lost.
     pub max_retry_after: Duration,
 }
 
-/// What is to be done about sites.
+/// The actions that follow from a poll.
 #[derive(Debug, Default)]
 pub(super) struct SiteActions {
     /// The targets to probe.
     pub(super) probes: Vec<String>,
-    /// The targets whose state may have changed with their site's.
+    /// The targets whose state may have changed with that of their site.
     pub(super) changed: Vec<String>,
 }
 
-/// The sites that are judged.
+/// The state of the monitored sites.
 #[derive(Debug)]
 pub(super) struct SiteMonitor {
     settings: SiteSettings,
@@ -41,16 +42,16 @@
         SiteMonitor { settings, sites }
     }
 
-    /// An entry of the list, before anything else holds for it.
-    pub(super) fn endpoint_listed(&mut self, now: Micros, endpoint: &Endpoint) {
+    /// Records an endpoint list entry, as reported by discovery.
+    pub(super) fn handle_endpoint(&mut self, now: Micros, endpoint: &Endpoint) {
         let zone = &endpoint.zone;
         if self.settings.names.is_empty() || self.settings.names.contains(zone) {
             self.sites.handle_endpoint(now, &endpoint.name, zone, endpoint.shard, site_state(endpoint.state));
         }
     }
 
-    /// How an attempt or a probe ended. `elapsed` is what a served one took.
-    pub(super) fn attempt_ended(
+    /// Records how an attempt or a probe ended. `elapsed` is used only if it was served.
+    pub(super) fn handle_attempt_end(
         &mut self,
         now: Micros,
         target: &str,
@@ -70,7 +71,7 @@
         }
     }
 
-    /// What holds for an endpoint of which all others say this.
+    /// Applies the state of the endpoint's site to the endpoint.
     pub(super) fn effective(&self, mut endpoint: Endpoint) -> Endpoint {
         let (state, started) =
             self.sites.effective_state(&endpoint.name, site_state(endpoint.state), endpoint.started);
@@ -81,18 +82,18 @@
         endpoint
     }
 
-    /// The lost site without which a shard has no target, and when a client should come back.
+    /// If a shard has no target left because a site is lost: the site, and how long clients should wait.
     pub(super) fn unavailable(&self, now: Micros, shard: Option<u32>) -> Option<(Rc<str>, Duration)> {
         let (site, wait) = self.sites.lost_site_of_shard(now, shard?)?;
         Some((site.into(), Duration::from_micros(wait).min(self.settings.max_retry_after)))
     }
 
-    /// When [`poll`](Self::poll) has something to do next.
+    /// When [`poll`](Self::poll) is due next.
     pub(super) fn next_wake(&self, now: Micros) -> Option<Micros> {
         self.sites.next_timeout(now)
     }
 
-    /// What has become of sites by now.
+    /// Applies the state changes that are due, and returns the resulting actions.
     pub(super) fn poll(&mut self, now: Micros) -> SiteActions {
         let mut actions = SiteActions::default();
         for command in self.sites.poll(now) {
--- a/src/core/validation.rs
+++ b/src/core/validation.rs
@@ -1,51 +1,51 @@
-//! Whether a request is one that the settings have.
+//! Validates requests against the settings.
 
 use crate::core::request::Request;
 use crate::settings::Settings;
 
-/// What the settings say of requests.
+/// The constraints that the settings place on requests.
 #[derive(Debug)]
 pub(super) struct RequestConstraints {
     classes: Vec<ClassConstraints>,
     plans: Vec<String>,
-    /// Absent: not known.
+    /// The number of shards; absent if not known.
     shards: Option<u32>,
 }
 
-/// What a request of a class must be.
+/// The constraints on requests of one class.
 #[derive(Debug)]
 struct ClassConstraints {
     name: String,
     write: bool,
-    /// It carries an idempotency key.
+    /// Whether requests need an idempotency key.
     keyed: bool,
 }
 
-/// Why a request is none that the settings have, or cannot be distinguished from another.
+/// Why a request is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidRequest {
-    /// The settings have no such request class.
-    #[error("an unknown class")]
+    /// The settings have no request class of this name.
+    #[error("request class is not in the settings")]
     UnknownClass,
-    /// The settings have no such QoS plan.
-    #[error("an unknown plan")]
+    /// The settings have no QoS plan of this name.
+    #[error("QoS plan is not in the settings")]
     UnknownPlan,
-    /// The settings have fewer shards.
-    #[error("an unknown shard")]
+    /// The shard number is not below the number of shards in the settings.
+    #[error("shard number is not below the number of shards in the settings")]
     UnknownShard,
-    /// It reads where its class writes, or the other way round.
-    #[error("not what its class does")]
+    /// A read request has a writing class, or a write request a reading one.
+    #[error("request method does not match its class: one reads, the other writes")]
     WrongMethod,
-    /// Its class needs an idempotency key, and it has none.
-    #[error("no key")]
+    /// The request class needs an idempotency key, and the request has none.
+    #[error("idempotency key is missing, but the request class needs one")]
     MissingKey,
-    /// A request of this id is open.
-    #[error("the id of an open request")]
+    /// An open request has the same id.
+    #[error("request id is in use by another open request")]
     DuplicateId,
 }
 
 impl RequestConstraints {
-    pub(super) fn of(settings: &Settings) -> RequestConstraints {
+    pub(super) fn from_settings(settings: &Settings) -> RequestConstraints {
         let classes = settings.classes().map(|class| ClassConstraints {
             name: class.name.to_string(),
             write: class.writes,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Checks a request against the settings.
+    /// Checks a request against the constraints.
     pub(super) fn check(&self, request: &Request) -> Result<(), InvalidRequest> {
         let class = self.classes.iter().find(|class| class.name == request.class);
         let class = class.ok_or(InvalidRequest::UnknownClass)?;
--- a/src/handover/actor.rs
+++ b/src/handover/actor.rs
@@ -1,4 +1,4 @@
-//! The actor that feeds events to the handover's state machine and carries out what that decides.
+//! The handover actor: passes events to the handover state machine and executes its actions.
 
 mod actions;
 
@@ -18,62 +18,62 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// How often a retired predecessor reports what it still uses.
+/// How often a retired predecessor reports the descriptors that it still uses.
 const SHARE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How a process starts.
+/// The situation in which this process starts.
 #[derive(Debug)]
 pub enum HandoverStart {
-    /// No other process serves: it is an ordinary start.
-    Alone,
-    /// One serves, and hands over once this one is ready.
-    Welcomed(Box<Welcome>, Listeners),
-    /// One serves, and speaks another version of the protocol.
+    /// No other process of this initiator serves.
+    NoPredecessor,
+    /// Another process serves, and hands over once this one is ready.
+    FromPredecessor(Box<Welcome>, Listeners),
+    /// Another process serves, and uses another version of the handover protocol.
     VersionMismatch {
-        /// The other's version.
+        /// The other process's protocol version.
         version: u32,
     },
 }
 
-/// What the core has for the other process.
+/// Updates from the core for the other process.
 #[derive(Debug)]
 pub struct CoreUpdates {
-    /// Admin commands that it has applied.
+    /// Admin commands that the core has applied.
     pub admin_commands: mpsc::Receiver<AdminCommand>,
-    /// Where it saw objects.
+    /// Object locations that the core has observed.
     pub object_observations: mpsc::Receiver<(ObjectKey, Observation)>,
 }
 
-/// The actor.
+/// The handover actor.
 #[derive(Debug)]
 pub struct HandoverActor {
     machine: Handover,
-    /// What is to be done before the next event is taken.
+    /// Actions to execute before the next event is handled.
     actions: VecDeque<Action>,
     paths: HandoverPaths,
     lock: OwnershipLock,
-    /// Where a successor connects; absent while this process is not the owner.
+    /// Accepts connections from successors; absent while this process is not the owner.
     listener: Option<UnixListener>,
     accept_failures: AcceptFailures,
     links: Links,
-    /// When the state machine wants to be woken.
+    /// When to report [`Event::TimerFired`]; absent while no timer is set.
     timer: Option<Instant>,
-    /// What the predecessor sent, until it is used.
+    /// The welcome message from the predecessor, until it is used.
     welcome: Option<(Box<Welcome>, Listeners)>,
     received_state: Option<Box<HandoverState>>,
-    /// All that is owned here, on its way to the successor.
+    /// The state owned here, kept until it has been sent to the successor.
     frozen_state: Option<Box<HandoverState>>,
-    /// The other process's commands and object sightings, on their way to the core.
+    /// The other process's admin commands and observed object locations, to be forwarded to the core.
     core_requests: VecDeque<HandoverRequest>,
-    /// Absent until this process has all that it needs to serve.
+    /// Absent until this process has everything that it needs to serve.
     controls: Option<HandoverControls>,
 }
 
 impl HandoverActor {
-    /// Finds out whether another process serves. It returns once that is known, and what is needed has come.
+    /// Determines whether another process of this initiator serves, and if so, receives its welcome message.
     ///
     /// # Errors
-    /// The lock cannot be opened or tried, or the socket not be bound.
+    /// The lock cannot be opened or tried, or the socket cannot be bound.
     pub async fn start(paths: HandoverPaths) -> io::Result<(HandoverActor, HandoverStart)> {
         let lock = paths.open_lock()?;
         let (machine, actions) = Handover::start();
@@ -102,34 +102,34 @@
         }
     }
 
-    /// Executes an action. Some: how the process starts is known with it.
+    /// Executes an action. Returns how the process starts as soon as the action determines it.
     async fn execute_startup_action(&mut self, action: Action) -> io::Result<Option<HandoverStart>> {
         match action {
             Action::Serve { .. } => {
-                // It is executed once there is something to serve with.
+                // It is executed once the process has everything that it needs to serve.
                 self.actions.push_front(action);
-                Ok(Some(HandoverStart::Alone))
+                Ok(Some(HandoverStart::NoPredecessor))
             }
             Action::Prepare => {
                 let welcome = self.welcome.take();
-                Ok(welcome.map(|(welcome, listeners)| HandoverStart::Welcomed(welcome, listeners)))
+                Ok(welcome.map(|(welcome, listeners)| HandoverStart::FromPredecessor(welcome, listeners)))
             }
             Action::RejectVersion { version } => Ok(Some(HandoverStart::VersionMismatch { version })),
             other => self.execute(other).await.map(|()| None),
         }
     }
 
-    /// Runs for as long as the process does.
+    /// Runs the actor; does not return.
     pub async fn run(mut self, controls: HandoverControls, mut updates: CoreUpdates) {
         let mut ready = controls.ready.clone();
         self.controls = Some(controls);
         let mut prepared = false;
-        let mut share = tokio::time::interval(SHARE_INTERVAL);
+        let mut share_timer = tokio::time::interval(SHARE_INTERVAL);
         loop {
             self.execute_all().await;
             tokio::select! {
-                Some(seen) = updates.object_observations.recv() => {
-                    self.links.broadcast(&Message { object_observation: Some(seen), ..Message::default() });
+                Some(observation) = updates.object_observations.recv() => {
+                    self.links.broadcast(&Message { object_observation: Some(observation), ..Message::default() });
                 }
                 Some(command) = updates.admin_commands.recv() => {
                     self.links.broadcast(&Message { admin_command: Some(command), ..Message::default() });
@@ -138,13 +138,13 @@
                     prepared = true;
                     self.handle(Event::Prepared);
                 }
-                _ = share.tick(), if self.machine.is_retired() => self.send_share(),
+                _ = share_timer.tick(), if self.machine.is_retired() => self.send_share(),
                 () = self.next_event() => {}
             }
         }
     }
 
-    /// Executes all actions, then passes on to the core what the other process sent for it.
+    /// Executes all pending actions, then forwards to the core what the other process sent.
     async fn execute_all(&mut self) {
         while let Some(action) = self.actions.pop_front() {
             if let Err(error) = self.execute(action).await {
@@ -158,12 +158,12 @@
         }
     }
 
-    /// Has the state machine say what follows from an event.
+    /// Passes an event to the state machine and queues the resulting actions.
     fn handle(&mut self, event: Event) {
         self.actions.extend(self.machine.handle(event));
     }
 
-    /// Waits for the next thing to happen. It may be dropped half way.
+    /// Waits for the next event and handles it. Cancel safe.
     async fn next_event(&mut self) {
         let timer = self.timer;
         let timer_fired = async {
@@ -198,12 +198,12 @@
         }
     }
 
-    /// A link over this stream. `None`: the other side is not trusted.
+    /// Opens a link over a stream. `None`: the peer process is not trusted.
     fn link_to(&mut self, stream: UnixStream) -> Option<LinkId> {
-        self.paths.trusts(&stream).then(|| self.links.open(stream))
+        self.paths.is_trusted_peer(&stream).then(|| self.links.open(stream))
     }
 
-    /// Without a wait, an accept that goes on failing would take the whole thread.
+    /// Pauses after a failed accept, so that repeated failures do not occupy the thread.
     async fn wait_after_failure(&mut self, error: &io::Error) {
         pause(self.accept_failures.failed(error, "a successor")).await;
     }
@@ -217,17 +217,19 @@
         }
     }
 
-    /// Keeps what a message carries. `None`: it is no step of the protocol.
+    /// Stores the contents of a message. `None`: the message has no protocol step for the state machine.
     fn handle_message(&mut self, link: LinkId, message: Message, descriptors: Vec<OwnedFd>) -> Option<Event> {
         let Message { kind, welcome, state, admin_command, object_observation, share } = message;
         self.core_requests.extend(admin_command.map(HandoverRequest::AdminCommand));
-        self.core_requests
-            .extend(object_observation.map(|(object, seen)| HandoverRequest::ObjectObserved(object, seen)));
+        self.core_requests.extend(
+            object_observation
+                .map(|(object, observation)| HandoverRequest::ObjectObserved(object, observation)),
+        );
         if let (Some(share), Some(controls)) = (share, &self.controls) {
             controls.reserve_for_peer_process(share);
         }
         let kind = kind?;
-        // A message without what belongs to it is torn.
+        // A message that lacks the contents required by its kind is invalid, and the link is closed.
         match kind {
             MessageKind::Welcome => {
                 match welcome.filter(|welcome| welcome.listeners.len() == descriptors.len()) {
--- a/src/handover/actor/actions.rs
+++ b/src/handover/actor/actions.rs
@@ -1,4 +1,4 @@
-//! What each action of the state machine does.
+//! Executes the actions of the handover state machine.
 
 use super::HandoverActor;
 use crate::core::HandoverRequest;
@@ -83,7 +83,7 @@
         Ok(())
     }
 
-    /// From now on this process serves, and the next successor finds it.
+    /// Starts serving, and accepts connections from the next successor.
     fn accept_successors(&mut self) -> io::Result<()> {
         if let Some(controls) = &self.controls {
             controls.set_phase(Phase::Serving);
@@ -92,7 +92,7 @@
         Ok(())
     }
 
-    /// Sends a message of the protocol, with what belongs to it.
+    /// Sends a protocol message with the contents required by its kind.
     async fn send(&mut self, link: LinkId, kind: MessageKind) -> io::Result<()> {
         let mut message = Message { kind: Some(kind), ..Message::default() };
         let mut descriptors = Vec::new();
@@ -110,7 +110,7 @@
         Ok(())
     }
 
-    /// Reports to the successor what this process still uses.
+    /// Reports to the successor how many descriptors this process still uses.
     pub(super) fn send_share(&self) {
         let Some(controls) = &self.controls else { return };
         let share = Some(controls.retired_share());
--- a/src/handover/controls.rs
+++ b/src/handover/controls.rs
@@ -1,4 +1,4 @@
-//! What a handover controls in the rest of the process: the core, the phase and the budget of descriptors.
+//! The parts of the process that a handover controls: the core, the phase and the descriptor budget.
 
 use super::message::{DescriptorShare, Listeners, Welcome};
 use crate::core::HandoverRequest;
@@ -7,9 +7,9 @@
 use std::rc::Rc;
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// A predecessor that has handed over may open so many descriptors more for what it still holds.
+/// Descriptors that a retired predecessor may open in addition to those it still uses.
 const RETIRED_DESCRIPTORS: usize = 8;
-/// Descriptors that a successor needs until it has the state. Its predecessor makes room for them.
+/// Descriptors that a successor needs until it has the state; its predecessor reserves them.
 const SUCCESSOR_DESCRIPTORS: usize = 40;
 
 /// The parts of the process that a handover controls.
@@ -17,13 +17,13 @@
 pub struct HandoverControls {
     /// Requests to the core.
     pub core: mpsc::Sender<HandoverRequest>,
-    /// Whether there is an endpoint list that requests can be served by.
+    /// Whether the core has an endpoint list from which requests can be served.
     pub ready: watch::Receiver<bool>,
-    /// The phase, as all listeners follow it.
+    /// The phase of this process, which all listeners follow.
     pub phase: Rc<watch::Sender<Phase>>,
-    /// What both processes count together.
+    /// The descriptor budget that both processes share.
     pub budget: DescriptorBudget,
-    /// What is passed on to a successor.
+    /// The sockets that are passed on to a successor.
     pub listeners: Listeners,
 }
 
@@ -44,11 +44,12 @@
 
     /// Sends the core a request that it does not answer.
     pub(super) async fn notify(&self, request: HandoverRequest) {
-        // A core that has ended needs it no more.
+        // The core may have stopped.
         let _ = self.core.send(request).await;
     }
 
-    /// Makes room for a successor, and collects all that it may know early. `None`: the core has ended.
+    /// Reserves descriptors for a successor, and collects the contents of its welcome message. `None`: the
+    /// core has stopped.
     pub(super) async fn welcome(&self) -> Option<Welcome> {
         let (now, list) = self.request(HandoverRequest::Describe).await?;
         self.budget.share(SUCCESSOR_DESCRIPTORS);
@@ -57,23 +58,24 @@
         Some(Welcome { now, list: EndpointPage::snapshot(list), share, listeners: self.listeners.names() })
     }
 
-    /// Leaves so many descriptors to the other process; none where it is gone.
+    /// Reserves these descriptors of the shared budget for the other process.
     pub(super) fn reserve_for_peer_process(&self, share: DescriptorShare) {
         self.budget.share(share.descriptors);
     }
 
-    /// Nothing is left to the other process any more.
+    /// Releases the descriptors reserved for the other process.
     pub(super) fn release_reservation(&self) {
         self.budget.share(0);
     }
 
-    /// Uses no more than what is still held, and a few descriptors to finish it.
+    /// Leaves the serving phase, and limits the budget to the descriptors in use plus a few to finish open
+    /// requests.
     pub(super) fn retire(&self) {
         self.set_phase(Phase::Leaving);
         self.budget.cap_at_open_descriptors(RETIRED_DESCRIPTORS);
     }
 
-    /// What a retired predecessor still uses.
+    /// The descriptors that a retired predecessor uses.
     pub(super) fn retired_share(&self) -> DescriptorShare {
         DescriptorShare { descriptors: self.budget.open_descriptors() + RETIRED_DESCRIPTORS }
     }
--- a/src/handover/links.rs
+++ b/src/handover/links.rs
@@ -1,4 +1,4 @@
-//! The links to other processes, each with a task of its own.
+//! The links to other processes; each is served by its own task.
 
 use super::codec::{self, MessageReader};
 use super::message::Message;
@@ -9,22 +9,22 @@
 use tokio::net::UnixStream;
 use tokio::sync::mpsc;
 
-/// Messages that may wait for a link, and inputs of links that may wait for the actor.
+/// Capacity in messages of a link's mailbox, and of the channel from the links to the actor.
 const MAILBOX_CAPACITY: usize = 64;
 
 /// A message with its descriptors.
 type Outgoing = (Message, Vec<OwnedFd>);
 
-/// What a link's task reports.
+/// What the task of a link reports.
 #[derive(Debug)]
 pub(super) enum LinkInput {
-    /// A message came, with its descriptors.
+    /// A message arrived, with its descriptors.
     Received(LinkId, Box<Message>, Vec<OwnedFd>),
-    /// The link broke, or was closed.
+    /// The link is closed, by either side or by an error.
     Closed(LinkId),
 }
 
-/// All links that hold.
+/// The open links.
 #[derive(Debug)]
 pub(super) struct Links {
     open: HashMap<LinkId, mpsc::Sender<Outgoing>>,
@@ -34,13 +34,13 @@
 }
 
 impl Links {
-    /// No link yet.
+    /// Creates an empty set of links.
     pub(super) fn new() -> Links {
         let (input_sender, inputs) = mpsc::channel(MAILBOX_CAPACITY);
         Links { open: HashMap::new(), next_id: 0, input_sender, inputs }
     }
 
-    /// Starts a link's task. It ends when the link is closed or its stream breaks.
+    /// Starts the task of a link, which ends when the link is closed or its stream breaks.
     pub(super) fn open(&mut self, stream: UnixStream) -> LinkId {
         let link = LinkId(self.next_id);
         self.next_id += 1;
@@ -54,21 +54,21 @@
         self.open.remove(&link);
     }
 
-    /// What a link reports next; it waits for as long as there is nothing.
+    /// The next report of any link; waits until there is one.
     pub(super) async fn next_input(&mut self) -> Option<LinkInput> {
         self.inputs.recv().await
     }
 
-    /// Sends a message with its descriptors, once the link has room for it.
+    /// Sends a message with its descriptors, waiting for room in the link's mailbox.
     pub(super) async fn send(&self, link: LinkId, message: Message, descriptors: Vec<OwnedFd>) {
         if let Some(link) = self.open.get(&link) {
-            // A link that does not take it breaks, which its task reports.
+            // If the link's task has ended, it reports that itself.
             let _ = link.send((message, descriptors)).await;
         }
     }
 
-    /// Sends a message on all links. What one with a full mailbox misses is sent again soon, or of no use to
-    /// it.
+    /// Sends a message on all links. A link whose mailbox is full misses it: such messages are either
+    /// repeated soon or not needed.
     pub(super) fn broadcast(&self, message: &Message) {
         for link in self.open.values() {
             let _ = link.try_send((message.clone(), Vec::new()));
@@ -88,10 +88,10 @@
     let _ = inputs.send(LinkInput::Closed(link)).await;
 }
 
-/// Sends and receives until the link is closed.
+/// Sends and receives messages until the link is closed.
 ///
 /// # Errors
-/// The stream broke, or what came on it was no message.
+/// The stream broke, or the received bytes are not a valid message.
 async fn exchange_messages(
     link: LinkId,
     stream: &UnixStream,
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -1,7 +1,8 @@
-//! Handover: a successor that is started beside this process takes over all that it owns.
+//! Handover: a successor process that is started beside this one takes over all state that it owns.
 //!
-//! What is said, and who owns when, is decided in crates/handover. Here stand the I/O around that state
-//! machine (the lock file, the socket, the links) and what its messages carry.
+//! The protocol, and which process is the owner at which moment, is decided in `crates/handover`. This module
+//! does the I/O for that state machine (the lock file, the socket, the links), and defines what its messages
+//! carry.
 
 mod actor;
 mod codec;
--- a/src/initiator.rs
+++ b/src/initiator.rs
@@ -1,4 +1,5 @@
-//! Puts an initiator together. Its modules run it, reload its configuration and shut it down.
+//! Assembles an initiator from its configuration. The submodules run it, reload its configuration and shut it
+//! down.
 
 mod channels;
 mod error;
@@ -15,7 +16,7 @@
 use crate::net::drain_gossip::DrainGossipLink;
 use crate::net::{DescriptorBudget, Phase, admin, http, quota_exchange};
 use channels::CoreChannels;
-use handover::{HandoverTask, Received};
+use handover::{HandoverSetup, HandoverTask};
 use routes::InitialRoutes;
 use rowanglade_discovery_polling::WatchMode;
 use sockets::Sockets;
@@ -30,13 +31,14 @@
 pub use error::{Error, ReloadError};
 pub use reload::Reloads;
 
-/// The program ends this long before the platform's SIGKILL can come.
+/// The process exits this long before the platform could send SIGKILL.
 const KILL_MARGIN: Duration = Duration::from_millis(150);
-/// The platform counts the longest deadline as this at most, and adds `KILL_DELAY`, before SIGKILL.
+/// The platform sends SIGKILL after the longest deadline, counted as this at most, plus `KILL_DELAY`.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
 const KILL_DELAY: Duration = Duration::from_millis(700);
 
-/// Serves until SIGTERM or SIGINT, then finishes open requests. At SIGHUP it takes over what `reload` reads.
+/// Serves until SIGTERM or SIGINT, then finishes open requests. At SIGHUP it applies the configuration that
+/// `reload` reads.
 ///
 /// # Errors
 /// The initiator could not be started, or its HTTP listener failed.
@@ -63,25 +65,25 @@
             core.send(Message::Status).await;
         }
     });
-    let requested = async move || hangup.recv().await.is_some();
-    actix_rt::spawn(reload::keep_reloading(requested, reload, reloads, initiator.core.clone()));
+    let next_request = async move || hangup.recv().await.is_some();
+    actix_rt::spawn(reload::run_reload_loop(next_request, reload, reloads, initiator.core.clone()));
     Ok(initiator.run(stop).await?)
 }
 
-/// An initiator that listens.
+/// An initiator that is listening and not yet serving.
 pub struct Initiator {
     core: CoreHandle,
     reloads: Reloads,
     http: TcpListener,
     iscsi: Option<(TcpListener, Iscsi)>,
-    /// None where the admin listener is off.
+    /// Absent where the admin listener is disabled.
     admin: Option<admin::AdminListener>,
     phase: Rc<watch::Sender<Phase>>,
     budget: DescriptorBudget,
-    /// None where no process can replace this one.
+    /// Absent where handover is disabled.
     handover: Option<HandoverTask>,
     classes: Vec<(String, Duration)>,
-    /// How long a shutdown may take.
+    /// The maximum duration of a shutdown.
     shutdown_time: Duration,
 }
 
@@ -89,12 +91,13 @@
     /// Starts the core, discovery and the listeners.
     ///
     /// # Errors
-    /// The configuration cannot be used, a socket cannot be opened, or another process of this initiator
-    /// serves and cannot hand over to this one.
+    /// The configuration is invalid, a socket cannot be opened, or another process of this initiator serves
+    /// and cannot hand over to this one.
     pub async fn start(mut config: Config) -> Result<Initiator, Error> {
         let (scheduler, names) = config.build_scheduler().map_err(Error::Config)?;
-        let Received { actor, mut listeners, welcome } = Received::from_predecessor(&config).await?;
-        // Times that go from one process to the next are on one clock.
+        let HandoverSetup { actor, mut listeners, welcome } =
+            HandoverSetup::contact_predecessor(&config).await?;
+        // The successor continues the predecessor's clock, so that times in the handed-over state stay valid.
         let clock = welcome.as_ref().map_or_else(Clock::start, |welcome| Clock::starting_at(welcome.now));
         let mut sockets = Sockets::open(&mut config, &mut listeners).await?;
         let phase = Rc::new(watch::Sender::new(Phase::Preparing));
@@ -106,9 +109,9 @@
         }
         let access_log = open_access_log(&config)?;
         let (mailbox, core) = core::mailbox(&config.settings, access_log.clone());
-        let figures =
+        let iscsi_sessions =
             sockets.iscsi.as_ref().map(|(_, iscsi)| session_settings(iscsi, &config.settings, clock));
-        let connect = connect(connections.transport, figures, core.clone());
+        let connect = connect(connections.transport, iscsi_sessions, core.clone());
 
         let routes = InitialRoutes::check(std::mem::take(&mut config.routing), config.cached_list.as_ref())?;
         let quota = match config.quota_peers.take() {
@@ -118,7 +121,7 @@
             }
             None => None,
         };
-        let passed_on = sockets.duplicate()?;
+        let successor_listeners = sockets.duplicate()?;
 
         let channels = CoreChannels::new();
         let admin = start_admin(sockets.admin, channels.admin_requests.sender, &core, &phase)?;
@@ -142,7 +145,7 @@
             ready: core.readiness(),
             phase: Rc::clone(&phase),
             budget: budget.clone(),
-            listeners: passed_on,
+            listeners: successor_listeners,
         };
         let updates = CoreUpdates {
             admin_commands: channels.admin_commands.receiver,
@@ -173,28 +176,28 @@
         Ok(())
     }
 
-    /// Takes a new configuration while the initiator runs.
+    /// A handle by which a new configuration is applied while the initiator runs.
     pub fn reloads(&self) -> Reloads {
         self.reloads.clone()
     }
 
-    /// Counts the requests that have no final answer yet and whose client is there.
+    /// Returns a function that counts the requests without a final response whose client is still connected.
     pub fn open_requests(&self) -> impl Fn() -> usize + use<> {
         let core = self.core.clone();
         move || core.open_requests()
     }
 
-    /// Where clients connect.
+    /// The address of the HTTP front.
     pub fn http_addr(&self) -> std::io::Result<SocketAddr> {
         self.http.local_addr()
     }
 
-    /// Where operators call, if anywhere.
+    /// The address of the admin listener; `None` if it is disabled.
     pub fn admin_addr(&self) -> Option<SocketAddr> {
         self.admin.as_ref().map(admin::AdminListener::addr)
     }
 
-    /// Where sessions connect, if that front is on.
+    /// The address of the iSCSI front; `None` if it is disabled.
     pub fn iscsi_addr(&self) -> Option<std::io::Result<SocketAddr>> {
         self.iscsi.as_ref().map(|(listener, _)| listener.local_addr())
     }
@@ -204,7 +207,7 @@
     config.access_log.as_ref().map(|log| AccessLog::open(&log.path, log.queue)).transpose()
 }
 
-/// Starts the thread for operators' commands, if there is a listener for them.
+/// Starts the thread that serves operators' commands, if there is a listener.
 fn start_admin(
     listener: Option<std::net::TcpListener>,
     commands: mpsc::Sender<core::AdminRequest>,
@@ -215,9 +218,9 @@
     listener.map(|listener| admin::open(listener, service)).transpose()
 }
 
-/// Sends the core the lists that are known before discovery answers. What the predecessor holds is newer than
-/// the platform's cached list. The watch goes on from the latter's version: what it reports again changes
-/// nothing.
+/// Sends the core the endpoint lists that are available before discovery answers. The predecessor's list is
+/// newer than the platform's cached list. Polling starts from the version of the cached list in both cases;
+/// entries that it reports again change nothing.
 async fn send_first_lists(
     core: &CoreHandle,
     config: &Config,
@@ -231,7 +234,7 @@
     }
 }
 
-/// Starts polling discovery. Returns where its address can be changed.
+/// Starts polling discovery. Returns the sender by which its address is changed.
 fn start_discovery(
     config: &mut Config,
     core: &CoreHandle,
@@ -253,7 +256,7 @@
     address
 }
 
-/// Starts the exchange of quota with the other initiators.
+/// Starts the quota exchange with the other initiators.
 fn start_quota_exchange(
     peers: quota_exchange::FleetPeers,
     socket: UdpSocket,
@@ -265,7 +268,8 @@
     QuotaPeers::new(incarnation(), sender)
 }
 
-/// A number that no other life of an initiator has: of the system's randomness, which seeds hash maps.
+/// A random number that distinguishes this run of the initiator from others. It is taken from the system's
+/// randomness by way of the hash map seed.
 fn incarnation() -> u64 {
     use std::hash::{BuildHasher, Hasher, RandomState};
     RandomState::new().build_hasher().finish()
--- a/src/initiator/handover.rs
+++ b/src/initiator/handover.rs
@@ -1,4 +1,4 @@
-//! What an initiator has from the process that it replaces.
+//! The start of an initiator as the successor of another process, or without one.
 
 use super::Error;
 use crate::config::Config;
@@ -6,56 +6,56 @@
     CoreUpdates, HandoverActor, HandoverControls, HandoverPaths, HandoverStart, Listeners, Welcome,
 };
 
-/// What this process has from its predecessor.
-pub struct Received {
-    /// Carries out handovers, also to a successor; none where no process can replace this one.
+/// The result of contacting the predecessor.
+pub struct HandoverSetup {
+    /// Executes handovers, also to a later successor; absent where handover is disabled.
     pub actor: Option<HandoverActor>,
-    /// The predecessor's sockets.
+    /// The predecessor's sockets; empty if there is no predecessor.
     pub listeners: Listeners,
-    /// What may be known early of the predecessor's state; none where there is no predecessor.
+    /// State that the predecessor sends in advance; absent if there is no predecessor.
     pub welcome: Option<Box<Welcome>>,
 }
 
-impl Received {
-    /// Looks for a process of this initiator that serves, and asks it to hand over.
+impl HandoverSetup {
+    /// Contacts the process of this initiator that serves, if there is one, and requests a handover.
     ///
     /// # Errors
-    /// There is one, and it hands over by another version of the protocol.
-    pub async fn from_predecessor(config: &Config) -> Result<Received, Error> {
+    /// The predecessor uses another version of the handover protocol.
+    pub async fn contact_predecessor(config: &Config) -> Result<HandoverSetup, Error> {
         let (actor, listeners, welcome) = match contact(config).await {
             None => (None, Listeners::default(), None),
             Some((_, HandoverStart::VersionMismatch { version })) => return Err(Error::Version(version)),
-            Some((actor, HandoverStart::Alone)) => (Some(actor), Listeners::default(), None),
-            Some((actor, HandoverStart::Welcomed(welcome, listeners))) => {
+            Some((actor, HandoverStart::NoPredecessor)) => (Some(actor), Listeners::default(), None),
+            Some((actor, HandoverStart::FromPredecessor(welcome, listeners))) => {
                 (Some(actor), listeners, Some(welcome))
             }
         };
-        Ok(Received { actor, listeners, welcome })
+        Ok(HandoverSetup { actor, listeners, welcome })
     }
 }
 
-/// The handover's actor with all that it runs with.
+/// The handover actor together with what it needs to run.
 pub struct HandoverTask {
-    /// The actor, which has not begun to run.
+    /// The actor, which is not running yet.
     pub actor: HandoverActor,
-    /// What it turns.
+    /// The parts of this process that the actor controls.
     pub controls: HandoverControls,
-    /// What it passes on to the other process.
+    /// The core's updates for the other process.
     pub updates: CoreUpdates,
 }
 
 impl HandoverTask {
-    /// Runs the actor for as long as the process does. It changes the phase once this process owns what its
-    /// predecessor had.
+    /// Runs the actor until the process exits. The actor changes the phase to serving once this process owns
+    /// the state.
     pub fn spawn(self) {
         actix_rt::spawn(self.actor.run(self.controls, self.updates));
     }
 }
 
-/// Contacts the process of this initiator that serves. `None`: this process can neither replace nor be
-/// replaced.
+/// Contacts the process of this initiator that serves. `None`: handover is disabled, so this process can
+/// neither replace another process nor be replaced.
 async fn contact(config: &Config) -> Option<(HandoverActor, HandoverStart)> {
-    // Without an admin listener nobody would learn when the successor serves.
+    // Handover needs the admin listener: only its health check shows operators when the successor serves.
     let folder = config.handover_dir.as_ref().filter(|_| config.admin.is_some())?;
     let started = match HandoverPaths::within(folder, &config.name) {
         Ok(paths) => HandoverActor::start(paths).await,
--- a/src/initiator/reload.rs
+++ b/src/initiator/reload.rs
@@ -1,4 +1,5 @@
-//! Reloading of the configuration while an initiator runs, at SIGHUP and when the list of targets changes.
+//! Reloads the configuration of a running initiator at SIGHUP, and re-evaluates its routes when the list of
+//! targets changes.
 
 use super::ReloadError;
 use crate::config::{ConfigError, Reload, RouteEvaluation, Routing};
@@ -9,21 +10,22 @@
 use std::sync::Arc;
 use tokio::sync::{oneshot, watch};
 
-/// Where a running initiator takes a new configuration.
+/// Handles by which a running initiator applies a new configuration.
 #[derive(Clone, Debug)]
 pub struct Reloads {
     pub(super) discovery: watch::Sender<http::DiscoveryAddress>,
     pub(super) access_log: Option<AccessLog>,
     pub(super) table: watch::Sender<Arc<LoadedRoutes>>,
-    /// The routes in force from the start, where some of their expectations could not be decided then.
+    /// The initial routes, if some of their expectations could not be decided at the start.
     pub(super) undecided: Option<Rc<Routing>>,
 }
 
 impl Reloads {
-    /// Takes over what is valid whatever the routes are: discovery's address, and a reopened access log.
+    /// Applies the settings that do not depend on the routes: discovery's address, and reopening the access
+    /// log.
     pub fn apply_settings(&self, reload: &Reload) {
-        // Also at the same address: another service may stand behind it, and the watch there may have fallen
-        // silent.
+        // Sent even if the address is the same: another service may be behind it, and the current watch may
+        // have stopped responding.
         let moved = self.discovery.send_replace(reload.discovery) != reload.discovery;
         if let Some(log) = &self.access_log {
             log.reopen();
@@ -31,8 +33,8 @@
         tracing::info!(moved, "configuration reloaded");
     }
 
-    /// Puts a table in force in one step, and returns its version. Open requests keep the table they began
-    /// with.
+    /// Atomically puts a table in force and returns its version. Open requests keep the table they arrived
+    /// under.
     pub fn load_routes(&self, table: RouteTable) -> u64 {
         let mut version = 0;
         self.table.send_modify(|loaded| {
@@ -42,11 +44,12 @@
         version
     }
 
-    /// Carries out a decision on routes. Returns them if some of their expectations wait for further targets.
-    fn apply_routes(&self, checked: Checked, in_force: bool) -> Option<Undecided> {
-        let Checked { reload, decided } = checked;
+    /// Applies the decision on new routes. Returns the routes if some of their expectations need further
+    /// targets.
+    fn apply_routes(&self, checked: CheckedReload, in_force: bool) -> Option<UndecidedRoutes> {
+        let CheckedReload { reload, evaluation } = checked;
         let table = &reload.routing.rules.table;
-        match decided.decision {
+        match evaluation.decision {
             Decision::Load if in_force => {}
             Decision::Load => {
                 let (routes, version) = (table.routes().len(), self.load_routes(table.clone()));
@@ -58,62 +61,63 @@
             }
             Decision::Refuse => tracing::error!("waiting routes rejected, keeping those in force"),
         }
-        let in_force = in_force || decided.decision == Decision::Load;
-        decided.has_undecided.then_some(Undecided { reload, in_force })
+        let in_force = in_force || evaluation.decision == Decision::Load;
+        evaluation.has_undecided.then_some(UndecidedRoutes { reload, in_force })
     }
 }
 
-/// Routes with expectations that cannot be decided before further targets are listed.
-struct Undecided {
+/// Routes with expectations that cannot be decided until further targets are listed.
+struct UndecidedRoutes {
     reload: Reload,
-    /// Whether the routes are in force already.
+    /// Whether the routes are already in force.
     in_force: bool,
 }
 
-/// A configuration whose expectations were checked against the listed targets.
-struct Checked {
+/// A configuration whose expectations have been evaluated against the listed targets.
+struct CheckedReload {
     reload: Reload,
-    decided: RouteEvaluation,
+    evaluation: RouteEvaluation,
 }
 
-/// Reads and checks a configuration on a thread of its own: thousands of expectations take a second.
+/// Reads and checks a configuration on its own thread, since evaluating thousands of expectations takes about
+/// a second.
 ///
 /// # Errors
-/// The configuration cannot be used, or the thread could not be started or panicked.
+/// The configuration is invalid, or the thread could not be started or panicked.
 async fn check(
-    read: impl FnOnce() -> Result<Reload, ConfigError> + Send + 'static,
+    read_config: impl FnOnce() -> Result<Reload, ConfigError> + Send + 'static,
     targets: Vec<TargetInfo>,
-) -> Result<Checked, ReloadError> {
+) -> Result<CheckedReload, ReloadError> {
     let (result_tx, result) = oneshot::channel();
     let thread = std::thread::Builder::new().name("reload".into()).spawn(move || {
-        let checked = read().map(|reload| {
-            let decided = reload.routing.evaluate(&targets);
-            Checked { reload, decided }
+        let checked = read_config().map(|reload| {
+            let evaluation = reload.routing.evaluate(&targets);
+            CheckedReload { reload, evaluation }
         });
-        // Nobody listens any more where the program ends.
+        // The receiver is dropped when the process exits.
         let _ = result_tx.send(checked);
     });
     thread.map_err(ReloadError::Thread)?;
     let checked = result.await.map_err(|_| ReloadError::CheckPanicked)??;
-    checked.decided.lines.iter().for_each(|line| tracing::warn!("{line}"));
+    checked.evaluation.lines.iter().for_each(|line| tracing::warn!("{line}"));
     Ok(checked)
 }
 
-/// Reads the configuration whenever `requested` yields true, until it yields false. Routes that wait for
-/// targets are checked again whenever the list that the core has in force changes.
-pub async fn keep_reloading(
-    mut requested: impl AsyncFnMut() -> bool,
-    read: impl Fn() -> Result<Reload, ConfigError> + Send + Clone + 'static,
+/// Reads the configuration each time that `next_request` resolves to true, and returns when it resolves to
+/// false. Undecided routes are re-evaluated each time that the endpoint list in force changes.
+pub async fn run_reload_loop(
+    mut next_request: impl AsyncFnMut() -> bool,
+    read_config: impl Fn() -> Result<Reload, ConfigError> + Send + Clone + 'static,
     reloads: Reloads,
     core: CoreHandle,
 ) {
     let mut revision = core.endpoint_revision();
-    let at_start = reloads.undecided.as_deref().cloned();
-    let mut undecided =
-        at_start.map(|routing| Undecided { reload: Reload { discovery: None, routing }, in_force: true });
+    let initial_routes = reloads.undecided.as_deref().cloned();
+    let mut undecided = initial_routes
+        .map(|routing| UndecidedRoutes { reload: Reload { discovery: None, routing }, in_force: true });
     loop {
         let recheck = tokio::select! {
-            requested = requested() => if requested { None } else { return },
+            requested = next_request() => if requested { None } else { return },
             Ok(()) = revision.changed(), if undecided.is_some() => undecided.take(),
         };
         revision.mark_unchanged();
@@ -121,13 +125,13 @@
         let in_force = recheck.as_ref().is_some_and(|undecided| undecided.in_force);
         let is_new = recheck.is_none();
         let checked = match recheck {
-            None => check(read.clone(), targets).await,
-            Some(Undecided { reload, .. }) => check(move || Ok(reload), targets).await,
+            None => check(read_config.clone(), targets).await,
+            Some(UndecidedRoutes { reload, .. }) => check(move || Ok(reload), targets).await,
         };
         match checked {
-            // A file that cannot be used changes nothing: the configuration that was read last stays.
+            // An invalid file changes nothing: the configuration that was read last stays in force.
             Err(error) => tracing::error!(%error, "configuration not reloaded"),
-            Ok(checked) if is_new && checked.decided.decision == Decision::Refuse => {
+            Ok(checked) if is_new && checked.evaluation.decision == Decision::Refuse => {
                 tracing::error!("configuration rejected, keeping the one in force");
             }
             Ok(checked) => {
--- a/src/initiator/routes.rs
+++ b/src/initiator/routes.rs
@@ -1,4 +1,4 @@
-//! The routes that are in force from the start.
+//! The routes that are in force at the start.
 
 use super::Error;
 use crate::config::{ConfigError, RouteEvaluation, Routing};
@@ -9,22 +9,22 @@
 use std::sync::Arc;
 use tokio::sync::watch;
 
-/// The version of the routes that are in force from the start.
+/// The version of the initial routes.
 const FIRST_VERSION: u64 = 1;
 
-/// Routes that an initiator starts with.
+/// The initial routes of an initiator.
 pub struct InitialRoutes {
-    /// Where another table is put in force.
+    /// Sender by which another table is put in force.
     pub table: watch::Sender<Arc<LoadedRoutes>>,
-    /// The table to be in force, as the core sees it.
+    /// Receiver of the table in force, for the core.
     pub in_force: watch::Receiver<Arc<LoadedRoutes>>,
-    /// The routes, where some of their expectations wait for targets that are not listed yet. Without an
-    /// older table to keep, they are in force all the same.
+    /// The routes, if some of their expectations need targets that are not listed yet. They are in force
+    /// nevertheless, since there is no earlier table.
     pub undecided: Option<Rc<Routing>>,
 }
 
 impl InitialRoutes {
-    /// Checks the routes against the cached list.
+    /// Evaluates the expectations of the routes against the cached list.
     ///
     /// # Errors
     /// An expectation is broken.
