--- a/src/initiator/run.rs
+++ b/src/initiator/run.rs
@@ -1,4 +1,4 @@
-//! Serving until the initiator is told to stop, and the orderly shutdown after that.
+//! Serving until the initiator is told to stop, followed by a graceful shutdown.
 
 use super::Initiator;
 use crate::core::{CoreHandle, Message};
@@ -9,21 +9,23 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, timeout_at};
 
-/// For this long after SIGTERM clients may still connect, and a request must be answered whenever it comes.
+/// For this long after SIGTERM new clients are accepted, and every request must be answered whenever it
+/// arrives.
 const ACCEPT_AFTER_SIGTERM: Duration = Duration::from_millis(750);
 /// Idle client connections stay open after SIGTERM, because no other process serves these clients until the
-/// next start. They are closed this long before the end, which leaves time to finish open requests.
+/// next start. They are closed this long before the deadline, which leaves time to finish open requests.
 const FINAL_RESPONSE_TIME: Duration = Duration::from_millis(900);
-/// Requests that are open this long before the end are failed, so that each client has its final response.
+/// Requests that are still open this long before the deadline are failed, so that each client receives a
+/// final response.
 const FAIL_MARGIN: Duration = Duration::from_millis(100);
-/// How long the access log's last lines may take to the disk.
+/// How long the access log's last lines may take to be written.
 const LOG_FLUSH_TIMEOUT: Duration = Duration::from_millis(100);
-/// How often a shutdown looks whether connections and requests are left.
+/// How often the shutdown checks whether connections and requests are left.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 impl Initiator {
-    /// Serves until `stop` is ready, then finishes open requests within the time that the platform leaves.
-    /// Dropping the future stops serving at once, and leaves open requests without an answer.
+    /// Serves until `stop` resolves, then finishes open requests within the time that the platform allows. If
+    /// the future is dropped, serving stops immediately and open requests get no response.
     ///
     /// # Errors
     /// The HTTP listener failed.
@@ -60,33 +62,33 @@
         }
         actix_rt::spawn(end_sessions_when_leaving(self.phase.subscribe(), ending.clone()));
         tokio::select! {
-            end = &mut front => return end,
+            result = &mut front => return result,
             () = stop => {}
         }
 
         let shutdown = Shutdown::begin(self.core, clients, self.shutdown_time);
-        end_phase(&self.phase);
+        set_ending_phase(&self.phase);
         ending.send_replace(true);
-        shutdown.serve_on(front).await;
+        shutdown.serve_remaining_clients(front).await;
         closing.send_replace(true);
         shutdown.finish_requests().await;
         if let Some(log) = &self.reloads.access_log {
-            log.settle(LOG_FLUSH_TIMEOUT).await;
+            log.wait_until_written(LOG_FLUSH_TIMEOUT).await;
         }
-        shutdown.end(sessions.get());
+        shutdown.finish(sessions.get());
         Ok(())
     }
 }
 
-/// Asks sessions to log out once this process leaves: they go to the process that serves then.
+/// Requests logout on all sessions once another process serves, so that they reconnect to it.
 async fn end_sessions_when_leaving(mut phase: watch::Receiver<Phase>, ending: watch::Sender<bool>) {
     if phase.wait_for(|phase| *phase == Phase::Leaving).await.is_ok() {
         ending.send_replace(true);
     }
 }
 
-/// Turns a process that serves to its end; one that prepares or leaves stays at that.
-fn end_phase(phase: &watch::Sender<Phase>) {
+/// Changes the phase from serving to ending; a process that prepares or leaves keeps its phase.
+fn set_ending_phase(phase: &watch::Sender<Phase>) {
     phase.send_if_modified(|phase| {
         let serving = *phase == Phase::Serving;
         if serving {
@@ -96,46 +98,47 @@
     });
 }
 
-/// A shutdown under way.
+/// A shutdown in progress.
 struct Shutdown {
     core: CoreHandle,
     clients: http::ConnectionTable,
-    begun: Instant,
-    /// When the program ends, whatever is left then.
-    end: Instant,
+    started_at: Instant,
+    /// When the process exits, even if connections or requests are left.
+    deadline: Instant,
 }
 
 impl Shutdown {
     fn begin(core: CoreHandle, clients: http::ConnectionTable, time: Duration) -> Shutdown {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         tracing::info!(open = core.open_requests(), "shutdown started");
-        Shutdown { core, clients, begun, end: begun + time }
+        Shutdown { core, clients, started_at, deadline: started_at + time }
     }
 
-    /// Goes on serving clients until they have left, or until the time for the last answers has come.
-    async fn serve_on(&self, mut front: impl Future<Output = std::io::Result<()>> + Unpin) {
+    /// Continues to serve connected clients until all have disconnected, or until it is time for the final
+    /// responses.
+    async fn serve_remaining_clients(&self, mut front: impl Future<Output = std::io::Result<()>> + Unpin) {
         self.clients.keep_idle();
-        let _ = timeout_at(self.begun + ACCEPT_AFTER_SIGTERM, &mut front).await;
-        let _ = timeout_at(self.end - FINAL_RESPONSE_TIME, async {
+        let _ = timeout_at(self.started_at + ACCEPT_AFTER_SIGTERM, &mut front).await;
+        let _ = timeout_at(self.deadline - FINAL_RESPONSE_TIME, async {
             tokio::select! {
                 _ = &mut front => {}
-                () = self.idle() => {}
+                () = self.wait_until_idle() => {}
             }
         })
         .await;
-        // The listener is closed with the future, which is dropped here.
+        // Dropping the future at the end of this function closes the listener.
     }
 
-    /// Waits for open requests, and fails those that are still open shortly before the end.
+    /// Waits for open requests, and fails those that are still open shortly before the deadline.
     async fn finish_requests(&self) {
-        // Sessions were asked to log out. One that stays without an open request does not hold the end up.
-        if timeout_at(self.end - FAIL_MARGIN, self.idle()).await.is_err() {
+        // Sessions have been asked to log out. A session without open requests does not delay the shutdown.
+        if timeout_at(self.deadline - FAIL_MARGIN, self.wait_until_idle()).await.is_err() {
             self.core.send(Message::Shutdown).await;
-            let _ = timeout_at(self.end, self.idle()).await;
+            let _ = timeout_at(self.deadline, self.wait_until_idle()).await;
         }
     }
 
-    fn end(self, sessions: usize) {
+    fn finish(self, sessions: usize) {
         self.clients.close_at_once();
         tracing::info!(
             open = self.core.open_requests(),
@@ -145,9 +148,9 @@
         );
     }
 
-    /// Polls until no client is connected and no request is open: the end of a program is no time to have
-    /// every owner report.
-    async fn idle(&self) {
+    /// Polls until no client is connected and no request is open. Polling is sufficient for this one-time
+    /// wait, and needs no notifications from the owners of connections and requests.
+    async fn wait_until_idle(&self) {
         while self.clients.open_connections() > 0 || self.core.open_requests() > 0 {
             tokio::time::sleep(POLL_INTERVAL).await;
         }
--- a/src/initiator/sockets.rs
+++ b/src/initiator/sockets.rs
@@ -1,4 +1,4 @@
-//! The sockets that an initiator serves on: its predecessor's, or new ones.
+//! The sockets that an initiator serves on, inherited from its predecessor or newly opened.
 
 use super::Error;
 use crate::config::{Config, ConfigError, Iscsi};
@@ -9,28 +9,29 @@
 use std::os::fd::{AsFd, OwnedFd};
 use tokio::net::{TcpListener, UdpSocket};
 
-/// The names by which sockets go from one process to the next. Another build may know them: they stay.
+/// The names of the sockets in handover messages. Other builds use the same names: they are stable.
 const HTTP: &str = "http";
 const ISCSI: &str = "iscsi";
 const QUOTA: &str = "fleet";
 
-/// The sockets, as far as the configuration has them.
+/// The sockets that the configuration enables.
 pub struct Sockets {
-    /// Where clients connect.
+    /// The listener of the HTTP front.
     pub http: TcpListener,
-    /// Where sessions connect, with the front's configuration.
+    /// The listener of the iSCSI front, with the front's configuration.
     pub iscsi: Option<(TcpListener, Iscsi)>,
-    /// Where operators connect.
+    /// The listener for operators.
     pub admin: Option<std::net::TcpListener>,
-    /// The descriptor of the socket for the quota exchange.
+    /// A duplicate of the quota exchange socket, for a successor.
     quota: Option<OwnedFd>,
 }
 
 impl Sockets {
-    /// Opens all listeners; errors name the configuration's key. Takes the iSCSI front's configuration.
+    /// Opens all listeners, and takes the iSCSI front's configuration out of `config`. Errors name the
+    /// configuration key.
     ///
     /// # Errors
-    /// An address cannot be listened on.
+    /// An address cannot be bound.
     pub async fn open(config: &mut Config, listeners: &mut Listeners) -> Result<Sockets, Error> {
         let http = listen(listeners, HTTP, "listen", config.listen).await?;
         let admin = config.admin.map(listen_admin).transpose()?;
@@ -58,10 +59,10 @@
         Ok(socket)
     }
 
-    /// Copies of the descriptors that a successor gets.
+    /// Duplicates of the descriptors, to be passed on to a successor.
     ///
     /// # Errors
-    /// The process has no descriptor left.
+    /// The process has reached its descriptor limit.
     pub fn duplicate(&mut self) -> io::Result<Listeners> {
         let mut copies = vec![(HTTP.to_string(), self.http.as_fd().try_clone_to_owned()?)];
         if let Some((listener, _)) = &self.iscsi {
@@ -72,10 +73,10 @@
     }
 }
 
-/// The predecessor's TCP listener of this name, or a new one; errors name the configuration's `key`.
+/// The predecessor's TCP listener of this name, or a new one. Errors name the configuration `key`.
 ///
 /// # Errors
-/// The address cannot be listened on.
+/// The address cannot be bound.
 async fn listen(
     listeners: &mut Listeners,
     name: &str,
@@ -90,10 +91,10 @@
     TcpListener::bind(addr).await.map_err(|e| Error::Config(ConfigError::new(key, format!("{addr}: {e}"))))
 }
 
-/// A new listener for operators' commands, which each process has for itself.
+/// A new listener for operators' commands; it is not handed over, each process has its own.
 ///
 /// # Errors
-/// The address cannot be listened on.
+/// The address cannot be bound.
 fn listen_admin(addr: SocketAddr) -> Result<std::net::TcpListener, Error> {
     std::net::TcpListener::bind(addr)
         .map_err(|e| Error::Config(ConfigError::new("admin", format!("{addr}: {e}"))))
--- a/src/initiator/targets.rs
+++ b/src/initiator/targets.rs
@@ -1,4 +1,4 @@
-//! How targets are reached, and those that the operator's file lists.
+//! How targets are connected, and the targets that the operator's file lists.
 
 use super::sockets::Sockets;
 use crate::config::{Config, Iscsi, Portal};
@@ -8,29 +8,30 @@
 use crate::settings::Settings;
 use std::time::Duration;
 
-/// How long a response that has begun may stand still: half of the tightest latency objective, so that a new
-/// attempt can still be in time, within these bounds.
+/// Bounds on how long a response that has begun may make no progress. Within them it is half of the tightest
+/// latency objective, so that another attempt can still meet the objective.
 const MIN_STALL: Duration = Duration::from_millis(30);
 const MAX_STALL: Duration = Duration::from_millis(400);
 
-/// How long a response that comes in pieces is held back, so that it can be tried for again: an eighth of the
-/// tightest latency objective, within these bounds.
+/// Bounds on how long a response that arrives in pieces is held back, during which a failed response can be
+/// retried. Within them it is an eighth of the tightest latency objective.
 const MIN_HOLD: Duration = Duration::from_millis(20);
 const MAX_HOLD: Duration = Duration::from_millis(200);
 
-/// How long a connection to a target rests after a response: what a target sends behind one shows by then.
+/// How long a connection to a target is not reused after a response. Surplus bytes that a target sends after
+/// the response arrive within this time and are noticed.
 const CONNECTION_REST: Duration = Duration::from_millis(10);
 
-/// The connections to HTTP targets, and the budget that they share with clients.
+/// The connections to HTTP targets, and the descriptor budget that they share with clients.
 pub struct TargetConnections {
-    /// How targets are connected to.
+    /// Creates connections to targets.
     pub transport: http::TargetTransport,
-    /// Divides the configuration's limits.
+    /// Divides the configured limits.
     pub budget: DescriptorBudget,
 }
 
 impl TargetConnections {
-    /// Without any connection. Idle ones are closed from now on.
+    /// Creates an empty connection pool, and starts the task that closes its idle connections.
     pub fn new(config: &Config, sockets: &Sockets) -> TargetConnections {
         let settings = &config.settings;
         let parts = OptionalParts {
@@ -40,13 +41,14 @@
             iscsi: sockets.iscsi.is_some(),
             pushed_list: settings.list_is_pushed(),
         };
-        let shares = Reservations::of(config.limits.sockets, parts);
-        let idle = settings.connection_idle_timeout() / 2;
+        let reservations = Reservations::of(config.limits.sockets, parts);
+        let idle_timeout = settings.connection_idle_timeout() / 2;
         let stall_timeout = (settings.tightest_objective() / 2).clamp(MIN_STALL, MAX_STALL);
         let hold_time = (settings.tightest_objective() / 8).clamp(MIN_HOLD, MAX_HOLD);
-        let connections = http::ConnectionPool::new(shares.targets, idle, stall_timeout, CONNECTION_REST);
+        let connections =
+            http::ConnectionPool::new(reservations.targets, idle_timeout, stall_timeout, CONNECTION_REST);
         actix_rt::spawn(connections.clone().close_expired());
-        let clients = http::ConnectionTable::new(shares.clients, shares.idle_clients);
+        let clients = http::ConnectionTable::new(reservations.clients, reservations.idle_clients);
         let budget = DescriptorBudget::new(config.limits, parts, clients, connections.clone());
         let connect_timeout = settings.connect_timeout();
         let transport = http::TargetTransport { connect_timeout, stall_timeout, hold_time, connections };
@@ -54,24 +56,26 @@
     }
 }
 
-/// Connects each target over its own protocol. Without `figures` all are reached over HTTP.
+/// Connects each target over its own protocol; without `iscsi_sessions`, over HTTP.
 pub fn connect(
     transport: http::TargetTransport,
-    figures: Option<iscsi::SessionSettings>,
+    iscsi_sessions: Option<iscsi::SessionSettings>,
     core: CoreHandle,
 ) -> Connect {
-    Box::new(move |endpoint| match (endpoint.protocol, &figures) {
-        (Protocol::Iscsi, Some(figures)) => iscsi::connect(endpoint, figures.clone(), core.clone()),
+    Box::new(move |endpoint| match (endpoint.protocol, &iscsi_sessions) {
+        (Protocol::Iscsi, Some(iscsi_sessions)) => {
+            iscsi::connect(endpoint, iscsi_sessions.clone(), core.clone())
+        }
         _ => http::connect(endpoint, transport.clone()),
     })
 }
 
-/// The classes with their deadlines.
+/// The names of the classes, with their deadlines.
 pub fn classes(settings: &Settings) -> Vec<(String, Duration)> {
     settings.classes().map(|class| (class.name.to_string(), class.deadline)).collect()
 }
 
-/// What sessions to targets keep to.
+/// The parameters of iSCSI sessions to targets.
 pub fn session_settings(iscsi: &Iscsi, settings: &Settings, clock: Clock) -> iscsi::SessionSettings {
     iscsi::SessionSettings {
         initiator: iscsi.name.clone(),
@@ -84,7 +88,7 @@
     }
 }
 
-/// The targets that the operator's file lists.
+/// The endpoint update with the targets that the operator's file lists.
 pub fn configured_targets_message(iscsi: &Iscsi) -> Message {
     let endpoint = |portal: &Portal| Endpoint {
         name: portal.name.clone(),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
-//! An I/O initiator: a scheduler that decides, an actor that owns it, and the fronts that speak to the
-//! network.
+//! An I/O initiator: the scheduler decides when each client request goes to which storage target, the core
+//! actor owns the scheduler, and the fronts and targets do the network I/O.
 //!
-//! An initiator gives its scheduler the settings and a seed, and then each event with the time at which it
-//! happened. The scheduler returns actions and does no I/O of its own. Schedulers share nothing; the same
-//! events give the same actions.
+//! The scheduler is a state machine without I/O: it is created from the settings and a seed, is given each
+//! event together with the time at which it happened, and returns actions. Schedulers share no state. The
+//! same settings, seed and events always produce the same actions.
 //!
 //! ```
 //! use rowanglade::interface::*;
