--- a/tests/compatibility/configuration.rs
+++ b/tests/compatibility/configuration.rs
@@ -1,6 +1,6 @@
-//! The platform's file and an operator's file, each with every key set to a value that is no default. Guards
-//! against a key that is no longer read: most have defaults, so that without it a process starts, and paces
-//! by other figures.
+//! The platform's file and an operator's file, with every key set to a value other than its default. Guards
+//! against a key that is no longer read: most keys have defaults, so a process would start and silently use
+//! the wrong value.
 
 use rowanglade::config::Config;
 use rowanglade::interface::{DeduplicationScope, Idempotency};
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn every_key_of_the_settings_reaches_the_module() {
+fn every_key_of_the_settings_reaches_the_scheduler() {
     let mut names = Names::default();
     let settings = load().settings.translate(&mut names).expect("usable");
     assert_eq!(names.load_report_fields, ["depth", "mean_ms"]);
@@ -162,7 +162,7 @@
     );
 }
 
-// What it holds is private: it is told apart by its debug form, as that of one with the same figures.
+// The fields are private, so the debug output is compared with that of a subset with the same parameters.
 #[test]
 fn every_key_of_the_subset_is_read() {
     let expected = Subset::new(SubsetConfig { size: 2, spread: 1.5 }, 1, 3);
--- a/tests/compatibility/handover.rs
+++ b/tests/compatibility/handover.rs
@@ -1,5 +1,6 @@
-//! The messages between a process and its successor. Guards against a build that no longer understands the
-//! one it replaces: a lost field name would silently start the successor with an empty list, limit or pace.
+//! The messages between a process and its successor. Guards against a build that cannot read the messages of
+//! the one it replaces: a lost field name would start the successor with an empty list, limit or pace,
+//! without an error.
 
 use rowanglade::core::AdminCommand;
 use rowanglade::handover::{DescriptorShare, Message, send};
@@ -8,7 +9,7 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::UnixStream;
 
-/// One message a line.
+/// One message per line.
 const KINDS: &str = include_str!("samples/handover-words.jsonl");
 const WELCOME: &str = include_str!("samples/handover-welcome.json");
 const STATE: &str = include_str!("samples/handover-given.json");
@@ -21,7 +22,7 @@
     serde_json::to_string(message).expect("JSON")
 }
 
-/// Every kind, and what is sent beside them, each with all fields set.
+/// A message of each kind, and each message without a kind, with all fields set.
 fn messages() -> Vec<Message> {
     let kinds = [
         MessageKind::Hello { version: 1 },
@@ -34,23 +35,26 @@
         MessageKind::OwnershipGranted,
     ];
     let commands = [AdminCommand::Maint("box-1".into()), AdminCommand::Ready("box-2".into())];
-    let seen = [((11, 12), Observation::At(3)), ((13, 14), Observation::NotAt(4))];
+    let observations = [((11, 12), Observation::At(3)), ((13, 14), Observation::NotAt(4))];
     let mut all: Vec<Message> =
         kinds.into_iter().map(|kind| Message { kind: Some(kind), ..Message::default() }).collect();
     all.extend(commands.map(|command| Message { admin_command: Some(command), ..Message::default() }));
-    all.extend(seen.map(|seen| Message { object_observation: Some(seen), ..Message::default() }));
+    all.extend(
+        observations
+            .map(|observation| Message { object_observation: Some(observation), ..Message::default() }),
+    );
     all.push(Message { share: Some(DescriptorShare { descriptors: 5 }), ..Message::default() });
     all
 }
 
 #[test]
-fn kinds_commands_and_locations_are_written_as_recorded() {
+fn kinds_commands_and_locations_are_encoded_as_in_the_samples() {
     let written: Vec<String> = messages().iter().map(encoded).collect();
     assert_eq!(written, KINDS.lines().collect::<Vec<_>>());
 }
 
 #[test]
-fn kinds_commands_and_locations_are_read_without_loss() {
+fn kinds_commands_and_locations_are_decoded_without_loss() {
     for (line, message) in KINDS.lines().zip(messages()) {
         let read = decoded(line);
         assert_eq!(
@@ -67,11 +71,11 @@
     let welcome = read.welcome.as_ref().expect("a welcome");
     assert_eq!((welcome.now, welcome.share.descriptors, welcome.list.version()), (1_234_567, 6, 17));
     assert_eq!(welcome.listeners, ["http", "iscsi", "admin"]);
-    assert_eq!(welcome.list.routable_targets().len(), 2, "one of three has left");
+    assert_eq!(welcome.list.routable_targets().len(), 2, "one of three is removed");
     assert_eq!(encoded(&read), WELCOME.trim_end());
 }
 
-// What is learned and owned has private fields: a name that is lost comes back as a default, or not at all.
+// The snapshot has private fields: a lost name would be replaced by a default, or lost silently.
 #[test]
 fn the_handed_over_state_keeps_every_field() {
     let read = decoded(STATE.trim_end());
@@ -82,7 +86,7 @@
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn a_message_goes_behind_its_length_in_four_bytes() {
+async fn a_message_is_preceded_by_its_length_in_four_bytes() {
     let (from, mut to) = UnixStream::pair().expect("a pair");
     send(&from, &decoded(WELCOME.trim_end()), &[]).await.expect("sent");
     drop(from);
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -1,5 +1,5 @@
-//! The core with targets that are no more than a mailbox: each request gets its one response, whatever the
-//! targets do.
+//! Tests of the core with targets that consist of a mailbox only: each request gets exactly one response,
+//! whatever the targets do.
 
 use bytes::Bytes;
 use rowanglade::core::{
@@ -17,8 +17,8 @@
 
 const EXAMPLE: &str = include_str!("../deploy/example.json");
 
-/// Runs `test` with a core whose targets are made by `connect`. Time is the test's own: it passes when nothing
-/// is left to do, so a core that spins hangs, which the time-out shows.
+/// Runs `test` with a core whose targets are started by `connect`. Time is paused and advances only while all
+/// tasks are idle, so a core that spins never finishes, which the time-out reports.
 fn with_core<F: Future<Output = ()>>(
     connect: impl FnOnce() -> Connect + Send + 'static,
     test: impl FnOnce(CoreHandle) -> F + Send + 'static,
@@ -56,13 +56,13 @@
                 },
             );
             tokio::select! {
-                () = core.run() => panic!("the core ended"),
+                () = core.run() => panic!("the core stopped before the test"),
                 () = test(handle) => {}
             }
         });
         let _ = done.send(());
     });
-    finished.recv_timeout(Duration::from_secs(10)).expect("the test ends");
+    finished.recv_timeout(Duration::from_secs(10)).expect("the test did not finish within 10 s");
 }
 
 fn request() -> Request {
@@ -100,46 +100,51 @@
     core.send(Message::endpoints(Protocol::Http, EndpointUpdateKind::Cached, entries)).await;
 }
 
-/// Targets whose actors have ended.
+/// Targets whose actors have stopped.
 fn ended_actors() -> Connect {
     Box::new(|_| mpsc::channel(1).0)
 }
 
-// A core without any target waited again and again for a time that had passed, and took the whole processor.
+// A core without targets polled a time that had already passed in a loop, and used a whole CPU.
 #[test]
-fn without_a_target_it_is_not_ready_and_does_not_spin() {
+fn without_targets_the_core_is_not_ready_and_does_not_spin() {
     with_core(ended_actors, async |core| {
         tokio::time::sleep(Duration::from_secs(60)).await;
         assert!(!core.is_ready());
         send_cached_list(&core).await;
-        core.readiness().wait_for(|ready| *ready).await.expect("it runs");
+        core.readiness().wait_for(|ready| *ready).await.expect("the core stopped");
     });
 }
 
-// After a release that killed most instances, each was away for 1.5 s longer than it took to start.
+// After a release that killed most instances, each instance became ready 1.5 s later than its start-up
+// needed, because it waited for discovery.
 #[test]
-fn without_discovery_the_cached_list_must_do_soon() {
+fn without_discovery_the_cached_list_is_trusted_within_310_ms() {
     with_core(ended_actors, async |core| {
         let start = tokio::time::Instant::now();
         send_cached_list(&core).await;
-        assert!(!core.is_ready(), "discovery may just be about to answer");
-        core.readiness().wait_for(|ready| *ready).await.expect("it runs");
+        assert!(!core.is_ready(), "discovery still has time to answer");
+        core.readiness().wait_for(|ready| *ready).await.expect("the core stopped");
         assert!(start.elapsed() <= Duration::from_millis(310), "{:?}", start.elapsed());
     });
 }
 
 #[test]
-fn a_target_that_takes_nothing_leaves_no_request_without_its_response() {
+fn requests_to_a_target_with_a_stopped_actor_are_rejected() {
     with_core(ended_actors, async |core| {
         send_cached_list(&core).await;
-        let answer = core.submit(request()).await.expect("fit").response().await;
-        assert!(matches!(answer, Response::Rejected { retry_after } if !retry_after.is_zero()), "{answer:?}");
+        let response = core.submit(request()).await.expect("valid request").response().await;
+        assert!(
+            matches!(response, Response::Rejected { retry_after } if !retry_after.is_zero()),
+            "{response:?}"
+        );
         assert_eq!(core.open_requests(), 0);
     });
 }
 
-// An attempt whose actor drops it without a result may have run: a keyed write must not be rejected as harmless. Dropped
-// before it asked whether its first byte may go out, it never ran.
+// An attempt whose actor drops it without a result may have been executed, so a keyed write must not be
+// rejected as having had no effect. If it is dropped before it asked whether its first byte may be sent, it
+// was never executed.
 #[test]
 fn an_attempt_dropped_without_a_result_counts_as_broken_once_it_may_have_started() {
     let drops = |started: bool| -> Connect {
@@ -161,20 +166,20 @@
         move || drops(true),
         async move |core| {
             send_cached_list(&core).await;
-            assert_eq!(core.submit(write()).await.expect("fit").response().await, Response::Failed);
+            assert_eq!(core.submit(write()).await.expect("valid request").response().await, Response::Failed);
         },
     );
     with_core(
         move || drops(false),
         async move |core| {
             send_cached_list(&core).await;
-            let answer = core.submit(write()).await.expect("fit").response().await;
-            assert!(matches!(answer, Response::Rejected { .. }), "{answer:?}");
+            let response = core.submit(write()).await.expect("valid request").response().await;
+            assert!(matches!(response, Response::Rejected { .. }), "{response:?}");
         },
     );
 }
 
-// What has no answer when the program must end would be lost with it.
+// A request without a response when the process exits would get none at all.
 #[test]
 fn at_shutdown_every_open_request_fails() {
     let holds = || -> Connect {
@@ -191,7 +196,7 @@
     };
     with_core(holds, async |core| {
         send_cached_list(&core).await;
-        let pending = core.submit(request()).await.expect("fit");
+        let pending = core.submit(request()).await.expect("valid request");
         core.send(Message::Shutdown).await;
         assert_eq!(pending.response().await, Response::Failed);
         assert_eq!(core.open_requests(), 0);
--- a/tests/signals.rs
+++ b/tests/signals.rs
@@ -1,4 +1,4 @@
-//! What the program does when it is told by a signal.
+//! Tests of the program's reaction to signals.
 
 use std::io::{BufRead, BufReader};
 use std::net::{SocketAddr, TcpListener};
@@ -6,18 +6,19 @@
 
 const EXAMPLE: &str = include_str!("../deploy/example.json");
 
-fn service() -> (TcpListener, SocketAddr) {
+fn bind_listener() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
     let addr = listener.local_addr().expect("bound");
     (listener, addr)
 }
 
-// SIGHUP ended the program. It has the file read again: one that cannot be used is named and changes nothing,
-// and the address in a good one wins over the variable, which tells what held at the start.
+// SIGHUP used to end the program; it must reload the configuration file. An invalid file is reported and
+// changes nothing. The discovery address in a valid file takes precedence over the environment variable,
+// which gives the address at start-up.
 #[test]
-fn sighup_has_the_file_read_again_and_sigterm_ends_the_program() {
-    let (old, old_addr) = service();
-    let (new, new_addr) = service();
+fn sighup_reloads_the_file_and_sigterm_exits() {
+    let (old, old_addr) = bind_listener();
+    let (new, new_addr) = bind_listener();
     let dir = std::env::temp_dir().join(format!("rowanglade-signals-{}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("a folder");
     let path = dir.join("config.json");
@@ -33,41 +34,42 @@
         .env("LB_DISCOVERY", old_addr.to_string())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("it starts");
+        .expect("the program starts");
     let mut log = BufReader::new(program.stderr.take().expect("piped")).lines();
-    let tell = |signal: &str| {
+    let send_signal = |signal: &str| {
         let id = program.id().to_string();
         assert!(Command::new("kill").args([signal, &id]).status().expect("kill runs").success());
     };
-    old.accept().expect("asked at the start");
+    old.accept().expect("a connection after the start");
 
     write("nowhere");
-    tell("-HUP");
-    let error = log.by_ref().map(|l| l.expect("text")).find(|l| l.contains("ERROR")).expect("an error");
+    send_signal("-HUP");
+    let error = log.by_ref().map(|l| l.expect("text")).find(|l| l.contains("ERROR")).expect("an ERROR line");
     assert!(error.contains("discovery: \"nowhere\""), "{error}");
 
     write(&new_addr.to_string());
-    tell("-HUP");
-    new.accept().expect("asked after the move");
+    send_signal("-HUP");
+    new.accept().expect("a connection after the reload");
 
-    tell("-TERM");
-    assert!(program.wait().expect("it ends").success());
+    send_signal("-TERM");
+    assert!(program.wait().expect("the program exits").success());
     std::fs::remove_dir_all(&dir).expect("removed");
 }
 
 const ROUTES: &str = "[[pool]]\nname = \"one\"\nboxes = \"s-0\"\n[[route]]\nname = \"r\"\npool = \"one\"\n";
 
-// Routes are taken over while discovery is away; a file that breaks an expectation or is cut short leaves
-// those in force; signals one upon the other, and SIGTERM among them, end in order.
+// Routes are reloaded while discovery is unreachable. A file that breaks an expectation or is truncated
+// leaves the routes in force unchanged. Several SIGHUPs in a row, with SIGTERM behind them, end in an orderly
+// exit.
 #[test]
-fn sighup_takes_routes_over_only_where_every_expectation_holds() {
+fn sighup_loads_routes_only_if_every_expectation_holds() {
     let dir = std::env::temp_dir().join(format!("rowanglade-signals-routes-{}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("a folder");
     let (path, operator) = (dir.join("config.json"), dir.join("operator.toml"));
     let mut json: serde_json::Value = serde_json::from_str(EXAMPLE).expect("JSON");
     json["listen"] = "127.0.0.1:0".into();
-    // Nobody answers there.
-    json["discovery"] = service().1.to_string().into();
+    // The listener is closed, so connections are refused.
+    json["discovery"] = bind_listener().1.to_string().into();
     std::fs::write(&path, json.to_string()).expect("written");
     let write = |text: &str| {
         std::fs::write(dir.join("new"), text).expect("written");
@@ -82,44 +84,45 @@
         .env("LB_CONFIG", &path)
         .stderr(Stdio::piped())
         .spawn()
-        .expect("it starts");
+        .expect("the program starts");
     let mut log = BufReader::new(program.stderr.take().expect("piped")).lines();
     let id = program.id().to_string();
-    let tell = |signal: &str| {
+    let send_signal = |signal: &str| {
         assert!(Command::new("kill").args([signal, &id]).status().expect("kill runs").success());
     };
-    let mut until =
+    let mut wait_for_log =
         |words: &str| log.by_ref().map(|l| l.expect("text")).find(|l| l.contains(words)).expect(words);
-    until("serving");
+    wait_for_log("serving");
 
     write(&expect("never = { boxes = \"s-0\" }"));
-    tell("-HUP");
-    let broken = until("is broken");
+    send_signal("-HUP");
+    let broken = wait_for_log("is broken");
     assert!(broken.contains("line 7: expect[0]: \"e\"") && broken.contains("it could reach s-0"), "{broken}");
-    until("configuration rejected");
+    wait_for_log("configuration rejected");
 
     write(&expect("only = { boxes = \"s-0\" }")[..60]);
-    tell("-HUP");
-    let unread = until("configuration not reloaded");
-    assert!(unread.contains("operator.toml"), "{unread}");
+    send_signal("-HUP");
+    let unreadable = wait_for_log("configuration not reloaded");
+    assert!(unreadable.contains("operator.toml"), "{unreadable}");
 
     write(&expect("some = { boxes = \"s-0\" }"));
-    tell("-HUP");
-    assert!(until("routes loaded").contains("version=2"), "the refused ones were no version");
+    send_signal("-HUP");
+    assert!(wait_for_log("routes loaded").contains("version=2"), "rejected routes get no version");
 
-    tell("-USR1");
-    assert!(until("status").contains("routes=[2]"), "one version, and no request under another");
+    send_signal("-USR1");
+    assert!(wait_for_log("status").contains("routes=[2]"), "no open request uses another version");
     for _ in 0..5 {
-        tell("-HUP");
+        send_signal("-HUP");
     }
-    tell("-TERM");
-    assert!(program.wait().expect("it ends").success());
+    send_signal("-TERM");
+    assert!(program.wait().expect("the program exits").success());
     std::fs::remove_dir_all(&dir).expect("removed");
 }
 
-// A start has no older routes to keep: it fails, and says why.
+// At start-up there are no earlier routes to keep, so the program exits with an error that names the
+// expectation.
 #[test]
-fn a_file_that_breaks_an_expectation_does_not_start() {
+fn a_broken_expectation_prevents_the_start() {
     let dir = std::env::temp_dir().join(format!("rowanglade-signals-start-{}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("a folder");
     let operator = dir.join("operator.toml");
@@ -132,11 +135,14 @@
             .env("LB_CONFIG", concat!(env!("CARGO_MANIFEST_DIR"), "/deploy/example.json"))
             .env("LB_LISTEN", "127.0.0.1:0")
             .output()
-            .expect("it starts");
+            .expect("the program starts");
         assert_eq!(output.status.code(), Some(2), "{command}");
-        let told = [output.stdout, output.stderr].concat();
-        let told = String::from_utf8_lossy(&told);
-        assert!(told.contains("line 7: expect[0]") && told.contains("s-0 serves it"), "{command}: {told}");
+        let printed = [output.stdout, output.stderr].concat();
+        let printed = String::from_utf8_lossy(&printed);
+        assert!(
+            printed.contains("line 7: expect[0]") && printed.contains("s-0 serves it"),
+            "{command}: {printed}"
+        );
     }
     std::fs::remove_dir_all(&dir).expect("removed");
 }
