--- a/crates/discovery-polling/src/constants.rs
+++ b/crates/discovery-polling/src/constants.rs
@@ -7,7 +7,7 @@
 
 /// From the moment that discovery can be reached, the list is received within this time: from then on the
 /// platform counts a change as known to every initiator.
-pub const LIST_RECEIVED_WITHIN: Micros = 6 * SECOND;
+pub const LIST_RECEIPT_DEADLINE: Micros = 6 * SECOND;
 
 // Requests in flight.
 
@@ -38,7 +38,7 @@
 
 /// The longest cycle while discovery is not known to be overloaded. Within a cycle after discovery can be
 /// reached, each initiator sends one request that can be served; together with its wait in discovery's queue
-/// that has to stay under [`LIST_RECEIVED_WITHIN`].
+/// that has to stay under [`LIST_RECEIPT_DEADLINE`].
 pub const MAX_CYCLE: Micros = 5 * SECOND;
 /// The same for a fleet smaller than [`SMALL_FLEET_BELOW`]: each request is a larger part of discovery's work
 /// there, so a shorter cycle leaves time for it. The requests of one cycle may then wait for each other, for
--- a/crates/discovery-polling/src/lib.rs
+++ b/crates/discovery-polling/src/lib.rs
@@ -5,7 +5,7 @@
 //! # What it promises
 //!
 //! With 5 to 1,024 initiators, after an outage of up to 11 s, every initiator has received the list within
-//! [`LIST_RECEIVED_WITHIN`] of discovery's return, as long as discovery serves all initiators once in 5 s; with
+//! [`LIST_RECEIPT_DEADLINE`] of discovery's return, as long as discovery serves all initiators once in 5 s; with
 //! 1 to 4, as long as it does in 3 s. It is not promised after longer outages, in which initiators poll less
 //! often: see docs/design/discovery.md.
 //!
@@ -30,7 +30,7 @@
 mod schedule;
 
 pub use config::{Delivery, PollingConfig, WatchMode};
-pub use constants::{LIST_RECEIVED_WITHIN, MAX_CYCLE};
+pub use constants::{LIST_RECEIPT_DEADLINE, MAX_CYCLE};
 pub use request::{Command, Outcome, PollRequest, RequestId};
 pub use schedule::Schedule;
 
--- a/crates/discovery-polling/tests/fleet.rs
+++ b/crates/discovery-polling/tests/fleet.rs
@@ -57,7 +57,7 @@
                 let (heard, fleet) = after_outage(initiators, service, outage * SECOND, seed);
                 let what = format!("{initiators} instances, {service:?} for {outage} s, seed {seed}");
                 let heard = heard.expect("all hear it");
-                assert!(heard + MARGIN <= LIST_RECEIVED_WITHIN, "{what}: heard after {} ms", heard / MS);
+                assert!(heard + MARGIN <= LIST_RECEIPT_DEADLINE, "{what}: heard after {} ms", heard / MS);
                 assert_eq!(fleet.discovery.refused, 0, "{what}: calls refused after the return");
             }
         }
@@ -81,7 +81,7 @@
                     let heard = fleet.all_heard_within(since, 60 * SECOND).expect("all hear it");
                     let what =
                         format!("{initiators} instances, {serves_all_in} s, {service:?} {outage} s, {seed}");
-                    assert!(heard <= LIST_RECEIVED_WITHIN, "{what}: heard after {} ms", heard / MS);
+                    assert!(heard <= LIST_RECEIPT_DEADLINE, "{what}: heard after {} ms", heard / MS);
                 }
             }
         }
@@ -95,7 +95,7 @@
             let (heard, _) = after_outage(initiators, Service::Silent, outage * SECOND, seed);
             let heard = heard.expect("all hear it");
             let what = format!("{initiators} instances, {outage} s, seed {seed}");
-            assert!(heard <= LIST_RECEIVED_WITHIN + MARGIN, "{what}: heard after {} ms", heard / MS);
+            assert!(heard <= LIST_RECEIPT_DEADLINE + MARGIN, "{what}: heard after {} ms", heard / MS);
         }
     }
 }
@@ -106,7 +106,7 @@
         let mut fleet = Fleet::new(numbered(initiators), 5, discovery(initiators, SERVES_ALL_IN));
         let since = fleet.now;
         let heard = fleet.all_heard_within(since, 60 * SECOND).expect("all hear it");
-        assert!(heard + MARGIN <= LIST_RECEIVED_WITHIN, "{initiators} instances start: {} ms", heard / MS);
+        assert!(heard + MARGIN <= LIST_RECEIPT_DEADLINE, "{initiators} instances start: {} ms", heard / MS);
         assert_eq!(fleet.discovery.refused, 0);
 
         let mut fleet = watching(initiators, SERVES_ALL_IN, 6);
@@ -114,7 +114,7 @@
         let since = fleet.now;
         let heard = fleet.all_heard_within(since, 60 * SECOND).expect("all hear it");
         assert!(
-            heard + MARGIN <= LIST_RECEIVED_WITHIN,
+            heard + MARGIN <= LIST_RECEIPT_DEADLINE,
             "{initiators} instances, 7 in 10 restart: {} ms",
             heard / MS
         );
@@ -129,7 +129,7 @@
         fleet.reset_watches();
         let since = fleet.now;
         let heard = fleet.all_heard_within(since, 60 * SECOND).expect("all hear it");
-        assert!(heard + MARGIN <= LIST_RECEIVED_WITHIN, "{initiators} instances: {} ms", heard / MS);
+        assert!(heard + MARGIN <= LIST_RECEIPT_DEADLINE, "{initiators} instances: {} ms", heard / MS);
     }
 }
 
@@ -142,7 +142,7 @@
     for initiators in [100, 300, 350, 1024] {
         let mut fleet = Fleet::new(numbered(initiators), 8, discovery(initiators, 9 * SECOND));
         let since = fleet.now;
-        fleet.run(LIST_RECEIVED_WITHIN);
+        fleet.run(LIST_RECEIPT_DEADLINE);
         let early = fleet.heard_since(since);
         assert!(early * 5 >= initiators as usize * 2, "{early} of {initiators} heard the list in 6 s");
         let heard = fleet.all_heard_within(since, 60 * SECOND).expect("all hear it");
@@ -218,7 +218,7 @@
         }
         let since = fleet.now;
         let heard = fleet.all_heard_within(since, 60 * SECOND);
-        prop_assert!(heard.is_some_and(|heard| heard <= 2 * LIST_RECEIVED_WITHIN), "{:?}", heard);
+        prop_assert!(heard.is_some_and(|heard| heard <= 2 * LIST_RECEIPT_DEADLINE), "{:?}", heard);
         fleet.run(5 * SECOND);
         prop_assert!(fleet.initiators.iter().all(|i| i.schedule.is_watching()));
     }
--- a/crates/discovery-polling/tests/schedule.rs
+++ b/crates/discovery-polling/tests/schedule.rs
@@ -74,7 +74,7 @@
     for initiators in [2, 300, 1024] {
         let (mut client, held) = Client::watching(on_request(10 * SECOND, initiators));
         let begun = client.now;
-        let known = begun + (held.max_wait + KNOWN_AFTER_WAIT).max(LIST_RECEIVED_WITHIN) + GRACE;
+        let known = begun + (held.max_wait + KNOWN_AFTER_WAIT).max(LIST_RECEIPT_DEADLINE) + GRACE;
         let again = client.next_request();
         assert_eq!(again.max_wait, 0, "it brings what was missed");
         assert!(client.now + SECOND <= known, "{initiators}: a second is left for its answer");
@@ -89,7 +89,7 @@
     let beside = client.next_request();
     assert!(lost.max_wait == 0 && beside.max_wait == 0 && lost.id != beside.id);
     assert!(
-        client.now + 500 * MS <= begun + LIST_RECEIVED_WITHIN + GRACE,
+        client.now + 500 * MS <= begun + LIST_RECEIPT_DEADLINE + GRACE,
         "{} ms",
         (client.now - begun) / MS
     );
--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Two parties say whether a target may be sent requests: discovery, which lists it, and operators, who take
 //! it out while they work on it. Neither overwrites the other here: the endpoint list is kept as discovery
-//! reports it, and [`Maintenance::view`] says what follows from both. A target that is out drains, whatever
+//! reports it, and [`Maintenance::effective_state`] says what follows from both. A target that is out drains, whatever
 //! discovery says, and one whose maintenance has ended is as discovery lists it from that moment on, with
 //! nothing to wait for.
 //!
@@ -71,18 +71,23 @@
     }
 
     /// Whether a target is out.
-    pub fn is_out(&self, target: &str) -> bool {
+    pub fn is_in_maintenance(&self, target: &str) -> bool {
         self.out.contains_key(target)
     }
 
     /// The targets that are out, in the order of their names.
-    pub fn out(&self) -> impl Iterator<Item = &str> {
+    pub fn targets_in_maintenance(&self) -> impl Iterator<Item = &str> {
         self.out.keys().map(String::as_str)
     }
 
     /// The state and the start that hold for a target of which discovery reports these.
-    pub fn view(&self, target: &str, state: State, started: Option<Micros>) -> (State, Option<Micros>) {
-        if self.is_out(target) {
+    pub fn effective_state(
+        &self,
+        target: &str,
+        state: State,
+        started: Option<Micros>,
+    ) -> (State, Option<Micros>) {
+        if self.is_in_maintenance(target) {
             return (state.max(State::Draining), started);
         }
         match self.returned.get(target) {
@@ -95,7 +100,7 @@
 
     /// Forgets what discovery's report has made moot: a start since the target's maintenance began, or its
     /// removal.
-    pub fn endpoint_reported(&mut self, target: &str, state: State, started: Option<Micros>) {
+    pub fn handle_endpoint_report(&mut self, target: &str, state: State, started: Option<Micros>) {
         let Some(returned) = self.returned.get(target) else { return };
         if state == State::Removed || started.is_some_and(|started| started > returned.began) {
             self.returned.remove(target);
--- a/crates/maintenance/tests/maintenance.rs
+++ b/crates/maintenance/tests/maintenance.rs
@@ -5,7 +5,7 @@
 const BOX: &str = "s-1";
 
 fn up(m: &Maintenance, started: Option<Micros>) -> (State, Option<Micros>) {
-    m.view(BOX, State::Active, started)
+    m.effective_state(BOX, State::Active, started)
 }
 
 #[test]
@@ -17,9 +17,9 @@
         (State::Draining, State::Draining),
         (State::Removed, State::Removed),
     ] {
-        assert_eq!(m.view(BOX, told, Some(5)), (held, Some(5)));
+        assert_eq!(m.effective_state(BOX, told, Some(5)), (held, Some(5)));
     }
-    assert_eq!(m.view("s-2", State::Active, None), (State::Active, None));
+    assert_eq!(m.effective_state("s-2", State::Active, None), (State::Active, None));
 }
 
 #[test]
@@ -38,9 +38,9 @@
     m.end(20, BOX);
     assert_eq!(up(&m, Some(10)), (State::Active, Some(20)), "a start from before");
     assert_eq!(up(&m, Some(15)), (State::Active, Some(15)), "the restart itself");
-    m.endpoint_reported(BOX, State::Active, Some(9));
+    m.handle_endpoint_report(BOX, State::Active, Some(9));
     assert_eq!(up(&m, None), (State::Active, Some(20)), "old news changes nothing");
-    m.endpoint_reported(BOX, State::Active, Some(15));
+    m.handle_endpoint_report(BOX, State::Active, Some(15));
     assert_eq!(up(&m, None), (State::Active, None), "what was told since is discovery's to say");
 }
 
@@ -48,7 +48,7 @@
 fn a_restart_while_out_does_not_bring_it_back() {
     let mut m = Maintenance::default();
     m.begin(10, BOX);
-    m.endpoint_reported(BOX, State::Active, Some(15));
+    m.handle_endpoint_report(BOX, State::Active, Some(15));
     assert_eq!(up(&m, Some(15)), (State::Draining, Some(15)));
 }
 
@@ -68,9 +68,9 @@
 fn a_target_that_left_is_forgotten_unless_it_is_out() {
     let mut m = Maintenance::default();
     m.begin(10, BOX);
-    m.endpoint_reported(BOX, State::Removed, None);
-    assert!(m.is_out(BOX), "operators have the last word");
+    m.handle_endpoint_report(BOX, State::Removed, None);
+    assert!(m.is_in_maintenance(BOX), "operators have the last word");
     m.end(20, BOX);
-    m.endpoint_reported(BOX, State::Removed, None);
+    m.handle_endpoint_report(BOX, State::Removed, None);
     assert_eq!(m, Maintenance::default());
 }
--- a/crates/slow-start/src/rule.rs
+++ b/crates/slow-start/src/rule.rs
@@ -18,7 +18,7 @@
     /// The time from its start until it has all of its capacity, at most.
     pub duration: Micros,
     /// Units within one window, from all initiators together, that a target always bears.
-    pub units: f64,
+    pub initial_units: f64,
     /// The window over which load is counted.
     pub overload_window: Micros,
     /// A target is overloaded when it gets more than this multiple of its capacity for a window.
@@ -35,7 +35,7 @@
 
     /// The smallest fraction of its capacity that a target can have at a time, since it warms up evenly and
     /// within [`SlowStartRule::duration`].
-    pub(crate) fn least_capacity(&self, started: Micros, at: Micros) -> f64 {
+    pub(crate) fn min_capacity(&self, started: Micros, at: Micros) -> f64 {
         let warmed = at.saturating_sub(started) as f64 / self.duration.max(1) as f64;
         self.clamped_initial_capacity() + (1.0 - self.clamped_initial_capacity()) * warmed.min(1.0)
     }
@@ -49,8 +49,6 @@
     /// bears more than its capacity.
     pub fn reserve_fraction(&self, started: Micros, now: Micros) -> f64 {
         let window_begin = now.saturating_sub(self.overload_window);
-        self.overload_multiple
-            * self.least_capacity(started, window_begin)
-            * (1.0 - RESERVE_HEADROOM_FRACTION)
+        self.overload_multiple * self.min_capacity(started, window_begin) * (1.0 - RESERVE_HEADROOM_FRACTION)
     }
 }
--- a/crates/slow-start/src/target_budget.rs
+++ b/crates/slow-start/src/target_budget.rs
@@ -46,8 +46,8 @@
         let window = rule.overload_window;
         let (started, window_begin) = (self.started, now.saturating_sub(window));
         let initial = rule.clamped_initial_capacity();
-        let grown = rule.least_capacity(started, window_begin) / initial;
-        let part = rule.units * grown / f64::from(rule.initiators.max(1));
+        let grown = rule.min_capacity(started, window_begin) / initial;
+        let part = rule.initial_units * grown / f64::from(rule.initiators.max(1));
         let known_since = history_since.max(started);
         let in_window: f64 = self.charges(now).filter(|(at, _)| *at >= window_begin).map(|(_, u)| u).sum();
         if in_window + units <= part {
--- a/crates/slow-start/tests/fleet.rs
+++ b/crates/slow-start/tests/fleet.rs
@@ -16,7 +16,7 @@
     SlowStartRule {
         initial_capacity: 0.28,
         duration: 15 * SECOND,
-        units: 12.0,
+        initial_units: 12.0,
         overload_window: 3 * SECOND,
         overload_multiple: 2.5,
         initiators: INITIATORS,
--- a/crates/slow-start/tests/ramp.rs
+++ b/crates/slow-start/tests/ramp.rs
@@ -58,12 +58,12 @@
     let mut rule = SlowStartRule {
         initial_capacity: 0.28,
         duration: WARM_UP,
-        units: 0.0,
+        initial_units: 0.0,
         overload_window: 3 * SECOND,
         overload_multiple: 2.5,
         initiators: processes,
     };
-    rule.units = troubles.always_borne * allowed(&rule, STARTED) * USUAL;
+    rule.initial_units = troubles.always_borne * allowed(&rule, STARTED) * USUAL;
     rule
 }
 
--- a/src/core/actor/admin.rs
+++ b/src/core/actor/admin.rs
@@ -19,7 +19,7 @@
         let target = self.names.target(name);
         let listed = target.filter(|target| self.endpoints.contains(*target));
         let used = target.is_some_and(|target| self.open_requests.any_attempt_at(target));
-        if listed.is_none() && !used && !self.endpoints.maintenance().is_out(name) {
+        if listed.is_none() && !used && !self.endpoints.maintenance().is_in_maintenance(name) {
             return false;
         }
         let now = self.clock.now();
--- a/src/core/actor/handover.rs
+++ b/src/core/actor/handover.rs
@@ -74,11 +74,11 @@
 
     fn refresh_all_targets(&mut self) {
         let maintenance = self.endpoints.maintenance();
-        let is_out = |id: &TargetId| {
-            self.endpoints.get(*id).is_some_and(|target| maintenance.is_out(&target.reported.name))
+        let is_in_maintenance = |id: &TargetId| {
+            self.endpoints.get(*id).is_some_and(|target| maintenance.is_in_maintenance(&target.reported.name))
         };
         let (out, back): (Vec<TargetId>, Vec<TargetId>) =
-            self.endpoints.iter().map(|(id, _)| id).partition(is_out);
+            self.endpoints.iter().map(|(id, _)| id).partition(is_in_maintenance);
         self.refresh_targets(&out, true);
         self.refresh_targets(&back, false);
     }
--- a/src/core/endpoints.rs
+++ b/src/core/endpoints.rs
@@ -146,7 +146,7 @@
     pub(super) fn effective(&self, now: Micros, reported: &Endpoint) -> Endpoint {
         let started = reported.started.map(|started| self.start_times.on_clock(now, started));
         let (state, started) =
-            self.maintenance.view(&reported.name, maintenance_state(reported.state), started);
+            self.maintenance.effective_state(&reported.name, maintenance_state(reported.state), started);
         let state = match state {
             State::Active => TargetState::Active,
             State::Draining => TargetState::Draining,
@@ -165,7 +165,7 @@
         self.targets.get(&id).is_some_and(|target| {
             let suspended_by_site = target.reported.state == TargetState::Active
                 && self.effective(now, &target.reported).state == TargetState::Draining;
-            suspended_by_site || self.maintenance.is_out(&target.reported.name)
+            suspended_by_site || self.maintenance.is_in_maintenance(&target.reported.name)
         })
     }
 
@@ -197,7 +197,7 @@
     /// The mailbox of a new actor for a target.
     fn start_actor(&self, endpoint: &Endpoint) -> mpsc::Sender<TargetMessage> {
         let mailbox = (self.connect)(endpoint);
-        if self.maintenance.is_out(&endpoint.name) {
+        if self.maintenance.is_in_maintenance(&endpoint.name) {
             // A new mailbox has room.
             let _ = mailbox.try_send(TargetMessage::SetSuspended(true));
         }
--- a/src/core/endpoints/updates.rs
+++ b/src/core/endpoints/updates.rs
@@ -71,7 +71,7 @@
             // Discovery's own word holds again.
             self.draining_by_gossip.remove(&id);
         }
-        self.maintenance.endpoint_reported(
+        self.maintenance.handle_endpoint_report(
             &reported.name,
             maintenance_state(reported.state),
             reported.started,
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -152,7 +152,7 @@
         SlowStartRule {
             initial_capacity: rules.slow_start_capacity,
             duration: rules.slow_start_duration,
-            units: rules.slow_start_units,
+            initial_units: rules.slow_start_units,
             overload_window: rules.overload_window,
             overload_multiple: rules.overload_multiple,
             initiators: self.initiators,
--- a/tests/compatibility/handover.rs
+++ b/tests/compatibility/handover.rs
@@ -76,7 +76,7 @@
 fn the_handed_over_state_keeps_every_field() {
     let read = decoded(STATE.trim_end());
     let state = read.state.as_ref().expect("a state");
-    assert!(state.maintenance.is_out("box-1"));
+    assert!(state.maintenance.is_in_maintenance("box-1"));
     assert_eq!(state.object_locations, [((21, 22), Observation::At(1)), ((23, 24), Observation::NotAt(2))]);
     assert_eq!(encoded(&read), STATE.trim_end());
 }
