--- a/src/handover/actor.rs
+++ b/src/handover/actor.rs
@@ -205,7 +205,7 @@
 
     /// Without a wait, an accept that goes on failing would take the whole thread.
     async fn wait_after_failure(&mut self, error: &io::Error) {
-        pause(self.accept_failures.failed(error, "a successor")).await;
+        pause(self.accept_failures.record_failure(error, "a successor")).await;
     }
 
     fn handle_input(&mut self, input: LinkInput) -> Option<Event> {
--- a/src/handover/controls.rs
+++ b/src/handover/controls.rs
@@ -51,7 +51,7 @@
     /// Makes room for a successor, and collects all that it may know early. `None`: the core has ended.
     pub(super) async fn welcome(&self) -> Option<Welcome> {
         let (now, list) = self.request(HandoverRequest::Describe).await?;
-        self.budget.share(SUCCESSOR_DESCRIPTORS);
+        self.budget.reserve_for_other_process(SUCCESSOR_DESCRIPTORS);
         let descriptors = self.budget.total().saturating_sub(SUCCESSOR_DESCRIPTORS);
         let share = DescriptorShare { descriptors };
         Some(Welcome { now, list: EndpointPage::snapshot(list), share, listeners: self.listeners.names() })
@@ -59,17 +59,17 @@
 
     /// Leaves so many descriptors to the other process; none where it is gone.
     pub(super) fn reserve_for_peer_process(&self, share: DescriptorShare) {
-        self.budget.share(share.descriptors);
+        self.budget.reserve_for_other_process(share.descriptors);
     }
 
     /// Nothing is left to the other process any more.
     pub(super) fn release_reservation(&self) {
-        self.budget.share(0);
+        self.budget.reserve_for_other_process(0);
     }
 
     /// Uses no more than what is still held, and a few descriptors to finish it.
     pub(super) fn retire(&self) {
-        self.set_phase(Phase::Leaving);
+        self.set_phase(Phase::Draining);
         self.budget.cap_at_open_descriptors(RETIRED_DESCRIPTORS);
     }
 
--- a/src/initiator.rs
+++ b/src/initiator.rs
@@ -102,7 +102,7 @@
         let connections = TargetConnections::new(&config, &sockets);
         let budget = connections.budget;
         if let Some(welcome) = &welcome {
-            budget.share(welcome.share.descriptors);
+            budget.reserve_for_other_process(welcome.share.descriptors);
         }
         let access_log = open_access_log(&config)?;
         let (mailbox, core) = core::mailbox(&config.settings, access_log.clone());
--- a/src/initiator/run.rs
+++ b/src/initiator/run.rs
@@ -80,7 +80,7 @@
 
 /// Asks sessions to log out once this process leaves: they go to the process that serves then.
 async fn end_sessions_when_leaving(mut phase: watch::Receiver<Phase>, ending: watch::Sender<bool>) {
-    if phase.wait_for(|phase| *phase == Phase::Leaving).await.is_ok() {
+    if phase.wait_for(|phase| *phase == Phase::Draining).await.is_ok() {
         ending.send_replace(true);
     }
 }
@@ -90,7 +90,7 @@
     phase.send_if_modified(|phase| {
         let serving = *phase == Phase::Serving;
         if serving {
-            *phase = Phase::Ending;
+            *phase = Phase::ShuttingDown;
         }
         serving
     });
--- a/src/net/accept.rs
+++ b/src/net/accept.rs
@@ -47,13 +47,13 @@
 
 impl AcceptFailures {
     /// Records that a connection was accepted.
-    pub fn succeeded(&mut self) {
+    pub fn record_success(&mut self) {
         self.consecutive = 0;
     }
 
     /// Records that an accept failed, and says what to do next. Failures are logged once a second; `listener`
     /// names the listener there.
-    pub fn failed(&mut self, error: &io::Error, listener: &'static str) -> AfterFailure {
+    pub fn record_failure(&mut self, error: &io::Error, listener: &'static str) -> AfterFailure {
         self.consecutive = self.consecutive.saturating_add(1);
         let next = self.after(error);
         self.log(error, listener, next);
--- a/src/net/admin/server.rs
+++ b/src/net/admin/server.rs
@@ -82,10 +82,10 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                failures.succeeded();
+                failures.record_success();
                 calls.start(stream, config.clone(), service.clone());
             }
-            Err(error) => pause(failures.failed(&error, "admin")).await,
+            Err(error) => pause(failures.record_failure(&error, "admin")).await,
         }
     }
 }
--- a/src/net/budget/mod.rs
+++ b/src/net/budget/mod.rs
@@ -39,7 +39,7 @@
         targets: ConnectionPool,
     ) -> DescriptorBudget {
         let budget = DescriptorBudget { limits, parts, max_sessions: Rc::default(), clients, targets };
-        budget.share(0);
+        budget.reserve_for_other_process(0);
         budget
     }
 
@@ -48,9 +48,9 @@
         self.limits.sockets
     }
 
-    /// Divides what is left while another process has `others` descriptors.
-    pub fn share(&self, others: usize) {
-        let reservations = Reservations::of(self.limits.sockets.saturating_sub(others), self.parts);
+    /// Reserves `descriptors` of the total for another process and divides the rest.
+    pub fn reserve_for_other_process(&self, descriptors: usize) {
+        let reservations = Reservations::of(self.limits.sockets.saturating_sub(descriptors), self.parts);
         self.max_sessions.set(reservations.sessions);
         self.clients.resize(reservations.clients, reservations.idle_clients);
         self.targets.resize(reservations.targets);
--- a/src/net/http/handler.rs
+++ b/src/net/http/handler.rs
@@ -32,7 +32,7 @@
     let connection = request.conn_data::<Rc<ClientConnection>>().cloned();
     let active = connection.as_ref().map(ClientConnection::begin_request);
     let mut response = respond_with_content(&front, &mut request, connection.as_ref()).await;
-    if *front.closing.borrow() || *front.phase.borrow() == Phase::Leaving {
+    if *front.closing.borrow() || *front.phase.borrow() == Phase::Draining {
         response.head_mut().set_connection_type(ConnectionType::Close);
     }
     let ends_with_connection =
--- a/src/net/http/server.rs
+++ b/src/net/http/server.rs
@@ -68,7 +68,7 @@
         };
         match accepted {
             Ok((stream, peer)) => {
-                failures.succeeded();
+                failures.record_success();
                 start_connection(&service, &front.clients, stream, peer);
             }
             Err(error) => recover(&mut failures, &error, &front.clients).await,
@@ -130,7 +130,7 @@
 
 /// Does what a failed accept asks for before the next one.
 async fn recover(failures: &mut AcceptFailures, error: &io::Error, clients: &ConnectionTable) {
-    let next = failures.failed(error, "clients");
+    let next = failures.record_failure(error, "clients");
     if matches!(next, AfterFailure::FreeDescriptors(_)) {
         // Something outside the budget has taken the descriptors: a connection that waits for nothing is closed
         // for them.
--- a/src/net/iscsi/front/mod.rs
+++ b/src/net/iscsi/front/mod.rs
@@ -77,13 +77,13 @@
         match accepted {
             Ok((stream, _)) if front.open_sessions.get() < front.max_sessions.get() => {
                 sessions_accepted += 1;
-                failures.succeeded();
+                failures.record_success();
                 start_session(&front, stream, sessions_accepted);
             }
             Ok(_) => {
                 tracing::warn!(open = front.open_sessions.get(), "session rejected, too many are open");
             }
-            Err(error) => pause(failures.failed(&error, "iscsi")).await,
+            Err(error) => pause(failures.record_failure(&error, "iscsi")).await,
         }
     }
 }
--- a/src/net/phase.rs
+++ b/src/net/phase.rs
@@ -8,14 +8,14 @@
     /// It serves.
     Serving,
     /// Shutdown was requested, and takes clients for as long as they may come.
-    Ending,
+    ShuttingDown,
     /// It takes no new clients, and finishes the requests that it has.
-    Leaving,
+    Draining,
 }
 
 impl Phase {
     /// Whether clients are accepted.
     pub fn accepts(self) -> bool {
-        matches!(self, Phase::Serving | Phase::Ending)
+        matches!(self, Phase::Serving | Phase::ShuttingDown)
     }
 }
--- a/tests/accept.rs
+++ b/tests/accept.rs
@@ -17,7 +17,7 @@
 const EHOSTUNREACH: i32 = 113;
 
 fn after(failures: &mut AcceptFailures, errno: i32) -> AfterFailure {
-    failures.failed(&io::Error::from_raw_os_error(errno), "a test")
+    failures.record_failure(&io::Error::from_raw_os_error(errno), "a test")
 }
 
 // Any failure ended the connection of an idle client and stopped accepting for 20 ms, also where the system
@@ -40,7 +40,7 @@
     let mut failures = AcceptFailures::default();
     assert_eq!(after(&mut failures, ENFILE), AfterFailure::FreeDescriptors(Duration::ZERO));
     assert!(matches!(after(&mut failures, ENFILE), AfterFailure::FreeDescriptors(wait) if !wait.is_zero()));
-    failures.succeeded();
+    failures.record_success();
     assert_eq!(after(&mut failures, EMFILE), AfterFailure::FreeDescriptors(Duration::ZERO));
 }
 
@@ -50,6 +50,6 @@
     let next: Vec<AfterFailure> = (0..200).map(|_| after(&mut failures, ECONNABORTED)).collect();
     assert!(next[..10].iter().all(|next| *next == AfterFailure::Continue));
     assert!(next[100..].iter().all(|next| matches!(next, AfterFailure::Pause(_))));
-    failures.succeeded();
+    failures.record_success();
     assert_eq!(after(&mut failures, ECONNABORTED), AfterFailure::Continue);
 }
