--- a/src/config/sites.rs
+++ b/src/config/sites.rs
@@ -50,7 +50,7 @@
             let problem = "what returns has no ramp: settings.rules.warm-within is zero";
             return Err(ConfigError::new("sites", problem));
         }
-        let (own_index, initiators) = settings.number_of_initiators();
+        let (own_index, initiators) = settings.initiator_number_and_count();
         let rules = FailoverConfig {
             evidence_window: micros(self.window_ms),
             quorum: self.part,
--- a/src/config/subset.rs
+++ b/src/config/subset.rs
@@ -37,7 +37,7 @@
         if !(1.0..=100.0).contains(&self.spread) {
             return Err(ConfigError::new("subset.spread", format!("{} is not from 1 to 100", self.spread)));
         }
-        let (own_number, initiators) = settings.number_of_initiators();
+        let (own_number, initiators) = settings.initiator_number_and_count();
         if !(1..=MAX_INITIATORS).contains(&initiators) {
             let problem = format!("settings.siblings is {initiators}, not from 1 to {MAX_INITIATORS}");
             return Err(ConfigError::new("subset", problem));
--- a/src/core/actor/endpoint_updates.rs
+++ b/src/core/actor/endpoint_updates.rs
@@ -108,7 +108,7 @@
             .iter()
             .filter(|_| !change.includes_all_targets)
             .filter_map(|name| self.names.target(name));
-        let event = Event::PreferredTargets(preferred.collect());
+        let event = Event::PreferredTargetsChanged(preferred.collect());
         self.apply_event(event);
     }
 }
--- a/src/core/actor/handover.rs
+++ b/src/core/actor/handover.rs
@@ -22,7 +22,7 @@
                 let _ = answer.send(());
             }
             HandoverRequest::ServeWithoutState(answer) => {
-                self.scheduler.reset_owned(self.clock.now());
+                self.scheduler.reset_owned_state(self.clock.now());
                 self.set_handed_over(false);
                 let _ = answer.send(());
             }
--- a/src/core/actor/quota.rs
+++ b/src/core/actor/quota.rs
@@ -8,7 +8,7 @@
 impl Buckets for Core {
     fn offer(&mut self, volume: VolumeId, max_units: f64) -> f64 {
         self.quota_offered = 0.0;
-        self.apply_event(Event::OfferQuota { volume, max_units });
+        self.apply_event(Event::QuotaRequested { volume, max_units });
         self.quota_offered
     }
 
--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -57,7 +57,7 @@
         initiators: u32,
     },
     /// Units that are no longer in this initiator's token bucket: the answer to
-    /// [`Event::OfferQuota`](super::Event::OfferQuota).
+    /// [`Event::QuotaRequested`](super::Event::QuotaRequested).
     QuotaOffered {
         /// The volume.
         volume: VolumeId,
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -89,10 +89,10 @@
     },
     /// The targets that this initiator's new objects go to where they are early enough, so that the choices
     /// of all initiators add up evenly. Empty: it has no preference.
-    PreferredTargets(Vec<TargetId>),
+    PreferredTargetsChanged(Vec<TargetId>),
     /// Another initiator needs units of a limited volume:
     /// [`Action::QuotaOffered`](super::Action::QuotaOffered) says what this one can do without.
-    OfferQuota {
+    QuotaRequested {
         /// The volume.
         volume: VolumeId,
         /// The most units that are asked for.
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -152,11 +152,11 @@
             }
             Event::ClientGone { id } => self.client_gone(now, id, actions),
             Event::EndpointsChanged { kind, entries } => self.endpoints_changed(now, kind, &entries, actions),
-            Event::PreferredTargets(targets) => {
+            Event::PreferredTargetsChanged(targets) => {
                 self.target_sets.preferred = targets.into_iter().collect();
             }
             Event::TargetSetChanged { set, targets } => self.target_sets.set(set, targets),
-            Event::OfferQuota { volume, max_units } => self.offer_quota(now, volume, max_units, actions),
+            Event::QuotaRequested { volume, max_units } => self.offer_quota(now, volume, max_units, actions),
             Event::QuotaReceived { volume, units } => self.quota.receive(now, volume, units),
             Event::ProbeEnded { .. } => {}
             Event::OwnershipChanged { owned_here } => self.ownership.is_transferred = !owned_here,
--- a/src/scheduler/snapshot.rs
+++ b/src/scheduler/snapshot.rs
@@ -178,7 +178,7 @@
     }
 
     /// Goes on as if this process had just started: another one had what is owned, and may have spent it.
-    pub fn reset_owned(&mut self, now: Micros) {
+    pub fn reset_owned_state(&mut self, now: Micros) {
         self.ownership.since = Some(now);
         self.quota.clear();
         let shard_usages = self.volumes.values_mut().flat_map(|volume| volume.by_shard.values_mut());
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -73,7 +73,7 @@
     }
 
     /// This initiator's number, or 0, and how many there are.
-    pub fn number_of_initiators(&self) -> (u32, u32) {
+    pub fn initiator_number_and_count(&self) -> (u32, u32) {
         (self.initiator_number.unwrap_or(0), self.initiators)
     }
 
--- a/tests/compatibility/configuration.rs
+++ b/tests/compatibility/configuration.rs
@@ -52,7 +52,7 @@
     assert_eq!(settings.zones(), ["kingston", "negril"]);
     assert_eq!(settings.delivery(), Delivery::Polled { max_poll_interval: 10_000_000 });
     assert!(settings.peer_messages_allowed());
-    assert_eq!((settings.number_of_initiators(), settings.initiator_number()), ((1, 3), Some(1)));
+    assert_eq!((settings.initiator_number_and_count(), settings.initiator_number()), ((1, 3), Some(1)));
     assert_eq!((settings.shard_count(), settings.max_retry_after()), (Some(8), Duration::from_millis(500)));
     assert_eq!(settings.plans().collect::<Vec<_>>(), ["basic"]);
     let classes: Vec<_> = settings.classes().map(|class| (class.name, class.writes, class.keyed)).collect();
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -402,7 +402,7 @@
     };
     let mut harness = Harness::new(settings(), &[entry(0, 0)]);
     assert_eq!(
-        offered(&harness.event(Event::OfferQuota { volume, max_units: 5.0 })),
+        offered(&harness.event(Event::QuotaRequested { volume, max_units: 5.0 })),
         Some(0.0),
         "none of its requests came"
     );
@@ -412,13 +412,14 @@
     harness.served(1, MS);
     // Its half of the bucket, 10 units, is full by now; a quarter of it, and what is asked here, is kept.
     harness.advance(30 * SECOND);
-    let first = offered(&harness.event(Event::OfferQuota { volume, max_units: 5.0 })).expect("an answer");
+    let first = offered(&harness.event(Event::QuotaRequested { volume, max_units: 5.0 })).expect("an answer");
     assert!((first - 5.0).abs() < 1e-9, "{first}");
-    let second = offered(&harness.event(Event::OfferQuota { volume, max_units: 50.0 })).expect("an answer");
+    let second =
+        offered(&harness.event(Event::QuotaRequested { volume, max_units: 50.0 })).expect("an answer");
     assert!((second - 2.5).abs() < 0.1, "{second}");
-    assert_eq!(offered(&harness.event(Event::OfferQuota { volume, max_units: 50.0 })), Some(0.0));
+    assert_eq!(offered(&harness.event(Event::QuotaRequested { volume, max_units: 50.0 })), Some(0.0));
     harness.event(Event::QuotaReceived { volume, units: 500.0 });
-    let back = offered(&harness.event(Event::OfferQuota { volume, max_units: 50.0 })).expect("an answer");
+    let back = offered(&harness.event(Event::QuotaRequested { volume, max_units: 50.0 })).expect("an answer");
     assert!((back - 7.5).abs() < 0.1, "no more than the bucket holds: {back}");
 }
 
@@ -476,7 +477,7 @@
 fn a_new_object_goes_to_a_preferred_target_unless_that_is_late_or_in_backoff() {
     let placed = |took: Micros, outcome: Outcome| {
         let mut b = Harness::new(settings(), &[entry(0, 0), entry(1, 1), entry(2, 2)]);
-        b.event(Event::PreferredTargets(vec![TargetId(2)]));
+        b.event(Event::PreferredTargetsChanged(vec![TargetId(2)]));
         for (id, target, took) in [(1, 0, 32 * MS), (2, 2, took)] {
             b.arrive(RequestProfile { shard: Some(ShardId(target)), ..request(id, READ) });
             b.attempt_ended(id, 0, target, if target == 2 { outcome } else { Outcome::Served }, took);
