--- a/src/core/actor/handover.rs
+++ b/src/core/actor/handover.rs
@@ -22,7 +22,7 @@
                 let _ = answer.send(());
             }
             HandoverRequest::ServeWithoutState(answer) => {
-                self.scheduler.reset_owned(self.clock.now());
+                self.scheduler.reset_owned_state(self.clock.now());
                 self.set_handed_over(false);
                 let _ = answer.send(());
             }
@@ -77,7 +77,7 @@
     fn refresh_all_targets(&mut self) {
         let maintenance = self.endpoints.maintenance();
         let is_in_maintenance = |id: &TargetId| {
-            self.endpoints.get(*id).is_some_and(|target| maintenance.is_out(&target.reported.name))
+            self.endpoints.get(*id).is_some_and(|target| maintenance.is_in_maintenance(&target.reported.name))
         };
         let (suspended, active): (Vec<TargetId>, Vec<TargetId>) =
             self.endpoints.iter().map(|(id, _)| id).partition(is_in_maintenance);
--- a/src/handover/actor.rs
+++ b/src/handover/actor.rs
@@ -205,7 +205,7 @@
 
     /// Pauses after a failed accept, so that repeated failures do not occupy the thread.
     async fn wait_after_failure(&mut self, error: &io::Error) {
-        pause(self.accept_failures.failed(error, "a successor")).await;
+        pause(self.accept_failures.record_failure(error, "a successor")).await;
     }
 
     fn handle_input(&mut self, input: LinkInput) -> Option<Event> {
--- a/src/handover/controls.rs
+++ b/src/handover/controls.rs
@@ -52,7 +52,7 @@
     /// core has stopped.
     pub(super) async fn welcome(&self) -> Option<Welcome> {
         let (now, list) = self.request(HandoverRequest::Describe).await?;
-        self.budget.share(SUCCESSOR_DESCRIPTORS);
+        self.budget.reserve_for_other_process(SUCCESSOR_DESCRIPTORS);
         let descriptors = self.budget.total().saturating_sub(SUCCESSOR_DESCRIPTORS);
         let share = DescriptorShare { descriptors };
         Some(Welcome { now, list: EndpointPage::snapshot(list), share, listeners: self.listeners.names() })
@@ -60,18 +60,18 @@
 
     /// Reserves these descriptors of the shared budget for the other process.
     pub(super) fn reserve_for_peer_process(&self, share: DescriptorShare) {
-        self.budget.share(share.descriptors);
+        self.budget.reserve_for_other_process(share.descriptors);
     }
 
     /// Releases the descriptors reserved for the other process.
     pub(super) fn release_reservation(&self) {
-        self.budget.share(0);
+        self.budget.reserve_for_other_process(0);
     }
 
     /// Leaves the serving phase, and limits the budget to the descriptors in use plus a few to finish open
     /// requests.
     pub(super) fn retire(&self) {
-        self.set_phase(Phase::Leaving);
+        self.set_phase(Phase::Draining);
         self.budget.cap_at_open_descriptors(RETIRED_DESCRIPTORS);
     }
 
--- a/src/initiator/run.rs
+++ b/src/initiator/run.rs
@@ -82,7 +82,7 @@
 
 /// Requests logout on all sessions once another process serves, so that they reconnect to it.
 async fn end_sessions_when_leaving(mut phase: watch::Receiver<Phase>, ending: watch::Sender<bool>) {
-    if phase.wait_for(|phase| *phase == Phase::Leaving).await.is_ok() {
+    if phase.wait_for(|phase| *phase == Phase::Draining).await.is_ok() {
         ending.send_replace(true);
     }
 }
@@ -92,7 +92,7 @@
     phase.send_if_modified(|phase| {
         let serving = *phase == Phase::Serving;
         if serving {
-            *phase = Phase::Ending;
+            *phase = Phase::ShuttingDown;
         }
         serving
     });
