--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -6,19 +6,19 @@
 //! it never stays with a dead process. Everything else is exchanged over a link between the two processes:
 //!
 //! ```text
-//!     successor                      predecessor
-//!       finds the lock held            owns, serves
-//!       Hello ----------------------->
-//!             <----------------------- Welcome, with the listeners and the state that can be sent in advance
-//!       prepares to serve              continues to serve, and to own everything
-//!       Ready ----------------------->
-//!                                      accepts no new clients, spends nothing
-//!             <----------------------- State, with what it owns
-//!       stores it, and waits
-//!       StateReceived --------------->
-//!                                      releases the lock
-//!             <----------------------- OwnershipGranted
-//!       acquires the lock, serves      finishes its open requests
+//! successor                      predecessor
+//!   finds the lock held            owns, serves
+//!   Hello ----------------------->
+//!         <----------------------- Welcome, with the listeners and the state that can be sent in advance
+//!   prepares to serve              continues to serve, and to own everything
+//!   Ready ----------------------->
+//!                                  accepts no new clients, spends nothing
+//!         <----------------------- State, with what it owns
+//!   stores it, and waits
+//!   StateReceived --------------->
+//!                                  releases the lock
+//!         <----------------------- OwnershipGranted
+//!   acquires the lock, serves      finishes its open requests
 //! ```
 //!
 //! Until it receives `StateReceived`, the predecessor owns everything, and it continues as the owner if the
--- a/src/core/access_log/tests.rs
+++ b/src/core/access_log/tests.rs
@@ -30,13 +30,13 @@
     }
 }
 
-fn file(name: &str) -> PathBuf {
+fn log_path(name: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("rowanglade-log-{}-{name}", std::process::id()));
     let _ = std::fs::remove_file(&path);
     path
 }
 
-fn read(path: &Path) -> Vec<String> {
+fn read_lines(path: &Path) -> Vec<String> {
     let text = std::fs::read_to_string(path).expect("a file");
     let line = |l: &str| {
         let request = rowanglade_capture::own_log::parse(l.as_bytes()).expect("a line").expect("a request");
@@ -51,7 +51,7 @@
 // What the daemon writes must be readable for the replay's log parser.
 #[tokio::test]
 async fn each_line_records_the_outcome_and_can_be_parsed_again() {
-    let path = file("ends");
+    let path = log_path("ends");
     let log = AccessLog::open(&path, 10).expect("opened");
     log.begin(&request("a")).finish(&Response::Served(Bytes::from_static(b"x").into()));
     log.begin(&request("b")).finish(&Response::Rejected { retry_after: Duration::from_millis(5) });
@@ -59,13 +59,13 @@
     drop(log.begin(&request("d")));
     log.wait_until_written(Duration::from_secs(5)).await;
     let key = "Some(\"k\\\"1\") None";
-    assert_eq!(read(&path), [200, 503, 500, 0].map(|status| format!("deposit {status} {key}")));
+    assert_eq!(read_lines(&path), [200, 503, 500, 0].map(|status| format!("deposit {status} {key}")));
     assert_eq!(log.lost_lines(), (0, 0));
 }
 
 #[tokio::test]
 async fn after_reopen_lines_go_to_a_new_file() {
-    let (path, moved) = (file("moved"), file("moved-away"));
+    let (path, moved) = (log_path("moved"), log_path("moved-away"));
     let log = AccessLog::open(&path, 10).expect("opened");
     log.begin(&request("a")).finish(&Response::Failed);
     log.wait_until_written(Duration::from_secs(5)).await;
@@ -73,7 +73,7 @@
     log.reopen();
     log.begin(&request("b")).finish(&Response::Failed);
     log.wait_until_written(Duration::from_secs(5)).await;
-    assert_eq!((read(&moved).len(), read(&path).len()), (1, 1));
+    assert_eq!((read_lines(&moved).len(), read_lines(&path).len()), (1, 1));
 }
 
 // A disk that is slow or full must not delay requests, and the lost lines must be counted.
--- a/src/core/actor.rs
+++ b/src/core/actor.rs
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Runs until every [`CoreHandle`](crate::core::CoreHandle) is gone.
+    /// Runs until every [`CoreHandle`](crate::core::CoreHandle) has been dropped.
     pub async fn run(mut self) {
         self.readiness.start(self.clock.now());
         while let Some(input) = self.next_input().await {
--- a/src/core/actor/requests.rs
+++ b/src/core/actor/requests.rs
@@ -95,7 +95,7 @@
     }
 
     /// Fails the requests that the scheduler has not answered in time. The scheduler's own responses come
-    /// before this deadline; the watchdog guarantees a response if one of them fails to appear.
+    /// earlier; the watchdog guarantees a response whatever delays them.
     pub(super) fn fail_overdue(&mut self, now: Micros) {
         while let Some(id) = self.open_requests.first_overdue(now) {
             self.diagnostics.counters.watchdog_failures += 1;
--- a/src/core/message.rs
+++ b/src/core/message.rs
@@ -41,7 +41,7 @@
         /// The attempt, by its number within the request.
         number: AttemptNumber,
     },
-    /// An attempt's connection has been established: may its first byte be sent?
+    /// An attempt's connection has been established. The attempt asks whether its first byte may be sent.
     MayStart {
         /// The attempt's request.
         id: RequestId,
--- a/src/core/open_requests.rs
+++ b/src/core/open_requests.rs
@@ -113,11 +113,10 @@
 /// All requests that are not settled.
 pub(super) struct OpenRequests {
     requests: HashMap<RequestId, OpenRequest>,
-    /// Ordered by the time at which the deadline watchdog fails the request; only requests without a
-    /// response.
+    /// The requests whose deadline is watched, ordered by the time at which the watchdog fails them.
     watchdog: BTreeSet<(Micros, RequestId)>,
     client_ids: ClientIds,
-    /// The number of requests without a response, shared with the world outside the core.
+    /// The number of requests without a response, shared with [`CoreHandle`](crate::core::CoreHandle).
     unanswered: Rc<Cell<usize>>,
 }
 
--- a/src/core/routes/tests.rs
+++ b/src/core/routes/tests.rs
@@ -20,7 +20,7 @@
 fallback = "second"
 "#;
 
-fn loaded(version: u64, text: &str) -> Arc<LoadedRoutes> {
+fn load_table(version: u64, text: &str) -> Arc<LoadedRoutes> {
     let settings = ServiceSettings {
         classes: vec![ClassSettings { name: "view".into(), writes: false }],
         ..ServiceSettings::default()
@@ -70,18 +70,18 @@
 }
 
 fn changed_sets(routes: &mut Routes) -> Vec<(u32, Option<Vec<u32>>)> {
-    let one = |e: Event| match e {
+    let describe = |e: Event| match e {
         Event::TargetSetChanged { set: target_set, targets } => {
             (target_set.0, targets.map(|n| n.iter().map(|n| n.0).collect()))
         }
         other => panic!("{other:?}"),
     };
-    routes.take_events().into_iter().map(one).collect()
+    routes.take_events().into_iter().map(describe).collect()
 }
 
 #[test]
 fn a_target_set_follows_the_list_and_uses_the_fallback_if_its_pool_has_no_target() {
-    let mut routes = Routes::new(loaded(1, TABLE));
+    let mut routes = Routes::new(load_table(1, TABLE));
     apply_list(&mut routes, TargetState::Active);
     assert_eq!(routes.acquire(&request(8, Some(0))), None, "no route matches");
     let set = routes.acquire(&request(7, Some(0)));
@@ -98,10 +98,10 @@
 // A request keeps the table it arrived under, and the table is dropped with its last request.
 #[test]
 fn an_old_table_is_kept_until_its_last_request_ends() {
-    let mut routes = Routes::new(loaded(1, TABLE));
+    let mut routes = Routes::new(load_table(1, TABLE));
     apply_list(&mut routes, TargetState::Active);
     let old = routes.acquire(&request(7, Some(0))).expect("a set");
-    routes.load(loaded(2, &TABLE.replace("pool = \"first\"", "pool = \"second\"")));
+    routes.load(load_table(2, &TABLE.replace("pool = \"first\"", "pool = \"second\"")));
     let new = routes.acquire(&request(7, Some(0))).expect("a set");
     assert!(new != old && routes.versions() == [1, 2]);
     assert_eq!(changed_sets(&mut routes), [(0, Some(vec![0])), (1, Some(vec![1]))]);
--- a/src/core/site_monitor.rs
+++ b/src/core/site_monitor.rs
@@ -82,7 +82,8 @@
         endpoint
     }
 
-    /// If a shard has no target left because a site is lost: the site, and how long clients should wait.
+    /// If all active targets of a shard are in lost sites: the site that may return soonest, and the Retry-After
+    /// for clients. `None` otherwise, or if the shard has no active target.
     pub(super) fn unavailable(&self, now: Micros, shard: Option<u32>) -> Option<(Rc<str>, Duration)> {
         let (site, wait) = self.sites.lost_site_of_shard(now, shard?)?;
         Some((site.into(), Duration::from_micros(wait).min(self.settings.max_retry_after)))
--- a/src/core/validation.rs
+++ b/src/core/validation.rs
@@ -39,7 +39,7 @@
     /// The request class needs an idempotency key, and the request has none.
     #[error("idempotency key is missing, but the request class needs one")]
     MissingKey,
-    /// An open request has the same id.
+    /// An open request has the same id, so the two could not be distinguished.
     #[error("request id is in use by another open request")]
     DuplicateId,
 }
--- a/src/handover/controls.rs
+++ b/src/handover/controls.rs
@@ -32,7 +32,7 @@
         self.phase.send_replace(phase);
     }
 
-    /// Sends the core a request and waits for its answer. `None`: the core has ended.
+    /// Sends the core a request and waits for its answer. `None`: the core has stopped.
     pub(super) async fn request<T>(
         &self,
         request: impl FnOnce(oneshot::Sender<T>) -> HandoverRequest,
@@ -68,7 +68,7 @@
         self.budget.reserve_for_other_process(0);
     }
 
-    /// Leaves the serving phase, and limits the budget to the descriptors in use plus a few to finish open
+    /// Enters the draining phase, and limits the budget to the descriptors in use plus a few to finish open
     /// requests.
     pub(super) fn retire(&self) {
         self.set_phase(Phase::Draining);
--- a/src/handover/message.rs
+++ b/src/handover/message.rs
@@ -52,7 +52,7 @@
     pub share: Option<DescriptorShare>,
 }
 
-/// The sockets of clients and peers, by name.
+/// The sockets on which clients and peers are served, by name.
 #[derive(Debug, Default)]
 pub struct Listeners(pub Vec<(String, OwnedFd)>);
 
--- a/src/initiator/run.rs
+++ b/src/initiator/run.rs
@@ -60,14 +60,14 @@
             Some(handover) => handover.spawn(),
             None => drop(self.phase.send_replace(Phase::Serving)),
         }
-        actix_rt::spawn(end_sessions_when_leaving(self.phase.subscribe(), ending.clone()));
+        actix_rt::spawn(end_sessions_when_draining(self.phase.subscribe(), ending.clone()));
         tokio::select! {
             result = &mut front => return result,
             () = stop => {}
         }
 
         let shutdown = Shutdown::begin(self.core, clients, self.shutdown_time);
-        set_ending_phase(&self.phase);
+        begin_shutdown_phase(&self.phase);
         ending.send_replace(true);
         shutdown.serve_remaining_clients(front).await;
         closing.send_replace(true);
@@ -81,14 +81,14 @@
 }
 
 /// Requests logout on all sessions once another process serves, so that they reconnect to it.
-async fn end_sessions_when_leaving(mut phase: watch::Receiver<Phase>, ending: watch::Sender<bool>) {
+async fn end_sessions_when_draining(mut phase: watch::Receiver<Phase>, ending: watch::Sender<bool>) {
     if phase.wait_for(|phase| *phase == Phase::Draining).await.is_ok() {
         ending.send_replace(true);
     }
 }
 
-/// Changes the phase from serving to ending; a process that prepares or leaves keeps its phase.
-fn set_ending_phase(phase: &watch::Sender<Phase>) {
+/// Changes the phase from serving to shutting down; a process that is preparing or draining keeps its phase.
+fn begin_shutdown_phase(phase: &watch::Sender<Phase>) {
     phase.send_if_modified(|phase| {
         let serving = *phase == Phase::Serving;
         if serving {
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -101,14 +101,14 @@
 }
 
 /// Targets whose actors have stopped.
-fn ended_actors() -> Connect {
+fn stopped_actors() -> Connect {
     Box::new(|_| mpsc::channel(1).0)
 }
 
 // A core without targets polled a time that had already passed in a loop, and used a whole CPU.
 #[test]
 fn without_targets_the_core_is_not_ready_and_does_not_spin() {
-    with_core(ended_actors, async |core| {
+    with_core(stopped_actors, async |core| {
         tokio::time::sleep(Duration::from_secs(60)).await;
         assert!(!core.is_ready());
         send_cached_list(&core).await;
@@ -120,7 +120,7 @@
 // needed, because it waited for discovery.
 #[test]
 fn without_discovery_the_cached_list_is_trusted_within_310_ms() {
-    with_core(ended_actors, async |core| {
+    with_core(stopped_actors, async |core| {
         let start = tokio::time::Instant::now();
         send_cached_list(&core).await;
         assert!(!core.is_ready(), "discovery still has time to answer");
@@ -131,7 +131,7 @@
 
 #[test]
 fn requests_to_a_target_with_a_stopped_actor_are_rejected() {
-    with_core(ended_actors, async |core| {
+    with_core(stopped_actors, async |core| {
         send_cached_list(&core).await;
         let response = core.submit(request()).await.expect("valid request").response().await;
         assert!(
@@ -147,7 +147,7 @@
 // was never executed.
 #[test]
 fn an_attempt_dropped_without_a_result_counts_as_broken_once_it_may_have_started() {
-    let drops = |started: bool| -> Connect {
+    let dropping_actors = |started: bool| -> Connect {
         Box::new(move |_| {
             let (tx, mut rx) = mpsc::channel(8);
             tokio::task::spawn_local(async move {
@@ -163,14 +163,14 @@
     let write =
         || Request { class: "deposit".into(), write: true, idempotency_key: Some("k".into()), ..request() };
     with_core(
-        move || drops(true),
+        move || dropping_actors(true),
         async move |core| {
             send_cached_list(&core).await;
             assert_eq!(core.submit(write()).await.expect("valid request").response().await, Response::Failed);
         },
     );
     with_core(
-        move || drops(false),
+        move || dropping_actors(false),
         async move |core| {
             send_cached_list(&core).await;
             let response = core.submit(write()).await.expect("valid request").response().await;
@@ -182,7 +182,7 @@
 // A request without a response when the process exits would get none at all.
 #[test]
 fn at_shutdown_every_open_request_fails() {
-    let holds = || -> Connect {
+    let holding_actors = || -> Connect {
         Box::new(|_| {
             let (tx, mut rx) = mpsc::channel(8);
             tokio::task::spawn_local(async move {
@@ -194,7 +194,7 @@
             tx
         })
     };
-    with_core(holds, async |core| {
+    with_core(holding_actors, async |core| {
         send_cached_list(&core).await;
         let pending = core.submit(request()).await.expect("valid request");
         core.send(Message::Shutdown).await;
