--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -182,7 +182,7 @@
         }
         let warm: Vec<EndpointEntry> = (1..TARGETS).map(|n| entry(n, n)).collect();
         let harness = |g| {
-            let mut b = Harness::seeded(s.clone(), &warm, seed * 1_000 + g);
+            let mut b = Harness::with_seed(s.clone(), &warm, seed * 1_000 + g);
             b.manual_arrivals = true;
             b
         };
@@ -251,7 +251,7 @@
         let now = self.initiators[initiator].now;
         let mut entries: Vec<EndpointEntry> = (1..TARGETS).map(|n| entry(n, n)).collect();
         entries.extend((self.notified_at[initiator] <= now).then(warming));
-        let mut b = Harness::unlisted(self.settings.clone(), self.random.random());
+        let mut b = Harness::without_endpoints(self.settings.clone(), self.random.random());
         (b.now, b.manual_arrivals) = (now, true);
         b.endpoints_changed(EndpointUpdateKind::Cached, &entries);
         self.initiators[initiator] = b;
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -22,7 +22,7 @@
     let mut s = Settings { initiators: 1, ..settings() };
     (s.classes[CLASS as usize].latency_objective, s.classes[CLASS as usize].deadline) =
         (5 * SECOND, 5 * SECOND);
-    let mut harness = Harness::unlisted(s, 1);
+    let mut harness = Harness::without_endpoints(s, 1);
     harness.now = started_at.unwrap_or(harness.now);
     harness.endpoints_changed(EndpointUpdateKind::Cached, &entries);
     harness.manual_arrivals = true;
--- a/tests/many_initiators.rs
+++ b/tests/many_initiators.rs
@@ -11,7 +11,8 @@
     let s = Settings { initiators: 100, ..settings() };
     let started = 100 * SECOND;
     let warming = EndpointEntry { started: Some(started), ..entry(0, 0) };
-    let mut all: Vec<Harness> = (0..100).map(|seed| Harness::seeded(s.clone(), &[warming], seed)).collect();
+    let mut all: Vec<Harness> =
+        (0..100).map(|seed| Harness::with_seed(s.clone(), &[warming], seed)).collect();
     let mut sent: Vec<(Micros, f64)> = Vec::new();
     for step in 0..90u64 {
         for (g, b) in all.iter_mut().enumerate() {
@@ -72,7 +73,7 @@
     let warming = EndpointEntry { started: Some(STARTED), ..entry(0, 0) };
     let s = reserved_settings();
     let seeds = (0..48).map(|initiator| draw * 1_000 + initiator);
-    let mut all: Vec<Harness> = seeds.map(|seed| Harness::seeded(s.clone(), &[warming], seed)).collect();
+    let mut all: Vec<Harness> = seeds.map(|seed| Harness::with_seed(s.clone(), &[warming], seed)).collect();
     let mut sent: Vec<(Micros, f64)> = Vec::new();
     for step in 0..80u64 {
         for (g, b) in all.iter_mut().enumerate() {
@@ -134,7 +135,7 @@
     const SERVICE: Micros = 20 * MS;
     let s = Settings { initiators: 20, ..settings() };
     let mut all: Vec<Harness> =
-        (0..20).map(|seed| Harness::seeded(s.clone(), &[entry(0, 0)], seed)).collect();
+        (0..20).map(|seed| Harness::with_seed(s.clone(), &[entry(0, 0)], seed)).collect();
     let mut queue: VecDeque<(usize, u64, Micros)> = VecDeque::new();
     let (mut next_done, mut served, mut timely, mut asked) = (0, 0, 0, 0);
     for ms in 0..20_000u64 {
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -443,7 +443,7 @@
 #[test]
 fn a_new_object_goes_to_a_known_target_unless_that_is_late() {
     let placed = |took: Micros, seed: u64| {
-        let mut b = Harness::seeded(settings(), &[entry(0, 0), entry(1, 1)], seed);
+        let mut b = Harness::with_seed(settings(), &[entry(0, 0), entry(1, 1)], seed);
         b.arrive(RequestProfile { shard: Some(ShardId(1)), ..request(1, READ) });
         b.attempt_ended(1, 0, 1, Outcome::Served, took);
         let sent = b.arrive(RequestProfile { shard: None, ..request(2, NON_IDEMPOTENT) });
@@ -461,7 +461,7 @@
     let targets: Vec<EndpointEntry> = (0..6).map(|i| entry(i, i)).collect();
     let mut counts = [0; 6];
     for seed in 0..120 {
-        let mut b = Harness::seeded(settings(), &targets, seed);
+        let mut b = Harness::with_seed(settings(), &targets, seed);
         for action in b.arrive(RequestProfile { shard: None, ..request(1, NON_IDEMPOTENT) }) {
             if let Action::StartAttempt { target, .. } = action {
                 counts[target.0 as usize] += 1;
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -104,17 +104,17 @@
 impl Harness {
     /// With one target for each entry, as the first endpoint list.
     pub fn new(settings: Settings, entries: &[EndpointEntry]) -> Harness {
-        Harness::seeded(settings, entries, 1)
+        Harness::with_seed(settings, entries, 1)
     }
 
-    pub fn seeded(settings: Settings, entries: &[EndpointEntry], seed: u64) -> Harness {
-        let mut harness = Harness::unlisted(settings, seed);
+    pub fn with_seed(settings: Settings, entries: &[EndpointEntry], seed: u64) -> Harness {
+        let mut harness = Harness::without_endpoints(settings, seed);
         harness.endpoints_changed(EndpointUpdateKind::Cached, entries);
         harness
     }
 
     /// One that has not even a remembered list yet.
-    pub fn unlisted(settings: Settings, seed: u64) -> Harness {
+    pub fn without_endpoints(settings: Settings, seed: u64) -> Harness {
         let scheduler = Scheduler::new(settings.clone(), seed).expect("usable settings");
         Harness { scheduler, now: 100 * SECOND, timers: Vec::new(), settings, manual_arrivals: false }
     }
