--- a/tests/core.rs
+++ b/tests/core.rs
@@ -179,7 +179,7 @@
     );
 }
 
-// A request without a response when the process exits would get none at all.
+// A request that is still open when the process exits would never get a response.
 #[test]
 fn at_shutdown_every_open_request_fails() {
     let holding_actors = || -> Connect {
--- a/tests/signals.rs
+++ b/tests/signals.rs
@@ -59,7 +59,7 @@
 const ROUTES: &str = "[[pool]]\nname = \"one\"\nboxes = \"s-0\"\n[[route]]\nname = \"r\"\npool = \"one\"\n";
 
 // Routes are reloaded while discovery is unreachable. A file that breaks an expectation or is truncated
-// leaves the routes in force unchanged. Several SIGHUPs in a row, with SIGTERM behind them, end in an orderly
+// leaves the routes in force unchanged. Several SIGHUPs in a row, followed by SIGTERM, end in an orderly
 // exit.
 #[test]
 fn sighup_loads_routes_only_if_every_expectation_holds() {
