--- a/crates/iscsi/src/connection.rs
+++ b/crates/iscsi/src/connection.rs
@@ -10,21 +10,21 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::time::timeout;
 
-/// How long the steps of opening a connection may take.
+/// Timeouts of the steps of opening a connection.
 #[derive(Clone, Copy, Debug)]
 pub struct Timeouts {
-    /// Until the TCP connection is up.
+    /// Until the TCP connection is established.
     pub connect: Duration,
-    /// From then on, until the login is done.
+    /// From then on, until the login is complete.
     pub login: Duration,
 }
 
 /// A connection in the full feature phase.
 #[derive(Debug)]
 pub struct Connection {
-    /// PDUs from the target.
+    /// Reads PDUs from the target.
     pub reader: PduReader<OwnedReadHalf>,
-    /// Where PDUs to the target are written.
+    /// Writes PDUs to the target.
     pub writer: OwnedWriteHalf,
     /// What the login negotiated.
     pub parameters: SessionParameters,
@@ -33,11 +33,11 @@
 }
 
 impl Connection {
-    /// Connects, and logs in as `initiator` to the target of this name. Dropping the future closes the
+    /// Connects, and logs in as `initiator` to the target named `target`. Dropping the future closes the
     /// connection.
     ///
     /// # Errors
-    /// The connection could not be opened or broke, a step took too long, or the target refused the login.
+    /// The connection could not be opened or broke, a step timed out, or the target rejected the login.
     pub async fn open(
         addr: SocketAddr,
         initiator: &str,
--- a/crates/iscsi/src/login/keys.rs
+++ b/crates/iscsi/src/login/keys.rs
@@ -12,36 +12,37 @@
 const FIRST_BURST: &str = "FirstBurstLength";
 const IMMEDIATE_DATA: &str = "ImmediateData";
 
-/// The smallest data segment in bytes that a side may declare.
+/// The smallest MaxRecvDataSegmentLength in bytes that a side may declare.
 const MIN_SEGMENT_BYTES: u32 = 512;
-/// The data segment in bytes of a side that declares none.
+/// The MaxRecvDataSegmentLength in bytes of a side that declares none.
 const DEFAULT_SEGMENT_BYTES: u32 = 8_192;
-/// The newest protocol level (RFC 7144) that this side speaks.
+/// The newest protocol level (RFC 7144) that this side supports.
 const PROTOCOL_LEVEL: u32 = 2;
 
-/// What a login settled.
+/// The parameters that a login negotiated.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SessionParameters {
-    /// The initiator's name.
+    /// The initiator's iSCSI name.
     pub initiator: String,
-    /// The most bytes that the peer takes in one data segment.
+    /// The most bytes that may be sent to the peer in one data segment.
     pub max_segment_bytes: usize,
-    /// The most bytes of a write that may go with its command.
+    /// The most bytes of a write that may be sent with its command.
     pub first_burst_bytes: usize,
-    /// Whether data may go with a command.
+    /// Whether data may be sent with a command.
     pub immediate_data: bool,
-    /// The next command number.
+    /// The next command number (CmdSN).
     pub cmd_sn: u32,
-    /// The next status number.
+    /// The next status number (StatSN).
     pub stat_sn: u32,
 }
 
-/// Keys and their values.
+/// Text keys and their values.
 #[derive(Debug, Default)]
 pub(super) struct Keys(BTreeMap<String, String>);
 
 impl Keys {
-    /// Reads `KEY=VALUE` pairs that each end with a zero byte; none: they are no text of pairs.
+    /// Parses `KEY=VALUE` pairs that each end with a zero byte; `None`: the data is not UTF-8 or not made of
+    /// such pairs.
     pub(super) fn parse(data: &[u8]) -> Option<Keys> {
         let text = std::str::from_utf8(data).ok()?;
         let pairs = text.split('\0').filter(|pair| !pair.is_empty());
@@ -52,7 +53,7 @@
         keys.collect::<Option<_>>().map(Keys)
     }
 
-    /// Adds keys that came later, which win over earlier ones.
+    /// Adds keys of a later PDU, which replace earlier ones.
     pub(super) fn extend(&mut self, later: Option<&Keys>) {
         let later = later.into_iter().flat_map(|keys| &keys.0);
         self.0.extend(later.map(|(key, value)| (key.clone(), value.clone())));
@@ -71,8 +72,8 @@
         self.get(TARGET_NAME)
     }
 
-    /// Whether they are those of a session that this side takes: of a named initiator, without authentication,
-    /// and not for discovery.
+    /// Whether the keys describe a session that this side supports: of a named initiator, without
+    /// authentication, and not for discovery.
     pub(super) fn describe_normal_session(&self) -> bool {
         let without_auth = |methods: &str| methods.split(',').any(|method| method == "None");
         self.get(INITIATOR_NAME).is_some()
@@ -80,13 +81,13 @@
             && self.get(SESSION_TYPE).is_none_or(|session_type| session_type == "Normal")
     }
 
-    /// The target's answers to offered keys.
+    /// Encodes the target's answers to the offered keys.
     pub(super) fn answers(&self) -> Bytes {
         let answers = self.0.iter().filter_map(|(key, offered)| Some((key.as_str(), answer(key, offered)?)));
         encode(answers)
     }
 
-    /// What the keys settled.
+    /// The session parameters that result from the keys.
     pub(super) fn session_parameters(&self, cmd_sn: u32, stat_sn: u32) -> SessionParameters {
         let segment = self.number(MAX_SEGMENT, DEFAULT_SEGMENT_BYTES).max(MIN_SEGMENT_BYTES);
         let first_burst = self.number(FIRST_BURST, MAX_SEGMENT_BYTES as u32);
@@ -105,7 +106,7 @@
     pairs.into_iter().flat_map(|(key, value)| format!("{key}={value}\0").into_bytes()).collect()
 }
 
-/// The answer to one offered key; none: it wants none.
+/// The answer to one offered key; `None`: the key needs no answer.
 fn answer(key: &str, offered: &str) -> Option<String> {
     let at_most = |ours: u32| offered.parse::<u32>().unwrap_or(ours).min(ours).to_string();
     Some(match key {
@@ -123,7 +124,7 @@
     })
 }
 
-/// The keys that an initiator offers.
+/// Encodes the keys that an initiator offers.
 pub(super) fn offer(initiator: &str, target: &str) -> Bytes {
     encode([
         (INITIATOR_NAME, initiator.to_string()),
--- a/crates/iscsi/src/login/mod.rs
+++ b/crates/iscsi/src/login/mod.rs
@@ -1,4 +1,4 @@
-//! The login phase: both sides' parts in the negotiation.
+//! The login phase: the target's and the initiator's part of the negotiation.
 
 mod keys;
 
@@ -16,15 +16,16 @@
 const OPERATIONAL: u8 = 1;
 const FULL_FEATURE: u8 = 3;
 
-/// Statuses of a login response.
+/// Status codes of a login response.
 const SUCCESS: u16 = 0x0000;
 const INITIATOR_ERROR: u16 = 0x0200;
 const NO_SUCH_TARGET: u16 = 0x0203;
 const INVALID_DURING_LOGIN: u16 = 0x020b;
 
-/// The initiator's part of a session's identifier: of the random format, since each session stands alone.
+/// The initiator's part of the session identifier: of the random format, since no session is related to
+/// another.
 const ISID: [u8; 6] = [0x80, 0, 0, 0, 0, 1];
-/// The first command and status numbers.
+/// The first CmdSN and StatSN of a session.
 const FIRST_SN: u32 = 1;
 
 /// Why a login failed.
@@ -33,20 +34,20 @@
     /// The connection broke or ended.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The initiator sent something else.
-    #[error("no login request")]
+    /// The initiator sent something other than a login request.
+    #[error("expected a login request")]
     NoRequest,
-    /// The target refused the login with this status.
-    #[error("login refused with {0:#06x}")]
-    Refused(u16),
-    /// The target answered, and the login is not done.
-    #[error("login answered with {0:#06x}")]
+    /// The target rejected the login with this status.
+    #[error("login rejected with status {0:#06x}")]
+    Rejected(u16),
+    /// The target sent a login response with this status that does not complete the login.
+    #[error("login not completed, target responded with status {0:#06x}")]
     NotCompleted(u16),
-    /// The target sent something else.
-    #[error("no login response")]
+    /// The target sent something other than a login response.
+    #[error("expected a login response")]
     NoResponse,
-    /// The target's keys cannot be read.
-    #[error("login keys are no text")]
+    /// The target's login keys cannot be parsed.
+    #[error("login keys are not KEY=VALUE text")]
     UnreadableKeys,
 }
 
@@ -59,11 +60,11 @@
     }
 }
 
-/// The target's part, as the target of this name, whose sessions take `window` commands at a time. Not cancel
-/// safe: cancelled, the connection is of no further use.
+/// Performs the target's part of a login as the target named `name`, whose sessions accept `window` commands
+/// at a time. Not cancel safe: after a cancellation the connection cannot be used again.
 ///
 /// # Errors
-/// The login failed; the initiator was sent the status, where the connection still allowed it.
+/// The login failed. The initiator was sent the status if the connection still allowed it.
 pub async fn accept<R: AsyncRead + Unpin, W: AsyncWrite + Unpin>(
     reader: &mut PduReader<R>,
     writer: &mut W,
@@ -77,8 +78,8 @@
             Ok(Pdu::LoginRequest(request)) => request,
             Ok(_) | Err(ReadError::Rejected(..) | ReadError::TooLong(_)) => {
                 let status = INVALID_DURING_LOGIN;
-                let refusal = respond(&Login::default(), stat_sn, 0, status, Bytes::new(), window);
-                writer.write_all(&refusal.encode()).await?;
+                let rejection = respond(&Login::default(), stat_sn, 0, status, Bytes::new(), window);
+                writer.write_all(&rejection.encode()).await?;
                 return Err(LoginError::NoRequest);
             }
             Err(ReadError::Io(error)) => return Err(error.into()),
@@ -94,7 +95,7 @@
         let response = respond(&request, stat_sn, request.cmd_sn, status, answers, window);
         writer.write_all(&response.encode()).await?;
         if status != SUCCESS {
-            return Err(LoginError::Refused(status));
+            return Err(LoginError::Rejected(status));
         }
         stat_sn += 1;
         if request.transit && request.next == FULL_FEATURE {
@@ -103,7 +104,7 @@
     }
 }
 
-/// Judges a login request by its stages and by all keys that came so far.
+/// Checks the stages of a login request and all keys received so far. Returns the status to respond with.
 fn status(request: &Login, readable: bool, keys: &Keys, name: &str) -> u16 {
     let known_stage = matches!(request.current, SECURITY | OPERATIONAL);
     let forward = matches!(request.next, OPERATIONAL | FULL_FEATURE) && request.next > request.current;
@@ -129,10 +130,11 @@
     Pdu::LoginResponse { login, seq: Sequence { stat_sn, exp_cmd_sn, max_cmd_sn }, status }
 }
 
-/// The initiator's part: straight to the operational stage, without authentication. Not cancel safe.
+/// Performs the initiator's part of a login, which begins in the operational stage, without authentication.
+/// Not cancel safe.
 ///
 /// # Errors
-/// The connection broke, or the target refused the login.
+/// The connection broke, the target rejected the login, or its response is invalid.
 pub async fn log_in<R: AsyncRead + Unpin, W: AsyncWrite + Unpin>(
     reader: &mut PduReader<R>,
     writer: &mut W,
--- a/crates/iscsi/src/pdu/decode.rs
+++ b/crates/iscsi/src/pdu/decode.rs
@@ -1,4 +1,4 @@
-//! PDUs from their bytes.
+//! Decodes PDUs.
 
 use super::header::{
     ASYNC_EVENT, ASYNC_PARAMETERS, BUFFER_OFFSET, CDB, CID, CMD_SN, DATA_SN, DESIRED_LENGTH, EXP_STAT_SN,
@@ -10,7 +10,7 @@
 use super::{Login, Pdu, RejectReason, Residual};
 use bytes::Bytes;
 
-/// The bits of a flags byte that tell of a residual.
+/// The bits of a flags byte that indicate a residual.
 const RESIDUAL_MASK: u8 = 0x06;
 const OVERFLOW: u8 = 0x04;
 const UNDERFLOW: u8 = 0x02;
@@ -19,10 +19,10 @@
     /// Decodes a header and its data segment, without padding.
     ///
     /// # Errors
-    /// The PDU is not one of the subset, or its fields contradict each other.
+    /// The PDU is not in the supported subset, or its fields contradict each other.
     pub fn decode(header: &Header, data: Bytes) -> Result<Pdu, RejectReason> {
         if has_additional_segments(header) {
-            // Extended and bidirectional commands are left out.
+            // Extended and bidirectional commands are not supported.
             return Err(RejectReason::CommandNotSupported);
         }
         match header[OPCODE] & OPCODE_MASK {
@@ -37,7 +37,7 @@
     }
 }
 
-/// Decodes a PDU that targets send.
+/// Decodes a PDU that only targets send.
 fn decode_from_target(header: &Header, data: Bytes) -> Result<Pdu, RejectReason> {
     let seq = read_sequence(header);
     let itt = read_u32(header, ITT);
@@ -199,7 +199,7 @@
 }
 
 impl Residual {
-    /// The bits of a flags byte that tell of it.
+    /// The bits of a flags byte that indicate this residual.
     pub(super) fn flags(self) -> u8 {
         match self {
             Residual::None => 0,
@@ -208,7 +208,7 @@
         }
     }
 
-    /// The number of bytes.
+    /// The residual in bytes.
     pub(super) fn count(self) -> u32 {
         match self {
             Residual::None => 0,
--- a/crates/iscsi/src/pdu/encode.rs
+++ b/crates/iscsi/src/pdu/encode.rs
@@ -1,4 +1,4 @@
-//! PDUs to their bytes.
+//! Encodes PDUs.
 
 use super::header::{
     ASYNC_EVENT, ASYNC_PARAMETERS, BUFFER_OFFSET, CDB, CID, DATA_SN, DESIRED_LENGTH, EXP_STAT_SN,
@@ -8,13 +8,13 @@
 use super::{Pdu, RESERVED_TAG, Residual};
 use bytes::Bytes;
 
-/// A flag where a condition holds.
+/// Returns `flag` if it is set, and 0 otherwise.
 fn flag(set: bool, flag: u8) -> u8 {
     if set { flag } else { 0 }
 }
 
 impl Pdu {
-    /// The PDU's bytes: its header, and its data segment with padding.
+    /// Encodes the PDU: its header, and its data segment with padding.
     pub fn encode(&self) -> Bytes {
         match self {
             Pdu::NopOut { immediate, lun, itt, ttt, cmd_sn, exp_stat_sn, data } => {
@@ -156,7 +156,7 @@
     }
 }
 
-/// Writes the flags of data, and the command's status where the data carries it.
+/// Writes the flags of a Data-In, and the command's status if it carries one.
 fn with_status(header: HeaderWriter, flags: u8, status: &Option<(u8, Residual)>) -> HeaderWriter {
     match status {
         None => header.flags(flags),
--- a/crates/iscsi/src/pdu/header.rs
+++ b/crates/iscsi/src/pdu/header.rs
@@ -1,39 +1,39 @@
-//! The basic header segment: where its fields stand (RFC 7143, section 11).
+//! The basic header segment: the positions of its fields (RFC 7143, section 11).
 
 use super::Sequence;
 use bytes::{BufMut, Bytes, BytesMut};
 
 /// Length in bytes of a basic header segment.
 pub const HEADER_BYTES: usize = 48;
-/// Segments are padded to a multiple of so many bytes.
+/// Segments are padded to a multiple of this many bytes.
 const WORD_BYTES: usize = 4;
 /// The data segment's length has 24 bits.
 const DATA_LENGTH_MASK: u32 = 0x00ff_ffff;
 
-/// A basic header segment as it came.
+/// A basic header segment as received.
 pub type Header = [u8; HEADER_BYTES];
 
-/// The byte of the opcode, with the flag of an immediate command.
+/// Position of the opcode, whose byte also has the flag of an immediate command.
 pub(super) const OPCODE: usize = 0;
-/// The byte of the flags, which differ from PDU to PDU.
+/// Position of the flags, which differ from PDU to PDU.
 pub(super) const FLAGS: usize = 1;
-/// The byte of a response, or of a Reject's reason.
+/// Position of a response code, or of a Reject's reason code.
 pub(super) const RESPONSE: usize = 2;
-/// The byte of a SCSI status.
+/// Position of a SCSI status.
 pub(super) const STATUS: usize = 3;
 const ADDITIONAL_LENGTH: usize = 4;
 const DATA_LENGTH: usize = 4;
 pub(super) const LUN: usize = 8;
-/// Where the status qualifier of a SCSI Response stands.
+/// Position of the status qualifier in a SCSI Response.
 pub(super) const STATUS_QUALIFIER: usize = 8;
-/// Where the session's identifier of a login stands.
+/// Position of the initiator's part of the session identifier in a login.
 pub(super) const ISID: usize = 8;
 pub(super) const TSIH: usize = 14;
 pub(super) const ITT: usize = 16;
 pub(super) const TTT: usize = 20;
-/// Where a task management request has the tag of the task that it is about.
+/// Position of the referenced task tag in a task management request.
 pub(super) const REFERENCED_TAG: usize = 20;
-/// Where a SCSI command has the length that it is expected to transfer.
+/// Position of the expected data transfer length in a SCSI command.
 pub(super) const EXPECTED_LENGTH: usize = 20;
 pub(super) const CID: usize = 20;
 pub(super) const CMD_SN: usize = 24;
@@ -45,28 +45,28 @@
 pub(super) const DATA_SN: usize = 36;
 pub(super) const LOGIN_STATUS: usize = 36;
 pub(super) const ASYNC_EVENT: usize = 36;
-/// Where the three parameters of an asynchronous message stand.
+/// Positions of the three parameters in an asynchronous message.
 pub(super) const ASYNC_PARAMETERS: [usize; 3] = [38, 40, 42];
 pub(super) const BUFFER_OFFSET: usize = 40;
 pub(super) const RESIDUAL_COUNT: usize = 44;
-/// Where an R2T has the length that is to be sent.
+/// Position of the desired data transfer length in an R2T.
 pub(super) const DESIRED_LENGTH: usize = 44;
 
-/// Flag of an immediate command, beside the opcode.
+/// Flag of an immediate command, in the byte of the opcode.
 pub(super) const IMMEDIATE: u8 = 0x40;
 pub(super) const OPCODE_MASK: u8 = 0x3f;
-/// Flag of the last PDU of a sequence; set in all that have none.
+/// Flag of the last PDU of a sequence; set in all PDUs that form no sequences.
 pub(super) const FINAL: u8 = 0x80;
 /// Flags of a SCSI command.
 pub(super) const READ: u8 = 0x40;
 pub(super) const WRITE: u8 = 0x20;
 pub(super) const SIMPLE_TASK: u8 = 0x01;
-/// Flag of data that carries the command's status.
+/// Flag of a Data-In that carries the command's status.
 pub(super) const HAS_STATUS: u8 = 0x01;
-/// What is left of a flags byte that also holds a function or a reason.
+/// Mask of a function or reason code that shares its byte with [`FINAL`].
 pub(super) const FUNCTION_MASK: u8 = 0x7f;
 
-/// The opcodes of the subset.
+/// The opcodes of the supported subset.
 pub(super) mod opcode {
     pub const NOP_OUT: u8 = 0x00;
     pub const SCSI_COMMAND: u8 = 0x01;
@@ -105,7 +105,7 @@
     }
 }
 
-/// Whether the header has additional segments behind it.
+/// Whether additional header segments follow the header.
 pub(super) fn has_additional_segments(header: &Header) -> bool {
     header[ADDITIONAL_LENGTH] != 0
 }
@@ -117,11 +117,11 @@
     (additional, data)
 }
 
-/// Writes a header, field by field.
+/// Builds a PDU field by field.
 pub(super) struct HeaderWriter(Header);
 
 impl HeaderWriter {
-    /// A header without a further field.
+    /// A header with this opcode, whose other fields are zero.
     pub(super) fn new(opcode: u8) -> HeaderWriter {
         HeaderWriter([0; HEADER_BYTES]).byte(OPCODE, opcode)
     }
@@ -157,19 +157,19 @@
         self.bytes(at, &value.to_be_bytes())
     }
 
-    /// The numbers of an initiator's command.
+    /// Sets the CmdSN and ExpStatSN of an initiator's PDU.
     pub(super) fn command_numbers(self, cmd_sn: u32, exp_stat_sn: u32) -> HeaderWriter {
         self.u32(CMD_SN, cmd_sn).u32(EXP_STAT_SN, exp_stat_sn)
     }
 
-    /// The numbers of a target's PDU.
+    /// Sets the sequence numbers of a target's PDU.
     pub(super) fn sequence(self, sequence: &Sequence) -> HeaderWriter {
         self.u32(STAT_SN, sequence.stat_sn)
             .u32(EXP_CMD_SN, sequence.exp_cmd_sn)
             .u32(MAX_CMD_SN, sequence.max_cmd_sn)
     }
 
-    /// The whole PDU, with its data segment padded.
+    /// The complete PDU, with its data segment padded.
     pub(super) fn finish(self, data: &[u8]) -> Bytes {
         let HeaderWriter(header) = self.u32(DATA_LENGTH, data.len() as u32 & DATA_LENGTH_MASK);
         let mut out = BytesMut::with_capacity(HEADER_BYTES + data.len() + WORD_BYTES - 1);
--- a/crates/iscsi/src/pdu/login.rs
+++ b/crates/iscsi/src/pdu/login.rs
@@ -1,46 +1,46 @@
-//! What a login's request and response share.
+//! The fields that the requests and responses of a login share.
 
 use super::RejectReason;
 use super::header::{FINAL, FLAGS, Header, HeaderWriter, ISID, ITT, TSIH, read_u16, read_u32};
 use bytes::Bytes;
 
-/// Flag of a text that goes on in a further PDU.
+/// Flag of a text that continues in another PDU.
 const CONTINUES: u8 = 0x40;
 /// The bits of a stage.
 const STAGE_MASK: u8 = 0x03;
-/// Where the bits of the present stage begin.
+/// Position of the bits of the current stage.
 const CURRENT_STAGE_SHIFT: u8 = 2;
 
-/// What a login's request and response share.
+/// The fields that the requests and responses of a login share.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Login {
-    /// The sender is ready to go on to the next stage.
+    /// Whether the sender is ready for the transition to the next stage.
     pub transit: bool,
-    /// The present stage.
+    /// The current stage.
     pub current: u8,
     /// The next stage.
     pub next: u8,
-    /// The initiator's part of the session's identifier.
+    /// The initiator's part of the session identifier.
     pub isid: [u8; 6],
-    /// The target's part of the session's identifier.
+    /// The target's part of the session identifier.
     pub tsih: u16,
-    /// The login's tag.
+    /// The initiator task tag of the login.
     pub itt: u32,
-    /// The connection; only of a request.
+    /// The connection ID; only in a request.
     pub cid: u16,
-    /// The command number; only of a request.
+    /// The command number; only in a request.
     pub cmd_sn: u32,
-    /// The next status number that the initiator expects; only of a request.
+    /// The next status number that the initiator expects; only in a request.
     pub exp_stat_sn: u32,
-    /// The text keys.
+    /// The text keys and their values.
     pub data: Bytes,
 }
 
 impl Login {
-    /// Decodes what both directions share.
+    /// Decodes the fields that both directions share.
     pub(super) fn decode(header: &Header, data: Bytes) -> Result<Login, RejectReason> {
         let flags = header[FLAGS];
-        // The keys of a login fit into one PDU: a text that goes on is left out.
+        // The keys of a login fit into one PDU: continued text is not supported.
         if flags & CONTINUES != 0 {
             return Err(RejectReason::CommandNotSupported);
         }
@@ -58,7 +58,7 @@
         })
     }
 
-    /// Writes what both directions share, but for the data.
+    /// Writes the fields that both directions share, except the data.
     pub(super) fn encode(&self, header: HeaderWriter) -> HeaderWriter {
         let transit = if self.transit { FINAL } else { 0 };
         let stages = (self.current & STAGE_MASK) << CURRENT_STAGE_SHIFT | self.next & STAGE_MASK;
--- a/crates/iscsi/src/pdu/mod.rs
+++ b/crates/iscsi/src/pdu/mod.rs
@@ -1,6 +1,6 @@
-//! Protocol data units: each is decoded once into a typed value and encoded once. Fields have the names of RFC
-//! 7143: `itt` is the initiator task tag, `ttt` the target transfer tag, and the numbers that end in `sn` are
-//! its sequence numbers.
+//! Protocol data units: each is decoded once into a typed value and encoded once. Fields have the names of
+//! RFC 7143: `itt` is the initiator task tag, `ttt` the target transfer tag, and the fields that end in `sn`
+//! are its sequence numbers.
 
 mod decode;
 mod encode;
@@ -12,103 +12,103 @@
 
 use bytes::Bytes;
 
-/// The tag that stands for no task or transfer.
+/// The reserved value of a tag, which identifies no task or transfer.
 pub const RESERVED_TAG: u32 = u32::MAX;
 
-/// The numbers that a target's PDUs carry.
+/// The sequence numbers that a target's PDUs carry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Sequence {
-    /// The number of this status.
+    /// StatSN: the number of this status.
     pub stat_sn: u32,
-    /// The number of the next command that the target expects.
+    /// ExpCmdSN: the number of the next command that the target expects.
     pub exp_cmd_sn: u32,
-    /// The number of the last command that the target takes at present.
+    /// MaxCmdSN: the number of the last command that the target accepts at present.
     pub max_cmd_sn: u32,
 }
 
-/// What is wrong with a PDU, as a Reject has it.
+/// The reason code of a Reject PDU.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[repr(u8)]
 pub enum RejectReason {
-    /// It breaks the protocol.
+    /// The PDU violates the protocol.
     #[error("protocol error")]
     ProtocolError = 0x04,
-    /// It is left out here.
+    /// The PDU or its command is not supported.
     #[error("command not supported")]
     CommandNotSupported = 0x05,
-    /// One of its fields cannot hold.
+    /// A field of the PDU has an invalid value.
     #[error("invalid PDU field")]
     InvalidField = 0x09,
 }
 
-/// The bytes by which a transfer differed from what the command expected.
+/// The bytes by which a transfer differed from the expected transfer length of its command.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Residual {
-    /// It did not.
+    /// The lengths are equal.
     #[default]
     None,
-    /// There were so many more.
+    /// Overflow: this many bytes more than expected.
     Over(u32),
-    /// There were so many fewer.
+    /// Underflow: this many bytes fewer than expected.
     Under(u32),
 }
 
-/// The PDUs of the subset, both directions. Lengths and offsets are in bytes.
+/// The PDUs of the supported subset, in both directions. Lengths and offsets are in bytes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Pdu {
-    /// NOP-Out: an initiator's ping, or its answer to one.
+    /// NOP-Out: an initiator's ping, or its response to one.
     NopOut {
-        /// It uses up no command number.
+        /// Whether it consumes no command number.
         immediate: bool,
-        /// The LUN that a ping of the target named.
+        /// The LUN of the target's ping that it responds to.
         lun: u64,
-        /// Its tag; reserved where it wants no answer.
+        /// The initiator task tag; reserved if it wants no response.
         itt: u32,
-        /// The tag of the ping that it answers.
+        /// The target transfer tag of the ping that it responds to.
         ttt: u32,
         /// The command number.
         cmd_sn: u32,
         /// The next status number that the initiator expects.
         exp_stat_sn: u32,
-        /// What a ping is to bring back.
+        /// The data that the response to a ping returns.
         data: Bytes,
     },
     /// SCSI Command.
     ScsiCommand {
-        /// It uses up no command number.
+        /// Whether it consumes no command number.
         immediate: bool,
-        /// No unsolicited data follows.
+        /// Whether no unsolicited data follows.
         last: bool,
-        /// It reads.
+        /// Whether the command reads.
         read: bool,
-        /// It writes.
+        /// Whether the command writes.
         write: bool,
         /// The logical unit.
         lun: u64,
-        /// Its tag.
+        /// The initiator task tag.
         itt: u32,
-        /// The length that it is expected to transfer.
+        /// The expected data transfer length.
         length: u32,
         /// The command number.
         cmd_sn: u32,
         /// The next status number that the initiator expects.
         exp_stat_sn: u32,
-        /// The SCSI command.
+        /// The SCSI command descriptor block.
         cdb: [u8; 16],
-        /// The first of the data that it writes.
+        /// The first part of the data that the command writes.
         data: Bytes,
     },
     /// Task Management Function Request.
     TaskRequest {
-        /// It uses up no command number.
+        /// Whether it consumes no command number.
         immediate: bool,
-        /// The function.
+        /// The function code.
         function: u8,
         /// The logical unit.
         lun: u64,
-        /// Its tag.
+        /// The initiator task tag of the request itself.
         itt: u32,
-        /// The tag of the task that it is about.
+        /// The initiator task tag of the task that the function applies to.
         referenced: u32,
         /// The command number.
         cmd_sn: u32,
@@ -119,152 +119,153 @@
     LoginRequest(Login),
     /// SCSI Data-Out.
     DataOut {
-        /// The last of what an R2T solicits.
+        /// Whether it is the last PDU that the R2T solicits.
         last: bool,
         /// The logical unit.
         lun: u64,
-        /// The command's tag.
+        /// The initiator task tag of the command.
         itt: u32,
-        /// The tag of the R2T.
+        /// The target transfer tag of the R2T.
         ttt: u32,
         /// The next status number that the initiator expects.
         exp_stat_sn: u32,
-        /// Its number among those that the R2T solicits.
+        /// Its number among the PDUs that the R2T solicits (DataSN).
         data_sn: u32,
-        /// Where in the command's data it begins.
+        /// Where its data begins in the command's data.
         offset: u32,
         /// The data.
         data: Bytes,
     },
     /// Logout Request.
     LogoutRequest {
-        /// It uses up no command number.
+        /// Whether it consumes no command number.
         immediate: bool,
-        /// What is to be closed.
+        /// The reason code: what is to be closed.
         reason: u8,
-        /// Its tag.
+        /// The initiator task tag.
         itt: u32,
-        /// The connection.
+        /// The connection ID.
         cid: u16,
         /// The command number.
         cmd_sn: u32,
         /// The next status number that the initiator expects.
         exp_stat_sn: u32,
     },
-    /// NOP-In: a target's ping, or its answer to one.
+    /// NOP-In: a target's ping, or its response to one.
     NopIn {
         /// The logical unit.
         lun: u64,
-        /// The tag of the ping that it answers.
+        /// The initiator task tag of the ping that it responds to.
         itt: u32,
-        /// Its tag; reserved where it wants no answer.
+        /// The target transfer tag; reserved if it wants no response.
         ttt: u32,
-        /// The target's numbers.
+        /// The target's sequence numbers.
         seq: Sequence,
-        /// What the ping brought.
+        /// The data of the ping that it responds to.
         data: Bytes,
     },
     /// SCSI Response.
     ScsiResponse {
-        /// 0: the command completed at the target.
+        /// The response code; 0: the command completed at the target.
         response: u8,
         /// The SCSI status.
         status: u8,
         /// The status qualifier (RFC 7144).
         qualifier: u16,
-        /// The command's tag.
+        /// The initiator task tag of the command.
         itt: u32,
-        /// The target's numbers.
+        /// The target's sequence numbers.
         seq: Sequence,
-        /// What the transfer lacked or had too much.
+        /// How the transfer differed from the expected length.
         residual: Residual,
         /// Sense data.
         data: Bytes,
     },
     /// Task Management Function Response.
     TaskResponse {
-        /// What became of the request.
+        /// The response code of the requested function.
         response: u8,
-        /// The request's tag.
+        /// The initiator task tag of the request.
         itt: u32,
-        /// The target's numbers.
+        /// The target's sequence numbers.
         seq: Sequence,
     },
     /// Login Response.
     LoginResponse {
-        /// What it has in common with the request.
+        /// The fields that it shares with the request.
         login: Login,
-        /// The target's numbers.
+        /// The target's sequence numbers.
         seq: Sequence,
         /// The status class and detail.
         status: u16,
     },
     /// SCSI Data-In.
     DataIn {
-        /// The last of a sequence.
+        /// Whether it is the last PDU of a sequence.
         last: bool,
-        /// The command's status, where this PDU ends it.
+        /// The command's status and residual, if this PDU ends the command.
         status: Option<(u8, Residual)>,
-        /// The command's tag.
+        /// The initiator task tag of the command.
         itt: u32,
-        /// The target's numbers.
+        /// The target's sequence numbers.
         seq: Sequence,
-        /// Its number among the command's.
+        /// Its number among the command's Data-In PDUs (DataSN).
         data_sn: u32,
-        /// Where in the command's data it begins.
+        /// Where its data begins in the command's data.
         offset: u32,
         /// The data.
         data: Bytes,
     },
     /// Logout Response.
     LogoutResponse {
-        /// 0: closed.
+        /// The response code; 0: the session or connection is closed.
         response: u8,
-        /// The request's tag.
+        /// The initiator task tag of the request.
         itt: u32,
-        /// The target's numbers.
+        /// The target's sequence numbers.
         seq: Sequence,
     },
     /// Ready To Transfer.
     R2t {
         /// The logical unit.
         lun: u64,
-        /// The command's tag.
+        /// The initiator task tag of the command.
         itt: u32,
-        /// Its tag, which the data carries.
+        /// The target transfer tag, which the solicited data carries.
         ttt: u32,
-        /// The target's numbers.
+        /// The target's sequence numbers.
         seq: Sequence,
-        /// Its number among the command's.
+        /// Its number among the command's R2Ts (R2TSN).
         r2t_sn: u32,
         /// Where in the command's data the transfer begins.
         offset: u32,
-        /// How much is to be sent.
+        /// The desired data transfer length.
         length: u32,
     },
     /// Asynchronous Message.
     Async {
-        /// The event.
+        /// The AsyncEvent code.
         event: u8,
-        /// The target's numbers.
+        /// The target's sequence numbers.
         seq: Sequence,
-        /// What the event says further.
+        /// Further parameters of the event.
         parameters: [u16; 3],
     },
     /// Reject.
     Reject {
-        /// Why.
+        /// The reason code.
         reason: u8,
-        /// The target's numbers.
+        /// The target's sequence numbers.
         seq: Sequence,
-        /// The header of what was rejected.
+        /// The header of the rejected PDU.
         data: Bytes,
     },
 }
 
 impl Pdu {
-    /// The numbers of a target's PDU, and whether it uses up its status number: data without a status, an R2T
-    /// and a NOP-In that answers nothing only name the next one. None: it is an initiator's.
+    /// The sequence numbers of a target's PDU, and whether it consumes its status number: data without a
+    /// status, an R2T and a NOP-In that responds to nothing only carry the next one. `None`: the PDU is an
+    /// initiator's.
     pub fn sequence(&self) -> Option<(Sequence, bool)> {
         match self {
             Pdu::NopIn { seq, itt, .. } => Some((*seq, *itt != RESERVED_TAG)),
--- a/crates/iscsi/src/reader.rs
+++ b/crates/iscsi/src/reader.rs
@@ -1,27 +1,27 @@
-//! PDUs out of a stream of bytes.
+//! Reads PDUs from a stream of bytes.
 
 use crate::pdu::{self, HEADER_BYTES, Header, Pdu, RejectReason};
 use bytes::{Buf, BytesMut};
 use std::io;
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-/// The largest data segment in bytes that is taken: what this side declares as its MaxRecvDataSegmentLength.
+/// The largest data segment in bytes that this side accepts and declares as its MaxRecvDataSegmentLength.
 pub const MAX_SEGMENT_BYTES: usize = 64 * 1024;
 
-/// Why there is no next PDU.
+/// Why no PDU could be read.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
     /// The stream broke, or ended inside a PDU.
     #[error(transparent)]
     Io(io::Error),
     /// The stream ended between PDUs.
-    #[error("the stream ended")]
+    #[error("stream ended between PDUs")]
     End,
-    /// A PDU that this side does not take. The stream can go on behind it.
-    #[error("rejected: {0}")]
+    /// A PDU that this side does not support. The next one can still be read.
+    #[error("PDU rejected: {0}")]
     Rejected(RejectReason, Box<Header>),
-    /// A header whose lengths cannot be followed: nothing behind it can be read.
-    #[error("a data segment that is too long")]
+    /// A header with a data segment that exceeds [`MAX_SEGMENT_BYTES`]. No further PDU can be read.
+    #[error("data segment exceeds MaxRecvDataSegmentLength")]
     TooLong(Box<Header>),
 }
 
@@ -33,12 +33,12 @@
 }
 
 impl<R: AsyncRead + Unpin> PduReader<R> {
-    /// A reader of this stream.
+    /// Creates a reader of a stream.
     pub fn new(stream: R) -> PduReader<R> {
         PduReader { stream, buffer: BytesMut::new() }
     }
 
-    /// The stream, without what was read of it and not taken.
+    /// Returns the stream. Bytes that were read and not returned as PDUs are lost.
     pub fn into_inner(self) -> R {
         self.stream
     }
@@ -46,7 +46,7 @@
     /// The next PDU. Cancel safe: dropped before it resolves, it has lost nothing.
     ///
     /// # Errors
-    /// The stream broke or ended, or what came is not taken.
+    /// The stream broke or ended, or the PDU is not supported.
     pub async fn next(&mut self) -> Result<Pdu, ReadError> {
         loop {
             if let Some(pdu) = self.take_buffered() {
@@ -62,7 +62,7 @@
         }
     }
 
-    /// The next PDU, if all of it has been read.
+    /// The next PDU, if all of it is in the buffer.
     fn take_buffered(&mut self) -> Option<Result<Pdu, ReadError>> {
         let header: Header = self.buffer.get(..HEADER_BYTES)?.try_into().ok()?;
         let (additional, data) = pdu::lengths(&header);
--- a/crates/iscsi/src/scsi.rs
+++ b/crates/iscsi/src/scsi.rs
@@ -5,34 +5,34 @@
 
 /// Status GOOD.
 pub const GOOD: u8 = 0x00;
-/// Status CHECK CONDITION: sense data says what is wrong.
+/// Status CHECK CONDITION: sense data describes the error.
 pub const CHECK_CONDITION: u8 = 0x02;
 /// Status BUSY.
 pub const BUSY: u8 = 0x08;
 /// Status TASK SET FULL.
 pub const TASK_SET_FULL: u8 = 0x28;
 
-/// Bytes of a logical block.
+/// Bytes in a logical block.
 pub const BLOCK_BYTES: u32 = 512;
 
 const READ_16: u8 = 0x88;
 const WRITE_16: u8 = 0x8a;
-/// The bits of a group number.
+/// The bits of the group number in its byte.
 const GROUP_MASK: u8 = 0x3f;
 
 /// Length of fixed format sense data.
 const SENSE_BYTES: u16 = 18;
 /// Response code of current errors in fixed format.
 const CURRENT_FIXED: u8 = 0x70;
-/// Length of what comes behind the first eight bytes of fixed format sense data.
+/// Length of fixed format sense data after the first eight bytes.
 const ADDITIONAL_SENSE_BYTES: u8 = 10;
 
-/// A status qualifier's unit of time.
+/// The unit of time of a status qualifier.
 const QUALIFIER_UNIT_MILLIS: u128 = 100;
-/// The longest time that a status qualifier can hold, in its unit.
+/// The longest time that a status qualifier can express, in its unit.
 const MAX_QUALIFIER: u128 = 0x3fef;
 
-/// Sense data.
+/// Sense data of a command that failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sense {
     /// The sense key.
@@ -49,13 +49,14 @@
 pub const INVALID_FIELD: Sense = Sense { key: 0x05, code: 0x24, qualifier: 0x00 };
 /// ILLEGAL REQUEST, LOGICAL UNIT NOT SUPPORTED.
 pub const NO_SUCH_LUN: Sense = Sense { key: 0x05, code: 0x25, qualifier: 0x00 };
-/// ABORTED COMMAND, LOGICAL UNIT COMMUNICATION TIME-OUT: nothing is promised of the effect.
+/// ABORTED COMMAND, LOGICAL UNIT COMMUNICATION TIME-OUT: the command may have taken effect.
 pub const NO_RESPONSE: Sense = Sense { key: 0x0b, code: 0x08, qualifier: 0x01 };
-/// ABORTED COMMAND, DATA PHASE ERROR: the data of a write never came whole.
+/// ABORTED COMMAND, DATA PHASE ERROR: the data of a write did not arrive completely.
 pub const DATA_PHASE_ERROR: Sense = Sense { key: 0x0b, code: 0x4b, qualifier: 0x00 };
 
 impl Sense {
-    /// Fixed format, behind the length that the data segment of a SCSI Response begins with.
+    /// Encodes the sense data in fixed format, after the length with which the data segment of a SCSI
+    /// Response begins.
     pub fn encode(self) -> Bytes {
         let Sense { key, code, qualifier } = self;
         let mut out = BytesMut::with_capacity(2 + usize::from(SENSE_BYTES));
@@ -66,14 +67,14 @@
     }
 }
 
-/// READ(16) or WRITE(16).
+/// A READ(16) or WRITE(16) command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Command {
-    /// Whether it writes.
+    /// Whether it is a WRITE(16).
     pub write: bool,
-    /// The first logical block.
+    /// Address of the first logical block.
     pub address: u64,
-    /// How many logical blocks.
+    /// Number of logical blocks.
     pub blocks: u32,
     /// The group number: the index of the request class in the settings.
     pub group: u8,
@@ -83,7 +84,7 @@
     /// Decodes a command descriptor block.
     ///
     /// # Errors
-    /// It is neither READ(16) nor WRITE(16).
+    /// The operation code is neither READ(16) nor WRITE(16).
     pub fn decode(cdb: &[u8; 16]) -> Result<Command, Sense> {
         let write = match cdb[0] {
             READ_16 => false,
@@ -99,7 +100,7 @@
         })
     }
 
-    /// The command descriptor block.
+    /// Encodes the command descriptor block.
     pub fn encode(&self) -> [u8; 16] {
         let mut cdb = [0; 16];
         cdb[0] = if self.write { WRITE_16 } else { READ_16 };
@@ -110,7 +111,7 @@
     }
 }
 
-/// How long a client should stay away as a status qualifier: tenths of a second, rounded up.
+/// Encodes how long a client should wait as a status qualifier: tenths of a second, rounded up.
 pub fn retry_after_qualifier(retry_after: Duration) -> u16 {
     retry_after.as_millis().div_ceil(QUALIFIER_UNIT_MILLIS).min(MAX_QUALIFIER) as u16
 }
--- a/crates/iscsi/tests/pdu.rs
+++ b/crates/iscsi/tests/pdu.rs
@@ -3,10 +3,10 @@
 use bytes::Bytes;
 use rowanglade_iscsi::pdu::{HEADER_BYTES, Header, Login, Pdu, Residual, Sequence, lengths};
 
-// The two directions share one definition of each PDU; a field put at another place by one of them would
-// pass the stories, in which both sides are ours.
+// Both directions share one definition of each PDU. If a field stood at a wrong position in both, tests in
+// which both sides use this crate would still pass, so the layout of a command is compared with the RFC.
 #[test]
-fn what_is_encoded_is_decoded_and_stands_where_the_rfc_says() {
+fn encoded_pdus_decode_to_the_same_value_and_a_command_has_the_layout_of_the_rfc() {
     let seq = Sequence { stat_sn: 11, exp_cmd_sn: 12, max_cmd_sn: 13 };
     let (lun, itt, ttt, cmd_sn, exp_stat_sn) = (0x0102_0304_0506_0708, 9, 10, 14, 15);
     let (data, residual, parameters) = (Bytes::from_static(b"abc"), Residual::Under(5), [1, 2, 3]);
