--- a/crates/http-exchange/src/connection.rs
+++ b/crates/http-exchange/src/connection.rs
@@ -1,9 +1,9 @@
-//! One connection to a server, and the exchange that it carries.
+//! A connection to a server, and the exchange that it carries.
 
-use crate::body::{BodyStream, NoStream, RequestBody, encode_request};
+use crate::body::{BodyStream, EmptyStream, RequestBody, encode_request};
 use crate::error::ExchangeError;
 use crate::pool::OpenSlot;
-use crate::response::{CompleteResponse, Unread, count_piece};
+use crate::response::{CompleteResponse, RemainingBody, deduct_chunk};
 use crate::stream;
 use actix_codec::{Decoder, Encoder};
 use actix_http::h1::{ClientCodec, Message};
@@ -15,14 +15,14 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// The most that the head of a response may take up, and a line between two chunks.
+/// Most bytes of a response's head, or of a line between two chunks.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// How many 1xx responses may come before the final one: a peer that sends more is taken for broken.
+/// Most 1xx responses before the final one. A server that sends more is treated as broken.
 const MAX_INFORMATIONAL_RESPONSES: usize = 16;
-/// What is read at once, at most: no more of a response is held than that and what its reader holds.
+/// Most bytes of one read. A response occupies no more memory than this and what its reader buffers.
 const READ_BYTES: usize = 16 * 1024;
 
-/// One connection. Dropped, it is closed.
+/// One connection to a server. Dropping it closes it.
 #[derive(Debug)]
 pub struct Connection {
     stream: TcpStream,
@@ -30,15 +30,16 @@
     buffer: BytesMut,
     stall_timeout: Duration,
     unused: bool,
-    /// The last response ended where it said, and another request may be written.
+    /// Whether the last response ended as its head declared, so that another request may be written.
     response_complete: bool,
-    unread: Unread,
+    remaining: RemainingBody,
     #[expect(dead_code, reason = "held for its drop")]
     slot: OpenSlot,
 }
 
 impl Connection {
-    /// A new connection. A response that has begun goes on within `stall_timeout`.
+    /// Creates a connection from an open stream. Once a response has begun, its next bytes must arrive within
+    /// `stall_timeout`.
     pub(crate) fn new(
         stream: TcpStream,
         addr: SocketAddr,
@@ -52,7 +53,7 @@
             stall_timeout,
             unused: true,
             response_complete: false,
-            unread: Unread::Nothing { reusable: false },
+            remaining: RemainingBody::Nothing { reusable: false },
             slot,
         }
     }
@@ -62,7 +63,7 @@
         self.addr
     }
 
-    /// Whether no request was ever written to it.
+    /// Whether no request has been written to the connection yet.
     pub fn is_unused(&self) -> bool {
         self.unused
     }
@@ -72,37 +73,37 @@
         self.response_complete || self.unused
     }
 
-    /// Whether the peer has neither closed nor sent what nobody asked for.
-    pub(crate) fn is_quiet(&self) -> bool {
+    /// Whether the server has neither closed the connection nor sent bytes that no request asked for.
+    pub(crate) fn is_clean(&self) -> bool {
         let peeked = socket2::SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit(); 1]);
         self.buffer.is_empty() && matches!(peeked, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// One exchange, whose response is held whole and has at most `max_bytes` of body. Not cancel safe:
-    /// dropped half way, or after an error, the connection is of no further use.
+    /// Carries out one exchange. The response is buffered, and its body has at most `max_bytes`. Not cancel
+    /// safe: after a cancellation or an error the connection cannot be used again.
     ///
     /// # Errors
-    /// There is no response, or it cannot be read.
+    /// There is no response, or it is invalid.
     pub async fn exchange(
         &mut self,
         head: RequestHead,
         body: Option<&Bytes>,
         max_bytes: usize,
     ) -> Result<CompleteResponse, ExchangeError> {
-        let body = body.map(|body| RequestBody::<NoStream> { held: body.clone(), rest: None });
+        let body = body.map(|body| RequestBody::<EmptyStream> { buffered: body.clone(), rest: None });
         let head = self.send(head, body, max_bytes as u64).await?;
         let mut content = BytesMut::new();
-        while let Some(piece) = self.next_piece(Some(self.stall_timeout)).await? {
-            content.extend_from_slice(&piece);
+        while let Some(chunk) = self.next_chunk(Some(self.stall_timeout)).await? {
+            content.extend_from_slice(&chunk);
         }
         Ok(CompleteResponse { status: head.status, headers: head.headers, body: content.freeze() })
     }
 
-    /// Sends a request and reads the head of its response, whose body is at most `max_bytes` long. The
-    /// response may begin before the request is complete; then no more of the request is sent. Not cancel safe.
+    /// Sends a request and reads the head of its response, whose body has at most `max_bytes`. If the
+    /// response begins before the request is complete, the rest of the request is not sent. Not cancel safe.
     ///
     /// # Errors
-    /// There is no response, or its head cannot be read.
+    /// There is no response, or its head is invalid.
     pub async fn send<S: BodyStream>(
         &mut self,
         head: RequestHead,
@@ -125,25 +126,26 @@
             Some(head) => head,
             None => self.read_head(&mut codec).await?,
         };
-        self.unread = Unread::behind_head(&head, codec, max_bytes, request_sent)?;
+        self.remaining = RemainingBody::after_head(&head, codec, max_bytes, request_sent)?;
         Ok(head)
     }
 
-    /// Writes a long request, and reads meanwhile. None: it is written whole.
+    /// Writes a long request, and reads at the same time. Returns the head of an early response; `None`: the
+    /// request was written completely.
     async fn send_stream<S: BodyStream>(
         &mut self,
         codec: &mut ClientCodec,
         mut out: BytesMut,
         rest: &mut S,
     ) -> Result<Option<ResponseHead>, ExchangeError> {
-        let mut ended = false;
+        let mut body_complete = false;
         let mut informational_responses = 0;
-        while !(out.is_empty() && ended) {
+        while !(out.is_empty() && body_complete) {
             tokio::select! {
-                piece = rest.next(), if out.is_empty() && !ended => {
-                    let piece = piece.map_err(not_written)?;
-                    ended = piece.is_none();
-                    codec.encode(Message::Chunk(piece), &mut out).map_err(not_written)?;
+                chunk = rest.next(), if out.is_empty() && !body_complete => {
+                    let chunk = chunk.map_err(not_written)?;
+                    body_complete = chunk.is_none();
+                    codec.encode(Message::Chunk(chunk), &mut out).map_err(not_written)?;
                 }
                 writable = self.stream.writable(), if !out.is_empty() => {
                     writable.map_err(not_written)?;
@@ -161,7 +163,7 @@
         Ok(None)
     }
 
-    /// Writes what the system takes now, and removes it from `out`.
+    /// Writes as many bytes of `out` as the system accepts now, and removes them from it.
     fn write_some(&self, out: &mut BytesMut) -> Result<(), ExchangeError> {
         match self.stream.try_write(out) {
             Ok(written) => out.advance(written),
@@ -171,7 +173,8 @@
         Ok(())
     }
 
-    /// Reads what has come while a request is being written: the head of a final response, if it is complete.
+    /// Reads what has arrived while a request is being written. Returns the head of a final response once it
+    /// is complete.
     fn read_early_head(
         &mut self,
         codec: &mut ClientCodec,
@@ -198,7 +201,7 @@
         Ok(None)
     }
 
-    /// Reads the head of the final response to a request that has been written whole.
+    /// Reads the head of the final response to a request that was written completely.
     async fn read_head(&mut self, codec: &mut ClientCodec) -> Result<ResponseHead, ExchangeError> {
         let mut informational_responses = 0;
         loop {
@@ -213,7 +216,7 @@
                 Some(head) => return Ok(head),
                 None if self.buffer.len() > MAX_HEAD_BYTES => return Err(ExchangeError::Broken),
                 None if self.buffer.is_empty() && informational_responses == 0 => {
-                    // An end without a byte, or a reset: nothing of a response has come.
+                    // The stream ended or was reset before the first byte of a response.
                     if !self.read_more(None).await.map_err(|_| ExchangeError::NoResponse)? {
                         return Err(ExchangeError::NoResponse);
                     }
@@ -226,50 +229,50 @@
         }
     }
 
-    /// The next piece of the response's body, which comes within `stall_timeout` of the last. None: the
-    /// response is complete. Cancel safe: dropped before it resolves, it has lost nothing.
+    /// The next chunk of the response's body, which must arrive within `stall_timeout` of the last. `None`:
+    /// the response is complete. Cancel safe: dropped before it resolves, it has lost nothing.
     ///
     /// # Errors
-    /// The body breaks off, stalls, cannot be read or is larger than it may be.
-    pub async fn next_piece(
+    /// The body ends early, stalls, is invalid, or is longer than allowed.
+    pub async fn next_chunk(
         &mut self,
         stall_timeout: Option<Duration>,
     ) -> Result<Option<Bytes>, ExchangeError> {
         loop {
-            match &mut self.unread {
-                Unread::Nothing { reusable } => {
+            match &mut self.remaining {
+                RemainingBody::Nothing { reusable } => {
                     self.response_complete = *reusable && self.buffer.is_empty();
                     return Ok(None);
                 }
-                Unread::Framed { codec, max_bytes, reusable } => {
+                RemainingBody::Framed { codec, max_bytes, reusable } => {
                     match codec.decode(&mut self.buffer).map_err(broken)? {
-                        Some(Some(piece)) => {
-                            count_piece(max_bytes, &piece)?;
-                            return Ok(Some(piece));
+                        Some(Some(chunk)) => {
+                            deduct_chunk(max_bytes, &chunk)?;
+                            return Ok(Some(chunk));
                         }
                         Some(None) => {
                             let reusable = *reusable && codec.keep_alive();
-                            self.unread = Unread::Nothing { reusable };
+                            self.remaining = RemainingBody::Nothing { reusable };
                         }
                         None if self.buffer.len() > MAX_HEAD_BYTES => return Err(ExchangeError::Broken),
                         None => self.read_required(stall_timeout).await?,
                     }
                 }
-                Unread::UntilClose { max_bytes } => {
+                RemainingBody::UntilClose { max_bytes } => {
                     if !self.buffer.is_empty() {
-                        let piece = self.buffer.split().freeze();
-                        count_piece(max_bytes, &piece)?;
-                        return Ok(Some(piece));
+                        let chunk = self.buffer.split().freeze();
+                        deduct_chunk(max_bytes, &chunk)?;
+                        return Ok(Some(chunk));
                     }
                     if !self.read_more(stall_timeout).await? {
-                        self.unread = Unread::Nothing { reusable: false };
+                        self.remaining = RemainingBody::Nothing { reusable: false };
                     }
                 }
             }
         }
     }
 
-    /// Reads more of what must not end yet.
+    /// Reads more of a response that is not complete.
     async fn read_required(&mut self, stall_timeout: Option<Duration>) -> Result<(), ExchangeError> {
         match self.read_more(stall_timeout).await? {
             true => Ok(()),
@@ -277,7 +280,7 @@
         }
     }
 
-    /// Reads more, within `stall_timeout`. False: the stream has ended.
+    /// Reads more, within `stall_timeout`. Returns false at the end of the stream.
     async fn read_more(&mut self, stall_timeout: Option<Duration>) -> Result<bool, ExchangeError> {
         self.buffer.reserve(READ_BYTES);
         let read = stream::read_buf(&self.stream, &mut self.buffer);
--- a/crates/http-exchange/src/lib.rs
+++ b/crates/http-exchange/src/lib.rs
@@ -1,8 +1,8 @@
-//! HTTP/1.1 connections of a client, and the pool that keeps idle ones: the daemon's to its targets, and the
+//! HTTP/1.1 client connections, and the pool that keeps idle ones: the daemon's to its targets, and the
 //! replay's to initiators.
 //!
-//! It speaks through the client codec of the HTTP library: the client above that codec takes a 1xx response,
-//! and whatever comes behind a response, for the response to the next request.
+//! The crate uses the client codec of the HTTP library, and not the client above it: that client takes a 1xx
+//! response, and bytes that follow a response, for the response to the next request.
 
 #![forbid(unsafe_code)]
 
@@ -13,7 +13,7 @@
 mod response;
 pub mod stream;
 
-pub use body::{BodyLost, BodyStream, NoStream, RequestBody};
+pub use body::{BodyAborted, BodyStream, EmptyStream, RequestBody};
 pub use connection::Connection;
 pub use error::ExchangeError;
 pub use pool::ConnectionPool;
--- a/crates/http-exchange/src/pool.rs
+++ b/crates/http-exchange/src/pool.rs
@@ -1,4 +1,4 @@
-//! The pool of idle connections to all servers, and the limit of open ones.
+//! The pool of idle connections to all servers, and the limit of open connections.
 
 use crate::connection::Connection;
 use std::cell::{Cell, RefCell};
@@ -10,8 +10,8 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// How often idle connections are checked: about how long a connection that its server has closed may hold a
-/// descriptor.
+/// Interval between checks of idle connections: about how long a connection that its server has closed may
+/// keep a descriptor.
 const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Counts a connection as open until it is dropped.
@@ -34,7 +34,7 @@
 /// An idle connection.
 #[derive(Debug)]
 struct Idle {
-    /// When its last response ended.
+    /// When the connection was returned to the pool.
     since: Instant,
     connection: Connection,
 }
@@ -44,9 +44,10 @@
         now.saturating_duration_since(self.since)
     }
 
-    /// Whether it may carry a request: neither idle for too long, nor closed or written to by its server.
-    fn is_fit(&self, now: Instant, idle_timeout: Duration) -> bool {
-        self.age(now) < idle_timeout && self.connection.is_quiet()
+    /// Whether it can carry a request: not idle for too long, not closed by its server, and without unread
+    /// bytes.
+    fn is_usable(&self, now: Instant, idle_timeout: Duration) -> bool {
+        self.age(now) < idle_timeout && self.connection.is_clean()
     }
 }
 
@@ -54,23 +55,24 @@
 #[derive(Clone, Debug)]
 pub struct ConnectionPool {
     max_open: Rc<Cell<usize>>,
-    /// A connection idle this long is not used again; the server would close it soon.
+    /// A connection that was idle for this long is not reused; the server would close it soon.
     idle_timeout: Duration,
-    /// A response that has begun goes on within this time, or it will not be complete.
+    /// Longest wait for the next bytes of a response, after which it counts as incomplete.
     stall_timeout: Duration,
-    /// How long a connection stays unused after a response: what a server sends behind one shows by then.
+    /// How long a connection is not reused after a response, so that bytes that the server sends after the
+    /// response are detected.
     settle_time: Duration,
     open: Rc<Cell<usize>>,
-    /// The oldest first.
+    /// The oldest comes first.
     idle: Rc<RefCell<VecDeque<Idle>>>,
-    /// Servers whose connections are closed once they carry nothing.
+    /// Servers whose connections are closed as soon as they carry no request.
     suspended: Rc<RefCell<HashSet<SocketAddr>>>,
 }
 
 impl ConnectionPool {
-    /// A pool of at most `max_open` connections. One is used again `settle_time` after its last response at the
-    /// earliest and `idle_timeout` after it at the latest; a response that has begun goes on within
-    /// `stall_timeout`.
+    /// Creates a pool of at most `max_open` connections. A connection is reused `settle_time` after its last
+    /// response at the earliest, and `idle_timeout` after it at the latest. Once a response has begun, its
+    /// next bytes must arrive within `stall_timeout`.
     pub fn new(
         max_open: usize,
         idle_timeout: Duration,
@@ -96,14 +98,14 @@
         drop(self);
         while let Some(idle) = idle.upgrade() {
             let now = Instant::now();
-            idle.borrow_mut().retain(|idle| idle.is_fit(now, idle_timeout));
+            idle.borrow_mut().retain(|idle| idle.is_usable(now, idle_timeout));
             drop(idle);
             tokio::time::sleep(EXPIRY_CHECK_INTERVAL).await;
         }
     }
 
-    /// An idle connection to the server that is fit for a request, the last used first, else a new one within
-    /// `connect_timeout`. Cancel safe.
+    /// Returns the idle connection to the server that was used last and can carry a request, or opens a new
+    /// one within `connect_timeout`. Cancel safe.
     ///
     /// # Errors
     /// The server cannot be connected to in time, or all connections that may be open are in use.
@@ -117,8 +119,8 @@
         Ok(Connection::new(stream, addr, self.stall_timeout, slot))
     }
 
-    /// Takes the connection to the server that was used last and has settled; those that are not fit are
-    /// closed on the way.
+    /// Takes the connection to the server that was used last and has settled. Connections that cannot be
+    /// reused are closed on the way.
     fn take_idle(&self, addr: SocketAddr) -> Option<Connection> {
         let now = Instant::now();
         let mut idle = self.idle.borrow_mut();
@@ -127,31 +129,33 @@
                 .iter()
                 .rposition(|idle| idle.connection.addr() == addr && idle.age(now) >= self.settle_time)?;
             let candidate = idle.remove(found)?;
-            if candidate.is_fit(now, self.idle_timeout) {
+            if candidate.is_usable(now, self.idle_timeout) {
                 return Some(candidate.connection);
             }
         }
     }
 
-    /// Counts a new connection. Where no more may be open, the one idle for longest, whatever its server, is
-    /// closed for it.
+    /// Reserves a place for a new connection. If no more may be open, the connection that has been idle for
+    /// longest is closed for it, whatever its server.
     fn open_slot(&self) -> io::Result<OpenSlot> {
         if self.open.get() >= self.max_open.get() {
             let evicted = self.idle.borrow_mut().pop_front();
-            evicted.ok_or_else(|| io::Error::other("every connection that there may be is in use"))?;
+            evicted.ok_or_else(|| {
+                io::Error::other("connection limit reached: all open connections are in use")
+            })?;
         }
         Ok(OpenSlot::new(&self.open))
     }
 
-    /// Keeps a connection whose last response ended where it should, or on which nothing was sent; any other
-    /// is closed.
+    /// Returns a connection to the pool. It is kept if its last response ended as declared or nothing was
+    /// sent on it, and its server is not suspended; otherwise it is closed.
     pub fn check_in(&self, connection: Connection) {
         if connection.is_reusable() && !self.suspended.borrow().contains(&connection.addr()) {
             self.idle.borrow_mut().push_back(Idle { since: Instant::now(), connection });
         }
     }
 
-    /// Closes the idle connections to a server: it has gone or fallen silent, and they with it.
+    /// Closes the idle connections to a server that has left or no longer responds.
     pub fn close_idle_to(&self, addr: SocketAddr) {
         self.idle.borrow_mut().retain(|idle| idle.connection.addr() != addr);
     }
@@ -161,7 +165,8 @@
         self.open.get()
     }
 
-    /// Changes how many connections may be open. Idle ones beyond that close at once, the oldest first.
+    /// Changes how many connections may be open. Idle connections beyond that are closed at once, the oldest
+    /// first.
     pub fn resize(&self, max_open: usize) {
         self.max_open.set(max_open);
         while self.open.get() > max_open && self.idle.borrow_mut().pop_front().is_some() {}
@@ -172,13 +177,13 @@
         self.idle.borrow_mut().clear();
     }
 
-    /// From now on no connection to the server is kept, and idle ones close at once.
+    /// Suspends a server: its idle connections are closed now, and others when they are returned.
     pub fn suspend(&self, addr: SocketAddr) {
         self.suspended.borrow_mut().insert(addr);
         self.close_idle_to(addr);
     }
 
-    /// Connections to the server are kept again.
+    /// Ends the suspension of a server: connections to it are kept again.
     pub fn resume(&self, addr: SocketAddr) {
         self.suspended.borrow_mut().remove(&addr);
     }
--- a/crates/http-exchange/src/response.rs
+++ b/crates/http-exchange/src/response.rs
@@ -1,4 +1,4 @@
-//! Where the body of a response ends.
+//! Determines where the body of a response ends.
 
 use crate::error::ExchangeError;
 use actix_http::h1::{ClientCodec, ClientPayloadCodec, MessageType};
@@ -7,36 +7,37 @@
 use bytes::Bytes;
 use std::fmt;
 
-/// A response that is held whole.
+/// A response whose body has been read completely.
 #[derive(Debug)]
 pub struct CompleteResponse {
-    /// Its status.
+    /// The status of the final response.
     pub status: StatusCode,
-    /// Its headers.
+    /// The headers of the final response.
     pub headers: HeaderMap,
-    /// All of its body.
+    /// All of the body.
     pub body: Bytes,
 }
 
-/// How a response says where its body ends.
+/// How a response marks the end of its body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum BodyEnd {
-    /// By a length or by chunks.
+    /// By a length or by chunked encoding.
     Framed,
-    /// With the connection.
+    /// By the close of the connection.
     ConnectionClose,
-    /// There is no body, and nobody can tell what would come next.
+    /// The response declares no body, so that it is unknown what the next bytes belong to.
     Unknown,
 }
 
-/// Finds how a response says where its body ends: in one way only, and not beyond `max_bytes`.
+/// Determines how a response marks the end of its body. Only one mark is valid, and a length of at most
+/// `max_bytes`.
 fn body_end(head: &ResponseHead, max_bytes: u64) -> Result<BodyEnd, ExchangeError> {
     let headers = &head.headers;
     let chunked = headers.contains_key(TRANSFER_ENCODING);
     let mut lengths = headers.get_all(CONTENT_LENGTH);
     match (lengths.next(), lengths.next()) {
         (None, _) if chunked => Ok(BodyEnd::Framed),
-        // Without a length, a response ends with its connection, and must say so.
+        // Without a length, a response ends with its connection, and must announce the close.
         (None, _) => match head.connection_type() {
             ConnectionType::Close => Ok(BodyEnd::ConnectionClose),
             _ if head.status == StatusCode::OK => Err(ExchangeError::Broken),
@@ -51,67 +52,68 @@
     }
 }
 
-/// What is still to be read of a response.
-pub(crate) enum Unread {
+/// The part of a response that has not been read yet.
+pub(crate) enum RemainingBody {
     /// Nothing.
     Nothing {
-        /// The connection may carry another request.
+        /// Whether the connection may carry another request.
         reusable: bool,
     },
     /// A body with a length or in chunks.
     Framed {
-        /// Finds the body's end.
+        /// Finds the end of the body.
         codec: ClientPayloadCodec,
-        /// How many bytes more the body may hold.
+        /// How many more bytes the body may have.
         max_bytes: u64,
-        /// The connection may carry another request once the body has been read.
+        /// Whether the connection may carry another request once the body has been read.
         reusable: bool,
     },
     /// A body that ends with the connection.
     UntilClose {
-        /// How many bytes more the body may hold.
+        /// How many more bytes the body may have.
         max_bytes: u64,
     },
 }
 
-impl Unread {
-    /// What is to be read behind a response's head. `request_sent`: all of its request has been written.
+impl RemainingBody {
+    /// What remains to be read after a response's head. `request_sent`: whether all of its request has been
+    /// written.
     ///
     /// # Errors
-    /// The head does not say where the body ends, or the body is larger than `max_bytes`.
-    pub(crate) fn behind_head(
+    /// The head does not declare where the body ends, or declares more than `max_bytes`.
+    pub(crate) fn after_head(
         head: &ResponseHead,
         codec: ClientCodec,
         max_bytes: u64,
         request_sent: bool,
-    ) -> Result<Unread, ExchangeError> {
+    ) -> Result<RemainingBody, ExchangeError> {
         let body_end = body_end(head, max_bytes)?;
         if head.status.is_informational() {
             return Err(ExchangeError::Broken);
         }
         let reusable = codec.keep_alive() && request_sent && body_end == BodyEnd::Framed;
         let bodiless = matches!(head.status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
-        // The codec reads what goes to the end of the stream only of HTTP/1.0 responses.
+        // The codec reads bodies that end with the stream only in HTTP/1.0 responses.
         Ok(match (codec.message_type(), body_end) {
-            (_, BodyEnd::ConnectionClose) if !bodiless => Unread::UntilClose { max_bytes },
-            (MessageType::None, _) => Unread::Nothing { reusable },
-            _ => Unread::Framed { codec: codec.into_payload_codec(), max_bytes, reusable },
+            (_, BodyEnd::ConnectionClose) if !bodiless => RemainingBody::UntilClose { max_bytes },
+            (MessageType::None, _) => RemainingBody::Nothing { reusable },
+            _ => RemainingBody::Framed { codec: codec.into_payload_codec(), max_bytes, reusable },
         })
     }
 }
 
-impl fmt::Debug for Unread {
+impl fmt::Debug for RemainingBody {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Unread::Nothing { .. } => "nothing",
-            Unread::Framed { .. } => "a framed body",
-            Unread::UntilClose { .. } => "a body until the close",
+            RemainingBody::Nothing { .. } => "nothing",
+            RemainingBody::Framed { .. } => "a framed body",
+            RemainingBody::UntilClose { .. } => "a body until the close",
         })
     }
 }
 
-/// Counts a piece of a body against the bytes that it may still hold.
-pub(crate) fn count_piece(max_bytes: &mut u64, piece: &Bytes) -> Result<(), ExchangeError> {
-    *max_bytes = max_bytes.checked_sub(piece.len() as u64).ok_or(ExchangeError::Broken)?;
+/// Deducts a chunk from the bytes that the body may still have, or fails if there are fewer.
+pub(crate) fn deduct_chunk(max_bytes: &mut u64, chunk: &Bytes) -> Result<(), ExchangeError> {
+    *max_bytes = max_bytes.checked_sub(chunk.len() as u64).ok_or(ExchangeError::Broken)?;
     Ok(())
 }
--- a/crates/http-exchange/src/stream.rs
+++ b/crates/http-exchange/src/stream.rs
@@ -1,9 +1,9 @@
-//! Reads and writes of a stream that may move less than they could.
+//! Reads and writes that stay correct when the system transfers fewer bytes than it could.
 //!
-//! The runtime takes a read that fills only a part of its buffer, or a write of only a part, for the sign
-//! that the system has no more, and waits for the next event. Where a call is cut short for another reason no
-//! such event comes, and the exchange stands still until its time is up. Here only `WouldBlock` says that
-//! there is nothing more to do.
+//! The runtime takes a read that fills only a part of its buffer, or a partial write, for a sign that the
+//! system has no more, and waits for the next event. If a call was cut short for another reason, no such
+//! event comes, and the exchange stalls until it times out. The functions here wait for an event only after
+//! `WouldBlock`.
 
 use bytes::BytesMut;
 use std::io;
@@ -11,13 +11,13 @@
 use tokio::io::ReadBuf;
 use tokio::net::TcpStream;
 
-/// Whether a call that failed is made again at once: a signal came between.
-fn again(error: &io::Error) -> bool {
+/// Whether a failed call is repeated: the socket was not ready, or a signal interrupted the call.
+fn is_retryable(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
 }
 
-/// Reads what has come into a buffer; nothing read: the end of the stream. Pending: the task is woken once
-/// something has come.
+/// Reads what has arrived into `buf`; if nothing is read, the stream has ended. Pending: the task is woken
+/// once more has arrived.
 ///
 /// # Errors
 /// The connection is broken.
@@ -29,13 +29,13 @@
                 buf.advance(read);
                 return Poll::Ready(Ok(()));
             }
-            Err(error) if again(&error) => {}
+            Err(error) if is_retryable(&error) => {}
             Err(error) => return Poll::Ready(Err(error)),
         }
     }
 }
 
-/// Writes as much as the system takes now.
+/// Writes as many bytes as the system accepts now.
 ///
 /// # Errors
 /// The connection is broken.
@@ -43,14 +43,14 @@
     loop {
         ready!(stream.poll_write_ready(cx))?;
         match stream.try_write(bytes) {
-            Err(error) if again(&error) => {}
+            Err(error) if is_retryable(&error) => {}
             done => return Poll::Ready(done),
         }
     }
 }
 
-/// Reads what has come behind what a buffer holds; 0: the end. Dropped before it resolves, it has read
-/// nothing.
+/// Appends what has arrived to `buffer` and returns the number of bytes; 0: the stream has ended. Cancel
+/// safe: dropped before it resolves, it has read nothing.
 ///
 /// # Errors
 /// The connection is broken.
@@ -58,23 +58,23 @@
     loop {
         stream.readable().await?;
         match stream.try_read_buf(buffer) {
-            Err(error) if again(&error) => {}
+            Err(error) if is_retryable(&error) => {}
             done => return done,
         }
     }
 }
 
-/// Writes all of these bytes.
+/// Writes all of `bytes`.
 ///
 /// # Errors
-/// The connection is broken; some of them may have been written.
+/// The connection is broken; some of the bytes may have been written.
 pub async fn write_all(stream: &TcpStream, mut bytes: &[u8]) -> io::Result<()> {
     while !bytes.is_empty() {
         stream.writable().await?;
         match stream.try_write(bytes) {
             Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
             Ok(written) => bytes = &bytes[written..],
-            Err(error) if again(&error) => {}
+            Err(error) if is_retryable(&error) => {}
             Err(error) => return Err(error),
         }
     }
--- a/src/net/accept.rs
+++ b/src/net/accept.rs
@@ -1,43 +1,45 @@
-//! What follows when a connection cannot be accepted.
+//! Recovery from a failed `accept`.
 //!
-//! Linux reports three kinds of failure by `accept`: the connection itself is broken or the network is in
-//! trouble (the next one may be well), the process or the system has no descriptor or memory left, or the
-//! listener is unusable. Whatever it is, a listener neither spins nor stops for good.
+//! Linux reports three kinds of failure through `accept`: a broken connection or a network fault (the next
+//! connection may be fine), a lack of descriptors or memory in the process or the system, or an unusable
+//! listener. In none of these cases does the listener spin or stop accepting permanently.
 
 use rustix::io::Errno;
 use std::io;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Pause where descriptors or memory are short, or the listener fails again and again: long enough not to spin,
-/// and short, since clients that wait to be accepted lose that time.
+/// Pause before the next `accept` when descriptors or memory are short or the listener fails repeatedly: long
+/// enough to avoid a busy loop, and short because clients in the accept queue wait for as long.
 const PAUSE: Duration = Duration::from_millis(20);
-/// Consecutive failures without a pause: each has taken a broken connection out of the queue, as far as is
-/// known.
+/// Consecutive failures before the listener pauses. Each is assumed to have removed a broken connection from
+/// the accept queue.
 const MAX_FAILURES_WITHOUT_PAUSE: u32 = 64;
-/// How often failures are logged.
+/// Minimum interval between log lines about failures of one listener.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What to do before the next accept.
+/// What the listener does before its next `accept`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AfterFailure {
-    /// Nothing: that connection was broken.
+pub enum AcceptRecovery {
+    /// Accept again at once: only that connection was broken.
     Continue,
-    /// Descriptors or memory are short: something should be closed, and the next accept is to wait this long.
+    /// Descriptors or memory are short: close a connection if possible, then wait this long.
     FreeDescriptors(Duration),
-    /// The listener fails again and again: the next accept is to wait this long.
+    /// The listener fails repeatedly: wait this long.
     Pause(Duration),
 }
 
-/// Waits for as long as the next accept is to wait. Cancel safe.
-pub async fn pause(next: AfterFailure) {
+/// Waits for the pause that `next` prescribes, if any. Cancel safe.
+pub async fn pause(next: AcceptRecovery) {
     match next {
-        AfterFailure::Continue => {}
-        AfterFailure::FreeDescriptors(pause) | AfterFailure::Pause(pause) => tokio::time::sleep(pause).await,
+        AcceptRecovery::Continue => {}
+        AcceptRecovery::FreeDescriptors(pause) | AcceptRecovery::Pause(pause) => {
+            tokio::time::sleep(pause).await
+        }
     }
 }
 
-/// The failures of one listener.
+/// Failures of one listener: counts consecutive ones and limits the rate of their log lines.
 #[derive(Debug, Default)]
 pub struct AcceptFailures {
     consecutive: u32,
@@ -46,33 +48,34 @@
 }
 
 impl AcceptFailures {
-    /// Records that a connection was accepted.
+    /// Records that a connection was accepted, which ends a run of failures.
     pub fn record_success(&mut self) {
         self.consecutive = 0;
     }
 
-    /// Records that an accept failed, and says what to do next. Failures are logged once a second; `listener`
-    /// names the listener there.
-    pub fn record_failure(&mut self, error: &io::Error, listener: &'static str) -> AfterFailure {
+    /// Records a failed `accept` and returns what the listener does next. Failures are logged at most once a
+    /// second, under the name `listener`.
+    pub fn record_failure(&mut self, error: &io::Error, listener: &'static str) -> AcceptRecovery {
         self.consecutive = self.consecutive.saturating_add(1);
-        let next = self.after(error);
+        let next = self.next_step(error);
         self.log(error, listener, next);
         next
     }
 
-    fn after(&self, error: &io::Error) -> AfterFailure {
+    fn next_step(&self, error: &io::Error) -> AcceptRecovery {
         let errno = error.raw_os_error().map(Errno::from_raw_os_error);
-        let short = matches!(errno, Some(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM));
-        match short {
-            // A shortage may be over in a moment: only one that shows again is waited for.
-            true if self.consecutive == 1 => AfterFailure::FreeDescriptors(Duration::ZERO),
-            true => AfterFailure::FreeDescriptors(PAUSE),
-            false if self.consecutive < MAX_FAILURES_WITHOUT_PAUSE => AfterFailure::Continue,
-            false => AfterFailure::Pause(PAUSE),
+        let out_of_resources =
+            matches!(errno, Some(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM));
+        match out_of_resources {
+            // A shortage may be over by the next `accept`, so the listener pauses only when it repeats.
+            true if self.consecutive == 1 => AcceptRecovery::FreeDescriptors(Duration::ZERO),
+            true => AcceptRecovery::FreeDescriptors(PAUSE),
+            false if self.consecutive < MAX_FAILURES_WITHOUT_PAUSE => AcceptRecovery::Continue,
+            false => AcceptRecovery::Pause(PAUSE),
         }
     }
 
-    fn log(&mut self, error: &io::Error, listener: &'static str, next: AfterFailure) {
+    fn log(&mut self, error: &io::Error, listener: &'static str, next: AcceptRecovery) {
         let now = Instant::now();
         if self.logged_at.is_some_and(|at| now.saturating_duration_since(at) < LOG_INTERVAL) {
             self.suppressed += 1;
--- a/src/net/admin/call.rs
+++ b/src/net/admin/call.rs
@@ -1,34 +1,34 @@
-//! What an admin call asks for: the one place where its path and method are read.
+//! Parses admin calls: their method and path.
 
 use crate::core::AdminCommand;
 use actix_http::header::{ALLOW, HeaderValue};
 use actix_http::{Method, Response, StatusCode};
 
-/// What a call is about.
+/// A parsed admin call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdminCall {
-    /// Whether this process serves.
+    /// A health check of this process.
     Healthcheck,
     /// A command for the core.
     Command(AdminCommand),
 }
 
-/// Why a call is rejected before anybody handles it.
+/// Why an admin call is rejected before it is handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
-    /// Nothing goes by this path.
+    /// No admin call has this path.
     #[error("unknown path")]
     UnknownPath,
-    /// What goes by this path takes only this method.
-    #[error("the path takes {0} only")]
+    /// The path allows this method only.
+    #[error("method not allowed, the path allows {0} only")]
     MethodNotAllowed(&'static str),
-    /// The target's name is not UTF-8 once it is decoded.
-    #[error("the target's name is not UTF-8")]
+    /// The target's name is not UTF-8 after percent-decoding.
+    #[error("target name is not UTF-8 after percent-decoding")]
     InvalidTargetName,
 }
 
 impl CallError {
-    /// The response to such a call.
+    /// The response for this error: 404, 405 with an `Allow` header, or 400.
     pub fn response(self) -> Response<()> {
         let code = match self {
             CallError::UnknownPath => StatusCode::NOT_FOUND,
@@ -43,10 +43,10 @@
     }
 }
 
-/// Reads a call's method and path. A target's name is percent-decoded once.
+/// Parses a call's method and path. The target's name is percent-decoded once.
 ///
 /// # Errors
-/// The path is unknown, takes another method, or names a target that is not UTF-8.
+/// The path is unknown or does not allow the method, or the target's name is not UTF-8.
 pub fn parse(method: &Method, path: &str) -> Result<AdminCall, CallError> {
     let parts: Vec<&str> = path.split('/').skip(1).collect();
     match parts[..] {
--- a/src/net/admin/call/tests.rs
+++ b/src/net/admin/call/tests.rs
@@ -1,16 +1,16 @@
-//! How admin calls are read.
+//! Tests of the parsing of admin calls.
 
 use super::*;
 
 #[test]
-fn calls_are_read_and_others_are_rejected_with_a_reason() {
+fn valid_calls_are_parsed_and_invalid_ones_return_their_error() {
     let maint = |id: &str| Ok(AdminCall::Command(AdminCommand::Maint(id.into())));
     let cases = [
         (Method::GET, "/healthcheck", Ok(AdminCall::Healthcheck)),
         (Method::HEAD, "/healthcheck", Err(CallError::MethodNotAllowed("GET"))),
         (Method::PUT, "/targets/s-1/maint", maint("s-1")),
         (Method::PUT, "/targets/s-1/ready", Ok(AdminCall::Command(AdminCommand::Ready("s-1".into())))),
-        // Once: what is decoded is not read again.
+        // The name is decoded only once: `%2525` becomes `%25`.
         (Method::PUT, "/targets/a%2Fb%2525/maint", maint("a/b%25")),
         (Method::PUT, "/targets/%ff/maint", Err(CallError::InvalidTargetName)),
         (Method::POST, "/targets/s-1/maint", Err(CallError::MethodNotAllowed("PUT"))),
--- a/src/net/admin/connection.rs
+++ b/src/net/admin/connection.rs
@@ -1,4 +1,5 @@
-//! One admin call: its request read within a time, its response, and an ordered close.
+//! One admin call: reads its request within a time limit, responds, and closes the connection without a
+//! reset.
 
 use super::call::{self, AdminCall};
 use super::server::AdminService;
@@ -17,17 +18,18 @@
 use tokio::net::TcpStream;
 use tokio::sync::oneshot;
 
-/// How long a call's head may take: operators' scripts send it at once.
+/// How long a call's head may take to arrive; operators' scripts send it at once.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(2);
-/// How large a call's head may be: far above any that a script sends.
+/// Largest head of a call, far above any that a script sends.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// How long the core may take for a command. A caller waits for a second.
+/// How long the core may take to confirm a command. Callers wait for one second.
 const COMMAND_TIMEOUT: Duration = Duration::from_millis(800);
-/// How long a connection is read after its response: a reset would take the response with it.
+/// How long a connection is read after its response. Closing it over unread bytes would reset it, and the
+/// caller would lose the response.
 const LINGER: Duration = Duration::from_millis(500);
 
-/// Reads a call, answers it and closes the connection. `request_read` is set once its request has been read.
-/// Cancelled, it closes the connection at once; a command that the core has taken still holds.
+/// Reads a call, responds and closes the connection. `request_read` is set once the request has been read.
+/// Cancelling closes the connection at once; a command that the core has received still takes effect.
 ///
 /// # Errors
 /// The connection broke before the response was written.
@@ -53,7 +55,7 @@
     Ok(())
 }
 
-/// Reads a call's head, or the status that answers what is none.
+/// Reads a call's head, or returns the status to respond with if the head is malformed or too long.
 async fn read_request(stream: &mut TcpStream, codec: &mut Codec) -> io::Result<Result<Request, StatusCode>> {
     let mut bytes = BytesMut::new();
     loop {
@@ -87,7 +89,7 @@
 
 async fn run_command(command: AdminCommand, service: &AdminService) -> StatusCode {
     if *service.phase.borrow() == Phase::Preparing {
-        // The predecessor owns the state, and hands it over later.
+        // The predecessor owns the state until it hands it over.
         return StatusCode::SERVICE_UNAVAILABLE;
     }
     let (done, confirmed) = oneshot::channel();
@@ -98,7 +100,7 @@
     match tokio::time::timeout(COMMAND_TIMEOUT, confirmation).await {
         Ok(Some(true)) => StatusCode::OK,
         Ok(Some(false)) => StatusCode::NOT_FOUND,
-        // It may still come to hold: called again, the response is the same.
+        // The command may still take effect. Repeating it is safe and gives the same response.
         Ok(None) | Err(_) => StatusCode::SERVICE_UNAVAILABLE,
     }
 }
--- a/src/net/admin/mod.rs
+++ b/src/net/admin/mod.rs
@@ -1,6 +1,6 @@
-//! The admin listener, where operators call. It has a thread of its own, so that it answers however busy the
-//! rest is. It holds no state: a call that changes something goes to the state's owner, whose confirmation is
-//! its response.
+//! The admin listener for operators' calls. It runs on a thread of its own, so that it responds however busy
+//! the rest of the process is. It has no state: a call that changes something is forwarded to the owner of
+//! the state, whose confirmation determines the response.
 
 mod call;
 mod connection;
--- a/src/net/admin/server.rs
+++ b/src/net/admin/server.rs
@@ -1,4 +1,5 @@
-//! The listener of admin calls, on a thread of its own: one call to a connection, a bounded number at once.
+//! The admin listener, on a thread of its own. Each connection carries one call, and the number of open calls
+//! is bounded.
 
 use super::connection;
 use crate::core::AdminRequest;
@@ -15,24 +16,24 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::AbortHandle;
 
-/// Calls that may be open at once: operators' scripts make a few. At that number the oldest whose request is
-/// not complete is aborted for a new one.
+/// Calls that may be open at once; operators' scripts make few. At the limit, the oldest call whose request
+/// has not been read completely is aborted for a new one.
 pub const MAX_CALLS: usize = 16;
-/// Descriptors of the listener's own: its calls, its runtime, and the listener.
+/// Descriptors of the admin listener: its calls, its runtime, and the listening socket.
 pub const OWN_DESCRIPTORS: usize = MAX_CALLS + 6;
 
-/// What handles calls.
+/// What the handlers of all calls share.
 #[derive(Clone, Debug)]
 pub struct AdminService {
-    /// Where commands go.
+    /// Sends commands to the core.
     pub commands: mpsc::Sender<AdminRequest>,
-    /// Whether there is an endpoint list that requests can be served by.
+    /// Whether there is an endpoint list to serve requests with.
     pub ready: watch::Receiver<bool>,
-    /// What this process does for clients.
+    /// The serving phase of this process.
     pub phase: watch::Receiver<Phase>,
 }
 
-/// The listener, which lives as long as this is held.
+/// A running admin listener. Dropping it ends its thread.
 #[derive(Debug)]
 pub struct AdminListener {
     addr: SocketAddr,
@@ -41,16 +42,16 @@
 }
 
 impl AdminListener {
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 }
 
-/// Starts the thread of a listener that is bound.
+/// Starts the admin thread on a bound listener.
 ///
 /// # Errors
-/// The listener cannot be used, or the system starts no thread.
+/// The listener cannot be used, or the system cannot start a thread.
 pub fn open(listener: StdTcpListener, service: AdminService) -> io::Result<AdminListener> {
     let addr = listener.local_addr()?;
     listener.set_nonblocking(true)?;
@@ -90,15 +91,15 @@
     }
 }
 
-/// A call that is open.
+/// An open call.
 struct OpenCall {
     id: u64,
     task: AbortHandle,
-    /// Its request has been read: it is answered soon.
+    /// Whether its request has been read, so that a response follows soon.
     request_read: Rc<Cell<bool>>,
 }
 
-/// The calls that are open, the oldest first. Clones share them.
+/// The open calls, oldest first. Clones share them.
 #[derive(Clone, Default)]
 struct OpenCalls {
     calls: Rc<RefCell<VecDeque<OpenCall>>>,
@@ -106,7 +107,7 @@
 }
 
 impl OpenCalls {
-    /// Answers a call on a task of its own.
+    /// Handles a call on a task of its own.
     fn start(&self, stream: TcpStream, config: ServiceConfig, service: AdminService) {
         self.evict_beyond_limit();
         let id = self.next_id.get();
@@ -125,8 +126,8 @@
         self.calls.borrow_mut().push_back(OpenCall { id, task: task.abort_handle(), request_read });
     }
 
-    /// At the limit aborts the oldest call whose request has not been read, else the oldest of all, which has
-    /// its response.
+    /// At the limit, aborts the oldest call whose request has not been read. If all have been read, aborts
+    /// the oldest one, which already has its response.
     fn evict_beyond_limit(&self) {
         let mut calls = self.calls.borrow_mut();
         if calls.len() < MAX_CALLS {
--- a/src/net/budget/mod.rs
+++ b/src/net/budget/mod.rs
@@ -1,7 +1,7 @@
-//! The descriptors of the process, and who may have how many.
+//! The file descriptors of the process, and how many each of its parts may use.
 //!
-//! What the program cannot do without is reserved first, whether or not it is used: clients, who may fill all
-//! that they are given, get a part of what is left.
+//! Descriptors that the process cannot work without are reserved first, whether or not they are in use.
+//! Clients, who may use up any number, receive a share of the rest.
 
 mod reservations;
 
@@ -13,16 +13,17 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Where Linux lists the process's open descriptors.
+/// Directory in which Linux lists the process's open descriptors.
 const OPEN_DESCRIPTORS: &str = "/proc/self/fd";
 
-/// Divides the descriptors, while another process takes some of them or gives them back.
+/// Divides the descriptor limit between the parts of the process. During a handover another process uses some
+/// of the descriptors.
 #[derive(Clone, Debug)]
 pub struct DescriptorBudget {
     /// The limits of the configuration.
     pub limits: Limits,
     parts: OptionalParts,
-    /// Sessions of the iSCSI front that may be open.
+    /// Number of sessions that the iSCSI front may have open.
     pub max_sessions: Rc<Cell<usize>>,
     /// Connections of HTTP clients.
     pub clients: ConnectionTable,
@@ -31,7 +32,8 @@
 }
 
 impl DescriptorBudget {
-    /// A budget of all descriptors, divided between the table, the pool and sessions.
+    /// Divides all descriptors between the connection table, the connection pool and the iSCSI front's
+    /// sessions.
     pub fn new(
         limits: Limits,
         parts: OptionalParts,
@@ -43,7 +45,7 @@
         budget
     }
 
-    /// The descriptors of all processes of this initiator together.
+    /// Descriptors of all processes of this initiator together.
     pub fn total(&self) -> usize {
         self.limits.sockets
     }
@@ -56,15 +58,17 @@
         self.targets.resize(reservations.targets);
     }
 
-    /// Keeps what is in use, and `more` connections to targets; all else is another process's.
+    /// Closes idle connections to targets, and limits the pool to those in use and `more` new ones. All other
+    /// descriptors belong to another process.
     pub fn cap_at_open_descriptors(&self, more: usize) {
         self.targets.close_idle();
         self.targets.resize(self.targets.open_connections() + more);
     }
 
-    /// The number of open descriptors.
+    /// Number of open descriptors of this process.
     pub fn open_descriptors(&self) -> usize {
-        // The listing itself has one. Where the system lists none, what is counted here must do.
+        // Listing the directory opens one descriptor itself. Where the system has no such directory, the
+        // counted connections stand in.
         let listed = std::fs::read_dir(OPEN_DESCRIPTORS).map(|all| all.count().saturating_sub(1));
         listed.unwrap_or_else(|_| self.counted_descriptors())
     }
--- a/src/net/budget/reservations.rs
+++ b/src/net/budget/reservations.rs
@@ -3,76 +3,78 @@
 use crate::net::admin;
 use crate::net::http::clients::MAX_UNREGISTERED;
 
-/// The process's own: the standard streams, the runtime, signals, the log, the listener and its copy for
-/// another process, a file that is read.
+/// Descriptors of the process itself: the standard streams, the runtime, signals, the log, the listener and
+/// its copy for another process, and a file that is being read.
 pub(super) const PROCESS_DESCRIPTORS: usize = 12;
-/// What a handover takes: a folder, a lock, a listener and connections between processes.
+/// Descriptors that a handover uses: a directory, a lock, a listener and the connections between the
+/// processes.
 const HANDOVER_DESCRIPTORS: usize = 6;
-/// Connections to discovery: requests beside each other and one that is being closed.
+/// Connections to discovery when it is polled: concurrent requests, and one connection that is being closed.
 pub const DISCOVERY_DESCRIPTORS: usize = 4;
-/// Connections to discovery where the list is pushed: there are more requests at a time.
+/// Connections to discovery when it pushes the endpoint list, which takes more concurrent requests.
 pub const PUSHED_DISCOVERY_DESCRIPTORS: usize = 9;
-/// The fleet's socket and its copy for another process.
+/// The quota exchange's socket and its copy for another process.
 const FLEET_DESCRIPTORS: usize = 2;
-/// The socket on which peers' reports of draining targets arrive.
+/// The drain gossip's socket.
 const PEER_DESCRIPTORS: usize = 1;
 /// The iSCSI front's listener and its copy for another process.
 const ISCSI_LISTENER_DESCRIPTORS: usize = 2;
-/// Connections of clients that are not in the table: evicted, being rejected, or just accepted.
+/// Connections of clients that are not in the connection table: evicted, being rejected, or just accepted.
 const UNREGISTERED_DESCRIPTORS: usize = MAX_UNREGISTERED + 1;
-/// However few descriptors there are, so many are left for targets, sessions and clients.
+/// Least number of descriptors for targets, sessions and clients together, however low the limit is.
 const MIN_SHARED_DESCRIPTORS: usize = 15;
-/// Clients and sessions get five eighths of what this many, and the admin listener's, leave. The rest of the
-/// reservations comes out of targets' part, whose idle connections make room for others, and which is a fifth
-/// at least.
+/// Clients and sessions receive five eighths of the descriptors that remain after this many and the admin
+/// listener's. The other reservations reduce the part of targets, which is a fifth at least; idle connections
+/// to targets are closed for new ones.
 const DESCRIPTORS_BEFORE_FRONTS: usize = 24;
-/// The platform's clients hold a third of the descriptors at most, and need the rest of that third for those
-/// that come new: one in so many may stay idle.
+/// The platform's clients use a third of the descriptors at most, and new connections need part of that
+/// third. So one descriptor in this many may hold an idle client connection.
 const IDLE_CLIENTS_DIVISOR: usize = 12;
 
-/// The parts of the program that an operator may leave out.
+/// The optional features of the program. Each reserves descriptors when an operator enables it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OptionalParts {
-    /// The admin listener, and with it handover.
+    /// The admin listener, which handover depends on.
     pub admin: bool,
-    /// Quota is exchanged with other initiators.
+    /// Quota exchange with other initiators.
     pub fleet: bool,
-    /// Draining targets are reported to peers.
+    /// Drain gossip with peers.
     pub peers: bool,
     /// The iSCSI-style front.
     pub iscsi: bool,
-    /// The endpoint list is pushed, not polled for.
+    /// Discovery pushes the endpoint list instead of being polled for it.
     pub pushed_list: bool,
 }
 
-/// Numbers of descriptors by what they are reserved for.
+/// Numbers of descriptors by purpose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reservations {
-    /// The process's own.
+    /// The process's own, such as the standard streams and the log.
     pub process: usize,
-    /// Connections to discovery. The whole daemon waits for the list, and idle clients may hold all that is
-    /// theirs when discovery returns.
+    /// Connections to discovery. They are reserved ahead of clients because the whole daemon depends on the
+    /// endpoint list, and idle clients may occupy their full share when discovery returns.
     pub discovery: usize,
     /// The admin listener and its connections.
     pub admin: usize,
-    /// The fleet's socket.
+    /// The quota exchange's socket.
     pub fleet: usize,
-    /// The peers' socket.
+    /// The drain gossip's socket.
     pub peers: usize,
-    /// Clients' connections that are not in the table, on their way out.
+    /// Connections of clients that are not in the table and will be closed soon.
     pub unregistered: usize,
     /// Sessions of the iSCSI front.
     pub sessions: usize,
-    /// Connections to targets. Busy ones are few: concurrency limits bound the units in flight at each.
+    /// Connections to targets. Few are busy at a time, because concurrency limits bound the units in flight
+    /// at each target.
     pub targets: usize,
     /// Connections of HTTP clients.
     pub clients: usize,
-    /// How many of these may stay idle for long.
+    /// How many of the client connections may stay idle for long.
     pub idle_clients: usize,
 }
 
 impl Reservations {
-    /// Divides so many descriptors.
+    /// Divides `descriptors` between the process and the features that `parts` enables.
     pub fn of(descriptors: usize, parts: OptionalParts) -> Reservations {
         let when = |enabled: bool, count: usize| if enabled { count } else { 0 };
         let handover = when(parts.admin, HANDOVER_DESCRIPTORS);
@@ -100,7 +102,7 @@
         }
     }
 
-    /// All of them together; idle clients are among the clients.
+    /// The sum of all reservations; idle clients are part of `clients`.
     pub fn total(&self) -> usize {
         let reserved =
             self.process + self.discovery + self.admin + self.fleet + self.peers + self.unregistered;
--- a/src/net/drain_gossip.rs
+++ b/src/net/drain_gossip.rs
@@ -1,5 +1,5 @@
-//! Carries drain gossip: the datagrams of [`DrainGossip`] over UDP, to and from the addresses that the
-//! platform gives for peers.
+//! Sends and receives drain gossip: the datagrams of [`DrainGossip`] over UDP, to and from the peer addresses
+//! that the platform configures.
 
 use crate::core::Clock;
 use crate::interface::Micros;
@@ -8,36 +8,36 @@
 use std::net::SocketAddr;
 use tokio::net::UdpSocket;
 
-/// Where the peers are, and where this initiator receives from them.
+/// The addresses of this initiator and its peers.
 #[derive(Clone, Debug)]
 pub struct PeerAddresses {
-    /// The address that this initiator binds.
+    /// Address that this initiator binds.
     pub listen: SocketAddr,
-    /// One for each initiator in the order of their indices, this one's own included.
+    /// Addresses of all initiators in the order of their indices, including this one's.
     pub all: Vec<SocketAddr>,
-    /// The index of this initiator.
+    /// Index of this initiator in `all`.
     pub own_index: usize,
 }
 
-/// From one attempt to open the socket to the next: a predecessor in a handover holds the address until it ends.
+/// Time between attempts to bind the socket: in a handover the predecessor holds the address until it exits.
 const REOPEN_INTERVAL: Micros = 1_000_000;
 
-/// The gossip with its socket.
+/// The gossip protocol with its socket.
 pub struct DrainGossipLink {
     addresses: PeerAddresses,
     peer_indices: HashMap<SocketAddr, usize>,
     socket: Option<UdpSocket>,
-    /// When the socket is opened next, while there is none.
+    /// When the socket is bound next, in microseconds, while there is none.
     open_at: Micros,
     gossip: DrainGossip,
-    /// The names of the active targets, by their keys.
+    /// Names of the active targets by their keys.
     names: HashMap<TargetKey, String>,
     /// Datagrams that could not be decoded.
     malformed: u64,
 }
 
 impl DrainGossipLink {
-    /// A link whose socket is opened by [`DrainGossipLink::poll`].
+    /// Creates a link. [`DrainGossipLink::poll`] binds its socket.
     pub fn new(addresses: PeerAddresses, seed: u64, now: Micros) -> DrainGossipLink {
         let peer_indices = addresses.all.iter().enumerate().map(|(index, addr)| (*addr, index)).collect();
         let gossip = DrainGossip::new(addresses.own_index, addresses.all.len(), seed, now);
@@ -52,16 +52,16 @@
         }
     }
 
-    /// A cached list of this version is held until discovery answers: the names of its targets, and whether
-    /// each is active.
+    /// Applies the cached list of this version, which is used until discovery answers: the names of its
+    /// targets, and whether each is active.
     pub fn handle_cached_list<'a>(&mut self, version: u64, targets: impl Iterator<Item = (&'a str, bool)>) {
         let active = targets.filter(|(_, is_active)| *is_active);
         self.names = active.map(|(name, _)| (TargetKey::of(name), name.to_string())).collect();
         self.gossip.handle_cached_list(version);
     }
 
-    /// A list was received from discovery: the names of its targets, and whether each is active. After a
-    /// snapshot other targets are not in the list any more.
+    /// Applies a list from discovery: the names of its targets, and whether each is active. A snapshot
+    /// removes the targets that it does not name.
     pub fn handle_endpoint_list<'a>(
         &mut self,
         now: Micros,
@@ -87,18 +87,18 @@
         }
     }
 
-    /// Takes the targets out that a snapshot does not name any more.
+    /// Removes the targets that a snapshot does not name, and returns their names.
     fn take_unlisted<'a>(&mut self, targets: impl Iterator<Item = (&'a str, bool)>) -> Vec<String> {
         let listed: HashSet<TargetKey> = targets.map(|(name, _)| TargetKey::of(name)).collect();
         self.names.extract_if(|key, _| !listed.contains(key)).map(|(_, name)| name).collect()
     }
 
-    /// Discovery is at another address.
+    /// Handles a change of discovery's address.
     pub fn handle_address_change(&mut self) {
         self.gossip.handle_address_change();
     }
 
-    /// Whether a watch on discovery is open. While none is, peers are queried.
+    /// Sets whether a watch on discovery is open. Peers are queried only while none is.
     pub fn set_watching(&mut self, now: Micros, watching: bool) {
         if self.gossip.set_watching(now, watching) && watching {
             self.log_counters();
@@ -111,7 +111,7 @@
         tracing::info!(sent, received, over_budget, gaps, unsolicited, malformed, "drain gossip counters");
     }
 
-    /// When [`DrainGossipLink::poll`] is due.
+    /// When [`DrainGossipLink::poll`] is due, in microseconds; `None`: nothing is scheduled.
     pub fn next_timeout(&self) -> Option<Micros> {
         match self.socket {
             Some(_) => self.gossip.next_timeout(),
@@ -119,8 +119,8 @@
         }
     }
 
-    /// Opens the socket if there is none, and sends what is due. Cancellation safe: the only wait is for the
-    /// socket.
+    /// Binds the socket if there is none, and sends the datagrams that are due. Cancellation safe: it waits
+    /// only for the socket.
     pub async fn poll(&mut self, now: Micros) {
         if self.socket.is_none() && now >= self.open_at {
             self.open_socket(now).await;
@@ -140,7 +140,7 @@
         }
     }
 
-    /// A datagram that cannot be sent is dropped, as it could be lost on its way.
+    /// Sends a datagram. One that cannot be sent is dropped, as if the network had lost it.
     fn send(&self, datagram: &Outgoing) {
         if let (Some(socket), Some(addr)) = (&self.socket, self.addresses.all.get(datagram.to)) {
             let _ = socket.try_send_to(&datagram.message.encode(), *addr);
@@ -148,7 +148,7 @@
     }
 
     /// Waits for the next datagram, answers it if it is a query, and returns the names of the targets that it
-    /// reports to be draining. Never resolves while there is no socket. Cancellation safe: no datagram is lost.
+    /// reports as draining. Never resolves while there is no socket. Cancellation safe: no datagram is lost.
     pub async fn receive(&mut self, clock: Clock) -> Vec<String> {
         let Some(socket) = &self.socket else { return std::future::pending().await };
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
@@ -157,7 +157,7 @@
         self.handle_datagram(clock.now(), peer, &buffer[..length])
     }
 
-    /// The index of the peer with this address; none for strangers and for this initiator itself.
+    /// The index of the peer with this address; `None` for unknown addresses and this initiator's own.
     fn peer_index(&self, addr: SocketAddr) -> Option<usize> {
         let index = self.peer_indices.get(&addr).copied();
         index.filter(|index| *index != self.addresses.own_index)
--- a/src/net/http/clients/connection.rs
+++ b/src/net/http/clients/connection.rs
@@ -1,4 +1,4 @@
-//! One client's connection, as its stream, its handler and the table share it.
+//! The state of one client's connection, which its stream, its handler and the table share.
 
 use super::open_streams::CountedStream;
 use crate::net::close::read_closed;
@@ -9,18 +9,18 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// What a connection is doing.
+/// The phase of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// Its client has sent nothing yet.
+    /// Accepted; the client has sent nothing yet.
     Silent,
     /// A request's head is arriving.
     Head,
-    /// A request is with its handler.
+    /// A handler is processing a request.
     Busy,
     /// Between requests.
     Idle,
-    /// Writing is shut down, and what still arrives is dropped.
+    /// Writing is shut down, and what still arrives is discarded.
     Closing,
 }
 
@@ -30,20 +30,20 @@
     pub(super) stream: Rc<CountedStream>,
     phase: Cell<Phase>,
     phase_since: Cell<Instant>,
-    /// All of the request that is with its handler has been read.
+    /// Whether the request that the handler is processing has been read completely.
     request_complete: Cell<bool>,
-    /// A response has announced that it is the connection's last.
+    /// Whether a response has announced that it is the connection's last.
     close_after_response: Cell<bool>,
-    /// The response written last ends with the connection and is not complete.
+    /// Whether the last response, whose body ends with the connection, is incomplete.
     truncated: Cell<bool>,
-    /// A request is with the core, without a response.
+    /// Whether the core has a request of this client without a response.
     awaiting_response: Cell<bool>,
-    /// The end of what the client sends has been read.
+    /// Whether the end of the client's stream has been read.
     pub(super) read_closed: Cell<bool>,
-    /// Since when the client takes nothing of what is written to it.
+    /// Since when the client has read nothing of what is written to it; `None`: writes make progress.
     write_blocked_since: Cell<Option<Instant>>,
     ended: Cell<bool>,
-    /// Notified when a connection that is closing has lost its entry in the table to another.
+    /// Notified when the connection is evicted while it is closing.
     pub(super) evicted: Notify,
     /// Wakes the task that waits to read from the stream.
     read_waker: RefCell<Option<Waker>>,
@@ -67,12 +67,12 @@
         }
     }
 
-    /// Whether the connection has to end.
+    /// Whether the connection has been ended.
     pub fn is_ended(&self) -> bool {
         self.ended.get()
     }
 
-    /// Ends the connection: its stream reads as closed from now on.
+    /// Ends the connection: from now on its stream reads as closed.
     pub fn end(&self) {
         self.ended.set(true);
         if let Some(waker) = self.read_waker.take() {
@@ -80,60 +80,60 @@
         }
     }
 
-    /// Takes the end back, for a request that was received just before it.
+    /// Reverts the end of the connection, for a request that was received just before it.
     pub(super) fn resume(&self) {
         self.ended.set(false);
     }
 
-    /// Records that all of the present request has been read: what arrives now is behind it.
-    pub fn complete(&self) {
+    /// Records that the current request has been read completely: what arrives now is pipelined after it.
+    pub fn complete_request(&self) {
         self.request_complete.set(true);
     }
 
-    /// Whether all of the request that is with its handler has been read.
-    pub(super) fn is_complete(&self) -> bool {
+    /// Whether the request that the handler is processing has been read completely.
+    pub(super) fn is_request_complete(&self) -> bool {
         self.request_complete.get()
     }
 
-    /// Makes the present response the last: nothing that arrives behind its request is served.
+    /// Makes the current response the connection's last: requests pipelined after it are not served.
     pub fn close_after_response(&self) {
         self.close_after_response.set(true);
     }
 
-    /// Whether the last response has been made.
+    /// Whether the connection's last response has been made.
     pub fn closes_after_response(&self) -> bool {
         self.close_after_response.get()
     }
 
-    /// Records that the response whose end is the connection's broke off: only a reset shows the client that
-    /// it is not complete.
-    pub fn truncate(&self) {
+    /// Records that a response whose body ends with the connection is incomplete. Only a reset shows that to
+    /// the client.
+    pub fn mark_truncated(&self) {
         self.truncated.set(true);
     }
 
-    /// Whether the response written last broke off.
+    /// Whether the last response is incomplete.
     pub(super) fn is_truncated(&self) -> bool {
         self.truncated.get()
     }
 
-    /// Resolves once the client has closed its side or reset the connection, also where bytes that it sent
-    /// before are still unread. Cancel safe.
+    /// Resolves once the client has closed its side or reset the connection, whether or not bytes that it
+    /// sent before are unread. Cancel safe.
     pub async fn client_closed(&self) {
         read_closed(&self.stream).await;
     }
 
-    /// Marks a request of this client as being with the core for as long as the guard is held.
+    /// Marks a request of this client as submitted to the core for as long as the guard is held.
     pub fn await_response(self: &Rc<Self>) -> AwaitingResponse {
         self.awaiting_response.set(true);
         AwaitingResponse(Rc::clone(self))
     }
 
-    /// Whether the client has closed its side while a request of it waits for a response.
+    /// Whether the client has closed its side while one of its requests waits for a response.
     pub(super) fn is_abandoned(&self) -> bool {
         self.read_closed.get() && self.awaiting_response.get()
     }
 
-    /// Marks a request as being with its handler for as long as the guard is held.
+    /// Marks the connection as busy with a request for as long as the guard is held.
     pub fn begin_request(self: &Rc<Self>) -> ActiveRequest {
         self.request_complete.set(false);
         self.set_phase(Phase::Busy);
@@ -145,13 +145,13 @@
         self.phase_since.set(Instant::now());
     }
 
-    /// The phase as the stream sees it.
+    /// The current phase; [`ClientConnection::phase_for_eviction`] also considers unread responses.
     pub(super) fn phase(&self) -> Phase {
         self.phase.get()
     }
 
-    /// The phase as the table sees it: a connection whose response is made stays busy until its client has
-    /// taken what is written to it.
+    /// The phase that eviction and timeouts consider: after a response, the connection stays busy until its
+    /// client has read what is written to it.
     pub(super) fn phase_for_eviction(&self) -> Phase {
         match self.phase.get() {
             Phase::Idle if self.write_blocked_since.get().is_some() => Phase::Busy,
@@ -159,37 +159,38 @@
         }
     }
 
-    /// When the present phase began.
+    /// When the current phase began.
     pub(super) fn phase_since(&self) -> Instant {
         self.phase_since.get()
     }
 
-    /// How long the present phase has lasted.
+    /// How long the current phase has lasted.
     pub(super) fn phase_age(&self, now: Instant) -> Duration {
         now.saturating_duration_since(self.phase_since.get())
     }
 
-    /// How long the client has taken nothing of what is written to it.
+    /// How long the client has read nothing of what is written to it; `None`: writes make progress.
     pub(super) fn write_blocked_for(&self, now: Instant) -> Option<Duration> {
         self.write_blocked_since.get().map(|since| now.saturating_duration_since(since))
     }
 
-    /// Records that the client takes nothing at present.
-    pub(super) fn write_blocked(&self) {
+    /// Records that a write is pending because the client does not read.
+    pub(super) fn record_blocked_write(&self) {
         let since = self.write_blocked_since.get().unwrap_or_else(Instant::now);
         self.write_blocked_since.set(Some(since));
     }
 
-    /// Records that a write went through.
-    pub(super) fn write_progressed(&self) {
+    /// Records that a write was accepted.
+    pub(super) fn record_write_progress(&self) {
         self.write_blocked_since.set(None);
-        // The last bytes of a response may be taken long after it is made: the connection is idle from then on.
+        // The client may read the last bytes of a response long after it is made: the connection is idle from
+        // then on.
         if self.phase.get() == Phase::Idle {
             self.phase_since.set(Instant::now());
         }
     }
 
-    /// Has the waker woken when the connection is ended.
+    /// Registers the waker to wake when the connection is ended.
     pub(super) fn wake_on_end(&self, waker: &Waker) {
         *self.read_waker.borrow_mut() = Some(waker.clone());
     }
@@ -205,7 +206,7 @@
     }
 }
 
-/// Marks a request as being with the core until it is dropped; see [`ClientConnection::await_response`].
+/// Marks a request as submitted to the core until it is dropped; see [`ClientConnection::await_response`].
 #[derive(Debug)]
 pub struct AwaitingResponse(Rc<ClientConnection>);
 
--- a/src/net/http/clients/mod.rs
+++ b/src/net/http/clients/mod.rs
@@ -1,9 +1,9 @@
-//! Connections of HTTP clients: the phase of each, which of them make room for new ones, when a client has
-//! gone, and how a connection is closed.
+//! Connections of HTTP clients: the phase of each, which of them are closed for new ones, how a client's
+//! disconnect is detected, and how a connection is closed.
 //!
-//! A close over unread bytes resets the connection, and takes along what the client has not read yet. So
-//! writing is shut down first, what still arrives is read and dropped for a bounded time, and only then the
-//! connection is closed.
+//! Closing a socket that has unread bytes resets the connection, and the client loses what it has not read
+//! yet. So writing is shut down first, what still arrives is read and discarded for a bounded time, and only
+//! then the socket is closed.
 
 mod connection;
 mod limits;
--- a/src/net/http/clients/open_streams.rs
+++ b/src/net/http/clients/open_streams.rs
@@ -1,4 +1,4 @@
-//! The count of clients' streams that are open, whether or not they are in the table.
+//! Counts the open streams of clients, including those that are not in the table.
 
 use std::cell::Cell;
 use std::ops::Deref;
@@ -6,7 +6,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// How many streams are open.
+/// Counts open streams, and notifies of each that is closed.
 #[derive(Debug, Default)]
 pub(super) struct OpenStreams {
     count: Cell<usize>,
@@ -19,13 +19,13 @@
         self.count.get()
     }
 
-    /// Resolves once a stream has been closed, perhaps one that was closed before the call. Cancel safe.
+    /// Resolves once a stream has been closed, possibly before the call. Cancel safe.
     pub(super) async fn closed(&self) {
         self.closed.notified().await;
     }
 }
 
-/// A client's stream that is counted until it is dropped.
+/// A client's stream that counts as open until it is dropped.
 #[derive(Debug)]
 pub(super) struct CountedStream {
     tcp: TcpStream,
--- a/src/net/http/clients/stream.rs
+++ b/src/net/http/clients/stream.rs
@@ -1,4 +1,4 @@
-//! A client's stream as the HTTP service reads and writes it, and its ordered close.
+//! A client's stream as the HTTP service reads and writes it, and its graceful close.
 
 use super::connection::{ClientConnection, Phase};
 use super::limits::MAX_PIPELINED_BYTES;
@@ -16,18 +16,18 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// How much is read at once of what is dropped.
+/// Size of the buffer for discarded bytes.
 const DISCARD_BUFFER_BYTES: usize = 4096;
 
-/// A client's stream. Once its connection is ended it reads as closed, and takes nothing more. Dropped, it is
-/// closed in order, and stays in the table meanwhile.
+/// A client's stream. Once its connection has been ended, it reads as closed and accepts no writes. Dropping
+/// it closes the connection gracefully; until that is done the connection stays in the table.
 #[derive(Debug)]
 pub struct ClientStream {
     stream: Rc<CountedStream>,
     connection: Rc<ClientConnection>,
-    /// Absent once the connection is being closed.
+    /// `None` once the connection is being closed.
     registration: Option<Registration>,
-    /// Bytes that arrived behind the request that is with its handler.
+    /// Bytes that arrived after the request that the handler is processing.
     pipelined_bytes: usize,
 }
 
@@ -47,7 +47,7 @@
         &self.stream
     }
 
-    /// Reads what has arrived, and notes the end of what the client sends.
+    /// Reads what has arrived, and records the end of the client's stream.
     fn read(&self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let filled_before = buf.filled().len();
         ready!(poll_read(&self.stream, cx, buf))?;
@@ -57,7 +57,8 @@
         Poll::Ready(Ok(()))
     }
 
-    /// Reads behind a request that is with its handler: more than a client may send is dropped.
+    /// Reads bytes pipelined after the request that the handler is processing. Beyond [`MAX_PIPELINED_BYTES`]
+    /// they are discarded.
     fn read_pipelined(&mut self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         if self.pipelined_bytes >= MAX_PIPELINED_BYTES {
             return self.discard(cx);
@@ -68,9 +69,9 @@
         read
     }
 
-    /// Reads and drops what arrives, so that the client's close is seen while memory stays bounded.
+    /// Reads and discards what arrives, so that the client's close is detected while memory stays bounded.
     fn discard(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // Nothing of it is served, so the connection cannot go on behind the present response.
+        // The discarded bytes are not served, so the connection cannot continue after the current response.
         self.connection.close_after_response();
         let mut scratch = [0; DISCARD_BUFFER_BYTES];
         for _ in 0..MAX_PIPELINED_BYTES / DISCARD_BUFFER_BYTES {
@@ -80,33 +81,33 @@
                 return Poll::Ready(Ok(()));
             }
         }
-        // Other tasks get their turn.
+        // Lets other tasks run before it reads on.
         cx.waker().wake_by_ref();
         Poll::Pending
     }
 
-    /// Whether what was just read is served although the connection was ended meanwhile: closed on it, the
-    /// client could not tell whether its request had run.
+    /// Whether the bytes just read are served although the connection was ended meanwhile. If it were closed
+    /// on a request, the client could not determine whether the request was executed.
     fn serves_last_read(&self, received: bool) -> bool {
-        let registered = self.registration.as_ref().is_some_and(Registration::is_held);
+        let registered = self.registration.as_ref().is_some_and(Registration::is_valid);
         received && registered && self.connection.phase() == Phase::Idle
     }
 
     fn write(&self, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        // The HTTP service writes all that it has before it drops a handler: a response that a departed client
-        // does not take would hold up the end of its next request.
+        // The HTTP service writes all that it has before it drops a handler. A response that a disconnected
+        // client does not read would delay the cancellation of its next request.
         if self.connection.is_ended() || self.connection.is_abandoned() {
             return Poll::Ready(Err(io::ErrorKind::BrokenPipe.into()));
         }
         poll_write(&self.stream, cx, bytes)
     }
 
-    /// Shuts writing down; one that the client has closed meanwhile is shut already.
+    /// Shuts writing down. Failure is ignored: it means that the client has closed the connection meanwhile.
     fn shut_down_writing(&self) {
         let _ = socket2::SockRef::from(self.tcp()).shutdown(Shutdown::Write);
     }
 
-    /// Has the close reset the connection, and drop what the system has buffered.
+    /// Makes the close reset the connection and discard what the system has buffered.
     fn reset_on_close(&self) {
         let _ = socket2::SockRef::from(self.tcp()).set_linger(Some(Duration::ZERO));
     }
@@ -122,12 +123,12 @@
         let busy = self.connection.phase() == Phase::Busy;
         if !busy {
             if self.pipelined_bytes >= MAX_PIPELINED_BYTES {
-                // What was dropped leaves a gap: the connection reads as closed.
+                // Bytes are missing after those that were discarded, so the connection reads as closed.
                 return Poll::Ready(Ok(()));
             }
             self.pipelined_bytes = 0;
         }
-        let read = match busy && self.connection.is_complete() {
+        let read = match busy && self.connection.is_request_complete() {
             true => self.read_pipelined(cx, buf),
             false => self.read(cx, buf),
         };
@@ -152,8 +153,8 @@
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let written = self.write(cx, buf);
         match written.is_pending() {
-            true => self.connection.write_blocked(),
-            false => self.connection.write_progressed(),
+            true => self.connection.record_blocked_write(),
+            false => self.connection.record_write_progress(),
         }
         written
     }
@@ -173,22 +174,22 @@
     fn drop(&mut self) {
         let registration = self.registration.take();
         if self.connection.is_truncated() {
-            // A close without a reset would deliver the buffered part as if it were the complete response.
+            // A close without a reset would deliver the buffered part as the complete response.
             self.reset_on_close();
             return;
         }
         match registration.filter(|registration| !registration.table().closes_at_once()) {
-            Some(registration) => close_in_order(&self.connection, registration),
+            Some(registration) => close_gracefully(&self.connection, registration),
             None => self.shut_down_writing(),
         }
     }
 }
 
-/// Closes a connection in order on a task of its own. It stays in the table until it is closed or evicted; one
-/// that was evicted before waits for nothing.
-fn close_in_order(connection: &Rc<ClientConnection>, registration: Registration) {
+/// Closes a connection gracefully, on a task of its own. It stays in the table until it is closed or evicted.
+/// One that was already evicted does not wait for its client.
+fn close_gracefully(connection: &Rc<ClientConnection>, registration: Registration) {
     let connection = Rc::clone(connection);
-    let registered = registration.is_held();
+    let registered = registration.is_valid();
     let linger = if registered { LINGER } else { Duration::ZERO };
     let until = Instant::now() + linger;
     connection.set_phase(Phase::Closing);
--- a/src/net/http/clients/table.rs
+++ b/src/net/http/clients/table.rs
@@ -1,5 +1,5 @@
-//! The table of clients' connections: its capacity, which connection makes room for a new one, and which are
-//! closed because they have taken too long.
+//! The table of client connections: its capacity, which connection is evicted for a new one, and which are
+//! closed after a timeout.
 
 use super::connection::{ClientConnection, Phase};
 use super::limits::{
@@ -16,7 +16,7 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// All connections of clients. Clones share one table.
+/// All connections of HTTP clients. Clones share one table.
 #[derive(Clone, Debug)]
 pub struct ConnectionTable(Rc<State>);
 
@@ -24,11 +24,11 @@
 struct State {
     capacity: Cell<usize>,
     max_idle: Cell<usize>,
-    /// Idle connections stay open.
+    /// Whether idle connections stay open without a time limit.
     keep_idle: Cell<bool>,
-    /// The program ends, and closes wait for nothing.
+    /// Whether the process is about to exit, so that closing a connection does not wait for its client.
     close_at_once: Cell<bool>,
-    /// Connections that found no capacity and are being answered so.
+    /// Connections that found no capacity and are being sent a 503.
     rejecting: Cell<usize>,
     next_id: Cell<u64>,
     open_streams: Rc<OpenStreams>,
@@ -36,7 +36,7 @@
 }
 
 impl ConnectionTable {
-    /// A table for `capacity` connections, of which `max_idle` may stay idle for long.
+    /// Creates a table for `capacity` connections, of which `max_idle` may stay idle for long.
     pub fn new(capacity: usize, max_idle: usize) -> ConnectionTable {
         ConnectionTable(Rc::new(State {
             capacity: Cell::new(capacity),
@@ -55,18 +55,19 @@
         self.0.connections.borrow().len()
     }
 
-    /// Whether a new connection may be accepted: not while too many outside the table are still open.
+    /// Whether a new connection may be accepted: not while [`MAX_UNREGISTERED`] that are not in the table are
+    /// open.
     pub fn may_accept(&self) -> bool {
         let unregistered = self.0.open_streams.count().saturating_sub(self.open_connections());
         unregistered < MAX_UNREGISTERED
     }
 
-    /// Resolves once a connection has been closed, perhaps one that was closed before the call. Cancel safe.
+    /// Resolves once a connection has been closed, possibly before the call. Cancel safe.
     pub async fn connection_closed(&self) {
         self.0.open_streams.closed().await;
     }
 
-    /// Ends a connection that waits for nothing. False: there is none.
+    /// Evicts a connection that has no open request. Returns false if there is none.
     pub fn evict_one(&self) -> bool {
         let mut connections = self.0.connections.borrow_mut();
         let evicted = eviction_candidate(&connections).and_then(|id| connections.remove(&id));
@@ -77,29 +78,30 @@
         })
     }
 
-    /// Changes the capacity. Connections beyond it make way as others arrive.
+    /// Changes the limits. Connections beyond the capacity are evicted as new ones arrive.
     pub fn resize(&self, capacity: usize, max_idle: usize) {
         self.0.capacity.set(capacity);
         self.0.max_idle.set(max_idle);
     }
 
-    /// Keeps idle connections open from now on: when the program is told to end, no new ones replace them.
+    /// Keeps idle connections open from now on: after a request for shutdown, no new ones replace them.
     pub fn keep_idle(&self) {
         self.0.keep_idle.set(true);
     }
 
-    /// Has connections closed from now on without a wait for their clients: the program ends.
+    /// Closes connections from now on without waiting for their clients, because the process is about to
+    /// exit.
     pub fn close_at_once(&self) {
         self.0.close_at_once.set(true);
     }
 
-    /// Whether the program ends and closes wait for nothing.
+    /// Whether connections are closed without waiting for their clients.
     pub(super) fn closes_at_once(&self) -> bool {
         self.0.close_at_once.get()
     }
 
-    /// Takes a new connection in; where the table is full, one that waits for nothing is evicted. None: all of
-    /// them have a request open, and the new one is rejected and closed.
+    /// Registers a new connection. If the table is full, one without an open request is evicted for it.
+    /// Returns `None` if all have an open request; the new connection is then rejected and closed.
     pub fn register(&self, stream: TcpStream) -> Option<ClientStream> {
         if self.open_connections() >= self.0.capacity.get() && !self.evict_one() {
             self.reject(stream);
@@ -118,7 +120,8 @@
         Registration { table: self.clone(), id }
     }
 
-    /// Answers 503 to a connection that found no capacity; while many are being answered it is just closed.
+    /// Sends a 503 to a connection that found no capacity. While [`MAX_REJECTING`] others are being sent one,
+    /// it is closed without a response.
     fn reject(&self, stream: TcpStream) {
         if self.0.rejecting.get() >= MAX_REJECTING {
             return;
@@ -127,16 +130,16 @@
         let table = self.clone();
         let stream = CountedStream::new(stream, &self.0.open_streams);
         actix_rt::spawn(async move {
-            // The send buffer of a new connection holds so little at once.
+            // The response fits into the empty send buffer of a new connection.
             let _ = stream.try_write(REJECT_RESPONSE);
             let _ = tokio::time::timeout(REJECT_LINGER, close(&stream)).await;
             table.0.rejecting.set(table.0.rejecting.get() - 1);
         });
     }
 
-    /// Ends connections that have been silent, received a head, stayed idle or taken nothing for too long. Of
-    /// idle connections beyond their number the oldest go first: clients may hold only so many, and new clients
-    /// find none while others keep theirs without a use.
+    /// Ends connections that have been silent, receiving a head, idle or blocked on writes for too long. Of
+    /// the idle connections beyond the permitted number, the oldest are ended first: clients may only have so
+    /// many connections, and unused ones must not keep new clients out.
     pub fn end_overdue(&self) {
         let now = Instant::now();
         let connections = self.0.connections.borrow();
@@ -151,7 +154,7 @@
         self.end_surplus_idle(idle.collect(), now);
     }
 
-    /// How long a connection may stay idle; none: for ever.
+    /// How long a connection may stay idle; `None`: without limit.
     fn idle_timeout(&self, open: usize) -> Option<Duration> {
         let crowded = open > self.0.capacity.get() / UNCROWDED_DIVISOR;
         match (self.0.keep_idle.get(), crowded) {
@@ -174,7 +177,7 @@
     }
 }
 
-/// Whether a connection has been in its phase, or its client has taken nothing, for too long.
+/// Whether a connection has exceeded the timeout of its phase, or its client that of writes.
 fn is_overdue(connection: &ClientConnection, idle_timeout: Option<Duration>, now: Instant) -> bool {
     let phase_timeout = match connection.phase_for_eviction() {
         Phase::Silent | Phase::Head => Some(HEAD_TIMEOUT),
@@ -185,7 +188,7 @@
     write_timed_out || phase_timeout.is_some_and(|timeout| connection.phase_age(now) >= timeout)
 }
 
-/// The connection to end for a new one: the one that has been closing for longest, else the one silent for
+/// The connection to evict for a new one: the one that has been closing for longest, else the one silent for
 /// longest, else the one idle for longest, else the one whose head has taken longest.
 fn eviction_candidate(connections: &BTreeMap<u64, Rc<ClientConnection>>) -> Option<u64> {
     let now = Instant::now();
@@ -197,7 +200,7 @@
     ranked.min().map(|(.., id)| id)
 }
 
-/// Connections of a lower rank are evicted first; none: a request is open.
+/// Connections with a lower rank are evicted first; `None`: a request is open, and the connection stays.
 fn eviction_rank(phase: Phase) -> Option<u8> {
     match phase {
         Phase::Closing => Some(0),
@@ -216,8 +219,8 @@
 }
 
 impl Registration {
-    /// Whether the connection was not evicted.
-    pub(super) fn is_held(&self) -> bool {
+    /// Whether the connection is still in the table, that is, has not been evicted.
+    pub(super) fn is_valid(&self) -> bool {
         self.table.0.connections.borrow().contains_key(&self.id)
     }
 
--- a/src/net/http/dial.rs
+++ b/src/net/http/dial.rs
@@ -13,8 +13,8 @@
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// A client of one peer that does nothing by itself: no redirect, no timeout but that of a connect, no limit
-/// that queues, no name lookup. A connection that was idle for `idle_timeout` is not used again.
+/// Creates a client of one peer. It follows no redirects, has no timeout but that of connecting and no limit
+/// that queues requests, and resolves no names. A connection that was idle for `idle_timeout` is not reused.
 pub fn client(addr: SocketAddr, connect_timeout: Duration, idle_timeout: Duration) -> Client {
     let connector = Connector::new()
         .connector(FixedAddress(addr))
@@ -24,7 +24,7 @@
     Client::builder().connector(connector).disable_timeout().disable_redirects().no_default_headers().finish()
 }
 
-/// Connects to one address, whatever a request names.
+/// Connects to one address, whatever host a request names.
 #[derive(Clone)]
 struct FixedAddress(SocketAddr);
 
@@ -45,8 +45,8 @@
     }
 }
 
-/// A stream whose end is an error. The client library takes an end inside a body for the body's end, and
-/// would pass half a response on as a complete one.
+/// A stream whose end is an error. The client library takes the end of the stream inside a body for the end
+/// of the body, and would return a truncated response as complete.
 #[derive(Debug)]
 struct StrictStream(TcpStream);
 
--- a/src/net/http/discovery/client.rs
+++ b/src/net/http/discovery/client.rs
@@ -7,17 +7,18 @@
 use std::net::SocketAddr;
 use tokio::time::Instant;
 
-/// The shortest wait that a request can ask for, in milliseconds: discovery answers it at once, with what has
-/// changed.
+/// Shortest wait that a request can ask for, in milliseconds. Discovery then responds at once with the
+/// changes so far.
 const MIN_WAIT_MS: Micros = 1;
-/// The most bytes of a page. Far above the list of any fleet; a stream without an end must not fill memory.
+/// Largest page in bytes: far above the list of any fleet, so that a response without an end cannot fill
+/// memory.
 const MAX_PAGE_BYTES: usize = 4 << 20;
 
-/// Why a request brought no page that can be used.
+/// Why a request returned no usable page.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum FetchError {
-    /// Discovery answered with another status than 200.
-    #[error("discovery answered {0}")]
+    /// Discovery responded with a status other than 200.
+    #[error("discovery responded with status {0}, expected 200 OK")]
     Status(actix_http::StatusCode),
     #[error(transparent)]
     Connection(#[from] awc::error::SendRequestError),
@@ -30,7 +31,7 @@
 }
 
 impl FetchError {
-    /// The outcome of the request, as the schedule has it.
+    /// The outcome of the request as the polling schedule counts it.
     pub fn outcome(&self) -> Outcome {
         match self {
             FetchError::Status(_) => Outcome::Rejected,
@@ -39,24 +40,24 @@
     }
 }
 
-/// A page, and when its last byte was received.
+/// A page, and the time at which its last byte was received.
 pub(super) struct FetchedPage {
     pub page: EndpointPage,
     pub received_at: Instant,
 }
 
-/// Requests what has changed since version `held`, or a snapshot where none is held. Discovery may wait for a
-/// change for `max_wait` microseconds. Dropping the future closes the request.
+/// Requests the changes since `version`, or a snapshot if it is `None`. Discovery may wait up to `max_wait`
+/// microseconds for a change before it responds. Dropping the future cancels the request.
 ///
 /// # Errors
-/// The connection failed, the status is not 200, or the body is too long or no page.
+/// The connection failed, the status is not 200, or the body is too long or not a valid page.
 pub(super) async fn fetch(
     client: &Client,
     addr: SocketAddr,
-    held: Option<u64>,
+    version: Option<u64>,
     max_wait: Micros,
 ) -> Result<FetchedPage, FetchError> {
-    let path = request_path(held, max_wait);
+    let path = request_path(version, max_wait);
     let request = client.get(format!("http://{addr}{path}")).no_decompress();
     let mut response = request.send().await?;
     if response.status() != actix_http::StatusCode::OK {
@@ -68,8 +69,8 @@
     Ok(FetchedPage { page, received_at })
 }
 
-fn request_path(held: Option<u64>, max_wait: Micros) -> String {
-    match held {
+fn request_path(version: Option<u64>, max_wait: Micros) -> String {
+    match version {
         Some(version) => {
             let wait_ms = (max_wait / 1_000).max(MIN_WAIT_MS);
             format!("/discovery/hosts?from={version}&hold_ms={wait_ms}")
--- a/src/net/http/discovery/mod.rs
+++ b/src/net/http/discovery/mod.rs
@@ -1,7 +1,7 @@
 //! The discovery client: polls discovery for the endpoint list and watches it for changes.
 //!
-//! [`page`] is the list's form on the wire, [`client`] sends one request, and [`poller`] is the actor that
-//! carries out the schedule's commands and passes what they bring to the core.
+//! [`page`] defines the list's wire format, [`client`] sends one request, and [`poller`] is the actor that
+//! carries out the schedule's commands and passes the responses to the core.
 
 mod client;
 mod page;
--- a/src/net/http/discovery/page.rs
+++ b/src/net/http/discovery/page.rs
@@ -1,6 +1,6 @@
-//! The endpoint list as discovery, the platform's file and a handover write it.
+//! The endpoint list in the format of discovery, the platform's file and a handover.
 //!
-//! The platform's names for its fields are mapped to [`Endpoint`]'s here and nowhere else.
+//! Only this module maps the platform's field names to those of [`Endpoint`].
 
 use crate::core::{Endpoint, MAX_ENTRIES_PER_STEP, Protocol};
 use crate::interface::{EndpointUpdateKind, TargetState};
@@ -95,13 +95,13 @@
     }
 }
 
-/// Why a page that could be decoded cannot be used.
+/// Why a decoded page cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum UnusablePage {
-    #[error("the list names target {0} more than once")]
+    #[error("endpoint list names target {0} more than once")]
     RepeatedTarget(String),
-    #[error("the list is of version {received}, and version {held} is held")]
-    OlderVersion { held: u64, received: u64 },
+    #[error("endpoint list has version {received}, older than the current version {current}")]
+    OlderVersion { current: u64, received: u64 },
 }
 
 /// A page whose entries are not decoded yet.
@@ -115,17 +115,18 @@
 }
 
 impl EndpointPage {
-    /// A snapshot of `endpoints`, as another process of this initiator holds it. Its version is not known.
+    /// A snapshot of `endpoints` as another process of this initiator has them. Its version is unknown and
+    /// set to 0.
     pub fn snapshot(endpoints: Vec<Endpoint>) -> EndpointPage {
         let entries = endpoints.into_iter().map(EndpointEntry::from).collect();
         EndpointPage { version: 0, is_snapshot: true, entries }
     }
 
-    /// Decodes a page in steps, between which other tasks run: a long list must not hold up requests.
-    /// Cancellation safe.
+    /// Decodes a page in steps, and lets other tasks run between them, so that a long list does not delay
+    /// requests. Cancellation safe.
     ///
     /// # Errors
-    /// The text is no page; the error names the line and column at fault.
+    /// The text is not a valid page; the error names the line and column.
     pub(super) async fn decode(text: &[u8]) -> Result<EndpointPage, serde_json::Error> {
         let undecoded: UndecodedPage<'_> = serde_json::from_slice(text)?;
         let mut entries = Vec::with_capacity(undecoded.entries.len());
@@ -133,7 +134,7 @@
             for entry in step {
                 match serde_json::from_str(entry.get()) {
                     Ok(entry) => entries.push(entry),
-                    // Decoded as a whole, the error tells where in the page the fault is.
+                    // Decoding the whole text again gives an error with its position in the page.
                     Err(_) => return serde_json::from_slice(text),
                 }
             }
@@ -142,17 +143,17 @@
         Ok(EndpointPage { version: undecoded.version, is_snapshot: undecoded.is_snapshot, entries })
     }
 
-    /// The version of the list that the page brings up to; 0: not known.
+    /// The version of the list after the page is applied; 0: unknown.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Whether targets that the page does not name are not in the list any more.
+    /// Whether targets that the page does not name have left the list.
     pub(super) fn is_snapshot(&self) -> bool {
         self.is_snapshot
     }
 
-    /// Whether the page is a snapshot or a delta, as the core has it.
+    /// The kind of endpoint update that the page is to the core.
     pub(super) fn kind(&self) -> EndpointUpdateKind {
         match self.is_snapshot {
             true => EndpointUpdateKind::Snapshot,
@@ -165,7 +166,7 @@
         self.entries.len()
     }
 
-    /// The targets that have not been removed, as routes see them.
+    /// The targets that have not been removed, in the form that routing uses.
     pub fn routable_targets(&self) -> Vec<TargetInfo> {
         let present = self.entries.iter().filter(|entry| entry.state != EntryState::Removed);
         present
@@ -179,23 +180,23 @@
             .collect()
     }
 
-    /// The names of its targets, and whether each is active.
+    /// The names of the page's targets, and whether each is active.
     pub(super) fn target_activity(&self) -> impl Iterator<Item = (&str, bool)> + Clone {
         self.entries.iter().map(|entry| (entry.name.as_str(), entry.state == EntryState::Active))
     }
 
-    /// Its entries as endpoints.
+    /// Converts the entries to the core's endpoints.
     pub(super) fn into_endpoints(self) -> Vec<Endpoint> {
         self.entries.into_iter().map(Endpoint::from).collect()
     }
 
-    /// Checks that an initiator that holds the list of version `held` can use the page; none: it holds no list.
+    /// Checks that an initiator whose list has version `current` can apply the page; `None`: it has no list.
     ///
     /// # Errors
-    /// The page is older than `held`, or names a target twice.
-    pub(super) fn check(&self, held: Option<u64>) -> Result<(), UnusablePage> {
-        if let Some(held) = held.filter(|held| self.version < *held) {
-            return Err(UnusablePage::OlderVersion { held, received: self.version });
+    /// The page is older than `current`, or names a target twice.
+    pub(super) fn check(&self, current: Option<u64>) -> Result<(), UnusablePage> {
+        if let Some(current) = current.filter(|current| self.version < *current) {
+            return Err(UnusablePage::OlderVersion { current, received: self.version });
         }
         let mut names = HashSet::with_capacity(self.entries.len());
         match self.entries.iter().find(|entry| !names.insert(entry.name.as_str())) {
--- a/src/net/http/discovery/poller.rs
+++ b/src/net/http/discovery/poller.rs
@@ -1,7 +1,7 @@
 //! The actor that keeps the core's endpoint list up to date.
 //!
-//! When to send which request is decided by [`Schedule`] alone; this actor sends them, passes pages to the
-//! core, and drives the drain gossip that stands in while discovery does not answer.
+//! [`Schedule`] alone decides when to send which request. This actor sends the requests, passes pages to the
+//! core, and drives the drain gossip, which stands in while discovery does not answer.
 
 use super::client::{self, FetchError, FetchedPage};
 use super::page::EndpointPage;
@@ -20,48 +20,48 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// A connection to discovery may take this long to come up at least, however short the settings' connect
-/// timeout for targets is: discovery is busiest when all initiators connect to it at once.
+/// Least time that connecting to discovery may take, however short the configured connect timeout for targets
+/// is: discovery is busiest when all initiators connect to it at once.
 const MIN_CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// An idle connection is kept this long: longer than a long poll and its pause, so that a watch stays on one
-/// connection.
+/// How long an idle connection is kept: longer than a long poll and the pause after it, so that a watch stays
+/// on one connection.
 const IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Where discovery is; none: there is no discovery.
+/// The address of discovery; `None`: there is no discovery.
 pub type DiscoveryAddress = Option<SocketAddr>;
 
-/// Sends the core the list as this initiator last held it, perhaps stale: it is served from until discovery
-/// answers. Not cancellation safe: a part of the list may have been sent.
+/// Sends the core the list that this initiator had last, which may be stale. Requests are served from it
+/// until discovery answers. Not cancellation safe: a part of the list may have been sent.
 pub async fn send_cached_list(core: &CoreHandle, page: EndpointPage) {
     let endpoints = page.into_endpoints();
     core.send_endpoints(Protocol::Http, EndpointUpdateKind::Cached, endpoints, Instant::now()).await;
 }
 
-/// A request in flight, which ends as aborted when it was cancelled.
+/// A request in flight. It resolves as aborted if it is cancelled.
 type PendingRequest = Abortable<LocalBoxFuture<'static, FinishedRequest>>;
 type FinishedRequest = (RequestId, Result<FetchedPage, FetchError>);
 
-/// The actor that keeps the core's endpoint list up to date.
+/// Polls discovery, and passes the endpoint list to the core.
 pub struct DiscoveryPoller {
     address: watch::Receiver<DiscoveryAddress>,
-    /// The present address and a client of it; none: there is no discovery.
+    /// The current address and a client for it; `None`: there is no discovery.
     client: Option<(SocketAddr, Client)>,
     connect_timeout: Duration,
     core: CoreHandle,
     clock: Clock,
     schedule: Schedule,
-    /// The newest version held; none: a snapshot is requested next.
+    /// The newest version received; `None`: the next request is for a snapshot.
     version: Option<u64>,
     in_flight: FuturesUnordered<PendingRequest>,
-    /// Of the requests in flight, those that have not been cancelled.
+    /// Handles of the requests in flight that have not been cancelled.
     abort_handles: BTreeMap<RequestId, AbortHandle>,
-    /// None where peers do not exchange datagrams.
+    /// `None` where drain gossip is disabled.
     gossip: Option<DrainGossipLink>,
 }
 
 impl DiscoveryPoller {
-    /// `schedule` makes a schedule that starts at a time of `clock`, in microseconds; `cached` is the list that
-    /// is held until discovery answers.
+    /// Creates a poller. `schedule` makes a schedule that starts at the given time of `clock`, in
+    /// microseconds. `cached` is the list that is used until discovery answers.
     pub fn new(
         address: watch::Receiver<DiscoveryAddress>,
         connect_timeout: Duration,
@@ -91,7 +91,7 @@
         poller
     }
 
-    /// Makes a client of the present address.
+    /// Creates a client for the current address.
     fn create_client(&mut self) {
         let address = *self.address.borrow_and_update();
         let connect_timeout = self.connect_timeout.max(MIN_CONNECT_TIMEOUT);
@@ -123,8 +123,8 @@
         }
     }
 
-    /// Without discovery there is no list to wait for, so the core gets an empty delta: what it knows from
-    /// other sources is all there is.
+    /// Without discovery no list will arrive. The core receives an empty delta, so that it serves with the
+    /// endpoints that it has from other sources.
     async fn wait_for_address(&mut self, address: &mut watch::Receiver<DiscoveryAddress>) {
         let no_endpoints = Vec::new();
         let now = Instant::now();
@@ -133,7 +133,7 @@
         self.handle_address_change();
     }
 
-    /// When the schedule or the gossip has something to do next, in microseconds of the clock.
+    /// When the schedule or the gossip is due next, in microseconds of the clock.
     fn next_timeout(&self) -> Option<Micros> {
         let gossip = self.gossip.as_ref().and_then(DrainGossipLink::next_timeout);
         self.schedule.next_timeout().into_iter().chain(gossip).min()
@@ -177,8 +177,8 @@
 
     async fn handle_finished(&mut self, finished: Result<FinishedRequest, Aborted>) {
         let Ok((id, result)) = finished else { return };
-        // A response can be ready in the moment in which its request is cancelled; the schedule has forgotten
-        // the request then, and its page may be older than one that has been passed on.
+        // A response can be ready at the moment at which its request is cancelled. The schedule no longer
+        // tracks that request, and the page may be older than one that was passed on.
         if self.abort_handles.remove(&id).is_none() {
             return;
         }
@@ -192,8 +192,8 @@
         self.schedule.handle_outcome(self.clock.now(), id, outcome);
     }
 
-    /// Passes a page to the core if it can be used. Otherwise the last good list stays in use, and a snapshot
-    /// is requested next.
+    /// Passes a page to the core if it is valid. Otherwise the last valid list stays in use, and the next
+    /// request is for a snapshot.
     async fn handle_page(&mut self, id: RequestId, fetched: FetchedPage) -> Outcome {
         let FetchedPage { page, received_at } = fetched;
         if let Err(error) = page.check(self.version) {
@@ -213,7 +213,7 @@
         Outcome::Received
     }
 
-    /// Passes on which targets peers report to be draining.
+    /// Passes the targets that peers report as draining to the core.
     async fn handle_gossip_report(&mut self, draining: Vec<String>) {
         if !draining.is_empty() {
             tracing::info!(targets = draining.len(), "peers reported draining targets");
@@ -221,7 +221,8 @@
         }
     }
 
-    /// Another service may count its versions in its own way, so a snapshot is requested.
+    /// Discards the version and all open requests, and requests a snapshot: another service may count its
+    /// versions differently.
     fn handle_address_change(&mut self) {
         self.create_client();
         self.version = None;
@@ -235,14 +236,14 @@
     }
 }
 
-/// Resolves at the next change. Where nobody is left to change the address, that is never.
+/// Resolves at the next change of the address; never if its sender was dropped.
 async fn changed(address: &mut watch::Receiver<DiscoveryAddress>) {
     if address.changed().await.is_err() {
         std::future::pending::<()>().await;
     }
 }
 
-/// Resolves at a time of `clock`; none: never.
+/// Resolves at a time of `clock` in microseconds; never if `at` is `None`.
 async fn sleep_until(clock: Clock, at: Option<Micros>) {
     match at {
         Some(at) => tokio::time::sleep_until(clock.instant(at)).await,
@@ -250,7 +251,7 @@
     }
 }
 
-/// The targets that the next datagram reports to be draining; never resolves where there is no gossip.
+/// The targets that the next datagram reports as draining; never resolves if there is no gossip.
 async fn receive_gossip(gossip: &mut Option<DrainGossipLink>, clock: Clock) -> Vec<String> {
     match gossip {
         Some(gossip) => gossip.receive(clock).await,
--- a/src/net/http/handler.rs
+++ b/src/net/http/handler.rs
@@ -1,4 +1,4 @@
-//! The handler of one request of a platform's client.
+//! Handles one request of an HTTP client.
 
 use super::clients::ClientConnection;
 use super::message::{self, MAX_BODY_BYTES};
@@ -16,18 +16,18 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What the rest of a long body takes up at most, in the buffers that it passes through.
+/// Most memory that the rest of a streamed body occupies in the buffers that it passes through.
 const UPLOAD_BUFFER_BYTES: usize = 192 * 1024;
-/// Retry-After of a request for whose body there is no memory.
+/// Retry-After of a request that is rejected because no memory is left for its body.
 const NO_CAPACITY_RETRY_AFTER: Duration = Duration::from_millis(100);
-/// The path at which the platform asks whether this initiator is ready.
+/// Path at which the platform checks whether this initiator is ready.
 const READINESS_PATH: &str = "/up";
 
 /// A response whose body is not being sent yet.
 type ContentResponse = HttpResponse<ResponseBody>;
 
-/// Responds to one request. Dropped, which is how the HTTP service reports a client that has gone, it notifies
-/// the core.
+/// Responds to one request. The HTTP service drops the future when the client disconnects, and the drop
+/// notifies the core.
 pub(super) async fn respond(front: Front, mut request: Request) -> HttpResponse<HttpBody> {
     let connection = request.conn_data::<Rc<ClientConnection>>().cloned();
     let active = connection.as_ref().map(ClientConnection::begin_request);
@@ -35,10 +35,10 @@
     if *front.closing.borrow() || *front.phase.borrow() == Phase::Draining {
         response.head_mut().set_connection_type(ConnectionType::Close);
     }
-    let ends_with_connection =
+    let is_close_delimited =
         request.version() < Version::HTTP_11 && response.body().size() == BodySize::Stream;
-    if ends_with_connection {
-        // Before HTTP/1.1 there are no chunks: the body ends with the connection.
+    if is_close_delimited {
+        // HTTP/1.0 has no chunked encoding: the body ends with the connection.
         response.head_mut().no_chunking(true);
         response.head_mut().set_connection_type(ConnectionType::Close);
     }
@@ -49,8 +49,8 @@
             connection.close_after_response();
         }
     }
-    let truncates = connection.filter(|_| ends_with_connection);
-    response.map_body(|_, content| HttpBody::new(content, active, truncates))
+    let delimiting_connection = connection.filter(|_| is_close_delimited);
+    response.map_body(|_, content| HttpBody::new(content, active, delimiting_connection))
 }
 
 async fn respond_with_content(
@@ -59,8 +59,8 @@
     connection: Option<&Rc<ClientConnection>>,
 ) -> ContentResponse {
     if connection.is_some_and(|connection| connection.closes_after_response()) {
-        // It came behind a request whose response was the connection's last: its client sends it again
-        // elsewhere.
+        // The request was pipelined after one whose response was the connection's last. Its client sends it
+        // again on another connection.
         return message::status(StatusCode::SERVICE_UNAVAILABLE);
     }
     if request.path() == READINESS_PATH {
@@ -70,7 +70,7 @@
     serve_until_client_closes(front, request, connection).await
 }
 
-/// Serves a request for as long as its client stays.
+/// Serves a request until its client closes the connection.
 async fn serve_until_client_closes(
     front: &Front,
     request: &mut Request,
@@ -86,7 +86,7 @@
     tokio::select! {
         biased;
         response = serve(front, request, connection.map(Rc::as_ref)) => response.unwrap_or_else(|error| error),
-        // Dropping what was served notifies the core. Nobody reads this response.
+        // Dropping the request notifies the core. The client does not receive this response.
         () = client_closed => {
             tracing::debug!("client closed its connection before the response");
             connection.into_iter().for_each(|connection| connection.close_after_response());
@@ -113,8 +113,8 @@
     front.core.validate(&request).map_err(|error| bad_request(&error))?;
     let mut budget = BodyBudget::new(Rc::clone(&front.body_bytes));
     let mut body = RequestBody::new(http_request.take_payload());
-    let (held, complete) = body.read_held(&mut budget).await?;
-    request.body = held;
+    let (buffered, complete) = body.read_buffered(&mut budget).await?;
+    request.body = buffered;
     if !complete && request.write {
         if !budget.reserve(UPLOAD_BUFFER_BYTES) {
             return Err(no_capacity());
@@ -122,16 +122,16 @@
         request.body_rest = Some(Rc::new(Upload::new(declared_length, Box::pin(body.into_rest(budget)))));
     }
     if !request.write && !request.body.is_empty() {
-        return Err(bad_request(&"a read with a body"));
+        return Err(bad_request(&"read request has a body"));
     }
     if let (true, Some(connection)) = (complete, connection) {
-        connection.complete();
+        connection.complete_request();
     }
     let pending = front.core.submit(request).await.map_err(|error| bad_request(&error))?;
     Ok(message::encode(pending.response().await))
 }
 
-/// The length of a request's body, where its head has it.
+/// The length in bytes that a request's head declares for its body, if any.
 fn declared_length(request: &Request) -> Option<u64> {
     request.headers().get(CONTENT_LENGTH)?.to_str().ok()?.parse().ok()
 }
@@ -141,7 +141,7 @@
     message::status(StatusCode::BAD_REQUEST)
 }
 
-/// The response to a request for whose body there is no memory.
+/// The response to a request for whose body no memory is left.
 pub(super) fn no_capacity() -> ContentResponse {
     message::encode(Response::Rejected { retry_after: NO_CAPACITY_RETRY_AFTER })
 }
--- a/src/net/http/message/request.rs
+++ b/src/net/http/message/request.rs
@@ -1,4 +1,4 @@
-//! A client's request.
+//! Decodes clients' requests.
 
 use super::{CLASS, IDEMPOTENCY_KEY, PLACEMENT, PLAN, REQUEST_ID, TIME_LEFT_MS, header_number, header_text};
 use crate::core::{Protocol, Request, RequestOrigin};
@@ -8,45 +8,46 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Far above any request's size: a larger one would leave the range of the scheduler's times.
+/// Far above the size of any request; a larger one would exceed the range of the scheduler's times.
 const MAX_UNITS: f64 = 1e6;
 /// Far above the number of initiators of any fleet.
 const MAX_INITIATORS: u32 = 65_536;
-/// Volumes and objects are written in so many hex digits.
+/// Number of hex digits of a volume or an object in a path.
 const HEX_DIGITS: usize = 16;
-/// The shard of an object that does not exist yet.
+/// Shard number that stands for an object that does not exist yet.
 const NO_SHARD: i64 = -1;
 
-/// A request that cannot be decoded, by the part that is wrong: the name of a header or of a part of the path.
+/// A request that cannot be decoded. Holds the part that is missing or invalid: a header, or a part of the
+/// path.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{0}")]
-pub struct Malformed(pub &'static str);
+#[error("missing or invalid {0}")]
+pub struct MalformedRequest(pub &'static str);
 
 /// Decodes a client's request, without its body.
 ///
 /// # Errors
-/// A part of the request is missing or cannot be read.
+/// A part of the request is missing or invalid.
 pub fn decode(
     method: &Method,
     uri: &Uri,
     headers: &HeaderMap,
     client: Option<SocketAddr>,
-) -> Result<Request, Malformed> {
+) -> Result<Request, MalformedRequest> {
     let write = match *method {
         Method::GET => false,
         Method::PUT => true,
-        _ => return Err(Malformed("method")),
+        _ => return Err(MalformedRequest("method")),
     };
     let (class, volume, object) = path_parts(uri.path())?;
     if header_text(headers, &CLASS) != Some(class) {
-        return Err(Malformed("x-service-class"));
+        return Err(MalformedRequest("x-service-class"));
     }
-    let placement = header_text(headers, &PLACEMENT).ok_or(Malformed("x-placement"))?;
+    let placement = header_text(headers, &PLACEMENT).ok_or(MalformedRequest("x-placement"))?;
     let placement = Placement::parse(placement)?;
     let id = header_text(headers, &REQUEST_ID).filter(|id| !id.is_empty());
-    let id = id.ok_or(Malformed("x-correlation-id"))?;
-    let time_left = header_number(headers, &TIME_LEFT_MS).ok_or(Malformed("x-time-left-ms"))?;
-    let plan = header_text(headers, &PLAN).ok_or(Malformed("x-qos-policy"))?;
+    let id = id.ok_or(MalformedRequest("x-correlation-id"))?;
+    let time_left = header_number(headers, &TIME_LEFT_MS).ok_or(MalformedRequest("x-time-left-ms"))?;
+    let plan = header_text(headers, &PLAN).ok_or(MalformedRequest("x-qos-policy"))?;
     Ok(Request {
         origin: RequestOrigin {
             front: Protocol::Http,
@@ -72,33 +73,34 @@
 }
 
 /// The class, volume and object of `/CLASS/VOLUME/OBJECT`.
-fn path_parts(path: &str) -> Result<(&str, &str, &str), Malformed> {
+fn path_parts(path: &str) -> Result<(&str, &str, &str), MalformedRequest> {
     let mut parts = path.split('/').skip(1);
     match (parts.next(), parts.next(), parts.next(), parts.next()) {
         (Some(class), Some(volume), Some(object), None) if !class.is_empty() => Ok((class, volume, object)),
-        _ => Err(Malformed("path")),
+        _ => Err(MalformedRequest("path")),
     }
 }
 
-fn hex(digits: &str, part: &'static str) -> Result<u64, Malformed> {
+fn hex(digits: &str, part: &'static str) -> Result<u64, MalformedRequest> {
     if digits.len() != HEX_DIGITS || !digits.bytes().all(|byte| byte.is_ascii_hexdigit()) {
-        return Err(Malformed(part));
+        return Err(MalformedRequest(part));
     }
-    u64::from_str_radix(digits, 16).map_err(|_| Malformed(part))
+    u64::from_str_radix(digits, 16).map_err(|_| MalformedRequest(part))
 }
 
-/// A request's size, where its object lies, and how many initiators share its volume.
+/// The `x-placement` header: a request's size, the shard of its object, and how many initiators share its
+/// volume.
 struct Placement {
     units: f64,
-    /// None: a new object.
+    /// `None`: the object is new.
     shard: Option<u32>,
     initiators: u32,
 }
 
 impl Placement {
-    /// `units=2,shard=5,hosts=3`. A part of another name is passed over.
-    fn parse(text: &str) -> Result<Placement, Malformed> {
-        const MALFORMED: Malformed = Malformed("x-placement");
+    /// Parses `units=2,shard=5,hosts=3`. Parts with other names are ignored.
+    fn parse(text: &str) -> Result<Placement, MalformedRequest> {
+        const MALFORMED: MalformedRequest = MalformedRequest("x-placement");
         let mut units = None;
         let mut shard = None;
         let mut initiators = 0;
--- a/src/net/http/message/response.rs
+++ b/src/net/http/message/response.rs
@@ -1,4 +1,4 @@
-//! The final response to a client.
+//! Encodes responses to clients.
 
 use super::REJECTION_REASON;
 use crate::core::{Response, ResponseBody};
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use std::time::Duration;
 
-/// Encodes the final response to a client.
+/// Encodes the final response to a client: 200 with the content, 503 if the request had no effect, or 500.
 pub fn encode(response: Response) -> HttpResponse<ResponseBody> {
     match response {
         Response::Served(content) => HttpResponse::with_body(StatusCode::OK, content),
@@ -23,7 +23,7 @@
     }
 }
 
-/// A response with the promise that the request had no effect; a client that is to stay away for no time gets
+/// A response by which the initiator promises that the request had no effect. Without a time to wait it has
 /// no Retry-After.
 fn rejected(retry_after: Duration) -> HttpResponse<ResponseBody> {
     let mut response = status(StatusCode::SERVICE_UNAVAILABLE);
@@ -36,7 +36,7 @@
     response
 }
 
-/// A response without a body.
+/// A response with this status and without a body.
 pub fn status(code: StatusCode) -> HttpResponse<ResponseBody> {
     HttpResponse::with_body(code, Bytes::new().into())
 }
--- a/src/net/http/message/target.rs
+++ b/src/net/http/message/target.rs
@@ -1,4 +1,4 @@
-//! What is sent to a target, and what its response says.
+//! Encodes requests to targets, and decodes their responses.
 
 use super::{
     IDEMPOTENCY_KEY, LOAD_REPORT, NOT_EXECUTED, REQUEST_ID, TIME_LEFT_MS, USED_ELSEWHERE, USED_PERCENT,
@@ -14,12 +14,13 @@
 
 /// The path of a shallow probe.
 const PROBE_PATH: &str = "/alive";
-/// Far above any load, any use in percent of a plan's rate, and any units served between two responses.
+/// Largest plausible load, use in percent of a plan's rate, or units served between two responses.
 const MAX_PLAUSIBLE_FIGURE: f64 = 1e5;
-/// The value of a header that promises something.
+/// Value of a header by which a target promises something.
 const YES: &str = "1";
 
-/// The head of a request to a target, whose attempt ends at `until`.
+/// The head of a request to a target. `until`, the end of the attempt, determines the time left that it
+/// declares.
 pub fn request_head(request: &Request, addr: SocketAddr, until: Instant) -> RequestHead {
     let time_left = until.saturating_duration_since(Instant::now()).as_millis().to_string();
     let mut head = head(&request.locator, addr);
@@ -30,7 +31,7 @@
         (TIME_LEFT_MS, Some(&time_left)),
     ];
     for (name, value) in headers {
-        // What came as a header's text, or is made of digits, is fit for a header.
+        // These values were header values of the client's request, or consist of digits, so they are valid.
         if let Some(Ok(value)) = value.map(|value| HeaderValue::from_str(value)) {
             head.headers.insert(name, value);
         }
@@ -52,7 +53,7 @@
     head
 }
 
-/// What a target's response says of the attempt's outcome, and reports beside it.
+/// Derives the outcome of an attempt, and the figures that a target reports, from its response.
 pub fn result(code: StatusCode, headers: &HeaderMap, body: ResponseBody) -> AttemptResult {
     let outcome = outcome(code, headers);
     AttemptResult {
@@ -67,21 +68,22 @@
 }
 
 fn outcome(code: StatusCode, headers: &HeaderMap) -> Outcome {
-    let promised = header_text(headers, &NOT_EXECUTED) == Some(YES);
+    let not_executed = header_text(headers, &NOT_EXECUTED) == Some(YES);
     match code {
         StatusCode::OK => Outcome::Served,
-        StatusCode::GATEWAY_TIMEOUT if promised => Outcome::DeadlineExceeded,
-        StatusCode::SERVICE_UNAVAILABLE if promised => Outcome::QueueFull,
+        StatusCode::GATEWAY_TIMEOUT if not_executed => Outcome::DeadlineExceeded,
+        StatusCode::SERVICE_UNAVAILABLE if not_executed => Outcome::QueueFull,
         _ => Outcome::Error,
     }
 }
 
-/// Whether a figure could be meant. One that cannot must neither spoil its response nor move an estimate.
+/// Whether a figure is in the plausible range. Others are ignored: they neither invalidate the response nor
+/// change an estimate.
 fn is_plausible(figure: &f64) -> bool {
     (0.0..=MAX_PLAUSIBLE_FIGURE).contains(figure)
 }
 
-/// `TEXT inflight=7, queue=2, util=0.61`
+/// Parses `TEXT inflight=7, queue=2, util=0.61`. Unknown names and implausible figures are ignored.
 fn load_report(text: &str) -> LoadReport {
     let mut load = LoadReport::default();
     let pairs = text.trim().trim_start_matches("TEXT").split(',').filter_map(|pair| pair.split_once('='));
--- a/src/net/http/request_body.rs
+++ b/src/net/http/request_body.rs
@@ -1,4 +1,4 @@
-//! A request's body as its client sends it, within the memory for all bodies.
+//! Reads a request's body from its client, within the memory for all bodies.
 
 use super::handler::no_capacity;
 use super::message::{self, MAX_BODY_BYTES};
@@ -11,14 +11,15 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long a request's body may take in any case. A half body must not hold its connection for ever.
+/// How long a request's body may take, whatever its length. Without a limit, an incomplete body would occupy its
+/// connection forever.
 const MIN_BODY_TIMEOUT: Duration = Duration::from_secs(2);
-/// The slowest that a client may send: its body gets a second more for so many bytes.
+/// Slowest rate at which a client may send: a body may take one second more for this many bytes.
 const MIN_BYTES_PER_SECOND: u64 = 64_000;
 
-/// What a body has reserved of the memory for all bodies. Dropped, it gives it back.
+/// The part of the memory for all bodies that one body has reserved. Dropping it releases the memory.
 pub(super) struct BodyBudget {
-    /// Bytes that all bodies may still take up.
+    /// Bytes that are still available to all bodies.
     available: Rc<Cell<usize>>,
     reserved: usize,
 }
@@ -28,7 +29,7 @@
         BodyBudget { available, reserved: 0 }
     }
 
-    /// Reserves more bytes. False: so many are not available, and nothing is reserved.
+    /// Reserves `bytes` more. Returns false, and reserves nothing, if they are not available.
     pub(super) fn reserve(&mut self, bytes: usize) -> bool {
         let Some(available) = self.available.get().checked_sub(bytes) else { return false };
         self.available.set(available);
@@ -55,41 +56,42 @@
         RequestBody { payload, started_at: Instant::now(), bytes_read: 0 }
     }
 
-    /// When the next piece must have come.
+    /// When the next chunk must have arrived.
     fn deadline(&self) -> Instant {
         let for_bytes = self.bytes_read as f64 / MIN_BYTES_PER_SECOND as f64;
         self.started_at + MIN_BODY_TIMEOUT + Duration::from_secs_f64(for_bytes)
     }
 
-    /// The next piece; none: the body is complete.
+    /// Reads the next chunk; `None`: the body is complete.
     ///
     /// # Errors
-    /// The response to a client that is too slow, breaks off, or sends more than a body may hold.
+    /// The response to a client that is too slow, breaks off the body, or sends more than [`MAX_BODY_BYTES`].
     async fn next(&mut self) -> Result<Option<Bytes>, HttpResponse<ResponseBody>> {
-        let piece = tokio::time::timeout_at(self.deadline(), self.payload.next()).await;
-        let piece = piece.map_err(|_| message::status(StatusCode::REQUEST_TIMEOUT))?;
-        let piece = piece.transpose().map_err(|_| message::status(StatusCode::BAD_REQUEST))?;
-        self.bytes_read += piece.as_ref().map_or(0, |piece| piece.len() as u64);
+        let chunk = tokio::time::timeout_at(self.deadline(), self.payload.next()).await;
+        let chunk = chunk.map_err(|_| message::status(StatusCode::REQUEST_TIMEOUT))?;
+        let chunk = chunk.transpose().map_err(|_| message::status(StatusCode::BAD_REQUEST))?;
+        self.bytes_read += chunk.as_ref().map_or(0, |chunk| chunk.len() as u64);
         if self.bytes_read > MAX_BODY_BYTES {
             return Err(message::status(StatusCode::PAYLOAD_TOO_LARGE));
         }
-        Ok(piece)
+        Ok(chunk)
     }
 
-    /// Reads as much of the body as is held, and whether that is all of it.
+    /// Reads the body until it is complete or longer than [`MAX_BUFFERED_BODY`]. Returns the bytes, and
+    /// whether they are all of the body.
     ///
     /// # Errors
-    /// The response to a client whose body cannot be read or has no memory left.
-    pub(super) async fn read_held(
+    /// The response to a client whose body cannot be read, or for whose body no memory is left.
+    pub(super) async fn read_buffered(
         &mut self,
         budget: &mut BodyBudget,
     ) -> Result<(Bytes, bool), HttpResponse<ResponseBody>> {
         let mut body = BytesMut::new();
-        while let Some(piece) = self.next().await? {
-            if !budget.reserve(piece.len()) {
+        while let Some(chunk) = self.next().await? {
+            if !budget.reserve(chunk.len()) {
                 return Err(no_capacity());
             }
-            body.extend_from_slice(&piece);
+            body.extend_from_slice(&chunk);
             if body.len() > MAX_BUFFERED_BODY {
                 return Ok((body.freeze(), false));
             }
@@ -97,12 +99,12 @@
         Ok((body.freeze(), true))
     }
 
-    /// What comes behind the held part. The memory is given back with the stream.
+    /// Streams the part of the body that follows the buffered one. The memory is released with the stream.
     pub(super) fn into_rest(self, budget: BodyBudget) -> impl Stream<Item = Result<Bytes, IncompleteBody>> {
         futures_util::stream::unfold(Some((self, budget)), async |unread| {
             let (mut body, budget) = unread?;
             match body.next().await {
-                Ok(Some(piece)) => Some((Ok(piece), Some((body, budget)))),
+                Ok(Some(chunk)) => Some((Ok(chunk), Some((body, budget)))),
                 Ok(None) => None,
                 Err(_) => Some((Err(IncompleteBody), None)),
             }
--- a/src/net/http/response_body.rs
+++ b/src/net/http/response_body.rs
@@ -1,4 +1,4 @@
-//! A response's body on its way to its client.
+//! The body of a response while it is sent to its client.
 
 use super::clients::{ActiveRequest, ClientConnection};
 use crate::core::{IncompleteBody, ResponseBody};
@@ -9,22 +9,23 @@
 use std::rc::Rc;
 use std::task::{Context, Poll};
 
-/// A body that is being sent; its connection stays busy until it is dropped.
+/// A body that is being sent. Its connection is busy until the body is dropped.
 pub(super) struct HttpBody {
     content: ResponseBody,
     #[expect(dead_code, reason = "held for its drop")]
     active_request: Option<ActiveRequest>,
-    /// The connection of a body that ends with it: without a reset, one that breaks off would look complete.
-    ends_connection: Option<Rc<ClientConnection>>,
+    /// The connection, if its close marks the end of the body. An incomplete body then ends with a reset,
+    /// since it would look complete otherwise.
+    delimiting_connection: Option<Rc<ClientConnection>>,
 }
 
 impl HttpBody {
     pub(super) fn new(
         content: ResponseBody,
         active_request: Option<ActiveRequest>,
-        ends_connection: Option<Rc<ClientConnection>>,
+        delimiting_connection: Option<Rc<ClientConnection>>,
     ) -> HttpBody {
-        HttpBody { content, active_request, ends_connection }
+        HttpBody { content, active_request, delimiting_connection }
     }
 }
 
@@ -37,11 +38,11 @@
 
     fn poll_next(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<io::Result<Bytes>>> {
         let body = self.get_mut();
-        let piece = Pin::new(&mut body.content).poll_next(cx);
-        if let (Poll::Ready(Some(Err(_))), Some(connection)) = (&piece, &body.ends_connection) {
-            connection.truncate();
+        let chunk = Pin::new(&mut body.content).poll_next(cx);
+        if let (Poll::Ready(Some(Err(_))), Some(connection)) = (&chunk, &body.delimiting_connection) {
+            connection.mark_truncated();
         }
-        piece
+        chunk
     }
 }
 
@@ -60,9 +61,11 @@
             ResponseBody::Whole(body) if body.is_empty() => Poll::Ready(None),
             ResponseBody::Whole(body) => Poll::Ready(Some(Ok(std::mem::take(body)))),
             ResponseBody::Streamed(body) => {
-                let piece = body.chunks.poll_recv(cx);
-                piece.map(|piece| {
-                    Some(piece?.map_err(|IncompleteBody| io::Error::other("the target's answer broke off")))
+                let chunk = body.chunks.poll_recv(cx);
+                chunk.map(|chunk| {
+                    Some(chunk?.map_err(|IncompleteBody| {
+                        io::Error::other("target's response ended before its body was complete")
+                    }))
                 })
             }
         }
--- a/src/net/http/response_stream.rs
+++ b/src/net/http/response_stream.rs
@@ -1,4 +1,4 @@
-//! The body of a target's response: held whole, or passed on as it comes.
+//! Reads the body of a target's response: buffers it, or streams it to the client.
 
 use super::target::TargetTransport;
 use crate::core::{BodyStream, IncompleteBody, MAX_BUFFERED_BODY, ResponseBody, STREAMED_CHUNKS};
@@ -10,11 +10,12 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// A long response that has begun is its client's: it is given up only after this long without a byte.
+/// A streamed response is aborted after this long without a byte. Part of it has reached its client, so it
+/// cannot be retried.
 const STREAM_STALL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Reads a response's body: whole, unless it is long or slow. Not cancel safe; dropped, it closes the
-/// connection.
+/// Reads the body of a response. It is buffered completely, unless it is long or slow. Not cancel safe;
+/// dropping the future closes the connection.
 pub(super) async fn read_content(
     transport: &TargetTransport,
     mut connection: Connection,
@@ -22,61 +23,62 @@
 ) -> Result<ResponseBody, ExchangeError> {
     let length = declared_length(head);
     let declared_long = length.is_some_and(|length| length > MAX_BUFFERED_BODY as u64);
-    let hold_until = Instant::now() + transport.hold_time;
-    let mut held = BytesMut::new();
-    while let Some(piece) = connection.next_piece(Some(transport.stall_timeout)).await? {
-        held.extend_from_slice(&piece);
-        let long = declared_long || held.len() > MAX_BUFFERED_BODY;
+    let buffer_until = Instant::now() + transport.hold_time;
+    let mut buffered = BytesMut::new();
+    while let Some(chunk) = connection.next_chunk(Some(transport.stall_timeout)).await? {
+        buffered.extend_from_slice(&chunk);
+        let long = declared_long || buffered.len() > MAX_BUFFERED_BODY;
         if long && head.status != StatusCode::OK {
-            // No client gets it.
+            // The body of an error response is not passed to the client.
             return Ok(ResponseBody::Whole(Bytes::new()));
         }
-        // For one that is slow to come another attempt would be too late, and held it is no use to its client.
-        let slow = Instant::now() >= hold_until && head.status == StatusCode::OK;
+        // A retry of a response that arrives this slowly would be too late, so buffering it has no use for
+        // the client.
+        let slow = Instant::now() >= buffer_until && head.status == StatusCode::OK;
         if long || slow {
-            return Ok(stream_content(transport, connection, held, length));
+            return Ok(stream_content(transport, connection, buffered, length));
         }
     }
     transport.connections.check_in(connection);
-    Ok(ResponseBody::Whole(held.freeze()))
+    Ok(ResponseBody::Whole(buffered.freeze()))
 }
 
-/// The length of a response's body in bytes, where its head has it.
+/// The length in bytes that a response's head declares for its body, if any.
 fn declared_length(head: &ResponseHead) -> Option<u64> {
     head.headers.get(CONTENT_LENGTH)?.to_str().ok()?.trim().parse().ok()
 }
 
-/// Passes a response on as it comes, on a task of its own.
+/// Streams a response to its client, on a task of its own.
 fn stream_content(
     transport: &TargetTransport,
     connection: Connection,
     first: BytesMut,
     length: Option<u64>,
 ) -> ResponseBody {
-    let (sender, pieces) = mpsc::channel(STREAMED_CHUNKS);
+    let (sender, chunks) = mpsc::channel(STREAMED_CHUNKS);
     actix_rt::spawn(forward(transport.connections.clone(), connection, first.freeze(), sender));
-    ResponseBody::Streamed(BodyStream { length, chunks: pieces })
+    ResponseBody::Streamed(BodyStream { length, chunks })
 }
 
-/// Forwards a long response, no faster than its client takes it. A client that goes takes the connection
-/// along.
+/// Forwards a long response at the rate at which its client reads it. The connection is closed if the client
+/// disconnects.
 async fn forward(
     connections: ConnectionPool,
     mut connection: Connection,
     first: Bytes,
     client: mpsc::Sender<Result<Bytes, IncompleteBody>>,
 ) {
-    let mut piece = Ok(Some(first));
-    while let Ok(Some(bytes)) = piece {
+    let mut chunk = Ok(Some(first));
+    while let Ok(Some(bytes)) = chunk {
         if client.send(Ok(bytes)).await.is_err() {
             return;
         }
-        piece = tokio::select! {
-            piece = connection.next_piece(Some(STREAM_STALL_TIMEOUT)) => piece,
+        chunk = tokio::select! {
+            chunk = connection.next_chunk(Some(STREAM_STALL_TIMEOUT)) => chunk,
             () = client.closed() => return,
         };
     }
-    match piece {
+    match chunk {
         Ok(_) => connections.check_in(connection),
         Err(_) => drop(client.send(Err(IncompleteBody)).await),
     }
--- a/src/net/http/server.rs
+++ b/src/net/http/server.rs
@@ -1,8 +1,8 @@
-//! The listener for the platform's clients.
+//! The HTTP listener for the platform's clients.
 
 use crate::core::CoreHandle;
 use crate::net::Phase;
-use crate::net::accept::{AcceptFailures, AfterFailure, pause};
+use crate::net::accept::{AcceptFailures, AcceptRecovery, pause};
 use crate::net::http::clients::{ClientStream, ConnectionTable};
 use crate::net::http::handler::respond;
 use actix_http::error::DispatchError;
@@ -17,35 +17,34 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Bytes of a response that may wait in its connection's buffer before more are fetched.
+/// Bytes of a response that may wait in its connection's buffer before more of the body are read.
 const WRITE_BUFFER_BYTES: usize = 16 * 1024;
-/// How often connections are checked for those that have taken too long: half of the shortest timeout that applies
-/// to them.
+/// Interval between checks for connections that exceed a timeout: half of the shortest one.
 const OVERDUE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// How long the rest of a request is read after a response that came before all of it: a reset would take the
-/// response with it.
+/// How long the rest of a request is read if its response came before all of it. Closing over unread bytes
+/// would reset the connection, and the client would lose the response.
 const LINGER: Duration = Duration::from_secs(1);
 
 /// A client's stream and its address, as the HTTP service takes them.
 type AcceptedStream = (ClientStream, Option<SocketAddr>);
 
-/// What the handlers of clients' connections share.
+/// What the request handlers of all connections share.
 #[derive(Clone)]
 pub struct Front {
     /// The core that requests are submitted to.
     pub core: CoreHandle,
-    /// Turns true when connections are to be closed: idle ones at once, the others with their responses.
+    /// Turns true when connections are to close: idle ones at once, the others after their responses.
     pub closing: watch::Receiver<bool>,
-    /// Clients are accepted while this process serves. Once it leaves, connections close with their next
-    /// response.
+    /// The serving phase of this process. Clients are accepted while it serves; once it drains, connections
+    /// close after their next response.
     pub phase: watch::Receiver<Phase>,
-    /// The connections of clients.
+    /// The connections of all HTTP clients.
     pub clients: ConnectionTable,
-    /// Bytes that requests' bodies may still take up together.
+    /// Bytes that the bodies of all requests may still occupy.
     pub body_bytes: Rc<Cell<usize>>,
 }
 
-/// Accepts clients until dropped. Connections go on by themselves.
+/// Accepts clients until dropped. Their connections run on tasks of their own, and continue after that.
 ///
 /// # Errors
 /// The HTTP service could not be started.
@@ -55,7 +54,7 @@
     let mut phase = front.phase.clone();
     let mut failures = AcceptFailures::default();
     loop {
-        // What is not accepted here waits for the process that serves.
+        // A connection that is not accepted here waits in the queue for the process that serves.
         let accepting = phase.borrow_and_update().accepts();
         let accepted = tokio::select! {
             accepted = listener.accept(), if accepting && front.clients.may_accept() => accepted,
@@ -76,13 +75,14 @@
     }
 }
 
-/// Makes the HTTP service that runs on each connection.
+/// Creates the HTTP service that serves each connection.
 async fn http_service(
     front: &Front,
 ) -> io::Result<impl Service<AcceptedStream, Error = DispatchError, Future: 'static> + 'static> {
     let handler = front.clone();
     let closing = front.closing.clone();
-    // The connection table times idle connections and heads, those of every request, not just the first.
+    // The connection table applies the timeouts for idle connections and for heads, to every request and not
+    // just the first.
     let factory = HttpService::<ClientStream, _, _>::build()
         .keep_alive(KeepAlive::Os)
         .client_request_timeout(Duration::ZERO)
@@ -91,9 +91,9 @@
         .on_connect_ext(|stream: &ClientStream, data| {
             data.insert(Rc::clone(stream.connection()));
         })
-        // A client that closes its side has gone: its handler is dropped, which notifies the core.
+        // A client that closes its side has disconnected: its handler is dropped, which notifies the core.
         .h1_allow_half_closed(false)
-        .graceful_shutdown_signal(move || turned_on(closing.clone()))
+        .graceful_shutdown_signal(move || wait_until_true(closing.clone()))
         .h1(fn_service(move |request: Request| {
             let front = handler.clone();
             async move { Ok::<_, Infallible>(respond(front, request).await) }
@@ -101,8 +101,8 @@
     factory.new_service(()).await.map_err(|()| io::Error::other("the HTTP service did not start"))
 }
 
-/// Resolves once the signal is true; without a sender nothing will ever turn it, and it never resolves.
-async fn turned_on(mut signal: watch::Receiver<bool>) {
+/// Resolves once the signal is true; never if its sender was dropped before.
+async fn wait_until_true(mut signal: watch::Receiver<bool>) {
     if signal.wait_for(|on| *on).await.is_err() {
         std::future::pending::<()>().await;
     }
@@ -114,7 +114,8 @@
     S: Service<AcceptedStream, Error = DispatchError>,
     S::Future: 'static,
 {
-    // The protocol's messages are small; a failed option costs time, not the connection.
+    // The protocol's messages are small and sent without delay. If the option cannot be set, the connection
+    // is only slower.
     let _ = stream.set_nodelay(true);
     let Some(stream) = clients.register(stream) else {
         tracing::debug!("connection rejected, every connection has a request open");
@@ -128,12 +129,12 @@
     });
 }
 
-/// Does what a failed accept asks for before the next one.
+/// Carries out what the listener does after a failed accept.
 async fn recover(failures: &mut AcceptFailures, error: &io::Error, clients: &ConnectionTable) {
     let next = failures.record_failure(error, "clients");
-    if matches!(next, AfterFailure::FreeDescriptors(_)) {
-        // Something outside the budget has taken the descriptors: a connection that waits for nothing is closed
-        // for them.
+    if matches!(next, AcceptRecovery::FreeDescriptors(_)) {
+        // Descriptors outside the budget are in use, so a connection without an open request is closed to
+        // free one.
         clients.evict_one();
     }
     pause(next).await;
--- a/src/net/http/target.rs
+++ b/src/net/http/target.rs
@@ -9,30 +9,31 @@
 use crate::net::http::response_stream::read_content;
 use bytes::Bytes;
 use rowanglade_http_exchange::{
-    BodyLost, BodyStream, Connection, ConnectionPool, ExchangeError, NoStream, RequestBody,
+    BodyAborted, BodyStream, Connection, ConnectionPool, EmptyStream, ExchangeError, RequestBody,
 };
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// Attempts that may wait for the actor's turn. The scheduler's concurrency limit keeps far below it.
+/// Messages that may wait for the actor. The scheduler's concurrency limit keeps the number far below this.
 const MAILBOX_CAPACITY: usize = 256;
 
-/// What the actors of all targets share.
+/// What the actors of all HTTP targets share.
 #[derive(Clone, Debug)]
 pub struct TargetTransport {
-    /// How long a connection may take to come up.
+    /// How long opening a connection may take.
     pub connect_timeout: Duration,
-    /// A short response that has begun goes on within this time, or it will not be complete.
+    /// Longest wait for the next bytes of a buffered response, after which it counts as broken.
     pub stall_timeout: Duration,
-    /// What of a response comes later than this after its head is passed on as it comes, not held.
+    /// How long a response is buffered after its head. If it is not complete by then, it is streamed to its
+    /// client.
     pub hold_time: Duration,
-    /// Connections to all targets.
+    /// The pool of connections to all targets.
     pub connections: ConnectionPool,
 }
 
-/// Starts a target's actor, which lives as long as its mailbox is held.
+/// Starts a target's actor, which runs until its mailbox is dropped.
 pub fn connect(endpoint: &Endpoint, transport: TargetTransport) -> mpsc::Sender<TargetMessage> {
     let (mailbox, messages) = mpsc::channel(MAILBOX_CAPACITY);
     actix_rt::spawn(run(endpoint.addr, transport, messages));
@@ -57,8 +58,8 @@
     connections.close_idle_to(addr);
 }
 
-/// Makes one attempt and reports its result. Dropping the exchange closes its connection, which is how an
-/// attempt is cancelled.
+/// Makes one attempt and reports its result. To cancel an attempt, its exchange is dropped, which closes the
+/// connection.
 async fn run_attempt(transport: TargetTransport, addr: SocketAddr, attempt: Attempt) {
     let Attempt { request, until, cancel, report } = attempt;
     let result = tokio::select! {
@@ -66,7 +67,8 @@
         result = exchange(&transport, addr, &request, until, &report) => result,
         _ = cancel => AttemptResult::without_response(Outcome::Cancelled),
         () = timed_out(&request, until) => {
-            // A machine that was cut off leaves its connections open and silent, for good.
+            // A host that was cut off from the network leaves its connections open indefinitely, and never
+            // responds on them.
             transport.connections.close_idle_to(addr);
             AttemptResult::without_response(Outcome::TimedOut)
         }
@@ -74,8 +76,8 @@
     report.finish(result);
 }
 
-/// Resolves when an attempt's time is over: at `until`, or so long after a long body's last byte as the request
-/// had left.
+/// Resolves when an attempt times out: at `until`, or for a streamed body once the time that the request had
+/// left has passed since the last byte of the body.
 async fn timed_out(request: &Request, until: Instant) {
     match &request.body_rest {
         None => tokio::time::sleep_until(until).await,
@@ -83,7 +85,7 @@
     }
 }
 
-/// The rest of a long body, on its way to the target.
+/// The streamed rest of a request's body, on its way to the target.
 struct UploadStream<'a> {
     rest: UploadReader<'a>,
     upload: &'a Upload,
@@ -91,12 +93,12 @@
 }
 
 impl BodyStream for UploadStream<'_> {
-    async fn next(&mut self) -> Result<Option<Bytes>, BodyLost> {
-        let piece = self.rest.next().await.map_err(|IncompleteBody| BodyLost);
+    async fn next(&mut self) -> Result<Option<Bytes>, BodyAborted> {
+        let chunk = self.rest.next().await.map_err(|IncompleteBody| BodyAborted);
         if self.upload.is_consumed() {
             self.report.body_started();
         }
-        piece
+        chunk
     }
 }
 
@@ -109,12 +111,12 @@
 ) -> AttemptResult {
     let mut upload_stream = None;
     if let Some(upload) = &request.body_rest {
-        // Another attempt has had some of it, which is gone.
+        // Another attempt has consumed a part of the body, which cannot be sent again.
         let Some(rest) = upload.reader() else { return AttemptResult::without_response(Outcome::NotSent) };
         upload_stream = Some(UploadStream { rest, upload, report });
     }
     let body = request.write.then(|| RequestBody {
-        held: request.body.clone(),
+        buffered: request.body.clone(),
         rest: upload_stream.as_mut().map(|stream| {
             let length = stream.upload.length();
             (stream, length)
@@ -154,7 +156,7 @@
 async fn run_probe(transport: TargetTransport, addr: SocketAddr, probe: Probe) {
     let exchange = async {
         let mut connection = check_out(&transport, addr).await?;
-        let body = None::<RequestBody<'_, NoStream>>;
+        let body = None::<RequestBody<'_, EmptyStream>>;
         let head = connection
             .send(message::probe_head(addr), body, MAX_BUFFERED_BODY as u64)
             .await
--- a/src/net/iscsi/front/commands.rs
+++ b/src/net/iscsi/front/commands.rs
@@ -1,8 +1,8 @@
-//! What a client's PDUs ask for: commands, their data, and task management.
+//! Handles a client's PDUs: commands, their data, and task management.
 
 use super::COMMAND_WINDOW;
 use super::session::Session;
-use super::tasks::{CompletedTask, PartialWrite, Task, late_writes};
+use super::tasks::{CompletedTask, PartialWrite, Task, overdue_writes};
 use crate::core::{Protocol, Request, RequestOrigin};
 use crate::net::iscsi::ABORT_TASK;
 use bytes::Bytes;
@@ -14,17 +14,17 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Retry-After of a command that its session has no capacity for.
+/// Retry-After of a command beyond the command window of its session.
 const SESSION_FULL_RETRY_AFTER: Duration = Duration::from_millis(100);
 /// The most bytes that a command transfers.
 const MAX_TRANSFER_BYTES: u64 = MAX_SEGMENT_BYTES as u64;
 
-/// Responses of task management.
+/// Response codes of task management.
 const FUNCTION_COMPLETE: u8 = 0;
 const TASK_DOES_NOT_EXIST: u8 = 1;
 const FUNCTION_NOT_SUPPORTED: u8 = 5;
 
-/// What a SCSI Command PDU asks for.
+/// The fields of a SCSI Command PDU that the front uses.
 struct CommandPdu {
     lun: u64,
     itt: u32,
@@ -35,12 +35,12 @@
 }
 
 impl Session<'_> {
-    /// Handles a PDU of the client's.
+    /// Handles a PDU from the client.
     ///
     /// # Errors
-    /// The session cannot go on.
+    /// The session cannot continue.
     pub(super) fn handle_pdu(&mut self, pdu: Pdu) -> io::Result<()> {
-        if !self.count_command(&pdu) {
+        if !self.advance_cmd_sn(&pdu) {
             self.reject(RejectReason::ProtocolError, &header_of(&pdu));
             return Ok(());
         }
@@ -61,9 +61,10 @@
         Ok(())
     }
 
-    /// Counts a command; false: the PDU is not one that a client sends here, or out of order. On one connection
-    /// commands come in order: one out of order breaks the protocol.
-    fn count_command(&mut self, pdu: &Pdu) -> bool {
+    /// Checks the command number of a PDU, and advances the expected one. Returns false if the PDU is not one
+    /// that a client sends here, or is out of order: on one connection commands arrive in order, so that
+    /// violates the protocol.
+    fn advance_cmd_sn(&mut self, pdu: &Pdu) -> bool {
         let (immediate, cmd_sn) = match pdu {
             Pdu::NopOut { immediate, cmd_sn, .. }
             | Pdu::ScsiCommand { immediate, cmd_sn, .. }
@@ -99,10 +100,10 @@
         }
     }
 
-    /// Adds data to a write. Data for a task that was aborted or failed may still be under way, and is dropped.
+    /// Adds data to a write. Data for a task that was aborted or failed may still arrive, and is dropped.
     fn receive_data(&mut self, itt: u32, offset: u32, data: &Bytes, last: bool) {
         let Some(Task::ReceivingData(write)) = self.tasks.get_mut(&itt) else { return };
-        let fits = write.add(offset, data);
+        let fits = write.append(offset, data);
         let complete = write.is_complete();
         if !fits || (last && !complete) {
             self.tasks.remove(&itt);
@@ -112,9 +113,9 @@
         }
     }
 
-    /// Fails writes that lack data past their time.
-    pub(super) fn fail_late_writes(&mut self) {
-        for itt in late_writes(&self.tasks) {
+    /// Fails writes whose data is incomplete at their deadline.
+    pub(super) fn fail_overdue_writes(&mut self) {
+        for itt in overdue_writes(&self.tasks) {
             self.tasks.remove(&itt);
             self.send_check_condition(itt, scsi::DATA_PHASE_ERROR);
         }
@@ -123,8 +124,11 @@
     fn start_command(&mut self, pdu: CommandPdu) -> io::Result<()> {
         let itt = pdu.itt;
         if self.tasks.contains_key(&itt) || itt == RESERVED_TAG {
-            // A tag in use names two tasks: the session cannot go on.
-            return Err(io::Error::new(io::ErrorKind::InvalidData, "a task tag is in use"));
+            // A tag that is in use would name two tasks, so the session cannot continue.
+            return Err(io::Error::new(
+                io::ErrorKind::InvalidData,
+                "initiator task tag is reserved or already in use",
+            ));
         }
         if self.tasks.len() as u32 >= COMMAND_WINDOW {
             self.send_status(itt, scsi::TASK_SET_FULL, SESSION_FULL_RETRY_AFTER, None);
@@ -143,7 +147,7 @@
         Ok(())
     }
 
-    /// Asks for the rest of a write's data.
+    /// Requests the rest of a write's data with an R2T.
     fn request_data(&mut self, pdu: CommandPdu, command: Command, deadline: Duration) {
         let CommandPdu { lun, itt, length, data, .. } = pdu;
         let offset = data.len() as u32;
@@ -154,7 +158,7 @@
         self.out.push(&Pdu::R2t { lun, itt, ttt: itt, seq, r2t_sn: 0, offset, length: length - offset });
     }
 
-    /// A command that the settings allow, and its class's deadline.
+    /// Decodes a command and checks that the settings allow it. Returns it with the deadline of its class.
     fn validate(&self, pdu: &CommandPdu) -> Result<(Command, Duration), Sense> {
         let command = Command::decode(&pdu.cdb)?;
         if !self.front.luns.contains_key(&pdu.lun) {
@@ -170,8 +174,8 @@
         Ok((command, *deadline))
     }
 
-    /// Submits a complete command to the core, unless its client has gone. `read_length`: the bytes that a read
-    /// is expected to transfer.
+    /// Submits a complete command to the core, unless its client has disconnected. `read_length` is the
+    /// expected transfer length of a read in bytes; `None` for a write.
     fn submit(&mut self, itt: u32, lun: u64, command: Command, read_length: Option<u32>, body: Bytes) {
         if self.client_closed {
             return;
@@ -190,7 +194,7 @@
         self.responses.push(Abortable::new(response, registration));
     }
 
-    /// The core's request for a command; none: the LUN or the class is unknown.
+    /// Builds the core's request for a command; `None`: the LUN or the class is unknown.
     fn request(&mut self, lun: u64, command: Command, body: Bytes) -> Option<Request> {
         let volume = self.front.luns.get(&lun)?;
         let (class, deadline) = self.front.classes.get(usize::from(command.group))?;
@@ -221,7 +225,7 @@
     }
 }
 
-/// The header that a Reject sends back.
+/// The header of a PDU, which a Reject returns to its sender.
 fn header_of(pdu: &Pdu) -> Header {
     let bytes = pdu.encode();
     let mut header = [0; HEADER_BYTES];
--- a/src/net/iscsi/front/mod.rs
+++ b/src/net/iscsi/front/mod.rs
@@ -1,4 +1,4 @@
-//! The front for sessions of clients: this side is the iSCSI target.
+//! The front for sessions of clients, in which this process is the iSCSI target.
 
 mod commands;
 mod responses;
@@ -23,19 +23,19 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Commands of one session that may be open at once: one session must not fill the core's queues.
+/// Commands of one session that may be open at once, so that one session cannot fill the core's queues.
 const COMMAND_WINDOW: u32 = 32;
-/// How long a login may take: it is a few small PDUs.
+/// How long a login may take; it consists of a few small PDUs.
 const LOGIN_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A volume that sessions reach as a LUN.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Lun {
-    /// The name of its QoS plan.
+    /// The name of its QoS plan; `None`: it has no plan.
     pub plan: Option<String>,
-    /// The shard that holds its objects; none: its writes are new objects.
+    /// The shard that holds its objects; `None`: its writes create new objects.
     pub shard: Option<u32>,
-    /// How many initiators share it; 0: not known.
+    /// How many initiators share it; 0: unknown.
     pub initiators: u32,
 }
 
@@ -44,31 +44,31 @@
 pub struct Front {
     /// The core that requests are submitted to.
     pub core: CoreHandle,
-    /// The target's name, which a login must give.
+    /// The target's iSCSI name, which a login must specify.
     pub name: String,
-    /// Volumes by their LUN.
+    /// The volumes by LUN.
     pub luns: HashMap<u64, Lun>,
-    /// Names and deadlines of the classes, in the order of their group numbers.
+    /// Names and deadlines of the request classes, indexed by group number.
     pub classes: Vec<(String, Duration)>,
-    /// How many logical blocks count as one unit.
+    /// Number of logical blocks in one unit.
     pub blocks_per_unit: u32,
-    /// Turns true when the program is to end: sessions are asked to log out.
+    /// Turns true when sessions are to end: clients are then asked to log out.
     pub ending: watch::Receiver<bool>,
-    /// Sessions are accepted while this process serves.
+    /// The serving phase of this process: sessions are accepted while it serves.
     pub phase: watch::Receiver<Phase>,
     /// Sessions that may be open at once; further connections are closed.
     pub max_sessions: Rc<Cell<usize>>,
-    /// Sessions open now.
+    /// Number of open sessions.
     pub open_sessions: Rc<Cell<usize>>,
 }
 
-/// Accepts sessions until dropped. Sessions go on by themselves.
+/// Accepts sessions until dropped. Sessions run on tasks of their own, and continue after that.
 pub async fn serve(listener: TcpListener, front: Rc<Front>) {
     let mut sessions_accepted: u64 = 0;
     let mut failures = AcceptFailures::default();
     let mut phase = front.phase.clone();
     loop {
-        // What is not accepted here waits for the process that serves.
+        // A connection that is not accepted here waits in the queue for the process that serves.
         let accepting = phase.borrow_and_update().accepts();
         let accepted = tokio::select! {
             accepted = listener.accept(), if accepting => accepted,
@@ -106,7 +106,7 @@
     let (read_half, mut writer) = stream.into_split();
     let mut reader = PduReader::new(read_half);
     let ended = log_in_and_run(front, &mut reader, &mut writer, client, number).await;
-    // Requests that were open have lost their client by now. A reset would take the last response with it,
+    // The open requests have been cancelled with the session. A reset would discard the last response,
     // whatever the client still sends.
     let _ = tokio::time::timeout(LINGER, close(writer.as_ref())).await;
     ended
--- a/src/net/iscsi/front/responses.rs
+++ b/src/net/iscsi/front/responses.rs
@@ -8,15 +8,17 @@
 use rowanglade_iscsi::{Header, Pdu, RejectReason, Residual};
 use std::time::Duration;
 
-/// While more bytes than this wait to be written, further responses are held back: each may come on top of it.
-const UNSENT_BYTES_BEFORE_HOLDING: usize = 128 * 1024;
-/// The response of a command that completed at the target.
+/// High watermark of the send buffer: while more bytes wait, further responses are held back. One response
+/// may exceed it by its own size.
+const RESPONSE_HIGH_WATERMARK_BYTES: usize = 128 * 1024;
+/// Response code of a command that completed at the target.
 const COMPLETED_AT_TARGET: u8 = 0;
 
 impl Session<'_> {
-    /// Sends responses for as long as few bytes wait. The others keep their tasks, whose number is limited.
+    /// Sends responses until the send buffer exceeds its high watermark. The others remain open tasks, whose
+    /// number is limited.
     pub(super) fn send_completed(&mut self) {
-        while self.out.len() <= UNSENT_BYTES_BEFORE_HOLDING
+        while self.out.len() <= RESPONSE_HIGH_WATERMARK_BYTES
             && let Some(CompletedTask { itt, read_length, response }) = self.completed.pop_front()
         {
             self.tasks.remove(&itt);
@@ -35,7 +37,7 @@
             Response::Rejected { retry_after } | Response::SiteUnavailable { retry_after, .. } => {
                 self.send_status(itt, scsi::BUSY, retry_after, None);
             }
-            // A body that is not held whole does not fit the transfer of a command.
+            // A body that is not buffered completely does not fit the transfer of a command.
             Response::Failed | Response::Served(ResponseBody::Streamed(_)) => {
                 self.send_check_condition(itt, scsi::NO_RESPONSE);
             }
@@ -65,7 +67,8 @@
         self.send_scsi_response(itt, scsi::GOOD, 0, residual, Bytes::new());
     }
 
-    /// Sends a status, with sense data where there is any. `retry_after`: how long the client should stay away.
+    /// Sends a status, with sense data if there is any. `retry_after` is how long the client should wait
+    /// before a retry.
     pub(super) fn send_status(&mut self, itt: u32, status: u8, retry_after: Duration, sense: Option<Sense>) {
         let qualifier = scsi::retry_after_qualifier(retry_after);
         let data = sense.map(Sense::encode).unwrap_or_default();
@@ -89,7 +92,7 @@
     }
 }
 
-/// How a body differs from the length that a read is expected to transfer.
+/// How the length of a body differs from the expected transfer length of a read.
 fn residual(length: u32, expected: u32) -> Residual {
     match length.cmp(&expected) {
         std::cmp::Ordering::Greater => Residual::Over(length - expected),
--- a/src/net/iscsi/front/send_buffer.rs
+++ b/src/net/iscsi/front/send_buffer.rs
@@ -8,12 +8,12 @@
 use tokio::net::tcp::OwnedWriteHalf;
 use tokio::time::Instant;
 
-/// PDUs that wait to be written. A client that is slow to read must not keep what it sends from being read: it
-/// may abort what waits.
+/// PDUs that wait to be written. They are buffered so that PDUs from a client that is slow to read are still
+/// read: it may abort the tasks whose responses wait.
 pub(super) struct SendBuffer<'a> {
     writer: &'a mut OwnedWriteHalf,
     unsent: BytesMut,
-    /// When the client last took bytes, or the first of the waiting ones was added.
+    /// When the client last accepted bytes, or the buffer last became non-empty.
     progress_at: Instant,
 }
 
@@ -22,7 +22,7 @@
         SendBuffer { writer, unsent: BytesMut::new(), progress_at: Instant::now() }
     }
 
-    /// Bytes that wait.
+    /// The number of bytes that wait.
     pub(super) fn len(&self) -> usize {
         self.unsent.len()
     }
@@ -31,7 +31,7 @@
         self.unsent.is_empty()
     }
 
-    /// When the client last took bytes, or the first of the waiting ones was added.
+    /// When the client last accepted bytes, or the buffer last became non-empty.
     pub(super) fn progress_at(&self) -> Instant {
         self.progress_at
     }
@@ -47,17 +47,17 @@
         self.unsent.clear();
     }
 
-    /// Resolves once the client has closed its side, also over unread bytes. Cancel safe.
+    /// Resolves once the client has closed its side, also while bytes that it sent are unread. Cancel safe.
     pub(super) async fn client_closed(&self) {
         read_closed(self.writer.as_ref()).await;
     }
 
-    /// Resolves once the connection may take bytes. Cancel safe.
+    /// Resolves once the connection may accept bytes. Cancel safe.
     pub(super) async fn writable(&self) -> io::Result<()> {
         self.writer.writable().await
     }
 
-    /// Writes what the connection takes now.
+    /// Writes as many bytes as the connection accepts now.
     pub(super) fn write(&mut self) -> io::Result<()> {
         match self.writer.try_write(&self.unsent) {
             Ok(written) => {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Writes all that waits. Not cancel safe: part of it may have been written.
+    /// Writes all bytes that wait. Not cancel safe: part of them may have been written.
     pub(super) async fn flush(&mut self) -> io::Result<()> {
         self.writer.write_all(&self.unsent).await
     }
--- a/src/net/iscsi/front/session.rs
+++ b/src/net/iscsi/front/session.rs
@@ -15,15 +15,15 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::time::Instant;
 
-/// How long a client may take nothing of what is written to it.
+/// How long a client may read nothing of what is written to it.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// A client with so many bytes waiting that reads nothing of them has lost its session.
+/// Most bytes that may wait for a client: beyond this number its session is closed.
 const MAX_UNSENT_BYTES: usize = 1 << 20;
-/// The asynchronous event that asks for a logout.
+/// AsyncEvent code of a request to log out.
 const LOGOUT_REQUESTED: u8 = 1;
-/// Seconds that the client has to log out.
+/// Seconds within which the client must log out.
 const LOGOUT_TIME_SECS: u16 = 3;
-/// The response of a logout that closes the session.
+/// Response code of a logout that closed the session.
 const SESSION_CLOSED: u8 = 0;
 
 /// One session of a client.
@@ -35,17 +35,19 @@
     stat_sn: u32,
     pub(super) exp_cmd_sn: u32,
     pub(super) out: SendBuffer<'a>,
-    /// The client has closed its side, though PDUs of it may still be unread: nothing more is submitted.
+    /// Whether the client has closed its side. PDUs that it sent before may still be unread; nothing more is
+    /// submitted.
     pub(super) client_closed: bool,
     pub(super) tasks: HashMap<u32, Task>,
-    /// Dropped with the session, they notify the core that the client has gone.
+    /// Responses that the core has not given yet. Dropping them notifies the core that the client has
+    /// disconnected.
     pub(super) responses: FuturesUnordered<Abortable<LocalBoxFuture<'static, CompletedTask>>>,
-    /// Responses that wait until the client has taken earlier ones.
+    /// Responses that wait until the client has read earlier ones.
     pub(super) completed: VecDeque<CompletedTask>,
     pub(super) requests_submitted: u64,
 }
 
-/// Resolves at an instant; never without one.
+/// Resolves at `deadline`; never if it is `None`.
 async fn sleep_until(deadline: Option<Instant>) {
     match deadline {
         Some(deadline) => tokio::time::sleep_until(deadline).await,
@@ -77,16 +79,16 @@
         }
     }
 
-    /// Serves until the session ends, and writes what waits then.
+    /// Serves until the session ends, then writes what is still buffered.
     pub(super) async fn run(mut self, reader: &mut PduReader<OwnedReadHalf>) -> io::Result<()> {
         let ended = self.serve(reader).await;
-        self.withdraw();
+        self.cancel_tasks();
         let flushed = tokio::time::timeout(WRITE_TIMEOUT, self.out.flush());
         ended.and(flushed.await?)
     }
 
-    /// Drops all open tasks: the client wants no more responses, and the core is notified by the drop.
-    fn withdraw(&mut self) {
+    /// Drops all open tasks, because the client expects no more responses. The drop notifies the core.
+    fn cancel_tasks(&mut self) {
         self.tasks.clear();
         self.responses.clear();
         self.completed.clear();
@@ -100,11 +102,11 @@
             let data_deadline = data_deadline(&self.tasks);
             let write_deadline = self.out.progress_at() + WRITE_TIMEOUT;
             tokio::select! {
-                // What comes from the client is last: nothing before it can keep it waiting for long.
+                // PDUs from the client come last: none of the other branches can delay them for long.
                 biased;
                 () = self.out.client_closed(), if !self.client_closed => {
                     self.client_closed = true;
-                    self.withdraw();
+                    self.cancel_tasks();
                 }
                 writable = self.out.writable(), if !self.out.is_empty() => {
                     writable?;
@@ -114,9 +116,9 @@
                     self.out.clear();
                     return Err(io::ErrorKind::TimedOut.into());
                 }
-                // An aborted task has been answered by its task management response.
+                // An aborted task needs no response: its task management response has been sent.
                 Some(completed) = self.responses.next() => self.completed.extend(completed),
-                () = sleep_until(data_deadline) => self.fail_late_writes(),
+                () = sleep_until(data_deadline) => self.fail_overdue_writes(),
                 changed = ending.wait_for(|ending| *ending), if !logout_requested => {
                     logout_requested = true;
                     if changed.is_ok() {
@@ -129,12 +131,14 @@
             }
             if self.out.len() > MAX_UNSENT_BYTES {
                 self.out.clear();
-                return Err(io::Error::other("the client reads nothing of what is sent to it"));
+                return Err(io::Error::other(
+                    "send buffer limit exceeded: the client does not read its responses",
+                ));
             }
         }
     }
 
-    /// Handles what was read. Break: the session has ended in order.
+    /// Handles the result of a read. `Break`: the session has ended normally.
     fn handle_read(&mut self, read: Result<Pdu, ReadError>) -> io::Result<ControlFlow<()>> {
         match read {
             Ok(Pdu::LogoutRequest { itt, .. }) => {
@@ -160,14 +164,15 @@
         self.out.push(&Pdu::Async { event: LOGOUT_REQUESTED, seq, parameters });
     }
 
-    /// The numbers of a PDU with a status, or with a message of its own: it uses up a status number.
+    /// The sequence numbers of a PDU that consumes a StatSN: one with a status, or a message of its own such
+    /// as a Reject.
     pub(super) fn next_sequence(&mut self) -> Sequence {
         let sequence = self.sequence();
         self.stat_sn = self.stat_sn.wrapping_add(1);
         sequence
     }
 
-    /// The numbers of a PDU that uses up no status number.
+    /// The sequence numbers of a PDU that consumes no StatSN.
     pub(super) fn sequence(&self) -> Sequence {
         let capacity = COMMAND_WINDOW.saturating_sub(self.tasks.len() as u32);
         Sequence {
--- a/src/net/iscsi/front/tasks.rs
+++ b/src/net/iscsi/front/tasks.rs
@@ -11,7 +11,7 @@
 pub(super) enum Task {
     /// A write whose data is not complete.
     ReceivingData(PartialWrite),
-    /// A request that is with the core.
+    /// A request that was submitted to the core.
     Submitted(AbortHandle),
 }
 
@@ -19,10 +19,10 @@
 pub(super) struct PartialWrite {
     pub(super) lun: u64,
     pub(super) command: Command,
-    /// Bytes that all of its data has.
+    /// Expected length of all its data, in bytes.
     pub(super) length: u32,
     pub(super) data: BytesMut,
-    /// When its data must have come.
+    /// When its data must be complete.
     pub(super) deadline: Instant,
 }
 
@@ -31,23 +31,23 @@
         self.data.len() == self.length as usize
     }
 
-    /// Adds data; false: it is not the next, or more than the command has.
-    pub(super) fn add(&mut self, offset: u32, data: &[u8]) -> bool {
+    /// Adds data. Returns false if it does not follow the previous data, or exceeds the expected length.
+    pub(super) fn append(&mut self, offset: u32, data: &[u8]) -> bool {
         let is_next = offset as usize == self.data.len();
         self.data.extend_from_slice(data);
         is_next && self.data.len() <= self.length as usize
     }
 }
 
-/// A task that has its response.
+/// A task whose response is available.
 pub(super) struct CompletedTask {
     pub(super) itt: u32,
-    /// Bytes that a read is expected to transfer; none: it writes.
+    /// Expected transfer length of a read in bytes; `None` for a write.
     pub(super) read_length: Option<u32>,
     pub(super) response: Result<Response, InvalidRequest>,
 }
 
-/// When the first write that lacks data must have it.
+/// The earliest deadline of the writes whose data is incomplete.
 pub(super) fn data_deadline(tasks: &HashMap<u32, Task>) -> Option<Instant> {
     let deadlines = tasks.values().filter_map(|task| match task {
         Task::ReceivingData(write) => Some(write.deadline),
@@ -56,9 +56,9 @@
     deadlines.min()
 }
 
-/// The tags of writes that lack data past their time.
-pub(super) fn late_writes(tasks: &HashMap<u32, Task>) -> Vec<u32> {
+/// The tags of writes whose data is incomplete at their deadline.
+pub(super) fn overdue_writes(tasks: &HashMap<u32, Task>) -> Vec<u32> {
     let now = Instant::now();
-    let is_late = |task: &Task| matches!(task, Task::ReceivingData(write) if write.deadline <= now);
-    tasks.iter().filter(|(_, task)| is_late(task)).map(|(itt, _)| *itt).collect()
+    let is_overdue = |task: &Task| matches!(task, Task::ReceivingData(write) if write.deadline <= now);
+    tasks.iter().filter(|(_, task)| is_overdue(task)).map(|(itt, _)| *itt).collect()
 }
--- a/src/net/iscsi/target/commands.rs
+++ b/src/net/iscsi/target/commands.rs
@@ -1,6 +1,6 @@
-//! Commands to a target, and how they are aborted.
+//! Sends commands to a target, and aborts them.
 
-use super::session::{ABORT_TAG_FLAG, Session, Task, broken};
+use super::session::{ABORT_TAG_FLAG, Session, Task, protocol_error};
 use crate::core::{Attempt, AttemptResult, Request};
 use crate::interface::Outcome;
 use crate::net::iscsi::ABORT_TASK;
@@ -14,7 +14,7 @@
 const MAX_BLOCKS: u32 = MAX_SEGMENT_BYTES as u32 / scsi::BLOCK_BYTES;
 
 impl Session {
-    /// Sends an attempt's command, unless it cannot be sent now, and reports it then.
+    /// Sends an attempt's command, or reports that it cannot be sent now.
     pub(super) async fn start_attempt(&mut self, attempt: Attempt) -> io::Result<()> {
         let command = match self.command(&attempt) {
             Ok(command) => command,
@@ -30,11 +30,11 @@
         self.send_command(attempt, command).await
     }
 
-    /// The command of an attempt, or why it is not sent.
+    /// The command of an attempt; the error is the outcome of an attempt that cannot be sent.
     fn command(&self, attempt: &Attempt) -> Result<Command, Outcome> {
         let request = &attempt.request;
         if request.body_rest.is_some() {
-            // A write of blocks holds all its data.
+            // A command needs all the data of its write, and a streamed body is not buffered.
             return Err(Outcome::NotSent);
         }
         let in_window = self.max_cmd_sn.wrapping_sub(self.cmd_sn) as i32 >= 0;
@@ -47,7 +47,8 @@
         Ok(Command { write: request.write, address: request.object, blocks, group: group as u8 })
     }
 
-    /// The logical blocks of a request. One of a wire that has no length gets its units' blocks.
+    /// The number of logical blocks of a request. If its protocol has no length, the number follows from its
+    /// units.
     fn blocks(&self, request: &Request) -> u32 {
         let length = if request.write { request.body.len() as u32 } else { request.length };
         let blocks = match length {
@@ -82,10 +83,10 @@
         let task = Task {
             report: Some(report),
             lun: request.volume,
-            write: request.body.clone(),
+            write_data: request.body.clone(),
             sent: false,
             read_length,
-            read: BytesMut::new(),
+            read_data: BytesMut::new(),
         };
         self.tasks.insert(itt, task);
         self.expirations.push(Box::pin(async move {
@@ -103,15 +104,15 @@
         Ok(())
     }
 
-    /// How many bytes of a write's data go with its command.
+    /// How many bytes of a write's data are sent with its command.
     fn immediate_bytes(&self, length: usize) -> usize {
         let parameters = &self.parameters;
         let max = parameters.max_segment_bytes.min(parameters.first_burst_bytes);
         if parameters.immediate_data { length.min(max) } else { 0 }
     }
 
-    /// Reports an attempt's end and asks the target to stop; its tag stays in use until the target's last PDU
-    /// about it.
+    /// Reports an attempt's end and asks the target to abort its task. The tag stays in use until the
+    /// target's last PDU about the task.
     pub(super) async fn abort(&mut self, itt: u32, outcome: Outcome) -> io::Result<()> {
         let Some(task) = self.tasks.get_mut(&itt) else { return Ok(()) };
         let Some(report) = task.report.take() else { return Ok(()) };
@@ -120,7 +121,8 @@
             immediate: true,
             function: ABORT_TASK,
             lun: task.lun,
-            // The response carries the aborted task's own tag, which ends it.
+            // The response carries this tag. Without the flag, it is the tag of the aborted task, which then
+            // ends.
             itt: itt | ABORT_TAG_FLAG,
             referenced: itt,
             cmd_sn: self.cmd_sn,
@@ -129,7 +131,7 @@
         self.send(&abort).await
     }
 
-    /// Sends the data that an R2T asks for.
+    /// Sends the data that an R2T requests.
     pub(super) async fn send_data(
         &mut self,
         lun: u64,
@@ -141,10 +143,10 @@
         let Some(task) = self.tasks.get(&itt).filter(|task| task.report.is_some()) else { return Ok(()) };
         let start = offset as usize;
         let end = start + length as usize;
-        if length == 0 || end > task.write.len() {
-            return Err(broken("it asks for data that the command does not have"));
+        if length == 0 || end > task.write_data.len() {
+            return Err(protocol_error("R2T requests no data, or data beyond the end of the command's data"));
         }
-        let data = task.write.slice(start..end);
+        let data = task.write_data.slice(start..end);
         let segment = self.parameters.max_segment_bytes;
         for (index, segment_start) in (0..data.len()).step_by(segment).enumerate() {
             let segment_end = data.len().min(segment_start + segment);
@@ -160,7 +162,7 @@
             };
             self.send(&pdu).await?;
         }
-        if let Some(task) = self.tasks.get_mut(&itt).filter(|task| end == task.write.len()) {
+        if let Some(task) = self.tasks.get_mut(&itt).filter(|task| end == task.write_data.len()) {
             task.sent = true;
         }
         Ok(())
--- a/src/net/iscsi/target/mod.rs
+++ b/src/net/iscsi/target/mod.rs
@@ -1,4 +1,5 @@
-//! The actor of an iSCSI-style target: it keeps a session to the target. This side is the initiator.
+//! The actor of an iSCSI-style target. It keeps a session to the target, in which this process is the
+//! initiator.
 
 mod commands;
 mod replies;
@@ -14,32 +15,32 @@
 use tokio::time::Instant;
 use waiting::WaitingMessages;
 
-/// Messages that may wait for the actor's turn. The scheduler's concurrency limit keeps far below it.
+/// Messages that may wait for the actor. The scheduler's concurrency limit keeps the number far below this.
 const MAILBOX_CAPACITY: usize = 256;
-/// How long after a drain was reported the target is connected to again, in case it is back.
+/// How long after a reported drain the actor connects to the target again, in case it is back.
 const RECONNECT_DELAY: Duration = Duration::from_millis(1_000);
 
 /// What all sessions to targets share.
 #[derive(Clone, Debug)]
 pub struct SessionSettings {
-    /// This initiator's name.
+    /// The iSCSI name of this initiator.
     pub initiator: String,
-    /// The names of the classes, in the order of their group numbers.
+    /// Names of the request classes, indexed by group number.
     pub classes: Vec<String>,
-    /// How long a connection may take to come up.
+    /// How long opening a connection may take.
     pub connect_timeout: Duration,
     /// How long a login may take.
     pub login_timeout: Duration,
-    /// A session that owes responses and is silent for this long is asked with a NOP, and given up after as
-    /// long again.
+    /// A session with open commands that receives nothing for this long is pinged with a NOP-Out, and
+    /// abandoned after as long again.
     pub silence_timeout: Duration,
-    /// How many logical blocks count as one unit.
+    /// Number of logical blocks in one unit.
     pub blocks_per_unit: u32,
     /// The core's clock.
     pub clock: Clock,
 }
 
-/// Starts the actor, which lives as long as its mailbox is held.
+/// Starts the actor of a target, which runs until its mailbox is dropped.
 pub fn connect(
     endpoint: &Endpoint,
     settings: SessionSettings,
@@ -70,12 +71,13 @@
         }
     }
 
-    /// Whether the target was reported as draining: it is given nothing new.
+    /// Whether the target was reported as draining. It then receives no new commands.
     fn is_draining(&self) -> bool {
         self.endpoint.state != TargetState::Active
     }
 
-    /// Waits for the first message that needs a session; one that drains is also tried again after a while.
+    /// Waits for the first message that needs a session. For a draining target it also returns after
+    /// [`RECONNECT_DELAY`].
     async fn wait_for_work(&mut self) -> Result<WaitingMessages, MailboxClosed> {
         let draining = self.is_draining();
         let reconnect_at = Instant::now() + RECONNECT_DELAY;
@@ -83,9 +85,10 @@
         while waiting.is_empty() {
             tokio::select! {
                 message = self.messages.recv() => match message {
-                    // Without a session there is none to end.
+                    // There is no session that a suspension could end.
                     Some(TargetMessage::SetSuspended(_)) => {}
-                    // Sent just before the drain was reported: nothing new goes to it.
+                    // The message was sent just before the drain was reported; a draining target receives no
+                    // new commands.
                     Some(message) if draining => waiting::report_unsent(message, Outcome::Unreachable),
                     Some(message) => waiting.push(message),
                     None => return Err(MailboxClosed),
@@ -96,7 +99,7 @@
         Ok(waiting)
     }
 
-    /// Opens a session and runs it to its end.
+    /// Opens a session and runs it until it ends.
     async fn run_session(&mut self, mut waiting: WaitingMessages) -> Result<(), MailboxClosed> {
         let draining = self.is_draining();
         let session = match self.open_session(&mut waiting).await {
@@ -120,7 +123,7 @@
         Ok(())
     }
 
-    /// Opens a session. What waits for it and is cancelled or out of time meanwhile is reported at once.
+    /// Opens a session. Messages that are cancelled or time out while they wait for it are reported at once.
     async fn open_session(&mut self, waiting: &mut WaitingMessages) -> io::Result<Session> {
         let Target { endpoint, settings, messages, .. } = self;
         let open = Session::open(endpoint, settings);
@@ -132,14 +135,14 @@
                 message = messages.recv(), if waiting.len() < MAILBOX_CAPACITY => match message {
                     Some(TargetMessage::SetSuspended(_)) => {}
                     Some(message) => waiting.push(message),
-                    None => return Err(io::Error::other("the core let go of the target")),
+                    None => return Err(io::Error::other("the core dropped the target's mailbox")),
                 },
                 session = &mut open => return session,
             }
         }
     }
 
-    /// Reports what waited for a session that could not be opened: none of it was sent.
+    /// Reports all messages that waited for a session as unreachable; none of them was sent.
     fn report_all_unreachable(&mut self, mut waiting: WaitingMessages) {
         while let Ok(message) = self.messages.try_recv() {
             waiting.push(message);
@@ -149,12 +152,13 @@
         }
     }
 
-    /// Reports what the session has shown of the target's state to the core's endpoint list. A target that is
+    /// Reports a state of the target that its session revealed to the core's endpoint list. A target that is
     /// back counts as just started.
     async fn report_state(&mut self, state: TargetState) {
         self.endpoint.state = state;
         if state == TargetState::Active {
-            // The core's own clock: a step of the wall clock must not make it far past or future.
+            // The core's own clock: a step of the wall clock must not shift the start far into the past or
+            // future.
             self.endpoint.started = Some(self.settings.clock.now());
         }
         let entries = vec![self.endpoint.clone()];
--- a/src/net/iscsi/target/replies.rs
+++ b/src/net/iscsi/target/replies.rs
@@ -1,6 +1,6 @@
-//! What a target's PDUs say.
+//! Handles the PDUs from a target.
 
-use super::session::{ABORT_TAG_FLAG, Session, broken};
+use super::session::{ABORT_TAG_FLAG, Session, protocol_error};
 use crate::core::AttemptResult;
 use crate::interface::Outcome;
 use bytes::Bytes;
@@ -8,14 +8,14 @@
 use rowanglade_iscsi::{Pdu, RESERVED_TAG, Residual};
 use std::io;
 
-/// The response of a command that completed at the target; any other has no status.
+/// Response code of a command that completed at the target. With any other, the PDU has no status.
 const COMPLETED_AT_TARGET: u8 = 0;
 
 impl Session {
-    /// Handles a PDU of the target's.
+    /// Handles a PDU from the target.
     ///
     /// # Errors
-    /// The connection broke, or the target broke the protocol.
+    /// The connection broke, or the target violated the protocol.
     pub(super) async fn handle_pdu(&mut self, pdu: Pdu) -> io::Result<()> {
         if let Some((sequence, uses_stat_sn)) = pdu.sequence() {
             self.max_cmd_sn = sequence.max_cmd_sn;
@@ -41,11 +41,11 @@
             Pdu::R2t { lun, itt, ttt, offset, length, .. } => {
                 self.send_data(lun, itt, ttt, offset, length).await
             }
-            other => Err(broken(format!("unexpected: {other:?}"))),
+            other => Err(protocol_error(format!("unexpected PDU from the target: {other:?}"))),
         }
     }
 
-    /// Adds data to a read, which a status completes.
+    /// Adds data to a read. A status in the same PDU completes the read.
     fn receive_data(
         &mut self,
         itt: u32,
@@ -54,18 +54,18 @@
         status: Option<(u8, Residual)>,
     ) -> io::Result<()> {
         let Some(task) = self.tasks.get_mut(&itt) else { return Ok(()) };
-        let fits = task.read.len() + data.len() <= task.read_length as usize;
-        if offset as usize != task.read.len() || !fits {
-            return Err(broken("data out of place"));
+        let fits = task.read_data.len() + data.len() <= task.read_length as usize;
+        if offset as usize != task.read_data.len() || !fits {
+            return Err(protocol_error("Data-In is out of order or exceeds the expected transfer length"));
         }
-        task.read.extend_from_slice(data);
+        task.read_data.extend_from_slice(data);
         if let Some((status, residual)) = status {
             self.complete(itt, status, residual);
         }
         Ok(())
     }
 
-    /// Reports a command's status.
+    /// Completes a command with its status, and reports the result.
     fn complete(&mut self, itt: u32, status: u8, residual: Residual) {
         let Some(task) = self.tasks.remove(&itt) else { return };
         let Some(report) = task.report else { return };
@@ -73,14 +73,14 @@
             Residual::Under(missing) => missing,
             Residual::None | Residual::Over(_) => 0,
         };
-        // A read without data that the target says it sent is no response.
-        let complete = task.read.len() as u64 + u64::from(missing) == u64::from(task.read_length);
+        // A read without all the data that the target claims to have sent is not a valid response.
+        let complete = task.read_data.len() as u64 + u64::from(missing) == u64::from(task.read_length);
         let outcome = match status {
             scsi::GOOD if complete => Outcome::Served,
             scsi::BUSY | scsi::TASK_SET_FULL => Outcome::QueueFull,
             _ => Outcome::Error,
         };
-        let body = if outcome == Outcome::Served { task.read.freeze() } else { Bytes::new() };
+        let body = if outcome == Outcome::Served { task.read_data.freeze() } else { Bytes::new() };
         report.finish(AttemptResult { body: body.into(), ..AttemptResult::without_response(outcome) });
     }
 }
