--- a/src/net/iscsi/target/session.rs
+++ b/src/net/iscsi/target/session.rs
@@ -17,38 +17,38 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::time::Instant;
 
-/// Asynchronous events by which a target drains: it asks for a logout, will drop this connection, or all of the
-/// session's.
+/// AsyncEvent codes by which a target announces a drain: it requests a logout, or will drop this connection
+/// or all connections of the session.
 const DRAINING_EVENTS: RangeInclusive<u8> = 1..=3;
 /// The reason of a logout that closes the session.
 const CLOSE_SESSION: u8 = 0;
 /// The only connection of a session.
 const CONNECTION_ID: u16 = 0;
-/// Task management requests use the upper half of the tags, commands the lower.
+/// Task management requests have tags with this bit, commands tags without it.
 pub(super) const ABORT_TAG_FLAG: u32 = 0x8000_0000;
 
 /// Why a session ended.
 pub(super) enum SessionEnd {
     /// The core dropped the target's mailbox.
     MailboxClosed,
-    /// The target asked for it, or operators have taken the target out.
+    /// The target requested a logout, or was suspended.
     LoggedOut,
-    /// The connection broke, or the target broke the protocol.
+    /// The connection broke, or the target violated the protocol.
     Broken(io::Error),
 }
 
-/// A command without its status.
+/// An open command.
 pub(super) struct Task {
-    /// Absent: its end was reported, and the target's last PDU about it is only waited for.
+    /// `None`: its end was reported, and only the target's last PDU about it is still to come.
     pub(super) report: Option<AttemptReporter>,
     pub(super) lun: u64,
     /// The data of a write.
-    pub(super) write: Bytes,
-    /// The last byte of the command and its data has been written.
+    pub(super) write_data: Bytes,
+    /// Whether the command and its data have been written completely.
     pub(super) sent: bool,
-    /// Bytes that a read is expected to transfer.
+    /// Expected transfer length of a read in bytes; 0 for a write.
     pub(super) read_length: u32,
-    pub(super) read: BytesMut,
+    pub(super) read_data: BytesMut,
 }
 
 /// One session to a target.
@@ -62,19 +62,19 @@
     pub(super) exp_stat_sn: u32,
     next_itt: u32,
     pub(super) tasks: HashMap<u32, Task>,
-    /// Resolve when an attempt is cancelled or out of time.
+    /// Each resolves when its attempt is cancelled or times out.
     pub(super) expirations: FuturesUnordered<LocalBoxFuture<'static, (u32, Outcome)>>,
     last_received_at: Instant,
-    /// A ping has been sent since then.
+    /// Whether a ping was sent after `last_received_at`.
     pinged: bool,
-    /// The target drains: the session ends once it carries nothing.
+    /// Whether the target is draining: the session ends once no command is open.
     pub(super) draining: bool,
-    /// Operators have taken the target out: the session ends once it carries nothing.
+    /// Whether operators or a lost site have suspended the target: the session ends once no command is open.
     suspended: bool,
 }
 
-/// The error of a target that breaks the protocol.
-pub(super) fn broken(reason: impl Into<String>) -> io::Error {
+/// The error of a target that violates the protocol.
+pub(super) fn protocol_error(reason: impl Into<String>) -> io::Error {
     io::Error::other(reason.into())
 }
 
@@ -82,7 +82,7 @@
     /// Connects and logs in.
     ///
     /// # Errors
-    /// The target cannot be reached in time, or refuses the login.
+    /// The target cannot be reached in time, or rejects the login.
     pub(super) async fn open(endpoint: &Endpoint, settings: &SessionSettings) -> io::Result<Session> {
         let timeouts = Timeouts { connect: settings.connect_timeout, login: settings.login_timeout };
         let connection = Connection::open(endpoint.addr, &settings.initiator, &endpoint.name, timeouts);
@@ -105,14 +105,14 @@
         })
     }
 
-    /// Serves until the session ends, and reports every command's end.
+    /// Serves until the session ends, then reports the end of every open command.
     pub(super) async fn run(mut self, target: &mut Target, waiting: WaitingMessages) -> SessionEnd {
         let end = match self.serve(target, waiting).await {
             Ok(end) => end,
             Err(error) => SessionEnd::Broken(error),
         };
         if matches!(end, SessionEnd::LoggedOut | SessionEnd::MailboxClosed) {
-            close_in_order(self.reader, self.writer);
+            close_gracefully(self.reader, self.writer);
         }
         for task in self.tasks.into_values() {
             report_lost(task);
@@ -148,23 +148,23 @@
         }
     }
 
-    /// When a target that owes responses has been silent for too long.
+    /// When a target with open commands has been silent for too long.
     fn silence_deadline(&self) -> Instant {
         let timeouts = if self.pinged { 2 } else { 1 };
         self.last_received_at + self.settings.silence_timeout * timeouts
     }
 
-    /// Starts the silence that counts, with the first response that is owed.
+    /// Restarts the silence timeout: at each PDU from the target, and at the first open command.
     pub(super) fn restart_silence(&mut self) {
         self.last_received_at = Instant::now();
         self.pinged = false;
     }
 
-    /// Pings a silent target, or gives it up. Guards against a target that takes a login, and commands, and
-    /// never answers: its commands would all wait for their deadlines.
+    /// Pings a silent target, or fails the session if a ping was already sent. Without this, all commands to
+    /// a target that accepts a login and commands but never responds would wait for their deadlines.
     async fn handle_silence(&mut self) -> io::Result<()> {
         if self.pinged {
-            return Err(broken("it owes answers and says nothing"));
+            return Err(protocol_error("target responded neither to its open commands nor to a ping"));
         }
         self.pinged = true;
         let itt = self.next_tag();
@@ -177,11 +177,11 @@
     }
 
     async fn handle_read(&mut self, read: Result<Pdu, ReadError>, target: &mut Target) -> io::Result<()> {
-        let pdu = read.map_err(|error| broken(format!("{error:?}")))?;
+        let pdu = read.map_err(|error| protocol_error(format!("{error:?}")))?;
         self.restart_silence();
         if matches!(pdu, Pdu::Async { event, .. } if DRAINING_EVENTS.contains(&event)) {
-            // The endpoint list has it at once, so that nothing new comes; what is in flight may still be
-            // answered.
+            // The endpoint list is updated at once, so that no new commands arrive; those in flight may still
+            // be answered.
             self.draining = true;
             target.report_state(TargetState::Draining).await;
         }
@@ -191,7 +191,7 @@
     async fn handle_message(&mut self, message: TargetMessage) -> io::Result<()> {
         match message {
             TargetMessage::Probe(Probe { report, .. }) => {
-                // The session is up: that is all that a shallow probe asks.
+                // An open session is all that a shallow probe checks.
                 report.finish(Outcome::Served, LoadReport::default());
                 Ok(())
             }
@@ -214,7 +214,7 @@
         }
     }
 
-    /// Closes the session; the target's response is not waited for.
+    /// Closes the session, without waiting for the target's response.
     async fn log_out(&mut self) -> io::Result<()> {
         let logout = Pdu::LogoutRequest {
             immediate: true,
@@ -227,14 +227,15 @@
         self.send(&logout).await
     }
 
-    /// Writes a PDU whole, unless the target takes nothing for too long.
+    /// Writes a PDU completely, or fails after the silence timeout.
     pub(super) async fn send(&mut self, pdu: &Pdu) -> io::Result<()> {
         let bytes = pdu.encode();
         tokio::time::timeout(self.settings.silence_timeout, self.writer.write_all(&bytes)).await?
     }
 }
 
-/// Reports a command whose session ended. What was written whole may have run; the rest never did.
+/// Reports a command whose session ended. If it was written completely it may have been executed, otherwise
+/// it was not.
 fn report_lost(task: Task) {
     let outcome = if task.sent { Outcome::Broken } else { Outcome::Unreachable };
     if let Some(report) = task.report {
@@ -242,9 +243,9 @@
     }
 }
 
-/// Closes the connection on a task of its own. Closed over unread bytes, it would be reset, and the logout might
-/// not arrive.
-fn close_in_order(reader: PduReader<OwnedReadHalf>, writer: OwnedWriteHalf) {
+/// Closes the connection gracefully, on a task of its own. Closing it over unread bytes would reset it, and
+/// the logout might not arrive.
+fn close_gracefully(reader: PduReader<OwnedReadHalf>, writer: OwnedWriteHalf) {
     actix_rt::spawn(async move {
         let _ = tokio::time::timeout(LINGER, close(writer.as_ref())).await;
         drop(reader);
--- a/src/net/iscsi/target/waiting.rs
+++ b/src/net/iscsi/target/waiting.rs
@@ -28,7 +28,7 @@
         self.0.into_iter()
     }
 
-    /// Resolves with the index of the first message that is cancelled or out of time. Cancel safe.
+    /// Resolves with the index of the first message that is cancelled or times out. Cancel safe.
     pub(super) async fn expired(&mut self) -> usize {
         let earliest = self.earliest_deadline();
         let timed_out = async {
@@ -65,7 +65,7 @@
         cancelled.map_or(Poll::Pending, Poll::Ready)
     }
 
-    /// Reports the message at an index as not sent, and removes it.
+    /// Removes the message at an index, and reports it as not sent.
     pub(super) fn report_expired(&mut self, index: usize) {
         if let Some(message) = self.0.remove(index) {
             report_unsent(message, Outcome::NotSent);
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! The fronts, the targets and discovery on their wires.
+//! Network I/O: the fronts for clients, connections to targets, discovery, and datagrams between initiators.
 
 pub mod accept;
 pub mod admin;
--- a/src/net/phase.rs
+++ b/src/net/phase.rs
@@ -1,15 +1,15 @@
-//! Whether this process serves.
+//! The serving phase of this process.
 
-/// What this process is doing for clients.
+/// Whether this process serves clients. A handover or a shutdown changes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It does not serve: what is owned is another process's, or on its way from it.
+    /// The process does not serve: another process owns the state, or the state is being handed over.
     Preparing,
-    /// It serves.
+    /// The process accepts clients and serves their requests.
     Serving,
-    /// Shutdown was requested, and takes clients for as long as they may come.
+    /// Shutdown was requested. The process still accepts clients for as long as new connections may arrive.
     ShuttingDown,
-    /// It takes no new clients, and finishes the requests that it has.
+    /// The process accepts no new clients and finishes its open requests.
     Draining,
 }
 
--- a/src/net/quota_exchange.rs
+++ b/src/net/quota_exchange.rs
@@ -1,5 +1,5 @@
-//! Carries the quota exchange's datagrams over UDP, each with the fleet's authentication code. A datagram that
-//! is not the fleet's is dropped and counted.
+//! Sends and receives the quota exchange's datagrams over UDP, each with the fleet's authentication code. A
+//! datagram from an unknown address, or whose code is wrong, is dropped and counted.
 
 use crate::core::{CoreHandle, Message, OutgoingDatagram};
 use crate::net::Phase;
@@ -12,26 +12,28 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
-/// Rejected datagrams are logged this often at most: whoever sends many must not fill the log.
+/// Minimum interval between log lines about rejected datagrams, so that a sender of many cannot fill the log.
 const REJECTION_LOG_INTERVAL: Duration = Duration::from_secs(10);
-/// Datagrams to peers that may wait at least; one that finds the queue full is lost, as it could be on its way.
+/// Least capacity of the queue of outgoing datagrams. A datagram that finds the queue full is dropped, as if
+/// the network had lost it.
 const MIN_QUEUE_DATAGRAMS: usize = 256;
-/// What a datagram takes up in the system's buffer, in bytes, with what the system keeps of it.
+/// Space that a datagram takes in the socket's receive buffer, in bytes, including the kernel's overhead.
 const BUFFERED_DATAGRAM_BYTES: usize = 1_024;
 
-/// The fleet, as an initiator knows it.
+/// The addresses, identity and key with which this initiator takes part in the quota exchange.
 #[derive(Clone, Debug)]
 pub struct FleetPeers {
-    /// The addresses of all initiators by their indices, this one's among them.
+    /// Addresses of all initiators by index, including this one's.
     pub addrs: Vec<SocketAddr>,
-    /// This initiator.
+    /// The index of this initiator.
     pub own: Peer,
     /// The key that all initiators share.
     pub key: Key,
 }
 
 impl FleetPeers {
-    /// How many datagrams may wait to be sent: all peers may ask at once, and each gets an answer of its own.
+    /// Capacity of the queue of outgoing datagrams: all peers may query at once, and each receives an answer
+    /// of its own.
     pub fn queue_capacity(&self) -> usize {
         self.addrs.len().max(MIN_QUEUE_DATAGRAMS)
     }
@@ -40,8 +42,8 @@
         self.addrs.iter().enumerate().map(|(index, addr)| (*addr, Peer(index as u16))).collect()
     }
 
-    /// All addresses but this initiator's own, from the next index on: where the system's buffer is too small
-    /// for a datagram to each, it is not always the same peers that miss theirs.
+    /// All addresses but this initiator's own, starting at the next index. If the send buffer is too small
+    /// for a datagram to each, the initiators then do not all drop the datagrams to the same peers.
     fn others(&self) -> impl Iterator<Item = SocketAddr> {
         let own_index = usize::from(self.own.0);
         let count = self.addrs.len();
@@ -49,18 +51,18 @@
     }
 }
 
-/// Asks the system to buffer one datagram of each peer. It grants less where it has a limit of its own.
+/// Requests a receive buffer that holds one datagram of each peer. The system may grant less.
 fn enlarge_receive_buffer(socket: &UdpSocket, peers: &FleetPeers) {
     let socket = socket2::SockRef::from(socket);
     let wanted_bytes = peers.addrs.len() * BUFFERED_DATAGRAM_BYTES;
     if socket.recv_buffer_size().is_ok_and(|bytes| bytes < wanted_bytes)
         && let Err(error) = socket.set_recv_buffer_size(wanted_bytes)
     {
-        tracing::warn!(%error, wanted_bytes, "fleet receive buffer not enlarged");
+        tracing::warn!(%error, wanted_bytes, "fleet receive buffer could not be enlarged");
     }
 }
 
-/// Counts rejected datagrams, and logs them from time to time.
+/// Counts rejected datagrams, and logs the count at intervals.
 struct RejectionLog {
     rejected: u64,
     logged_at: Instant,
@@ -76,8 +78,8 @@
     }
 }
 
-/// Carries datagrams until the core drops its end of `outgoing`. Cancellation safe but for one datagram that
-/// has been received and not passed on.
+/// Sends and receives datagrams until the core drops its end of `outgoing`. Cancelling it may lose one
+/// datagram that was received and not yet passed to the core.
 pub async fn run(
     socket: UdpSocket,
     peers: FleetPeers,
@@ -90,7 +92,7 @@
     let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
     let mut rejections = RejectionLog { rejected: 0, logged_at: Instant::now() };
     loop {
-        // Datagrams are for the process that serves, though in a handover others hold the socket too.
+        // Only the process that serves receives datagrams; in a handover other processes hold the socket too.
         let serving = phase.borrow_and_update().accepts();
         tokio::select! {
             Ok(()) = phase.changed() => {}
@@ -111,7 +113,8 @@
     }
 }
 
-/// Sends a datagram to one peer, or to all others. One that cannot be sent is lost, as it could be on its way.
+/// Sends a datagram to one peer, or to all others if `to` is `None`. One that cannot be sent is dropped, as
+/// if the network had lost it.
 fn send(socket: &UdpSocket, peers: &FleetPeers, (to, message): &OutgoingDatagram) {
     let datagram = encode(&peers.key, peers.own, message);
     match to {
--- a/tests/accept.rs
+++ b/tests/accept.rs
@@ -1,11 +1,11 @@
-//! What follows when accept fails: no failure of one connection costs another client its own, and nothing
-//! spins.
+//! Recovery from a failed accept: the failure of one connection does not end another client's, and the
+//! listener does not spin.
 
-use rowanglade::net::accept::{AcceptFailures, AfterFailure};
+use rowanglade::net::accept::{AcceptFailures, AcceptRecovery};
 use std::io;
 use std::time::Duration;
 
-/// Numbers of Linux.
+/// Linux error numbers.
 const ENOMEM: i32 = 12;
 const ENFILE: i32 = 23;
 const EMFILE: i32 = 24;
@@ -16,40 +16,42 @@
 const ENOBUFS: i32 = 105;
 const EHOSTUNREACH: i32 = 113;
 
-fn after(failures: &mut AcceptFailures, errno: i32) -> AfterFailure {
+fn recovery_from(failures: &mut AcceptFailures, errno: i32) -> AcceptRecovery {
     failures.record_failure(&io::Error::from_raw_os_error(errno), "a test")
 }
 
-// Any failure ended the connection of an idle client and stopped accepting for 20 ms, also where the system
-// had only told that the one connection was broken.
+// Every failure used to end the connection of an idle client and to stop accepting for 20 ms, even if the
+// system had only reported that one connection was broken.
 #[test]
-fn only_a_lack_of_descriptors_or_memory_ends_others() {
+fn only_a_shortage_of_descriptors_or_memory_frees_descriptors() {
     for errno in [EMFILE, ENFILE, ENOBUFS, ENOMEM] {
-        let next = after(&mut AcceptFailures::default(), errno);
-        assert!(matches!(next, AfterFailure::FreeDescriptors(_)), "{errno}: {next:?}");
+        let next = recovery_from(&mut AcceptFailures::default(), errno);
+        assert!(matches!(next, AcceptRecovery::FreeDescriptors(_)), "{errno}: {next:?}");
     }
     for errno in [ECONNABORTED, ENETUNREACH, EHOSTUNREACH, ENETDOWN, EPROTO] {
-        assert_eq!(after(&mut AcceptFailures::default(), errno), AfterFailure::Continue, "{errno}");
+        assert_eq!(recovery_from(&mut AcceptFailures::default(), errno), AcceptRecovery::Continue, "{errno}");
     }
 }
 
-// Each such failure was waited for: a burst of clients stood in the queue for longer than the slack on their
-// time.
+// Every shortage used to be followed by a pause, so that a burst of clients stayed in the accept queue for
+// longer than the slack in their time limits.
 #[test]
-fn a_lack_that_is_over_at_once_is_not_waited_for() {
+fn listener_pauses_only_when_a_shortage_repeats() {
     let mut failures = AcceptFailures::default();
-    assert_eq!(after(&mut failures, ENFILE), AfterFailure::FreeDescriptors(Duration::ZERO));
-    assert!(matches!(after(&mut failures, ENFILE), AfterFailure::FreeDescriptors(wait) if !wait.is_zero()));
+    assert_eq!(recovery_from(&mut failures, ENFILE), AcceptRecovery::FreeDescriptors(Duration::ZERO));
+    assert!(
+        matches!(recovery_from(&mut failures, ENFILE), AcceptRecovery::FreeDescriptors(wait) if !wait.is_zero())
+    );
     failures.record_success();
-    assert_eq!(after(&mut failures, EMFILE), AfterFailure::FreeDescriptors(Duration::ZERO));
+    assert_eq!(recovery_from(&mut failures, EMFILE), AcceptRecovery::FreeDescriptors(Duration::ZERO));
 }
 
 #[test]
-fn a_listener_that_goes_on_failing_does_not_spin_and_is_used_again() {
+fn repeated_failures_pause_the_listener_until_an_accept_succeeds() {
     let mut failures = AcceptFailures::default();
-    let next: Vec<AfterFailure> = (0..200).map(|_| after(&mut failures, ECONNABORTED)).collect();
-    assert!(next[..10].iter().all(|next| *next == AfterFailure::Continue));
-    assert!(next[100..].iter().all(|next| matches!(next, AfterFailure::Pause(_))));
+    let next: Vec<AcceptRecovery> = (0..200).map(|_| recovery_from(&mut failures, ECONNABORTED)).collect();
+    assert!(next[..10].iter().all(|next| *next == AcceptRecovery::Continue));
+    assert!(next[100..].iter().all(|next| matches!(next, AcceptRecovery::Pause(_))));
     failures.record_success();
-    assert_eq!(after(&mut failures, ECONNABORTED), AfterFailure::Continue);
+    assert_eq!(recovery_from(&mut failures, ECONNABORTED), AcceptRecovery::Continue);
 }
--- a/tests/budget.rs
+++ b/tests/budget.rs
@@ -1,5 +1,5 @@
-//! The descriptors of the process: what is reserved ahead of clients, and that all together stay within the
-//! limit.
+//! The file descriptors of the process: those reserved ahead of clients, and that all reservations stay
+//! within the limit.
 
 use rowanglade::net::budget::{DISCOVERY_DESCRIPTORS, PUSHED_DISCOVERY_DESCRIPTORS};
 use rowanglade::net::{OptionalParts, Reservations};
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn all_reservations_together_stay_within_the_limit() {
+fn sum_of_all_reservations_stays_within_the_limit() {
     for parts in all_parts() {
         for sockets in 80..4_096 {
             let shares = Reservations::of(sockets, parts);
@@ -24,9 +24,9 @@
     }
 }
 
-// However much clients are given, discovery's connections are not theirs.
+// Clients may use up their share, but never the connections to discovery.
 #[test]
-fn discovery_is_reserved_ahead_of_clients_whatever_the_limit() {
+fn discovery_is_reserved_ahead_of_clients_at_any_limit() {
     for parts in all_parts() {
         for sockets in [0, 64, 96, 256, 512, 1_024, 65_536] {
             let shares = Reservations::of(sockets, parts);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn another_processs_share_is_taken_from_clients_and_targets_alone() {
+fn descriptors_of_another_process_reduce_only_clients_sessions_and_targets() {
     let parts = OptionalParts { admin: true, fleet: true, peers: true, iscsi: true, pushed_list: false };
     let (alone, beside) = (Reservations::of(512, parts), Reservations::of(512 - 200, parts));
     let ahead = |s: &Reservations| (s.process, s.discovery, s.admin, s.fleet, s.unregistered);
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -1,5 +1,5 @@
-//! The table of clients' connections: which is evicted for a new one, what counts as idle, and how a connection
-//! is closed.
+//! The table of client connections: which connection is evicted for a new one, what counts as idle, and how a
+//! connection is closed.
 
 use rowanglade::net::close::LINGER;
 use rowanglade::net::http::ConnectionTable;
@@ -11,8 +11,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Runs a story; paused, time passes only where the story says so, or nothing else is left to do.
-fn story(paused: bool, future: impl Future<Output = ()>) {
+/// Runs a test. If time is paused, it passes only where the test advances it, or when no task can run.
+fn run_test(paused: bool, future: impl Future<Output = ()>) {
     let mut runtime = tokio::runtime::Builder::new_current_thread();
     let runtime = runtime.enable_all().start_paused(paused).build().expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, future);
@@ -24,10 +24,11 @@
     (client, listener.accept().await.expect("accepted").0)
 }
 
-// Clients that say nothing, or ask once and stay, held every descriptor, and accept failed for all others.
+// Clients that sent nothing, or stayed open after one request, held all descriptors, and accept failed for
+// all others.
 #[test]
-fn silent_and_idle_connections_make_room_and_busy_ones_do_not() {
-    story(true, async {
+fn silent_and_idle_connections_are_evicted_and_busy_ones_are_not() {
+    run_test(true, async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
         let table = ConnectionTable::new(2, 1);
         let mut peers = Vec::new();
@@ -36,12 +37,12 @@
             peers.push(peer);
             table.register(stream)
         };
-        let busy = register().await.expect("room");
+        let busy = register().await.expect("capacity left");
         let open = busy.connection().begin_request();
-        let mut silent = register().await.expect("room");
-        assert!(register().await.is_none(), "a request may be under way on the one just opened");
+        let mut silent = register().await.expect("capacity left");
+        assert!(register().await.is_none(), "a new connection is not evicted, its request may be in transit");
         tokio::time::advance(EVICTION_MIN_AGE).await;
-        let mut late = register().await.expect("the silent one makes room");
+        let mut late = register().await.expect("the silent connection is evicted");
         assert_eq!(silent.read(&mut [0; 1]).await.expect("closed"), 0);
         tokio::time::advance(HEAD_TIMEOUT).await;
         table.end_overdue();
@@ -50,7 +51,7 @@
         assert_eq!(
             table.open_connections(),
             2,
-            "the one that was swept keeps its place while it is being closed"
+            "the overdue connection stays in the table while it is being closed"
         );
         tokio::time::sleep(LINGER + Duration::from_millis(10)).await;
         assert_eq!((table.open_connections(), busy.connection().is_ended()), (1, false));
@@ -61,62 +62,64 @@
     });
 }
 
-// An idle connection was closed on the request that had just come on it.
+// An idle connection was closed although a request had just arrived on it.
 #[test]
-fn a_request_that_came_before_an_idle_connection_is_closed_is_read() {
-    story(false, async {
+fn request_that_arrived_before_an_idle_connection_was_ended_is_read() {
+    run_test(false, async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
         let table = ConnectionTable::new(9, 9);
         let (mut peer, stream) = accepted(&listener).await;
-        let mut stream = table.register(stream).expect("room");
+        let mut stream = table.register(stream).expect("capacity left");
         drop(stream.connection().begin_request());
         peer.write_all(b"GET").await.expect("written");
-        stream.tcp().readable().await.expect("it comes");
+        stream.tcp().readable().await.expect("the bytes arrive");
         stream.connection().end();
         assert_eq!(stream.read(&mut [0; 9]).await.expect("read"), 3);
-        assert!(!stream.connection().is_ended(), "it takes the answer");
+        assert!(!stream.connection().is_ended(), "the connection resumes for the request");
         drop(stream.connection().begin_request());
         stream.connection().end();
         assert_eq!(stream.read(&mut [0; 9]).await.expect("closed"), 0);
     });
 }
 
-// A request came just as its connection was closed for standing idle, which nobody needed to be closed.
+// A request arrived just as its connection was closed for being idle, although no other client needed the
+// capacity.
 #[test]
-fn where_there_is_room_idle_connections_stay_for_long() {
-    story(true, async {
+fn idle_connections_stay_open_for_longer_while_the_table_is_not_crowded() {
+    run_test(true, async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
         let table = ConnectionTable::new(2 * UNCROWDED_DIVISOR, 2 * UNCROWDED_DIVISOR);
         let mut streams = Vec::new();
         for open in 1..=3 {
             let (peer, stream) = accepted(&listener).await;
-            let stream = table.register(stream).expect("room");
+            let stream = table.register(stream).expect("capacity left");
             drop(stream.connection().begin_request());
             streams.push((peer, stream));
             tokio::time::advance(IDLE_TIMEOUT).await;
             table.end_overdue();
             let ended = streams.iter().any(|(_, stream)| stream.connection().is_ended());
-            assert_eq!(ended, open > 2, "{open} of {} places", 2 * UNCROWDED_DIVISOR);
+            assert_eq!(ended, open > 2, "{open} connections, capacity {}", 2 * UNCROWDED_DIVISOR);
         }
         streams.truncate(1);
         let table = ConnectionTable::new(2 * UNCROWDED_DIVISOR, 2 * UNCROWDED_DIVISOR);
         let (_peer, stream) = accepted(&listener).await;
-        let stream = table.register(stream).expect("room");
+        let stream = table.register(stream).expect("capacity left");
         drop(stream.connection().begin_request());
         tokio::time::advance(UNCROWDED_IDLE_TIMEOUT).await;
         table.end_overdue();
-        assert!(stream.connection().is_ended(), "not for ever");
+        assert!(stream.connection().is_ended(), "an idle connection does not stay open forever");
     });
 }
 
-// A long answer was cut off: its last bytes waited for a slow client, and the connection counted as idle.
+// The last bytes of a long response waited for a slow client, the connection counted as idle, and the
+// response was cut off.
 #[test]
-fn a_connection_whose_client_is_slow_to_take_an_answer_is_not_idle() {
-    story(true, async {
+fn connection_whose_client_is_slow_to_read_a_response_is_not_idle() {
+    run_test(true, async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
         let table = ConnectionTable::new(1, 9);
         let (peer, stream) = accepted(&listener).await;
-        let mut slow = table.register(stream).expect("room");
+        let mut slow = table.register(stream).expect("capacity left");
         drop(slow.connection().begin_request());
         let mut filled = 0;
         while let Ok(Ok(written)) =
@@ -127,25 +130,31 @@
         }
         tokio::time::advance(IDLE_TIMEOUT).await;
         table.end_overdue();
-        assert!(!slow.connection().is_ended(), "{filled} bytes wait for their client");
-        assert!(table.register(accepted(&listener).await.1).is_none(), "it makes no room");
+        assert!(
+            !slow.connection().is_ended(),
+            "{filled} bytes were written, and the client has not read them yet"
+        );
+        assert!(
+            table.register(accepted(&listener).await.1).is_none(),
+            "a connection with an unread response is not evicted"
+        );
         tokio::time::advance(WRITE_TIMEOUT).await;
         table.end_overdue();
-        assert!(slow.connection().is_ended(), "a client that takes nothing at all");
+        assert!(slow.connection().is_ended(), "a client that reads nothing exceeds the write timeout");
         drop(peer);
     });
 }
 
-// A crowd of clients that each ask once and stay held all the connections that clients may have.
+// Many clients that stayed open after one request held all connections that clients may have.
 #[test]
-fn beyond_their_number_idle_connections_are_closed_soon_the_oldest_first() {
-    story(true, async {
+fn surplus_idle_connections_are_ended_oldest_first() {
+    run_test(true, async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
         let table = ConnectionTable::new(9, 2);
         let mut streams = Vec::new();
         for _ in 0..4 {
             let (peer, stream) = accepted(&listener).await;
-            let stream = table.register(stream).expect("room");
+            let stream = table.register(stream).expect("capacity left");
             drop(stream.connection().begin_request());
             tokio::time::advance(Duration::from_millis(1)).await;
             streams.push((peer, stream));
@@ -154,43 +163,47 @@
             table.end_overdue();
             streams.iter().map(|(_, stream)| stream.connection().is_ended()).collect::<Vec<_>>()
         };
-        assert_eq!(ended(), [false; 4], "their clients may just go on");
+        assert_eq!(ended(), [false; 4], "their clients may be about to send a request");
         tokio::time::advance(SURPLUS_IDLE_TIMEOUT).await;
         assert_eq!(ended(), [true, true, false, false]);
         table.keep_idle();
         tokio::time::advance(IDLE_TIMEOUT).await;
-        assert_eq!(ended(), [true, true, false, false], "no new ones would come for them");
+        assert_eq!(
+            ended(),
+            [true, true, false, false],
+            "idle connections are kept when no new ones replace them"
+        );
     });
 }
 
-/// A connection whose handler has a whole request, and the client's side of it.
-async fn with_a_request(
+/// A connection whose handler has a complete request, with the client's stream.
+async fn accept_with_request(
     table: &ConnectionTable,
     listener: &TcpListener,
 ) -> (TcpStream, ClientStream, ActiveRequest) {
     let (peer, stream) = accepted(listener).await;
-    let stream = table.register(stream).expect("room");
+    let stream = table.register(stream).expect("capacity left");
     let busy = stream.connection().begin_request();
-    stream.connection().complete();
+    stream.connection().complete_request();
     (peer, stream, busy)
 }
 
-// A close over unread bytes resets the connection, and the last answer went with it.
+// Closing a socket over unread bytes resets the connection, and the client lost the last response.
 #[test]
-fn closed_over_unread_bytes_a_connection_still_brings_what_was_written() {
-    story(false, async {
+fn connection_closed_over_unread_bytes_still_delivers_its_response() {
+    run_test(false, async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
         let table = ConnectionTable::new(9, 9);
-        let (mut peer, mut stream, busy) = with_a_request(&table, &listener).await;
+        let (mut peer, mut stream, busy) = accept_with_request(&table, &listener).await;
         stream.write_all(b"the last answer").await.expect("written");
-        // A request crosses the close, and another one comes after writing was shut down.
+        // One request arrives before the close, and another one after writing was shut down.
         peer.write_all(&[b'x'; 9_000]).await.expect("written");
-        stream.tcp().readable().await.expect("it comes");
+        stream.tcp().readable().await.expect("the bytes arrive");
         drop((busy, stream));
         tokio::task::yield_now().await;
-        peer.write_all(&[b'y'; 9_000]).await.expect("nothing is reset");
+        peer.write_all(&[b'y'; 9_000]).await.expect("the connection is not reset");
         let mut read = String::new();
-        peer.read_to_string(&mut read).await.expect("an end, not a reset");
+        peer.read_to_string(&mut read).await.expect("the stream ends without a reset");
         assert_eq!(read, "the last answer");
         drop(peer);
         while table.open_connections() > 0 {
@@ -199,33 +212,34 @@
     });
 }
 
-// A client that neither closes nor stops sending would hold its connection's place for ever.
+// A client that neither closes nor stops sending would keep its connection in the table forever.
 #[test]
-fn what_is_read_and_dropped_before_a_close_is_bounded_and_makes_room() {
-    story(true, async {
+fn closing_connection_can_be_evicted_and_is_closed_after_a_bounded_time() {
+    run_test(true, async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
         let table = ConnectionTable::new(1, 1);
-        let (_first, stream, busy) = with_a_request(&table, &listener).await;
+        let (_first, stream, busy) = accept_with_request(&table, &listener).await;
         drop((busy, stream));
-        assert_eq!(table.open_connections(), 1, "it waits for its client to close");
+        assert_eq!(table.open_connections(), 1, "the connection waits for its client to close");
         tokio::time::advance(EVICTION_MIN_AGE).await;
         let (_second, stream) = accepted(&listener).await;
-        let stream = table.register(stream).expect("one that is being closed makes room");
+        let stream = table.register(stream).expect("the closing connection is evicted");
         assert_eq!(table.open_connections(), 1);
         drop(stream);
         tokio::time::sleep(LINGER + Duration::from_millis(10)).await;
-        assert_eq!(table.open_connections(), 0, "not for ever");
+        assert_eq!(table.open_connections(), 0, "the connection does not stay in the table forever");
     });
 }
 
-// Bytes behind a request hid that its client had left, and kept the handler spinning once a buffer was full.
+// Bytes after a request hid that its client had disconnected, and made the handler spin once a buffer was
+// full.
 #[test]
-fn a_client_that_sends_much_behind_its_request_and_goes_is_seen_to_go() {
-    story(false, async {
+fn disconnect_is_detected_after_any_number_of_pipelined_bytes() {
+    run_test(false, async {
         for sent in [1, MAX_PIPELINED_BYTES - 1, 4 * MAX_PIPELINED_BYTES] {
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
             let table = ConnectionTable::new(9, 9);
-            let (mut peer, mut stream, busy) = with_a_request(&table, &listener).await;
+            let (mut peer, mut stream, busy) = accept_with_request(&table, &listener).await;
             let connection = std::rc::Rc::clone(stream.connection());
             let reading = tokio::task::spawn_local(async move {
                 let (mut taken, mut buf) = (0, vec![0; 1 << 16]);
@@ -238,126 +252,130 @@
             drop(peer);
             tokio::time::timeout(Duration::from_millis(300), connection.client_closed())
                 .await
-                .expect("it is seen");
-            let (taken, stream) = reading.await.expect("its end is read");
-            assert!(taken <= 2 * MAX_PIPELINED_BYTES, "{taken} of {sent} bytes are held");
+                .expect("the disconnect is detected");
+            let (taken, stream) = reading.await.expect("the end of the stream is read");
+            assert!(
+                taken <= 2 * MAX_PIPELINED_BYTES,
+                "{taken} of {sent} bytes were passed on, more than twice the limit"
+            );
             assert_eq!(
                 connection.closes_after_response(),
                 sent > 2 * MAX_PIPELINED_BYTES,
-                "what was dropped leaves a gap: {sent}"
+                "the connection closes after the response only if bytes were discarded: {sent} sent"
             );
             drop((busy, stream));
         }
     });
 }
 
-// Unread bytes alone kept the end of their connection from being seen.
+// While bytes were unread, the end of their connection was not detected.
 #[test]
-fn a_client_is_seen_to_go_while_nobody_reads_what_it_sent() {
-    story(false, async {
+fn disconnect_is_detected_while_received_bytes_are_unread() {
+    run_test(false, async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
         let table = ConnectionTable::new(9, 9);
         for reset in [false, true] {
-            let (mut peer, stream, busy) = with_a_request(&table, &listener).await;
+            let (mut peer, stream, busy) = accept_with_request(&table, &listener).await;
             peer.write_all(&[b'x'; 100]).await.expect("written");
             let waited =
                 tokio::time::timeout(Duration::from_millis(120), stream.connection().client_closed()).await;
-            assert!(waited.is_err(), "it waits for its answer");
+            assert!(waited.is_err(), "the client is still connected");
             if reset {
                 socket2::SockRef::from(&peer).set_linger(Some(Duration::ZERO)).expect("set");
             }
             drop(peer);
             tokio::time::timeout(Duration::from_millis(300), stream.connection().client_closed())
                 .await
-                .expect("it is seen");
+                .expect("the disconnect is detected");
             drop((busy, stream));
         }
     });
 }
 
-// The end was looked for every 50 ms while bytes were unread. Time passes here only where something waits for
-// it.
+// While bytes were unread, the disconnect was polled for every 50 ms. Paused time advances here only while a
+// task waits for a timer, so any delay of the detection shows.
 #[test]
-fn that_a_client_goes_is_an_event_and_takes_no_time() {
-    story(true, async {
+fn disconnect_is_detected_by_an_event_without_delay() {
+    run_test(true, async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
         let table = ConnectionTable::new(9, 9);
         for (unread, reset) in [(0, false), (0, true), (100, false), (100, true), (9_000, false)] {
-            let (mut peer, stream, busy) = with_a_request(&table, &listener).await;
+            let (mut peer, stream, busy) = accept_with_request(&table, &listener).await;
             peer.write_all(&vec![b'x'; unread]).await.expect("written");
             let connection = std::rc::Rc::clone(stream.connection());
-            let gone = tokio::task::spawn_local(async move {
+            let detection = tokio::task::spawn_local(async move {
                 connection.client_closed().await;
                 tokio::time::Instant::now()
             });
-            // No multiple of a period at which somebody might look.
+            // Not a multiple of a likely polling interval.
             tokio::time::sleep(Duration::from_millis(123)).await;
-            assert!(!gone.is_finished(), "it waits for its answer");
+            assert!(!detection.is_finished(), "the client is still connected");
             if reset {
                 socket2::SockRef::from(&peer).set_linger(Some(Duration::ZERO)).expect("set");
             }
-            let left = tokio::time::Instant::now();
+            let closed_at = tokio::time::Instant::now();
             drop(peer);
-            let seen = gone.await.expect("it is seen");
-            assert_eq!(seen - left, Duration::ZERO, "{unread} bytes unread, reset {reset}");
+            let detected_at = detection.await.expect("the disconnect is detected");
+            assert_eq!(detected_at - closed_at, Duration::ZERO, "{unread} bytes unread, reset {reset}");
             drop((busy, stream));
         }
     });
 }
 
-// The HTTP service writes what it has before it lets go of a handler: an answer that its client did not take
-// kept the request behind it alive when the client had closed its side.
+// The HTTP service writes all that it has before it drops a handler. A response that the client did not read
+// kept the next request alive after the client had closed its side.
 #[test]
-fn an_answer_that_is_not_taken_does_not_hold_up_the_end_of_the_request_behind_it() {
-    story(false, async {
+fn unread_response_does_not_delay_the_cancellation_of_the_next_request() {
+    run_test(false, async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
         let table = ConnectionTable::new(9, 9);
-        let (mut peer, mut stream, busy) = with_a_request(&table, &listener).await;
+        let (mut peer, mut stream, busy) = accept_with_request(&table, &listener).await;
         let waiting = stream.connection().await_response();
         let full = Duration::from_millis(20);
         while tokio::time::timeout(full, AsyncWriteExt::write(&mut stream, &[0; 1 << 16])).await.is_ok() {}
-        peer.shutdown().await.expect("its side is closed");
-        assert_eq!(stream.read(&mut [0; 9]).await.expect("its end is read"), 0);
+        peer.shutdown().await.expect("the client closes its side");
+        assert_eq!(stream.read(&mut [0; 9]).await.expect("the end of the stream is read"), 0);
         let written = tokio::time::timeout(full, stream.write_all(b"more")).await;
-        let error = written.expect("it waits for nobody").expect_err("nobody takes it");
+        let error = written.expect("the write does not wait").expect_err("the client has disconnected");
         assert_eq!(error.kind(), std::io::ErrorKind::BrokenPipe);
         drop(waiting);
         let written = tokio::time::timeout(full, stream.write_all(b"more")).await;
-        assert!(written.is_err(), "without a request that waits, what was answered may still be taken");
+        assert!(written.is_err(), "without a pending request, the client may still read earlier responses");
         drop((busy, peer));
     });
 }
 
-// A new connection beyond the places was closed without a word: its client had to take that for a failure.
+// A new connection beyond the capacity was closed without a response, which its client had to take for a
+// failure.
 #[test]
-fn a_connection_that_finds_no_place_is_told_when_to_come_again() {
-    story(false, async {
+fn connection_beyond_the_capacity_receives_a_503_with_retry_after() {
+    run_test(false, async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
         let table = ConnectionTable::new(1, 1);
-        let (_first, stream, busy) = with_a_request(&table, &listener).await;
+        let (_first, stream, busy) = accept_with_request(&table, &listener).await;
         let (mut peer, rejected) = accepted(&listener).await;
         peer.write_all(b"GET / HTTP/1.1\r\n\r\n").await.expect("written");
         assert!(table.register(rejected).is_none());
-        let mut told = String::new();
-        peer.read_to_string(&mut told).await.expect("an end, not a reset");
-        assert!(told.starts_with("HTTP/1.1 503") && told.contains("Retry-After"), "{told}");
+        let mut response = String::new();
+        peer.read_to_string(&mut response).await.expect("the stream ends without a reset");
+        assert!(response.starts_with("HTTP/1.1 503") && response.contains("Retry-After"), "{response}");
         drop((busy, stream));
     });
 }
 
-// A burst of new connections evicted as many idle ones, all of which stayed open until their tasks had a
-// turn: together they took twice what clients are given, and the descriptors that discovery needs.
+// A burst of new connections evicted as many idle ones, all of which stayed open until their tasks ran.
+// Together they used twice the descriptors of clients, including those that discovery needs.
 #[test]
-fn a_burst_opens_no_more_than_a_few_beyond_the_places() {
-    const PLACES: usize = 20;
-    story(true, async {
+fn burst_opens_only_a_few_connections_beyond_the_capacity() {
+    const CAPACITY: usize = 20;
+    run_test(true, async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
-        let table = ConnectionTable::new(PLACES, PLACES);
+        let table = ConnectionTable::new(CAPACITY, CAPACITY);
         let mut peers = Vec::new();
         let mut idle = Vec::new();
-        for _ in 0..PLACES {
+        for _ in 0..CAPACITY {
             let (peer, stream) = accepted(&listener).await;
-            let stream = table.register(stream).expect("room");
+            let stream = table.register(stream).expect("capacity left");
             drop(stream.connection().begin_request());
             peers.push(peer);
             idle.push(stream);
@@ -369,12 +387,12 @@
             burst.extend(table.register(stream));
             peers.push(peer);
         }
-        assert_eq!((burst.len(), table.open_connections()), (MAX_UNREGISTERED, PLACES));
-        // Those that were evicted are closed once they have had their turn.
+        assert_eq!((burst.len(), table.open_connections()), (MAX_UNREGISTERED, CAPACITY));
+        // Evicted connections are closed once their tasks have run.
         idle.retain(|stream| !stream.connection().is_ended());
         while !table.may_accept() {
             table.connection_closed().await;
         }
-        assert_eq!(idle.len(), PLACES - MAX_UNREGISTERED);
+        assert_eq!(idle.len(), CAPACITY - MAX_UNREGISTERED);
     });
 }
