--- a/src/core/actor/handover.rs
+++ b/src/core/actor/handover.rs
@@ -22,7 +22,7 @@
                 let _ = answer.send(());
             }
             HandoverRequest::ServeWithoutState(answer) => {
-                self.scheduler.reset_owned(self.clock.now());
+                self.scheduler.reset_owned_state(self.clock.now());
                 self.set_handed_over(false);
                 let _ = answer.send(());
             }
@@ -33,7 +33,7 @@
             HandoverRequest::AdminCommand(command) => {
                 self.apply_admin_command(&command);
             }
-            HandoverRequest::ObjectSeen(object, seen) => self.object_locations.merge([(object, seen)]),
+            HandoverRequest::ObjectObserved(object, seen) => self.object_locations.merge([(object, seen)]),
         }
     }
 
@@ -74,11 +74,11 @@
 
     fn refresh_all_targets(&mut self) {
         let maintenance = self.endpoints.maintenance();
-        let is_out = |id: &TargetId| {
-            self.endpoints.get(*id).is_some_and(|target| maintenance.is_out(&target.reported.name))
+        let is_in_maintenance = |id: &TargetId| {
+            self.endpoints.get(*id).is_some_and(|target| maintenance.is_in_maintenance(&target.reported.name))
         };
         let (out, back): (Vec<TargetId>, Vec<TargetId>) =
-            self.endpoints.iter().map(|(id, _)| id).partition(is_out);
+            self.endpoints.iter().map(|(id, _)| id).partition(is_in_maintenance);
         self.refresh_targets(&out, true);
         self.refresh_targets(&back, false);
     }
--- a/src/net/http/response_stream.rs
+++ b/src/net/http/response_stream.rs
@@ -30,7 +30,7 @@
         let long = declared_long || buffered.len() > MAX_BUFFERED_BODY;
         if long && head.status != StatusCode::OK {
             // The body of an error response is not passed to the client.
-            return Ok(ResponseBody::Whole(Bytes::new()));
+            return Ok(ResponseBody::Buffered(Bytes::new()));
         }
         // A retry of a response that arrives this slowly would be too late, so buffering it has no use for
         // the client.
@@ -40,7 +40,7 @@
         }
     }
     transport.connections.check_in(connection);
-    Ok(ResponseBody::Whole(buffered.freeze()))
+    Ok(ResponseBody::Buffered(buffered.freeze()))
 }
 
 /// The length in bytes that a response's head declares for its body, if any.
