--- a/crates/http-exchange/src/pool.rs
+++ b/crates/http-exchange/src/pool.rs
@@ -44,7 +44,7 @@
         now.saturating_duration_since(self.since)
     }
 
-    /// Whether it can carry a request: not idle for too long, not closed by its server, and without unread
+    /// Whether the connection can carry a request: not idle for too long, not closed by its server, and without unread
     /// bytes.
     fn is_usable(&self, now: Instant, idle_timeout: Duration) -> bool {
         self.age(now) < idle_timeout && self.connection.is_clean()
@@ -63,7 +63,7 @@
     /// response are detected.
     settle_time: Duration,
     open: Rc<Cell<usize>>,
-    /// The oldest comes first.
+    /// Idle connections, the oldest first.
     idle: Rc<RefCell<VecDeque<Idle>>>,
     /// Servers whose connections are closed as soon as they carry no request.
     suspended: Rc<RefCell<HashSet<SocketAddr>>>,
--- a/crates/iscsi/src/login/mod.rs
+++ b/crates/iscsi/src/login/mod.rs
@@ -87,7 +87,7 @@
         };
         let offered = Keys::parse(&request.data);
         keys.extend(offered.as_ref());
-        let status = status(&request, offered.is_some(), &keys, name);
+        let status = check_request(&request, offered.is_some(), &keys, name);
         let answers = match status {
             SUCCESS => offered.unwrap_or_default().answers(),
             _ => Bytes::new(),
@@ -105,7 +105,7 @@
 }
 
 /// Checks the stages of a login request and all keys received so far. Returns the status to respond with.
-fn status(request: &Login, readable: bool, keys: &Keys, name: &str) -> u16 {
+fn check_request(request: &Login, readable: bool, keys: &Keys, name: &str) -> u16 {
     let known_stage = matches!(request.current, SECURITY | OPERATIONAL);
     let forward = matches!(request.next, OPERATIONAL | FULL_FEATURE) && request.next > request.current;
     let stages_fit = known_stage && (!request.transit || forward);
--- a/crates/iscsi/src/pdu/mod.rs
+++ b/crates/iscsi/src/pdu/mod.rs
@@ -58,13 +58,13 @@
 pub enum Pdu {
     /// NOP-Out: an initiator's ping, or its response to one.
     NopOut {
-        /// Whether it consumes no command number.
+        /// Whether the command is immediate, so that it consumes no command number.
         immediate: bool,
-        /// The LUN of the target's ping that it responds to.
+        /// The LUN of the target's ping that this PDU responds to.
         lun: u64,
-        /// The initiator task tag; reserved if it wants no response.
+        /// The initiator task tag; reserved if no response is wanted.
         itt: u32,
-        /// The target transfer tag of the ping that it responds to.
+        /// The target transfer tag of the ping that this PDU responds to.
         ttt: u32,
         /// The command number.
         cmd_sn: u32,
@@ -75,7 +75,7 @@
     },
     /// SCSI Command.
     ScsiCommand {
-        /// Whether it consumes no command number.
+        /// Whether the command is immediate, so that it consumes no command number.
         immediate: bool,
         /// Whether no unsolicited data follows.
         last: bool,
@@ -100,7 +100,7 @@
     },
     /// Task Management Function Request.
     TaskRequest {
-        /// Whether it consumes no command number.
+        /// Whether the command is immediate, so that it consumes no command number.
         immediate: bool,
         /// The function code.
         function: u8,
@@ -119,7 +119,7 @@
     LoginRequest(Login),
     /// SCSI Data-Out.
     DataOut {
-        /// Whether it is the last PDU that the R2T solicits.
+        /// Whether this PDU is the last that the R2T solicits.
         last: bool,
         /// The logical unit.
         lun: u64,
@@ -129,16 +129,16 @@
         ttt: u32,
         /// The next status number that the initiator expects.
         exp_stat_sn: u32,
-        /// Its number among the PDUs that the R2T solicits (DataSN).
+        /// DataSN: the number of this PDU among those that the R2T solicits.
         data_sn: u32,
-        /// Where its data begins in the command's data.
+        /// Buffer offset: where the data begins in the command's data.
         offset: u32,
         /// The data.
         data: Bytes,
     },
     /// Logout Request.
     LogoutRequest {
-        /// Whether it consumes no command number.
+        /// Whether the command is immediate, so that it consumes no command number.
         immediate: bool,
         /// The reason code: what is to be closed.
         reason: u8,
@@ -155,13 +155,13 @@
     NopIn {
         /// The logical unit.
         lun: u64,
-        /// The initiator task tag of the ping that it responds to.
+        /// The initiator task tag of the ping that this PDU responds to.
         itt: u32,
-        /// The target transfer tag; reserved if it wants no response.
+        /// The target transfer tag; reserved if no response is wanted.
         ttt: u32,
         /// The target's sequence numbers.
         seq: Sequence,
-        /// The data of the ping that it responds to.
+        /// The data of the ping that this PDU responds to.
         data: Bytes,
     },
     /// SCSI Response.
@@ -192,7 +192,7 @@
     },
     /// Login Response.
     LoginResponse {
-        /// The fields that it shares with the request.
+        /// The fields that the response shares with its request.
         login: Login,
         /// The target's sequence numbers.
         seq: Sequence,
@@ -201,7 +201,7 @@
     },
     /// SCSI Data-In.
     DataIn {
-        /// Whether it is the last PDU of a sequence.
+        /// Whether this PDU is the last of a sequence.
         last: bool,
         /// The command's status and residual, if this PDU ends the command.
         status: Option<(u8, Residual)>,
@@ -209,9 +209,9 @@
         itt: u32,
         /// The target's sequence numbers.
         seq: Sequence,
-        /// Its number among the command's Data-In PDUs (DataSN).
+        /// DataSN: the number of this PDU among the command's Data-In PDUs.
         data_sn: u32,
-        /// Where its data begins in the command's data.
+        /// Buffer offset: where the data begins in the command's data.
         offset: u32,
         /// The data.
         data: Bytes,
@@ -235,7 +235,7 @@
         ttt: u32,
         /// The target's sequence numbers.
         seq: Sequence,
-        /// Its number among the command's R2Ts (R2TSN).
+        /// R2TSN: the number of this R2T among the command's.
         r2t_sn: u32,
         /// Where in the command's data the transfer begins.
         offset: u32,
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -65,7 +65,7 @@
             let problem = format!("{own_index} is no place in peers, which has {}", self.peers.len());
             return Err(ConfigError::new("settings.my-number", problem));
         }
-        Ok(Some(PeerAddresses { listen, all: self.peers.clone(), own_index }))
+        Ok(Some(PeerAddresses { listen, addrs: self.peers.clone(), own_index }))
     }
 }
 
--- a/src/net/drain_gossip.rs
+++ b/src/net/drain_gossip.rs
@@ -14,8 +14,8 @@
     /// Address that this initiator binds.
     pub listen: SocketAddr,
     /// Addresses of all initiators in the order of their indices, including this one's.
-    pub all: Vec<SocketAddr>,
-    /// Index of this initiator in `all`.
+    pub addrs: Vec<SocketAddr>,
+    /// Index of this initiator in `addrs`.
     pub own_index: usize,
 }
 
@@ -39,8 +39,8 @@
 impl DrainGossipLink {
     /// Creates a link. [`DrainGossipLink::poll`] binds its socket.
     pub fn new(addresses: PeerAddresses, seed: u64, now: Micros) -> DrainGossipLink {
-        let peer_indices = addresses.all.iter().enumerate().map(|(index, addr)| (*addr, index)).collect();
-        let gossip = DrainGossip::new(addresses.own_index, addresses.all.len(), seed, now);
+        let peer_indices = addresses.addrs.iter().enumerate().map(|(index, addr)| (*addr, index)).collect();
+        let gossip = DrainGossip::new(addresses.own_index, addresses.addrs.len(), seed, now);
         DrainGossipLink {
             addresses,
             peer_indices,
@@ -142,7 +142,7 @@
 
     /// Sends a datagram. One that cannot be sent is dropped, as if the network had lost it.
     fn send(&self, datagram: &Outgoing) {
-        if let (Some(socket), Some(addr)) = (&self.socket, self.addresses.all.get(datagram.to)) {
+        if let (Some(socket), Some(addr)) = (&self.socket, self.addresses.addrs.get(datagram.to)) {
             let _ = socket.try_send_to(&datagram.message.encode(), *addr);
         }
     }
--- a/src/net/http/discovery/poller.rs
+++ b/src/net/http/discovery/poller.rs
@@ -115,7 +115,7 @@
             let gossip_report = receive_gossip(&mut self.gossip, self.clock);
             tokio::select! {
                 biased;
-                () = changed(&mut address) => self.handle_address_change(),
+                () = address_changed(&mut address) => self.handle_address_change(),
                 Some(finished) = self.in_flight.next() => self.handle_finished(finished).await,
                 draining = gossip_report => self.handle_gossip_report(draining).await,
                 () = timeout => {}
@@ -129,7 +129,7 @@
         let no_endpoints = Vec::new();
         let now = Instant::now();
         self.core.send_endpoints(Protocol::Http, EndpointUpdateKind::Delta, no_endpoints, now).await;
-        changed(address).await;
+        address_changed(address).await;
         self.handle_address_change();
     }
 
@@ -237,7 +237,7 @@
 }
 
 /// Resolves at the next change of the address; never if its sender was dropped.
-async fn changed(address: &mut watch::Receiver<DiscoveryAddress>) {
+async fn address_changed(address: &mut watch::Receiver<DiscoveryAddress>) {
     if address.changed().await.is_err() {
         std::future::pending::<()>().await;
     }
--- a/src/net/http/handler.rs
+++ b/src/net/http/handler.rs
@@ -61,11 +61,11 @@
     if connection.is_some_and(|connection| connection.closes_after_response()) {
         // The request was pipelined after one whose response was the connection's last. Its client sends it
         // again on another connection.
-        return message::status(StatusCode::SERVICE_UNAVAILABLE);
+        return message::empty_response(StatusCode::SERVICE_UNAVAILABLE);
     }
     if request.path() == READINESS_PATH {
         let ready = request.method() == Method::GET && front.core.is_ready();
-        return message::status(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE });
+        return message::empty_response(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE });
     }
     serve_until_client_closes(front, request, connection).await
 }
@@ -90,7 +90,7 @@
         () = client_closed => {
             tracing::debug!("client closed its connection before the response");
             connection.into_iter().for_each(|connection| connection.close_after_response());
-            message::status(StatusCode::REQUEST_TIMEOUT)
+            message::empty_response(StatusCode::REQUEST_TIMEOUT)
         }
     }
 }
@@ -104,11 +104,11 @@
 ) -> Result<ContentResponse, ContentResponse> {
     let declared_length = declared_length(http_request);
     if declared_length.is_some_and(|length| length > MAX_BODY_BYTES) {
-        return Err(message::status(StatusCode::PAYLOAD_TOO_LARGE));
+        return Err(message::empty_response(StatusCode::PAYLOAD_TOO_LARGE));
     }
     let client = http_request.peer_addr();
     let mut request =
-        message::decode(http_request.method(), http_request.uri(), http_request.headers(), client)
+        message::decode_request(http_request.method(), http_request.uri(), http_request.headers(), client)
             .map_err(|error| bad_request(&error))?;
     front.core.validate(&request).map_err(|error| bad_request(&error))?;
     let mut budget = BodyBudget::new(Rc::clone(&front.body_bytes));
@@ -128,7 +128,7 @@
         connection.complete_request();
     }
     let pending = front.core.submit(request).await.map_err(|error| bad_request(&error))?;
-    Ok(message::encode(pending.response().await))
+    Ok(message::encode_response(pending.response().await))
 }
 
 /// The length in bytes that a request's head declares for its body, if any.
@@ -138,10 +138,10 @@
 
 fn bad_request(reason: &dyn Display) -> ContentResponse {
     tracing::debug!(%reason, "request rejected as malformed");
-    message::status(StatusCode::BAD_REQUEST)
+    message::empty_response(StatusCode::BAD_REQUEST)
 }
 
 /// The response to a request for whose body no memory is left.
 pub(super) fn no_capacity() -> ContentResponse {
-    message::encode(Response::Rejected { retry_after: NO_CAPACITY_RETRY_AFTER })
+    message::encode_response(Response::Rejected { retry_after: NO_CAPACITY_RETRY_AFTER })
 }
--- a/src/net/http/message/mod.rs
+++ b/src/net/http/message/mod.rs
@@ -5,9 +5,9 @@
 mod response;
 mod target;
 
-pub use request::decode;
-pub use response::{encode, status};
-pub use target::{probe_head, request_head, result};
+pub use request::decode_request;
+pub use response::{empty_response, encode_response};
+pub use target::{attempt_result, probe_head, request_head};
 
 use actix_http::header::{HeaderMap, HeaderName};
 use std::str::FromStr;
--- a/src/net/http/message/request.rs
+++ b/src/net/http/message/request.rs
@@ -27,7 +27,7 @@
 ///
 /// # Errors
 /// A part of the request is missing or invalid.
-pub fn decode(
+pub fn decode_request(
     method: &Method,
     uri: &Uri,
     headers: &HeaderMap,
@@ -38,7 +38,7 @@
         Method::PUT => true,
         _ => return Err(MalformedRequest("method")),
     };
-    let (class, volume, object) = path_parts(uri.path())?;
+    let (class, volume, object) = split_path(uri.path())?;
     if header_text(headers, &CLASS) != Some(class) {
         return Err(MalformedRequest("x-service-class"));
     }
@@ -58,8 +58,8 @@
         class: class.to_string(),
         plan: Some(plan.to_string()),
         write,
-        volume: hex(volume, "volume")?,
-        object: hex(object, "piece")?,
+        volume: parse_hex(volume, "volume")?,
+        object: parse_hex(object, "piece")?,
         locator: uri.path_and_query().map_or(uri.path(), |path| path.as_str()).to_string(),
         idempotency_key: header_text(headers, &IDEMPOTENCY_KEY).map(str::to_string),
         units: placement.units,
@@ -73,7 +73,7 @@
 }
 
 /// The class, volume and object of `/CLASS/VOLUME/OBJECT`.
-fn path_parts(path: &str) -> Result<(&str, &str, &str), MalformedRequest> {
+fn split_path(path: &str) -> Result<(&str, &str, &str), MalformedRequest> {
     let mut parts = path.split('/').skip(1);
     match (parts.next(), parts.next(), parts.next(), parts.next()) {
         (Some(class), Some(volume), Some(object), None) if !class.is_empty() => Ok((class, volume, object)),
@@ -81,7 +81,7 @@
     }
 }
 
-fn hex(digits: &str, part: &'static str) -> Result<u64, MalformedRequest> {
+fn parse_hex(digits: &str, part: &'static str) -> Result<u64, MalformedRequest> {
     if digits.len() != HEX_DIGITS || !digits.bytes().all(|byte| byte.is_ascii_hexdigit()) {
         return Err(MalformedRequest(part));
     }
--- a/src/net/http/message/response.rs
+++ b/src/net/http/message/response.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 /// Encodes the final response to a client: 200 with the content, 503 if the request had no effect, or 500.
-pub fn encode(response: Response) -> HttpResponse<ResponseBody> {
+pub fn encode_response(response: Response) -> HttpResponse<ResponseBody> {
     match response {
         Response::Served(content) => HttpResponse::with_body(StatusCode::OK, content),
         Response::Rejected { retry_after } => rejected(retry_after),
@@ -19,14 +19,14 @@
             }
             response
         }
-        Response::Failed => status(StatusCode::INTERNAL_SERVER_ERROR),
+        Response::Failed => empty_response(StatusCode::INTERNAL_SERVER_ERROR),
     }
 }
 
 /// A response by which the initiator promises that the request had no effect. Without a time to wait it has
 /// no Retry-After.
 fn rejected(retry_after: Duration) -> HttpResponse<ResponseBody> {
-    let mut response = status(StatusCode::SERVICE_UNAVAILABLE);
+    let mut response = empty_response(StatusCode::SERVICE_UNAVAILABLE);
     if !retry_after.is_zero() {
         let seconds = format!("{:.3}", retry_after.as_secs_f64());
         if let Ok(value) = HeaderValue::from_str(&seconds) {
@@ -37,6 +37,6 @@
 }
 
 /// A response with this status and without a body.
-pub fn status(code: StatusCode) -> HttpResponse<ResponseBody> {
+pub fn empty_response(code: StatusCode) -> HttpResponse<ResponseBody> {
     HttpResponse::with_body(code, Bytes::new().into())
 }
--- a/src/net/http/message/target.rs
+++ b/src/net/http/message/target.rs
@@ -54,7 +54,7 @@
 }
 
 /// Derives the outcome of an attempt, and the figures that a target reports, from its response.
-pub fn result(code: StatusCode, headers: &HeaderMap, body: ResponseBody) -> AttemptResult {
+pub fn attempt_result(code: StatusCode, headers: &HeaderMap, body: ResponseBody) -> AttemptResult {
     let outcome = outcome(code, headers);
     AttemptResult {
         outcome,
@@ -63,7 +63,7 @@
             .filter(is_plausible)
             .map(|used| used / 100.0),
         units_elsewhere: header_number::<f64>(headers, &USED_ELSEWHERE).filter(is_plausible).unwrap_or(0.0),
-        load: header_text(headers, &LOAD_REPORT).map(load_report).unwrap_or_default(),
+        load: header_text(headers, &LOAD_REPORT).map(parse_load_report).unwrap_or_default(),
     }
 }
 
@@ -84,7 +84,7 @@
 }
 
 /// Parses `TEXT inflight=7, queue=2, util=0.61`. Unknown names and implausible figures are ignored.
-fn load_report(text: &str) -> LoadReport {
+fn parse_load_report(text: &str) -> LoadReport {
     let mut load = LoadReport::default();
     let pairs = text.trim().trim_start_matches("TEXT").split(',').filter_map(|pair| pair.split_once('='));
     for (name, value) in pairs {
--- a/src/net/http/request_body.rs
+++ b/src/net/http/request_body.rs
@@ -68,11 +68,11 @@
     /// The response to a client that is too slow, breaks off the body, or sends more than [`MAX_BODY_BYTES`].
     async fn next(&mut self) -> Result<Option<Bytes>, HttpResponse<ResponseBody>> {
         let chunk = tokio::time::timeout_at(self.deadline(), self.payload.next()).await;
-        let chunk = chunk.map_err(|_| message::status(StatusCode::REQUEST_TIMEOUT))?;
-        let chunk = chunk.transpose().map_err(|_| message::status(StatusCode::BAD_REQUEST))?;
+        let chunk = chunk.map_err(|_| message::empty_response(StatusCode::REQUEST_TIMEOUT))?;
+        let chunk = chunk.transpose().map_err(|_| message::empty_response(StatusCode::BAD_REQUEST))?;
         self.bytes_read += chunk.as_ref().map_or(0, |chunk| chunk.len() as u64);
         if self.bytes_read > MAX_BODY_BYTES {
-            return Err(message::status(StatusCode::PAYLOAD_TOO_LARGE));
+            return Err(message::empty_response(StatusCode::PAYLOAD_TOO_LARGE));
         }
         Ok(chunk)
     }
--- a/src/net/http/target.rs
+++ b/src/net/http/target.rs
@@ -132,7 +132,7 @@
         let head = connection.send(head, body, MAX_BODY_BYTES).await.map_err(outcome)?;
         report.response_started();
         let content = read_content(transport, connection, &head).await.map_err(outcome)?;
-        Ok(message::result(head.status, &head.headers, content))
+        Ok(message::attempt_result(head.status, &head.headers, content))
     };
     result.await.unwrap_or_else(AttemptResult::without_response)
 }
@@ -162,7 +162,7 @@
             .await
             .map_err(outcome)?;
         let content = read_content(&transport, connection, &head).await.map_err(outcome)?;
-        Ok(message::result(head.status, &head.headers, content))
+        Ok(message::attempt_result(head.status, &head.headers, content))
     };
     let result = match tokio::time::timeout_at(probe.until, exchange).await {
         Ok(result) => result.unwrap_or_else(AttemptResult::without_response),
--- a/src/net/iscsi/front/mod.rs
+++ b/src/net/iscsi/front/mod.rs
@@ -31,11 +31,11 @@
 /// A volume that sessions reach as a LUN.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Lun {
-    /// The name of its QoS plan; `None`: it has no plan.
+    /// The name of the volume's QoS plan; `None`: the volume has no plan.
     pub plan: Option<String>,
-    /// The shard that holds its objects; `None`: its writes create new objects.
+    /// The shard of the volume's objects; `None`: writes to the volume create new objects.
     pub shard: Option<u32>,
-    /// How many initiators share it; 0: unknown.
+    /// How many initiators share the volume; 0: unknown.
     pub initiators: u32,
 }
 
@@ -46,7 +46,7 @@
     pub core: CoreHandle,
     /// The target's iSCSI name, which a login must specify.
     pub name: String,
-    /// The volumes by LUN.
+    /// Volumes by LUN.
     pub luns: HashMap<u64, Lun>,
     /// Names and deadlines of the request classes, indexed by group number.
     pub classes: Vec<(String, Duration)>,
--- a/src/net/quota_exchange.rs
+++ b/src/net/quota_exchange.rs
@@ -44,7 +44,7 @@
 
     /// All addresses but this initiator's own, starting at the next index. If the send buffer is too small
     /// for a datagram to each, the initiators then do not all drop the datagrams to the same peers.
-    fn others(&self) -> impl Iterator<Item = SocketAddr> {
+    fn other_addrs(&self) -> impl Iterator<Item = SocketAddr> {
         let own_index = usize::from(self.own.0);
         let count = self.addrs.len();
         (own_index + 1..own_index + count).map(move |index| self.addrs[index % count])
@@ -123,7 +123,7 @@
             let _ = socket.try_send_to(&datagram, addr);
         }
         None => {
-            for addr in peers.others() {
+            for addr in peers.other_addrs() {
                 let _ = socket.try_send_to(&datagram, addr);
             }
         }
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -242,21 +242,21 @@
             let (mut peer, mut stream, busy) = accept_with_request(&table, &listener).await;
             let connection = std::rc::Rc::clone(stream.connection());
             let reading = tokio::task::spawn_local(async move {
-                let (mut taken, mut buf) = (0, vec![0; 1 << 16]);
+                let (mut bytes_read, mut buf) = (0, vec![0; 1 << 16]);
                 while let Ok(read @ 1..) = stream.read(&mut buf).await {
-                    taken += read;
+                    bytes_read += read;
                 }
-                (taken, stream)
+                (bytes_read, stream)
             });
             peer.write_all(&vec![b'x'; sent]).await.expect("written");
             drop(peer);
             tokio::time::timeout(Duration::from_millis(300), connection.client_closed())
                 .await
                 .expect("the disconnect is detected");
-            let (taken, stream) = reading.await.expect("the end of the stream is read");
+            let (bytes_read, stream) = reading.await.expect("the end of the stream is read");
             assert!(
-                taken <= 2 * MAX_PIPELINED_BYTES,
-                "{taken} of {sent} bytes were passed on, more than twice the limit"
+                bytes_read <= 2 * MAX_PIPELINED_BYTES,
+                "{bytes_read} of {sent} bytes were passed on, more than twice the limit"
             );
             assert_eq!(
                 connection.closes_after_response(),
--- a/tests/compatibility/configuration.rs
+++ b/tests/compatibility/configuration.rs
@@ -38,7 +38,7 @@
     assert_eq!((config.limits.memory_mb, config.limits.sockets), (300, 2_000));
     let peers = config.gossip_peers.expect("peers");
     assert_eq!((peers.listen, peers.own_index), (addr(7073), 1));
-    assert_eq!(peers.all, [addr(7073), addr(7074), addr(7075)]);
+    assert_eq!(peers.addrs, [addr(7073), addr(7074), addr(7075)]);
     let known = serde_json::to_value(config.cached_list.expect("a list")).expect("JSON");
     let sample: serde_json::Value = serde_json::from_str(PLATFORM).expect("JSON");
     assert_eq!(known, sample["known"]);
