--- a/src/bin/simulator-adapter/discovery.rs
+++ b/src/bin/simulator-adapter/discovery.rs
@@ -1,27 +1,28 @@
-//! Drives the schedule of one initiator's polls for the endpoint list on the simulator's wire, where a
-//! subscription stays open by itself and a failure does not say which poll it belongs to.
+//! The discovery client of one initiator: polls for the endpoint list by its schedule, over the simulator's
+//! protocol. There, a subscription stays open without renewal, and a failure does not identify the poll that
+//! failed.
 
-use crate::wire::Sent;
+use crate::wire::InitiatorAction;
 use rowanglade::interface::Micros;
 use rowanglade::settings::Settings;
 use rowanglade_discovery_polling::{Command, Delivery, Outcome, RequestId, Schedule, WatchMode};
 use std::collections::VecDeque;
 
-/// The token of the schedule's timers. The scheduler's tokens are times, which stay far below it.
+/// The token of the schedule's timers. The scheduler's tokens are times, which are far smaller.
 pub const TIMER_TOKEN: u64 = 1 << 52;
 
 /// The discovery client of one initiator.
 pub struct DiscoveryClient {
     initiator: u64,
     schedule: Schedule,
-    /// Requests without a response, in the order sent.
+    /// Requests without a response, in the order in which they were sent.
     in_flight: VecDeque<RequestId>,
-    /// When the earliest timer that was requested is due.
+    /// The time of the earliest timer that was requested and has not fired.
     timer_at: Option<Micros>,
 }
 
 impl DiscoveryClient {
-    /// None where the list comes without being polled for.
+    /// Creates the client; `None` if the endpoint list is pushed and needs no polls.
     pub fn new(initiator: u64, settings: &Settings, seed: u64, now: Micros) -> Option<DiscoveryClient> {
         let polled = matches!(settings.delivery(), Delivery::Polled { .. });
         polled.then(|| DiscoveryClient {
@@ -32,14 +33,14 @@
         })
     }
 
-    /// Records that the list or a change of it came.
+    /// Records that the endpoint list, or a change of it, arrived.
     pub fn list_received(&mut self, now: Micros) {
         if let Some(id) = self.in_flight.pop_front() {
             self.schedule.handle_outcome(now, id, Outcome::Received);
         }
     }
 
-    /// Records that a poll failed, or the subscription broke.
+    /// Records that a poll failed, or that the subscription broke.
     pub fn failed(&mut self, now: Micros) {
         match self.in_flight.pop_front() {
             Some(id) => self.schedule.handle_outcome(now, id, Outcome::Rejected),
@@ -47,18 +48,18 @@
         }
     }
 
-    /// Records that a timer of [`TIMER_TOKEN`] is due.
+    /// Records that a timer with [`TIMER_TOKEN`] fired.
     pub fn timer_fired(&mut self, now: Micros) {
         self.timer_at = self.timer_at.filter(|at| *at > now);
     }
 
-    /// Carries out what the schedule commands by now.
-    pub fn poll(&mut self, now: Micros, out: &mut Vec<Sent>) {
+    /// Carries out the commands of the schedule that are due, and requests a timer for the next one.
+    pub fn poll(&mut self, now: Micros, actions: &mut Vec<InitiatorAction>) {
         while let Some(command) = self.schedule.poll(now) {
             match command {
                 Command::Send(request) => {
                     self.in_flight.push_back(request.id);
-                    out.push(Sent::subscribe(self.initiator));
+                    actions.push(InitiatorAction::subscribe(self.initiator));
                 }
                 Command::Cancel(id) => self.in_flight.retain(|request| *request != id),
             }
@@ -66,7 +67,7 @@
         let due = self.schedule.next_timeout().map(|at| at.max(now));
         if let Some(at) = due.filter(|at| self.timer_at.is_none_or(|timer| *at < timer)) {
             self.timer_at = Some(at);
-            out.push(Sent::wake(self.initiator, TIMER_TOKEN, at - now));
+            actions.push(InitiatorAction::set_timer(self.initiator, TIMER_TOKEN, at - now));
         }
     }
 }
--- a/src/bin/simulator-adapter/error.rs
+++ b/src/bin/simulator-adapter/error.rs
@@ -1,40 +1,40 @@
-//! Why the simulator's messages cannot be served.
+//! Errors in the simulator's messages.
 
 use std::io;
 
-/// A line that cannot be served.
+/// An input line that cannot be processed.
 #[derive(Debug, thiserror::Error)]
 #[error("line {line}: {problem}")]
 pub struct LineError {
-    /// The line, from 1.
+    /// The number of the line, from 1.
     pub line: usize,
-    /// What is wrong with it.
+    /// What is wrong with the line.
     pub problem: LineProblem,
 }
 
-/// What is wrong with a line.
+/// What is wrong with an input line.
 #[derive(Debug, thiserror::Error)]
 pub enum LineProblem {
-    /// It cannot be read, or its reply cannot be written.
+    /// The line cannot be read, or its reply cannot be written.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// It is not a batch of events, or its reply cannot be written.
+    /// The line is not a batch of events, or its reply cannot be serialized.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// One of its events cannot be used.
+    /// The line contains an invalid event.
     #[error(transparent)]
     Event(#[from] EventError),
 }
 
-/// Why an event cannot be used.
+/// An invalid event.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EventError {
-    /// A field holds a word that it does not have.
-    #[error("field `{field}`: unknown value {value:?}")]
+    /// The value of a field is not one of those allowed.
+    #[error("field `{field}` has the unknown value {value:?}")]
     UnknownValue {
-        /// The field, as it is called on the wire.
+        /// The name of the field on the wire.
         field: &'static str,
-        /// What it holds.
+        /// The value of the field.
         value: String,
     },
 }
--- a/src/bin/simulator-adapter/host.rs
+++ b/src/bin/simulator-adapter/host.rs
@@ -1,8 +1,8 @@
-//! The initiators that the simulator has started, and the events that they are given.
+//! The host of all initiators that the simulator has started.
 
 use crate::discovery::{DiscoveryClient, TIMER_TOKEN};
 use crate::error::{LineError, LineProblem};
-use crate::wire::{Batch, Event as WireEvent, InitiatorEvent, Reply, Sent};
+use crate::wire::{Batch, Event as WireEvent, InitiatorAction, InitiatorEvent, Reply};
 use rowanglade::interface::{Action, EndpointUpdateKind, Event, Micros, RequestId};
 use rowanglade::names::Names;
 use rowanglade::scheduler::Scheduler;
@@ -10,10 +10,10 @@
 use std::collections::BTreeMap;
 use std::io::{BufRead, Write};
 
-/// Serves batches of events, one a line, until the input ends.
+/// Processes batches of events, one per line, until the input ends, and writes one reply per line.
 ///
 /// # Errors
-/// A line cannot be read or used, or its reply cannot be written.
+/// A line cannot be read or processed, or its reply cannot be written.
 pub fn serve(input: impl BufRead, mut output: impl Write) -> Result<(), LineError> {
     let mut host = Host::default();
     for (index, line) in input.lines().enumerate() {
@@ -29,12 +29,12 @@
     initiators: BTreeMap<u64, Initiator>,
 }
 
-/// One initiator.
+/// An initiator: its scheduler, and the state that translates the simulator's messages.
 struct Initiator {
     number: u64,
     scheduler: Scheduler,
     names: Names,
-    /// None where the endpoint list comes without being polled for.
+    /// `None` if the endpoint list is pushed and needs no polls.
     discovery: Option<DiscoveryClient>,
 }
 
@@ -57,12 +57,18 @@
         Ok(())
     }
 
-    fn handle(&mut self, now: Micros, number: u64, event: InitiatorEvent, out: &mut Vec<Sent>) {
+    fn handle(
+        &mut self,
+        now: Micros,
+        number: u64,
+        event: InitiatorEvent,
+        actions: &mut Vec<InitiatorAction>,
+    ) {
         match event {
             InitiatorEvent::Started { seed, settings } => {
                 match Initiator::start(number, seed, &settings, now) {
                     Ok(initiator) => drop(self.initiators.insert(number, initiator)),
-                    Err(error) => out.push(Sent::panic(number, error)),
+                    Err(error) => actions.push(InitiatorAction::start_failed(number, error)),
                 }
             }
             InitiatorEvent::Destroyed => drop(self.initiators.remove(&number)),
@@ -74,7 +80,7 @@
             }
             InitiatorEvent::Other(event) => {
                 if let Some(initiator) = self.initiators.get_mut(&number) {
-                    initiator.handle(now, event, out);
+                    initiator.handle(now, event, actions);
                 }
             }
         }
@@ -82,10 +88,10 @@
 }
 
 impl Initiator {
-    /// Starts an initiator.
+    /// Creates the scheduler of an initiator from its settings.
     ///
     /// # Errors
-    /// The settings cannot be used; the error is the line that the simulator is told.
+    /// The settings are invalid; the error is the text that the simulator receives.
     fn start(number: u64, seed: u64, settings: &Settings, now: Micros) -> Result<Initiator, String> {
         let mut names = Names::default();
         let discovery = DiscoveryClient::new(number, settings, seed, now);
@@ -94,27 +100,27 @@
         Ok(Initiator { number, scheduler, names, discovery })
     }
 
-    fn handle(&mut self, now: Micros, event: WireEvent, out: &mut Vec<Sent>) {
+    fn handle(&mut self, now: Micros, event: WireEvent, wire_actions: &mut Vec<InitiatorAction>) {
         let Some(event) = event.translate(&mut self.names) else { return };
         if self.handled_by_discovery(now, &event) {
             return;
         }
-        let resolved = self.resolved_request(&event);
+        let ended_attempt = self.record_end(&event);
         let mut actions = Vec::new();
         self.scheduler.handle(now, event, &mut actions);
         for action in &actions {
-            // On this wire an attempt has reached its target at once.
+            // In the simulator's protocol an attempt reaches its target immediately.
             if let Action::StartAttempt { id, .. } = action {
                 self.scheduler.commit_reserved(now, *id);
             }
-            out.extend(Sent::from(self.number, action, &mut self.names));
+            wire_actions.extend(InitiatorAction::translate(self.number, action, &mut self.names));
         }
-        if let Some((id, over)) = resolved {
-            self.names.attempt_ended(id, over);
+        if let Some((id, request_over)) = ended_attempt {
+            self.names.attempt_ended(id, request_over);
         }
     }
 
-    /// Lets the discovery client see an event. True: it was for the client alone.
+    /// Passes an event to the discovery client, and returns whether the scheduler must not receive it.
     fn handled_by_discovery(&mut self, now: Micros, event: &Event) -> bool {
         let Some(discovery) = &mut self.discovery else { return false };
         match event {
@@ -133,9 +139,9 @@
         }
     }
 
-    /// The request whose attempt an event ends, and whether the request is over with it. A request whose client
-    /// has gone is over.
-    fn resolved_request(&mut self, event: &Event) -> Option<(RequestId, bool)> {
+    /// Finishes the request of a client that has gone. For the end of an attempt, returns the request, and whether
+    /// the request is finished with it.
+    fn record_end(&mut self, event: &Event) -> Option<(RequestId, bool)> {
         match event {
             Event::AttemptEnded { id, request_over, .. } => Some((*id, *request_over)),
             Event::ClientGone { id } => {
--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -1,4 +1,5 @@
-//! Hosts initiators of rowanglade on the simulator's wire. Translation only: no decision is taken here.
+//! Runs initiators for the simulator: translates between its messages and the scheduler's events and actions.
+//! No decision is made here.
 #![forbid(unsafe_code)]
 
 mod discovery;
@@ -9,7 +10,7 @@
 use std::io;
 use std::process::ExitCode;
 
-/// Bytes of the standard streams that are buffered: a line holds some hundred events.
+/// The buffer size of the standard streams, in bytes: a line contains some hundred events.
 const STREAM_BUFFER_BYTES: usize = 1 << 16;
 
 fn main() -> ExitCode {
--- a/src/bin/simulator-adapter/wire/action.rs
+++ b/src/bin/simulator-adapter/wire/action.rs
@@ -1,27 +1,27 @@
-//! The replies to the simulator, and the translation of the scheduler's actions to them.
+//! The replies to the simulator, and the translation of the scheduler's actions to it.
 
 use rowanglade::interface::{Action, Micros};
 use rowanglade::names::Names;
 use serde::Serialize;
 
-/// What follows from a batch of events.
+/// The reply to a batch of events.
 #[derive(Serialize)]
 pub struct Reply {
-    /// The actions, in their order.
+    /// The actions, in the order in which they are carried out.
     #[serde(rename = "do")]
-    pub actions: Vec<Sent>,
+    pub actions: Vec<InitiatorAction>,
 }
 
-/// An action of an initiator.
+/// An action of one initiator.
 #[derive(Serialize)]
-pub struct Sent {
+pub struct InitiatorAction {
     #[serde(rename = "gateway-id")]
     initiator: u64,
     #[serde(flatten)]
     command: Command,
 }
 
-/// An action as the simulator reads it.
+/// An action in the simulator's format.
 #[derive(Serialize)]
 #[serde(tag = "verb")]
 enum Command {
@@ -72,24 +72,25 @@
     },
 }
 
-impl Sent {
-    /// Reports that an initiator cannot start.
-    pub fn panic(initiator: u64, line: String) -> Sent {
-        Sent { initiator, command: Command::Panic { line } }
+impl InitiatorAction {
+    /// Reports that an initiator cannot start; `line` says why.
+    pub fn start_failed(initiator: u64, line: String) -> InitiatorAction {
+        InitiatorAction { initiator, command: Command::Panic { line } }
     }
 
     /// Subscribes to the changes of the endpoint list.
-    pub fn subscribe(initiator: u64) -> Sent {
-        Sent { initiator, command: Command::Subscribe { active: true } }
+    pub fn subscribe(initiator: u64) -> InitiatorAction {
+        InitiatorAction { initiator, command: Command::Subscribe { active: true } }
     }
 
     /// Requests a timer that is due `after` microseconds from now.
-    pub fn wake(initiator: u64, token: u64, after: Micros) -> Sent {
-        Sent { initiator, command: Command::SetTimer { token, after } }
+    pub fn set_timer(initiator: u64, token: u64, after: Micros) -> InitiatorAction {
+        InitiatorAction { initiator, command: Command::SetTimer { token, after } }
     }
 
-    /// None: the action names what the wire no longer knows.
-    pub fn from(initiator: u64, action: &Action, names: &mut Names) -> Option<Sent> {
+    /// Translates an action of the scheduler. `None`: the action has no counterpart on the wire, or names a
+    /// request or target without a name.
+    pub fn translate(initiator: u64, action: &Action, names: &mut Names) -> Option<InitiatorAction> {
         let command = match *action {
             Action::StartAttempt { id, target, timeout } => {
                 names.attempt_sent(id);
@@ -113,10 +114,10 @@
                 Command::CancelAttempt { request: names.request_name(id)?.to_string(), attempt: attempt.0 }
             }
             Action::SetTimer { token, after } => Command::SetTimer { token, after },
-            // The simulator's initiators exchange no quota.
+            // Initiators exchange no quota in the simulator.
             Action::QuotaNeeded { .. } | Action::QuotaOffered { .. } => return None,
             Action::Probe { target } => Command::Probe { target: names.target_name(target)?.to_string() },
         };
-        Some(Sent { initiator, command })
+        Some(InitiatorAction { initiator, command })
     }
 }
--- a/src/bin/simulator-adapter/wire/event.rs
+++ b/src/bin/simulator-adapter/wire/event.rs
@@ -1,4 +1,4 @@
-//! The translation of the simulator's events.
+//! The translation of the simulator's events to the scheduler's.
 
 use super::message::{AttemptEnded, EndpointEntry, EndpointUpdate, Event, ProbeEnded, RequestArrived};
 use crate::error::EventError;
@@ -7,34 +7,34 @@
 use rowanglade::names::Names;
 use rowanglade::settings::Settings;
 
-/// The mode of an update that could not be had.
+/// The mode of an endpoint update that reports a failed poll or a broken subscription.
 const MODE_FAILED: &str = "X";
 const MODE_DELTA: &str = "D";
 const MODE_SNAPSHOT: &str = "F";
 const MODE_CACHED: &str = "C";
 
-/// What an event means to the host of its initiator.
+/// An event of one initiator, as its host handles it.
 pub enum InitiatorEvent {
     /// The initiator starts.
     Started {
-        /// The seed of its random numbers.
+        /// The seed of the scheduler's random draws.
         seed: u64,
-        /// Its settings.
+        /// The settings of the initiator.
         settings: Box<Settings>,
     },
     /// The initiator ends.
     Destroyed,
     /// A poll for the endpoint list failed, or the subscription broke.
     DiscoveryFailed,
-    /// An event for the scheduler.
+    /// An event that is translated for the scheduler.
     Other(Event),
 }
 
 impl Event {
-    /// The initiator that an event is for, and what it means.
+    /// The initiator that the event is addressed to, and how its host handles it.
     ///
     /// # Errors
-    /// A field holds a word that it does not have.
+    /// A field contains a value that is not one of those allowed.
     pub fn classify(self) -> Result<(u64, InitiatorEvent), EventError> {
         let initiator = match self {
             Event::Started(started) => {
@@ -60,8 +60,8 @@
         Ok((initiator, InitiatorEvent::Other(self)))
     }
 
-    /// The event as the scheduler has it. None: it means nothing to the scheduler, or names what it does not
-    /// know.
+    /// Translates the event to the scheduler's. `None`: the scheduler has no such event, or the event names
+    /// an unknown request or target.
     pub fn translate(self, names: &mut Names) -> Option<api::Event> {
         Some(match self {
             Event::Started(_) | Event::Destroy(_) | Event::PeerMessage(_) => return None,
@@ -158,8 +158,8 @@
     }
 }
 
-fn outcome(word: &str) -> api::Outcome {
-    match word {
+fn outcome(value: &str) -> api::Outcome {
+    match value {
         "pass" => api::Outcome::Served,
         "no_room" => api::Outcome::QueueFull,
         "too_slow" => api::Outcome::TimedOut,
@@ -171,7 +171,7 @@
     }
 }
 
-/// A load report, whose values come in the order of the settings' fields.
+/// Translates a load report, whose values are in the order of the fields in the settings.
 fn load(values: Option<Vec<Option<f64>>>, names: &Names) -> api::LoadReport {
     let mut load = api::LoadReport::default();
     for (field, value) in names.load_report_fields.iter().zip(values.unwrap_or_default()) {
--- a/src/bin/simulator-adapter/wire/message.rs
+++ b/src/bin/simulator-adapter/wire/message.rs
@@ -1,10 +1,10 @@
-//! The simulator's messages as they come.
+//! The messages that the simulator sends.
 
 use rowanglade::interface::Micros;
 use rowanglade::settings::Settings;
 use serde::Deserialize;
 
-/// The events of one moment.
+/// A batch of events that happen at the same time.
 #[derive(Deserialize)]
 pub struct Batch {
     /// The time in microseconds.
@@ -15,7 +15,7 @@
     pub events: Vec<Event>,
 }
 
-/// An event as it comes: which fields must be there depends on the verb.
+/// An event of the simulator. Which fields are required depends on the verb.
 #[derive(Deserialize)]
 #[serde(tag = "verb")]
 pub enum Event {
@@ -28,10 +28,10 @@
     /// A client's request arrives.
     #[serde(rename = "Inbound")]
     RequestArrived(RequestArrived),
-    /// An attempt has its outcome.
+    /// An attempt has ended.
     #[serde(rename = "Resolved")]
     AttemptEnded(AttemptEnded),
-    /// The first byte of a response has come.
+    /// The first byte of a response has arrived.
     FirstByte(FirstByte),
     /// A timer is due.
     #[serde(rename = "TickDue")]
@@ -41,15 +41,15 @@
     ClientGone(ClientGone),
     /// An initiator ends.
     Destroy(AddressedTo),
-    /// A probe has its outcome.
+    /// A probe has ended.
     #[serde(rename = "StatusBack")]
     ProbeEnded(ProbeEnded),
-    /// A message of another initiator; there is none that means anything.
+    /// A message of another initiator, which is ignored.
     #[serde(rename = "Mail")]
     PeerMessage(AddressedTo),
 }
 
-/// The initiator that an event is for, and nothing else.
+/// The initiator that an event is addressed to; other fields are not read.
 #[derive(Deserialize)]
 pub struct AddressedTo {
     #[serde(rename = "gateway-id")]
@@ -83,7 +83,7 @@
     #[serde(rename = "bay")]
     pub(super) shard: i64,
     pub(super) state: String,
-    /// When it started, in microseconds.
+    /// When the target started, in microseconds.
     #[serde(rename = "since", default)]
     pub(super) started: Option<Micros>,
 }
@@ -127,7 +127,7 @@
     pub(super) elapsed: Micros,
     #[serde(rename = "last")]
     pub(super) request_over: bool,
-    /// Use of the volume's limit in percent, and one more.
+    /// One more than the used percentage of the volume's nominal rate. Zero or absent: not reported.
     #[serde(rename = "metered")]
     pub(super) used: Option<f64>,
     #[serde(rename = "others-got")]
--- a/src/bin/simulator-adapter/wire/tests.rs
+++ b/src/bin/simulator-adapter/wire/tests.rs
@@ -1,6 +1,6 @@
-//! The simulator's messages against recorded samples. Guards against a field whose name is lost: most are
-//! optional, so that without them the scheduler would decide by less than it was told. `tests/adapter.rs` has
-//! those that begin and end an instance.
+//! The simulator's messages against recorded samples. Guards against a field that is lost by a wrong name:
+//! most fields are optional, so the scheduler would silently decide with less information. `tests/adapter.rs`
+//! covers the events that start and destroy an initiator.
 
 use super::*;
 use rowanglade::interface as api;
@@ -12,41 +12,44 @@
 
 const EVENTS: &str = include_str!("../../../../tests/compatibility/samples/simulator-events.json");
 const ACTIONS: &str = include_str!("../../../../tests/compatibility/samples/simulator-actions.json");
-const STORE: &str = "10.0.0.1:7000";
+const TARGET_NAME: &str = "10.0.0.1:7000";
 
 fn names() -> Names {
-    let words = |words: &[&str]| words.iter().map(|word| word.to_string()).collect();
+    let owned = |names: &[&str]| names.iter().map(|name| name.to_string()).collect();
     let mut names = Names::default();
-    names.classes = words(&["view", "deposit"]);
-    names.plans = words(&["basic", "full"]);
-    names.zones = words(&["kingston", "negril"]);
-    names.load_report_fields = words(&["concurrent", "depth", "mean_ms", "load_share"]);
+    names.classes = owned(&["view", "deposit"]);
+    names.plans = owned(&["basic", "full"]);
+    names.zones = owned(&["kingston", "negril"]);
+    names.load_report_fields = owned(&["concurrent", "depth", "mean_ms", "load_share"]);
     names
 }
 
 #[test]
-fn every_event_is_read_whole() {
-    let batch: Batch = serde_json::from_str(EVENTS).expect("a batch");
+fn every_event_is_translated_with_all_of_its_fields() {
+    let batch: Batch = serde_json::from_str(EVENTS).expect("the sample is a batch of events");
     assert_eq!(batch.now, 1_000_000);
     let mut names = names();
-    let read: Vec<String> = batch
+    let translated: Vec<String> = batch
         .events
         .into_iter()
         .map(|event| match event.classify() {
             Ok((3, InitiatorEvent::Other(event))) => {
-                format!("{:?}", event.translate(&mut names).expect("known"))
+                format!("{:?}", event.translate(&mut names).expect("the event is for the scheduler"))
             }
-            _ => panic!("none of instance 3"),
+            _ => panic!("not an event for the scheduler of initiator 3"),
         })
         .collect();
     let expected: Vec<String> = expected(&names).iter().map(|event| format!("{event:?}")).collect();
-    assert_eq!(read, expected);
-    assert_eq!(names.volume_name(VolumeId(1)), Some("p:v"), "a volume without a name has a number too");
+    assert_eq!(translated, expected);
+    assert_eq!(names.volume_name(VolumeId(1)), Some("p:v"), "the sample's volume has the first id");
 }
 
-/// The sample's events, as the scheduler has them.
+/// The sample's events, as the scheduler receives them.
 fn expected(names: &Names) -> Vec<api::Event> {
-    let (id, target) = (names.request("a-1").expect("open"), names.target(STORE).expect("listed"));
+    let (id, target) = (
+        names.request("a-1").expect("the request is open"),
+        names.target(TARGET_NAME).expect("the target is listed"),
+    );
     let entry = |shard, state| EndpointEntry {
         target: api::TargetId(shard - 1),
         shard: ShardId(shard),
@@ -54,14 +57,14 @@
         state,
         started: Some(u64::from(100 + shard)),
     };
-    let list = |kind, entries| api::Event::EndpointsChanged { kind, entries };
+    let endpoints_changed = |kind, entries| api::Event::EndpointsChanged { kind, entries };
     let load = LoadReport {
         in_flight: Some(7.0),
         queued: Some(8.0),
         service_time: Some(9_000),
         utilization: Some(0.25),
     };
-    let resolved = |outcome| api::Event::AttemptEnded {
+    let attempt_ended = |outcome| api::Event::AttemptEnded {
         id,
         attempt: AttemptNumber(6),
         target,
@@ -84,7 +87,7 @@
         deadline: 2_000_000,
         target_set: None,
     };
-    let (here, rest) =
+    let (active, others) =
         (entry(1, TargetState::Active), [entry(2, TargetState::Draining), entry(3, TargetState::Removed)]);
     let outcomes = [
         Outcome::Served,
@@ -97,12 +100,12 @@
         Outcome::Error,
     ];
     let mut events = vec![
-        list(EndpointUpdateKind::Delta, vec![here, rest[0], rest[1]]),
-        list(EndpointUpdateKind::Snapshot, vec![here]),
-        list(EndpointUpdateKind::Cached, vec![here]),
+        endpoints_changed(EndpointUpdateKind::Delta, vec![active, others[0], others[1]]),
+        endpoints_changed(EndpointUpdateKind::Snapshot, vec![active]),
+        endpoints_changed(EndpointUpdateKind::Cached, vec![active]),
         api::Event::RequestArrived(request),
     ];
-    events.extend(outcomes.map(resolved));
+    events.extend(outcomes.map(attempt_ended));
     events.extend([
         api::Event::TransferStarted { id, attempt: AttemptNumber(6), deadline_applies: false },
         api::Event::TimerFired { token: 77 },
@@ -116,7 +119,7 @@
 fn every_action_is_written_as_recorded() {
     let mut names = names();
     let (target, id, other) =
-        (names.intern_target(STORE), names.open_request("a-1"), names.open_request("a-2"));
+        (names.intern_target(TARGET_NAME), names.open_request("a-1"), names.open_request("a-2"));
     let actions = [
         Action::StartAttempt { id, target, timeout: Some(500) },
         Action::StartAttempt { id, target, timeout: None },
@@ -126,16 +129,21 @@
         Action::Reject { id, retry_after: 9 },
         Action::Fail { id: other },
     ];
-    let mut sent: Vec<Sent> =
-        actions.iter().map(|action| Sent::from(3, action, &mut names).expect("known")).collect();
-    sent.extend([Sent::subscribe(3), Sent::panic(3, "why".into())]);
-    let text = serde_json::to_string(&Reply { actions: sent }).expect("JSON");
+    let mut sent: Vec<InitiatorAction> = actions
+        .iter()
+        .map(|action| {
+            InitiatorAction::translate(3, action, &mut names)
+                .expect("the action has a counterpart on the wire")
+        })
+        .collect();
+    sent.extend([InitiatorAction::subscribe(3), InitiatorAction::start_failed(3, "why".into())]);
+    let text = serde_json::to_string(&Reply { actions: sent }).expect("the reply can be serialized");
     assert_eq!(text, ACTIONS.trim_end());
 }
 
 #[test]
 fn events_that_carry_nothing_for_the_scheduler_are_classified() {
-    let classify = |text: &str| serde_json::from_str::<Event>(text).expect("an event").classify();
+    let classify = |text: &str| serde_json::from_str::<Event>(text).expect("the text is an event").classify();
     let failed = classify(r#"{"verb":"Membership","gateway-id":4,"mode":"X"}"#);
     assert!(matches!(failed, Ok((4, InitiatorEvent::DiscoveryFailed))));
     assert!(matches!(classify(r#"{"verb":"Destroy","gateway-id":4}"#), Ok((4, InitiatorEvent::Destroyed))));
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,9 +1,8 @@
-//! The scheduler's interface: the settings that it gets at its start, the events that it is given, and the
-//! actions that it returns.
+//! The scheduler's interface: its settings, the events that it handles and the actions that it returns.
 //!
-//! Times are whole microseconds of the caller's clock, which only goes forward. Ids are small numbers that
-//! the caller hands out; the scheduler compares them and reads nothing into them. Sizes are in units, as the
-//! platform counts them, and rates in units a second.
+//! Times are whole microseconds of the caller's clock, which must be monotonic. Ids are small numbers that
+//! the caller assigns and the scheduler only compares. Sizes are in units, as the platform counts them, and
+//! rates in units per second.
 
 #![warn(missing_docs)]
 
--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -1,67 +1,69 @@
-//! What an initiator is to do.
+//! The actions that the scheduler returns.
 
 use super::{AttemptNumber, Micros, RequestId, TargetId, VolumeId};
 
-/// What to do. Actions are carried out in the order in which they are returned.
+/// An action for the initiator to carry out. Actions are carried out in the order in which they are returned.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
-    /// Send a request to a target. Its attempts are numbered in the order of these actions.
+    /// Send a request to a target. The attempts of a request are numbered in the order of these actions.
     StartAttempt {
-        /// The request.
+        /// The request to send.
         id: RequestId,
-        /// The target.
+        /// The target to send it to.
         target: TargetId,
-        /// How long it may take, in microseconds. Absent: until the client gives up.
+        /// How long the attempt may take, in microseconds. Absent: until the client stops waiting.
         timeout: Option<Micros>,
     },
-    /// Final response: rejected, and a retry does no harm.
+    /// Give a request its final response: it is rejected, and the client's retry does no harm.
     Reject {
-        /// The request.
+        /// The rejected request.
         id: RequestId,
-        /// How long the client should stay away, in microseconds. 0: it is given no time.
+        /// The Retry-After time, in microseconds. 0: the response has none.
         retry_after: Micros,
     },
-    /// Final response: failed, and nothing is promised.
+    /// Give a request its final response: it failed, and nothing is promised about the client's retry.
     Fail {
-        /// The request.
+        /// The failed request.
         id: RequestId,
     },
-    /// Cancel an attempt that is in flight. Its end is still expected as an event.
+    /// Cancel an attempt that is in flight. The scheduler still expects its
+    /// [`Event::AttemptEnded`](super::Event::AttemptEnded).
     CancelAttempt {
-        /// The request.
+        /// The request of the attempt.
         id: RequestId,
-        /// The attempt of that request.
+        /// The number of the attempt.
         attempt: AttemptNumber,
     },
-    /// Call back with [`Event::TimerFired`](super::Event::TimerFired). It replaces a timer that was set
-    /// before and comes later.
+    /// Set a timer that ends with [`Event::TimerFired`](super::Event::TimerFired). It replaces a timer that
+    /// was set before and is due later.
     SetTimer {
-        /// What the event is to carry.
+        /// The token of the event.
         token: u64,
-        /// In how long, in microseconds.
+        /// The time until the timer is due, in microseconds.
         after: Micros,
     },
-    /// Ask a target whether it answers. The scheduler does not return it now.
+    /// Probe a target. The scheduler does not return this action.
     Probe {
-        /// The target.
+        /// The target to probe.
         target: TargetId,
     },
-    /// A request draws on a volume's limit of which few units are left here; other initiators may have some
-    /// to give.
+    /// A request draws on a volume's limit of which few units are left at this initiator: units should be
+    /// requested from other initiators.
     QuotaNeeded {
-        /// The volume.
+        /// The limited volume.
         volume: VolumeId,
-        /// The request's units.
+        /// The units of the request.
         units: f64,
-        /// Through how many initiators the volume works.
+        /// The number of initiators through which the volume's requests arrive.
         initiators: u32,
     },
-    /// Units that are no longer in this initiator's token bucket: the answer to
-    /// [`Event::QuotaRequested`](super::Event::QuotaRequested).
+    /// Send units to another initiator: the answer to
+    /// [`Event::QuotaRequested`](super::Event::QuotaRequested). They have been taken out of this initiator's
+    /// token bucket.
     QuotaOffered {
-        /// The volume.
+        /// The limited volume.
         volume: VolumeId,
-        /// The units, which may be 0.
+        /// The number of units, which may be 0.
         units: f64,
     },
 }
--- a/src/interface/endpoints.rs
+++ b/src/interface/endpoints.rs
@@ -1,41 +1,41 @@
-//! What the endpoint list says of targets.
+//! The entries of the endpoint list, and its updates.
 
 use super::{Micros, ShardId, TargetId, ZoneId};
 
 /// The state of a target in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum TargetState {
-    /// It takes requests.
+    /// The target accepts requests.
     Active,
-    /// It finishes its work; nothing new may be sent to it.
+    /// The target finishes the requests that it has; no new ones may be sent to it.
     Draining,
-    /// It is not in the list any more, or never was.
+    /// The target is no longer in the list, or never was.
     #[default]
     Removed,
 }
 
-/// One target of the endpoint list.
+/// An entry of the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointEntry {
-    /// The target.
+    /// The target that the entry describes.
     pub target: TargetId,
-    /// The shard whose data it holds.
+    /// The shard whose data the target holds.
     pub shard: ShardId,
-    /// The zone that it is in.
+    /// The zone of the target.
     pub zone: ZoneId,
-    /// Whether it takes requests.
+    /// Whether the target accepts requests.
     pub state: TargetState,
-    /// When it last started, by the caller's clock; absent: long ago.
+    /// When the target last started, by the caller's clock. Absent: long ago.
     pub started: Option<Micros>,
 }
 
-/// What an update of the endpoint list contains.
+/// Which targets the entries of an endpoint update name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdateKind {
-    /// Only what has changed.
+    /// The targets that have changed.
     Delta,
-    /// All of it: a target that is not named is removed.
+    /// All targets: one without an entry is removed.
     Snapshot,
-    /// All of it as this initiator last had it; it may be stale.
+    /// All targets of the list that this initiator stored last, which may be stale.
     Cached,
 }
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -1,130 +1,136 @@
-//! What happens to an initiator.
+//! The events that the scheduler handles.
 
 use super::{
     AttemptNumber, ClassId, EndpointEntry, EndpointUpdateKind, KeyId, LoadReport, Micros, Outcome, PlanId,
     RequestId, ShardId, TargetId, TargetSetId, VolumeId,
 };
 
-/// A request as it arrives.
+/// An arriving request.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestProfile {
-    /// Its id, which no earlier request had. A second arrival with the same id is ignored.
+    /// The id of the request, which no earlier request has had. A second arrival with the same id is ignored.
     pub id: RequestId,
-    /// Its class; absent: one that the settings do not name.
+    /// The class of the request. Absent: the settings do not define it, and the request fails.
     pub class: Option<ClassId>,
-    /// Its volume's plan, if it has one.
+    /// The QoS plan of the request's volume. Absent: the volume has none.
     pub plan: Option<PlanId>,
-    /// Its volume.
+    /// The volume of the request.
     pub volume: VolumeId,
-    /// The piece of data that it is for, by which classes may order it, if it has one.
+    /// The object that the request is for. Requests with the same key run in order if their class is ordered
+    /// by key. Absent: the request has no key.
     pub key: Option<KeyId>,
-    /// Its size. What is not a positive finite number counts as the mean size.
+    /// The size of the request in units. A value that is not a positive finite number is replaced by the mean
+    /// size.
     pub units: f64,
-    /// The shard that holds its data. Absent: a new object, which any target can take.
+    /// The shard that holds the request's data. Absent: the request is for a new object, which any target can
+    /// store.
     pub shard: Option<ShardId>,
-    /// Through how many initiators the volume works. 0: not known.
+    /// The number of initiators through which the volume's requests arrive. 0: unknown, counted as all
+    /// initiators.
     pub initiators: u32,
-    /// When the client gives the request up.
+    /// When the client stops waiting for the request.
     pub deadline: Micros,
-    /// The targets that it may be sent to. Absent: every target.
+    /// The targets that the request may be sent to. Absent: all targets.
     pub target_set: Option<TargetSetId>,
 }
 
-/// What happened.
+/// An event of an initiator.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A client's request arrived.
     RequestArrived(RequestProfile),
     /// An attempt has ended.
     AttemptEnded {
-        /// The request.
+        /// The request of the attempt.
         id: RequestId,
-        /// The attempt of that request.
+        /// The number of the attempt.
         attempt: AttemptNumber,
-        /// The target that it was sent to.
+        /// The target that the attempt was sent to.
         target: TargetId,
-        /// How it ended.
+        /// How the attempt ended.
         outcome: Outcome,
-        /// From the send until now, in microseconds.
+        /// The time from the send to the end, in microseconds.
         elapsed: Micros,
-        /// The request has its final response.
+        /// Whether the request has its final response.
         request_over: bool,
-        /// Units served for the volume everywhere in a finished period, as a fraction of the plan's nominal
-        /// rate. Absent: not reported.
+        /// Units served for the volume through all initiators in a finished metering period, as a fraction of
+        /// the plan's nominal rate. Absent: not reported.
         used_fraction: Option<f64>,
-        /// Units that this shard served for the volume through other initiators since its last report here.
+        /// Units that this shard served for the volume through other initiators since its last report to this
+        /// one.
         units_elsewhere: f64,
-        /// The target's report of its load.
+        /// The load that the target reported.
         load: LoadReport,
     },
-    /// A response has begun, or the rest of a long request is being passed on: the attempt takes up no
-    /// capacity of its target any more.
+    /// A response has begun, or the rest of a long request is being passed on: the attempt no longer occupies
+    /// capacity of its target.
     TransferStarted {
-        /// The request.
+        /// The request of the attempt.
         id: RequestId,
-        /// The attempt of that request.
+        /// The number of the attempt.
         attempt: AttemptNumber,
-        /// The request is still failed at its deadline. Otherwise the attempt lasts as long as its client
+        /// Whether the request still fails at its deadline. If not, the attempt lasts as long as its client
         /// takes.
         deadline_applies: bool,
     },
-    /// The client went away: the request is over.
+    /// The client has gone: it reads no response to the request.
     ClientGone {
-        /// The request.
+        /// The request of the client.
         id: RequestId,
     },
     /// The endpoint list has changed.
     EndpointsChanged {
-        /// What the entries contain.
+        /// Which targets the entries name.
         kind: EndpointUpdateKind,
-        /// The targets that it names.
+        /// The entries of the update.
         entries: Vec<EndpointEntry>,
     },
-    /// A target set, all of it. Until the first such event a set has no targets.
+    /// The targets of a target set have changed. Until its first such event a set has no targets.
     TargetSetChanged {
-        /// The set.
+        /// The changed set.
         set: TargetSetId,
-        /// Its targets. Absent: no request has the set any more.
+        /// All targets of the set. Absent: no request has the set any more.
         targets: Option<Vec<TargetId>>,
     },
-    /// The targets that this initiator's new objects go to where they are early enough, so that the choices
-    /// of all initiators add up evenly. Empty: it has no preference.
+    /// The targets that this initiator prefers for new objects if they are early enough. They are selected
+    /// such that the choices of all initiators add up evenly. Empty: this initiator has no preference.
     PreferredTargetsChanged(Vec<TargetId>),
-    /// Another initiator needs units of a limited volume:
-    /// [`Action::QuotaOffered`](super::Action::QuotaOffered) says what this one can do without.
+    /// Another initiator requests units of a limited volume.
+    /// [`Action::QuotaOffered`](super::Action::QuotaOffered) returns those that this initiator's requests do
+    /// not need soon.
     QuotaRequested {
-        /// The volume.
+        /// The limited volume.
         volume: VolumeId,
-        /// The most units that are asked for.
+        /// The most units that the other initiator requests.
         max_units: f64,
     },
-    /// Another initiator gave up units of a limited volume for this one.
+    /// Another initiator gave this one units of a limited volume.
     QuotaReceived {
-        /// The volume.
+        /// The limited volume.
         volume: VolumeId,
-        /// The units.
+        /// The number of units.
         units: f64,
     },
-    /// A probe has ended. The scheduler does not use it.
+    /// A probe has ended. The scheduler ignores the event.
     ProbeEnded {
-        /// The target that was asked.
+        /// The probed target.
         target: TargetId,
-        /// How it ended.
+        /// How the probe ended.
         outcome: Outcome,
-        /// From the send until now, in microseconds.
+        /// The time from the send to the end, in microseconds.
         elapsed: Micros,
-        /// The target's report of its load.
+        /// The load that the target reported.
         load: LoadReport,
     },
-    /// Who may spend what only one process may, which is units of limits and the budgets of warming targets,
-    /// has changed in a handover.
+    /// A handover has changed the ownership of what only one process of an initiator may spend: the units of
+    /// volume limits, and the budgets of warming targets.
     OwnershipChanged {
-        /// This process may. Otherwise another one does, and nothing is sent that would spend it.
+        /// Whether this process is the owner. If not, it sends nothing that would spend them.
         owned_here: bool,
     },
-    /// A timer of [`Action::SetTimer`](super::Action::SetTimer) is due.
+    /// A timer set by [`Action::SetTimer`](super::Action::SetTimer) is due.
     TimerFired {
-        /// The timer's token. One that was replaced by an earlier timer is ignored.
+        /// The token of the timer. The token of a timer that an earlier one has replaced is ignored.
         token: u64,
     },
 }
--- a/src/interface/ids.rs
+++ b/src/interface/ids.rs
@@ -1,6 +1,6 @@
-//! Times, and the numbers by which events and actions name things.
+//! The unit of time, and the ids of targets, volumes, requests and the like in events and actions.
 
-/// A time or a span, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
 
 macro_rules! ids {
@@ -12,25 +12,25 @@
 }
 
 ids! {
-    /// A storage target. The same target keeps its id through a restart.
+    /// A storage target. It keeps its id when it restarts.
     TargetId(u32);
-    /// A volume.
+    /// A volume, whose requests share the rates of its QoS plan.
     VolumeId(u32);
-    /// A client's request. An id is never used twice.
+    /// A client's request. An id is never reused.
     RequestId(u64);
-    /// A piece of data.
+    /// The object that a request is for. Requests with the same key may have to run in order.
     KeyId(u64);
-    /// A request class: its place in [`Settings::classes`](super::Settings::classes).
+    /// A request class: an index into [`Settings::classes`](super::Settings::classes).
     ClassId(u32);
-    /// A QoS plan: its place in [`Settings::plans`](super::Settings::plans).
+    /// A QoS plan: an index into [`Settings::plans`](super::Settings::plans).
     PlanId(u32);
-    /// The part of the data that a target holds. A target and its successor hold the same.
+    /// The part of the data that a target holds. A target and its successor hold the same shard.
     ShardId(u32);
-    /// A zone: its place in the caller's list of zones.
+    /// A zone: an index into the caller's list of zones.
     ZoneId(u32);
-    /// An attempt of a request: 0, 1, 2 and so on in the order of the sends.
+    /// The number of an attempt among those of its request, from 0 in the order of the sends.
     AttemptNumber(u32);
-    /// The targets that a route lets some requests reach. See
+    /// A set of targets to which a route restricts its requests. See
     /// [`Event::TargetSetChanged`](super::Event::TargetSetChanged).
     TargetSetId(u32);
 }
--- a/src/interface/outcome.rs
+++ b/src/interface/outcome.rs
@@ -1,45 +1,47 @@
-//! How attempts and probes end, and what targets report of their load.
+//! Outcomes of attempts and probes, and the load reports of targets.
 
 use super::Micros;
 
-/// A target's report of its load. What it does not report is absent. The scheduler does not use it.
+/// A target's report of its load. Figures that the target does not report are absent. The scheduler ignores
+/// the report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests at the target, waiting ones too.
+    /// The number of requests at the target, including queued ones.
     pub in_flight: Option<f64>,
-    /// Requests that wait at the target.
+    /// The number of requests queued at the target.
     pub queued: Option<f64>,
-    /// The recent service time without waiting, in microseconds.
+    /// The recent service time without queueing, in microseconds.
     pub service_time: Option<Micros>,
-    /// The fraction of its processors that is busy.
+    /// The fraction of the target's processors that is busy.
     pub utilization: Option<f64>,
 }
 
-/// How an attempt ended.
+/// How an attempt or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The target answered; the answer is the request's final response.
+    /// The target responded; the response is the request's final response.
     Served,
-    /// The target answered with an error; the request may have run.
+    /// The target responded with an error: the request may have run.
     Error,
     /// The target's queue was full: the request never ran.
     QueueFull,
-    /// The target rejected the request as past its deadline: it never ran, there or elsewhere.
+    /// The target rejected the request as past its deadline: the request never ran, at this target or
+    /// another.
     DeadlineExceeded,
-    /// No response in time: the request may have run or may still run.
+    /// No response arrived in time: the request may have run, or may still run.
     TimedOut,
-    /// No connection: the request never ran.
+    /// No connection was established: the request never ran.
     Unreachable,
     /// The connection broke: the request may have run.
     Broken,
     /// The attempt was cancelled: the request may have run.
     Cancelled,
-    /// The attempt was not sent at all: the request never ran.
+    /// The attempt was not sent: the request never ran.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether it is proven that the request never ran.
+    /// Whether the outcome proves that the request never ran.
     pub fn proves_not_executed(self) -> bool {
         matches!(
             self,
@@ -47,7 +49,7 @@
         )
     }
 
-    /// Whether the request's time is over, by this initiator's clock or the target's.
+    /// Whether the request's deadline has passed, by the clock of this initiator or of the target.
     pub fn is_late(self) -> bool {
         matches!(self, Outcome::TimedOut | Outcome::DeadlineExceeded)
     }
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of an initiator: its classes, its plans and the bounds of the rules.
+//! The scheduler's settings: the request classes, the QoS plans and the bounds of the rules.
 
 use super::{Micros, SettingsError, SettingsProblem};
 use rowanglade_slow_start::SlowStartRule;
@@ -6,20 +6,20 @@
 /// Whether a request may run again after an attempt that may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may run again anywhere.
+    /// It may run again at any target.
     Idempotent,
-    /// It carries an idempotency key: the targets of a scope drop a repeat within a window.
+    /// It carries an idempotency key: the targets within the scope drop a repeat within the window.
     KeyedWithin {
-        /// The targets that know each other's keys.
+        /// The targets that share their idempotency keys.
         scope: DeduplicationScope,
-        /// How long after an attempt's send a repeat is dropped, in microseconds.
+        /// How long after the send of an attempt a repeat is dropped, in microseconds.
         window: Micros,
     },
     /// It must never run twice.
     NonIdempotent,
 }
 
-/// The targets that know each other's idempotency keys.
+/// Which targets share their idempotency keys, so that one drops what another has run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All targets.
@@ -30,123 +30,124 @@
     Shard,
 }
 
-/// A class of requests.
+/// A request class.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// A response within this time of arrival earns the full weight, in microseconds.
+    /// The latency objective, in microseconds from the arrival. A response within it earns the full priority
+    /// weight.
     pub latency_objective: Micros,
-    /// How long a client waits at most, over all its own retries, in microseconds.
+    /// The longest time that a client waits, over all its own retries, in microseconds.
     pub deadline: Micros,
-    /// Whether its requests may run again.
+    /// Whether a request of the class may run again.
     pub idempotency: Idempotency,
-    /// Requests with one key run one at a time, in the order of arrival.
+    /// Whether requests with the same key run one at a time, in the order of their arrival.
     pub ordered_by_key: bool,
-    /// Its requests write. A class that does not may be background work.
+    /// Whether requests of the class write. Only a class that does not write can be background work.
     pub write: bool,
-    /// What a response within the latency objective earns. The scheduler only checks it.
+    /// What a response within the latency objective earns. The scheduler only validates it.
     pub priority_weight: f64,
-    /// The fraction of that which a response between objective and deadline earns. The scheduler only checks
-    /// it.
+    /// The fraction of the priority weight that a response between objective and deadline earns. The
+    /// scheduler only validates it.
     pub late_weight: f64,
 }
 
-/// A QoS plan. Its figures hold for each volume, over all initiators and targets together.
+/// A QoS plan. Its rates apply to each volume, over all initiators and targets together.
 #[derive(Clone, Debug)]
 pub struct QosPlan {
-    /// Units a second that a volume is sized for.
+    /// The rate that a volume is sized for, in units per second.
     pub nominal: f64,
-    /// Units a second that are reserved for the volume.
+    /// The rate that is reserved for a volume, in units per second.
     pub reserve: f64,
-    /// In proportion to this, volumes that ask for more share what the reserves leave.
+    /// The weight of a volume where volumes share the capacity beyond their reserves.
     pub weight: f64,
-    /// The factor on what its responses earn. The scheduler only checks it.
+    /// The factor on what the responses of a volume earn. The scheduler only validates it.
     pub price: f64,
-    /// The limit on the volume's requests, if it has one.
+    /// The limit on the requests of a volume. Absent: there is none.
     pub limit: Option<RateLimit>,
 }
 
-/// A token bucket that every request's first attempt draws from.
+/// A token bucket that the first attempt of every request draws from.
 #[derive(Clone, Copy, Debug)]
 pub struct RateLimit {
-    /// Units a second that fill it.
+    /// The rate at which the bucket fills, in units per second.
     pub rate: f64,
-    /// The most units that it holds.
+    /// The most units that the bucket holds.
     pub burst: f64,
-    /// How many units below zero it may go.
+    /// How many units below zero the bucket may go.
     pub debt_limit: f64,
 }
 
-/// How many attempts beyond each request's first are allowed in any window, over all requests.
+/// The retry budget: how many attempts beyond each request's first are allowed in any window, over all
+/// requests.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
-    /// Retries that are always allowed.
+    /// Retries that are allowed in every window.
     pub minimum: f64,
-    /// Retries that are allowed in addition for each request that arrived in the window.
+    /// Additional retries that are allowed for each request that arrived in the window.
     pub ratio: f64,
-    /// The window, in microseconds.
+    /// The length of the window, in microseconds.
     pub window: Micros,
 }
 
-/// The bounds of the rules.
+/// The bounds that the scheduler's rules keep.
 #[derive(Clone, Debug, Default)]
 pub struct RuleBounds {
-    /// How long after the notification that a target drains or is removed sends to it must have stopped, in
-    /// microseconds. The scheduler stops at once; the caller's polling follows from it.
+    /// How long after the notification that a target drains or is removed the last send to it may happen, in
+    /// microseconds. The scheduler stops at once; the interval of the caller's polls follows from this bound.
     pub drain_grace: Micros,
-    /// The fraction of its capacity that a target has at its start, at least.
+    /// The fraction of its full capacity that a target has at least when it starts.
     pub slow_start_capacity: f64,
-    /// How long after its start a target has all of its capacity, at most, in microseconds.
+    /// The longest time from a target's start until it has its full capacity, in microseconds.
     pub slow_start_duration: Micros,
-    /// Units within [`RuleBounds::overload_window`], from all initiators together, that a target that has
-    /// just started always bears.
+    /// Units within [`RuleBounds::overload_window`], from all initiators together, that a target can bear in
+    /// any case just after its start.
     pub slow_start_units: f64,
-    /// The window over which a target's load is counted, in microseconds.
+    /// The window over which the load of a target is counted, in microseconds.
     pub overload_window: Micros,
-    /// A target that warms up is overloaded by more than this multiple of its capacity for a window.
+    /// A warming target is overloaded if its load in a window exceeds this multiple of its capacity.
     pub overload_multiple: f64,
-    /// The bound on retries; absent: there is none.
+    /// The bound on retries. Absent: there is none.
     pub retry_budget: Option<RetryBudget>,
-    /// How long no other request of a key is sent after an attempt that may still run, in microseconds.
+    /// How long after an attempt that may still run no other request of its key is sent, in microseconds.
     pub key_quiet_period: Micros,
-    /// The most attempts of one request; at least 1.
+    /// The most attempts that one request may have, at least 1.
     pub max_attempts: u32,
 }
 
-/// The settings that an initiator is started with.
+/// The settings of a scheduler.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
-    /// How many initiators share the targets.
+    /// The number of initiators that share the targets.
     pub initiators: u32,
-    /// The request classes; [`ClassId`](super::ClassId) is a place in it. At least one.
+    /// The request classes, at least one. [`ClassId`](super::ClassId) is an index into them.
     pub classes: Vec<RequestClass>,
-    /// The QoS plans; [`PlanId`](super::PlanId) is a place in it.
+    /// The QoS plans. [`PlanId`](super::PlanId) is an index into them.
     pub plans: Vec<QosPlan>,
-    /// The bounds of the rules.
+    /// The bounds that the rules keep.
     pub rules: RuleBounds,
-    /// The mean units of a request.
+    /// The mean size of a request, in units.
     pub mean_request_units: f64,
-    /// What a unit above the reserve, within the volume's share, earns. The scheduler only checks it.
+    /// What a unit above the reserve and within the volume's share earns. The scheduler only validates it.
     pub weight_within_share: f64,
-    /// What a unit above reserve and share earns. The scheduler only checks it.
+    /// What a unit above reserve and share earns. The scheduler only validates it.
     pub weight_beyond_share: f64,
-    /// The period that the used fraction of [`Event::AttemptEnded`](super::Event::AttemptEnded) is counted
-    /// over, in microseconds. 0: it is not reported.
+    /// The metering period of the used fraction in [`Event::AttemptEnded`](super::Event::AttemptEnded), in
+    /// microseconds. 0: the fraction is not reported.
     pub meter_period: Micros,
-    /// The end of an attempt reports the units served through other initiators.
+    /// Whether the end of an attempt reports the units served through other initiators.
     pub reports_usage_elsewhere: bool,
-    /// Targets answer probes. The scheduler asks for none.
+    /// Whether targets answer probes. The scheduler sends none.
     pub may_probe: bool,
-    /// Targets can drop an attempt that is cancelled.
+    /// Whether targets can drop an attempt that is cancelled.
     pub may_cancel: bool,
-    /// Targets accept hedged requests. The scheduler sends none.
+    /// Whether targets accept hedged requests. The scheduler sends none.
     pub may_hedge: bool,
-    /// The longest time to stay away that a rejected client follows, in microseconds. 0: clients are
-    /// given no time.
+    /// The longest Retry-After time that a client follows, in microseconds. 0: rejections have none.
     pub max_retry_after: Micros,
 }
 
 impl Settings {
-    /// The rule on targets that have just started.
+    /// The slow-start rule for targets that have just started.
     pub fn slow_start(&self) -> SlowStartRule {
         let rules = &self.rules;
         SlowStartRule {
@@ -159,8 +160,8 @@
         }
     }
 
-    /// Checks that a scheduler can be made of the settings. Fails with the first field, by its name in the
-    /// platform's settings, that is missing, zero where it may not be, negative or not finite.
+    /// Validates the settings. Returns an error for the first field, by its name in the platform's settings,
+    /// that is missing, zero where it may not be, negative or not finite.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::new("classes", SettingsProblem::Missing));
@@ -168,17 +169,17 @@
         if self.rules.max_attempts == 0 {
             return Err(SettingsError::new("rules.attempts", SettingsProblem::Zero));
         }
-        let mut numbers = self.numbers();
-        match numbers.find(|(_, number)| !number.is_finite() || *number < 0.0) {
+        let mut fields = self.numeric_fields();
+        match fields.find(|(_, value)| !value.is_finite() || *value < 0.0) {
             Some((field, _)) => Err(SettingsError::new(field, SettingsProblem::NegativeOrNotFinite)),
             None => Ok(()),
         }
     }
 
-    /// All numbers that may be neither negative nor infinite, with their names in the platform's settings.
-    fn numbers(&self) -> impl Iterator<Item = (String, f64)> + '_ {
+    /// All numbers that must be finite and not negative, with their names in the platform's settings.
+    fn numeric_fields(&self) -> impl Iterator<Item = (String, f64)> + '_ {
         let rules = &self.rules;
-        let own = [
+        let top_level = [
             ("usual_units", self.mean_request_units),
             ("share_worth", self.weight_within_share),
             ("spare_worth", self.weight_beyond_share),
@@ -189,28 +190,28 @@
         let budget = rules.retry_budget.map(|budget| {
             [("rules.attempt_budget.free", budget.minimum), ("rules.attempt_budget.ratio", budget.ratio)]
         });
-        let own = own.into_iter().chain(budget.into_iter().flatten());
-        let own = own.map(|(name, number)| (name.to_string(), number));
-        let classes = self.classes.iter().enumerate().flat_map(|(place, class)| {
-            let named = class.numbers().into_iter();
-            named.map(move |(name, number)| (format!("classes[{place}].{name}"), number))
+        let top_level = top_level.into_iter().chain(budget.into_iter().flatten());
+        let top_level = top_level.map(|(name, value)| (name.to_string(), value));
+        let classes = self.classes.iter().enumerate().flat_map(|(index, class)| {
+            let fields = class.numeric_fields().into_iter();
+            fields.map(move |(name, value)| (format!("classes[{index}].{name}"), value))
         });
-        let plans = self.plans.iter().enumerate().flat_map(|(place, plan)| {
-            let named = plan.numbers().into_iter();
-            named.map(move |(name, number)| (format!("plans[{place}].{name}"), number))
+        let plans = self.plans.iter().enumerate().flat_map(|(index, plan)| {
+            let fields = plan.numeric_fields().into_iter();
+            fields.map(move |(name, value)| (format!("plans[{index}].{name}"), value))
         });
-        own.chain(classes).chain(plans)
+        top_level.chain(classes).chain(plans)
     }
 }
 
 impl RequestClass {
-    fn numbers(&self) -> [(&'static str, f64); 2] {
+    fn numeric_fields(&self) -> [(&'static str, f64); 2] {
         [("worth", self.priority_weight), ("late_worth", self.late_weight)]
     }
 }
 
 impl QosPlan {
-    fn numbers(&self) -> [(&'static str, f64); 7] {
+    fn numeric_fields(&self) -> [(&'static str, f64); 7] {
         let limit = self.limit.unwrap_or(RateLimit { rate: 0.0, burst: 0.0, debt_limit: 0.0 });
         [
             ("nominal", self.nominal),
--- a/src/interface/settings_error.rs
+++ b/src/interface/settings_error.rs
@@ -1,36 +1,36 @@
-//! Why settings cannot be used.
+//! Errors of invalid settings.
 
 use thiserror::Error;
 
-/// Settings that cannot be used: the field, and what is wrong with it.
+/// An invalid field of the settings.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("settings: {field} {problem}")]
 pub struct SettingsError {
     /// The field, by its name in the platform's settings.
     pub field: String,
-    /// What is wrong with it.
+    /// Why the value of the field is invalid.
     pub problem: SettingsProblem,
 }
 
-/// What is wrong with a field of the settings. Its text follows the field's name.
+/// Why the value of a field is invalid. Its text follows the name of the field in [`SettingsError`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum SettingsProblem {
-    /// A list that needs an element has none.
-    #[error("are missing")]
+    /// A list that needs at least one element is empty.
+    #[error("must have at least one element")]
     Missing,
-    /// A number that must be positive is zero.
-    #[error("is zero")]
+    /// A number that must be at least 1 is zero.
+    #[error("is 0 and must be at least 1")]
     Zero,
-    /// A number is negative, infinite or no number.
-    #[error("is negative or not finite")]
+    /// A number that must be finite and not negative is negative, infinite or not a number.
+    #[error("must be a finite number and not negative")]
     NegativeOrNotFinite,
-    /// A word that is not one of those allowed.
-    #[error("holds an unknown word")]
-    UnknownWord,
+    /// A string is not one of the values that the field can have.
+    #[error("has an unknown value")]
+    UnknownValue,
 }
 
 impl SettingsError {
-    /// A problem of a field.
+    /// The error of `field`, which is its name in the platform's settings.
     pub fn new(field: impl Into<String>, problem: SettingsProblem) -> SettingsError {
         SettingsError { field: field.into(), problem }
     }
--- a/src/names.rs
+++ b/src/names.rs
@@ -1,12 +1,13 @@
-//! The numbers by which the scheduler knows what has a name on a wire, for one initiator.
+//! The mapping between names on the wire and ids of the scheduler, for one initiator.
 
 use crate::interface::*;
 use std::collections::{HashMap, VecDeque};
 
-/// Names are forgotten, oldest first, beyond this many: what has not come for so long is learned anew.
+/// The most names that an interner stores. Beyond it the oldest name is dropped, and gets a new number when
+/// it occurs again.
 const MAX_NAMES: usize = 1 << 16;
 
-/// Hands out a number for a name. The order of numbers is the order of first sight.
+/// Assigns numbers to names, in the order in which the names first occur.
 #[derive(Default)]
 pub struct Interner {
     numbers: HashMap<String, u64>,
@@ -15,7 +16,7 @@
 }
 
 impl Interner {
-    /// The name's number, a new one where it is not known.
+    /// The number of the name; a new one if the name has none.
     pub fn number(&mut self, name: &str) -> u64 {
         if let Some(number) = self.numbers.get(name) {
             return *number;
@@ -32,30 +33,30 @@
     }
 
     fn name(&self, number: u64) -> Option<&str> {
-        // Numbers are handed out in turn, and the oldest names are forgotten first.
-        let first = self.last - self.order.len() as u64 + 1;
-        let position = usize::try_from(number.checked_sub(first)?).ok()?;
+        // Numbers are assigned in sequence, and the oldest names are dropped first.
+        let oldest = self.last - self.order.len() as u64 + 1;
+        let position = usize::try_from(number.checked_sub(oldest)?).ok()?;
         self.order.get(position).map(String::as_str)
     }
 }
 
-/// A request that is known by its name, until it is finished and its attempts have ended.
+/// The name of a request, stored until the request is finished and all of its attempts have ended.
 struct NamedRequest {
     name: String,
     attempts_in_flight: u32,
     finished: bool,
 }
 
-/// All names, and their numbers.
+/// All names of one initiator, and the ids that they are mapped to.
 #[derive(Default)]
 pub struct Names {
-    /// Request classes, by their numbers.
+    /// The names of the request classes; [`ClassId`] is an index into them.
     pub classes: Vec<String>,
-    /// QoS plans, by their numbers.
+    /// The names of the QoS plans; [`PlanId`] is an index into them.
     pub plans: Vec<String>,
-    /// Zones, by their numbers.
+    /// The names of the zones; [`ZoneId`] is an index into them.
     pub zones: Vec<String>,
-    /// The fields of a target's load report, in the order in which they come.
+    /// The fields of a target's load report, in the order in which they are sent.
     pub load_report_fields: Vec<String>,
     volumes: Interner,
     keys: Interner,
@@ -71,37 +72,38 @@
 }
 
 impl Names {
-    /// The request class of this name; `None`: the settings have none.
+    /// The request class with this name; `None` if the settings do not define it.
     pub fn class(&self, name: &str) -> Option<ClassId> {
         position(&self.classes, name).map(ClassId)
     }
 
-    /// The QoS plan of this name; `None`: the settings have none.
+    /// The QoS plan with this name; `None` if the settings do not define it.
     pub fn plan(&self, name: &str) -> Option<PlanId> {
         position(&self.plans, name).map(PlanId)
     }
 
-    /// The zone of this name; all that the settings do not have count as one.
+    /// The zone with this name. All names that the settings do not define are mapped to one further zone.
     pub fn zone(&self, name: &str) -> ZoneId {
         ZoneId(position(&self.zones, name).unwrap_or(self.zones.len() as u32))
     }
 
-    /// The volume of this name, numbered at first sight.
+    /// The volume with this name; its first occurrence assigns a new id.
     pub fn volume(&mut self, name: &str) -> VolumeId {
         VolumeId(self.volumes.number(name) as u32)
     }
 
-    /// A volume's name; `None`: it is forgotten.
+    /// The name of a volume; `None` if it was dropped.
     pub fn volume_name(&self, id: VolumeId) -> Option<&str> {
         self.volumes.name(u64::from(id.0))
     }
 
-    /// The key of this name, numbered at first sight.
+    /// The key with this name; its first occurrence assigns a new id.
     pub fn key(&mut self, name: &str) -> KeyId {
         KeyId(self.keys.number(name))
     }
 
-    /// The target of this name, numbered at first sight. Targets are never forgotten.
+    /// The target with this name; its first occurrence assigns a new id. The names of targets are never
+    /// dropped.
     pub fn intern_target(&mut self, name: &str) -> TargetId {
         if let Some(id) = self.targets.get(name) {
             return *id;
@@ -112,17 +114,17 @@
         id
     }
 
-    /// The target of this name; `None`: it was never listed.
+    /// The target with this name; `None` if it never occurred in an endpoint list.
     pub fn target(&self, name: &str) -> Option<TargetId> {
         self.targets.get(name).copied()
     }
 
-    /// A target's name.
+    /// The name of a target; `None` if the id was not assigned.
     pub fn target_name(&self, id: TargetId) -> Option<&str> {
         self.target_names.get(id.0 as usize).map(String::as_str)
     }
 
-    /// A new request of this name.
+    /// Assigns a new id to an arriving request with this name.
     pub fn open_request(&mut self, name: &str) -> RequestId {
         self.last_request += 1;
         let id = RequestId(self.last_request);
@@ -132,24 +134,24 @@
         id
     }
 
-    /// The open request of this name.
+    /// The open request with this name; `None` if no open request has it.
     pub fn request(&self, name: &str) -> Option<RequestId> {
         self.requests.get(name).copied()
     }
 
-    /// An open request's name.
+    /// The name of an open request; `None` if the request is not open.
     pub fn request_name(&self, id: RequestId) -> Option<&str> {
         self.open_requests.get(&id).map(|request| request.name.as_str())
     }
 
-    /// An attempt of the request was sent.
+    /// Records that an attempt of the request was sent.
     pub fn attempt_sent(&mut self, id: RequestId) {
         if let Some(request) = self.open_requests.get_mut(&id) {
             request.attempts_in_flight += 1;
         }
     }
 
-    /// An attempt has its outcome, and the request is finished with it or not.
+    /// Records the end of an attempt, and whether the request is finished with it.
     pub fn attempt_ended(&mut self, id: RequestId, request_finished: bool) {
         if let Some(request) = self.open_requests.get_mut(&id) {
             request.attempts_in_flight = request.attempts_in_flight.saturating_sub(1);
@@ -158,7 +160,7 @@
         self.remove_if_settled(id);
     }
 
-    /// The request is finished; its name is kept while an attempt has no outcome.
+    /// Records that the request is finished. Its name is stored as long as one of its attempts is in flight.
     pub fn request_finished(&mut self, id: RequestId) {
         if let Some(request) = self.open_requests.get_mut(&id) {
             request.finished = true;
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -1,20 +1,22 @@
-//! Every decision of rowanglade. Its types, events and actions stand in `src/interface.rs`; the rules, each
-//! with its reason and its test, are listed in `docs/design/decisions.md`.
+//! The decisions of an initiator: which requests are admitted, when and to which target each is sent, and
+//! whether it is retried. The settings, events and actions are defined in `src/interface.rs`; every rule, its
+//! reason and its test are listed in `docs/design/decisions.md`.
 //!
-//! Each shard has a queue of requests in earliest-deadline order with capped overtakes. Requests are rejected
-//! on arrival by predicted completion; background work is always admitted. The units in flight at a target
-//! stay below a limit that follows its learned speed.
+//! Each shard has a queue in earliest-deadline order with capped overtakes. A request is rejected on arrival
+//! when its predicted completion misses its objective; background requests are admitted whatever the
+//! prediction. The units in flight at a target stay below a concurrency limit that follows the target's
+//! learned speed.
 //!
 //! A request passes through the modules in this order:
 //!
-//! 1. `admission` rejects it or admits it; a new object first gets its shard from `placement`;
-//! 2. `queue_order` queues it at its shard;
-//! 3. `dispatch` sends it to its target as soon as the rules on sends allow it, or `giving_up` ends its wait;
-//! 4. `outcomes` acts on the end of an attempt: `learning` and `backoff` first, then `retry`, which queues
-//!    the request again or ends it;
+//! 1. `admission` admits or rejects it; `placement` first chooses the shard of a new object;
+//! 2. `queue_order` inserts it into the queue of its shard;
+//! 3. `dispatch` sends it to its target as soon as the dispatch rules allow it, or `giving_up` expires it;
+//! 4. `outcomes` handles the end of an attempt: `learning` and `backoff` update the state of the target, then
+//!    `retry` queues the request again or ends it;
 //! 5. `responses` gives it its final response and removes it.
 //!
-//! `timers` repeats what depends on time alone.
+//! `timers` runs the periodic tick for everything that depends on time alone.
 
 #![warn(missing_docs)]
 
@@ -68,25 +70,27 @@
 use timers::Timers;
 use volume_usage::{UsageReport, VolumeUsage};
 
-/// Microseconds in a second, for rates in units a second.
+/// Microseconds per second, for rates in units per second.
 const MICROS_PER_SECOND: f64 = 1e6;
-/// Later than any time that counts, and small enough that times can be added to it.
+/// A time later than any that occurs, and small enough that other times can be added to it.
 const NEVER: Micros = 1_000_000_000_000_000;
-/// Final responses leave this long before the client's deadline, and no attempt starts after that: a response
-/// that reaches the client at its deadline is lost. The figure is not explained
-/// (docs/design/open-questions.md).
+/// A request gets its final response this long before its client's deadline at the latest, and no attempt
+/// starts after that: a response that reaches the client at its deadline is lost.
 const RESPONSE_MARGIN_MICROS: Micros = 4_000;
 
-/// What only one process of an initiator may spend: units of limits, and budgets of warming targets.
+/// Ownership of the state that only one process of an initiator may spend: the units of volume limits, and
+/// the slow-start budgets of warming targets.
 #[derive(Default)]
 struct Ownership {
-    /// Since when all that was sent is known here: the first event, or what a predecessor handed over.
+    /// The start of the period in which everything that the initiator sent is known here: the first event, or
+    /// the start that a predecessor handed over.
     since: Option<Micros>,
-    /// Another process has it now.
+    /// Another process owns the state now.
     is_transferred: bool,
 }
 
-/// The decisions of one initiator. [`Scheduler::handle`] takes what happens and returns what to do.
+/// The decisions of one initiator. [`Scheduler::handle`] takes an event and returns the actions that follow
+/// from it.
 #[derive(Default)]
 pub struct Scheduler {
     settings: Settings,
@@ -94,9 +98,9 @@
     slow_start: SlowStartRule,
     random: RandomDraws,
     ownership: Ownership,
-    /// Requests without a final response, or with an attempt in flight.
+    /// Requests without a final response, and finished ones with an attempt in flight.
     requests: BTreeMap<RequestId, RequestState>,
-    /// Those without a final response, by their deadline.
+    /// The requests that are still answered at their deadline, earliest deadline first.
     deadlines: BTreeSet<(Micros, RequestId)>,
     queues: Queues,
     targets: Targets,
@@ -111,8 +115,8 @@
 }
 
 impl Scheduler {
-    /// A scheduler without targets or requests. `seed` decides all random draws. Fails where the settings
-    /// cannot be used; see [`Settings::check`].
+    /// Creates a scheduler without targets or requests. `seed` determines all of its random draws. Returns an
+    /// error if the settings are invalid; see [`Settings::check`].
     pub fn new(settings: Settings, seed: u64) -> Result<Scheduler, SettingsError> {
         settings.check()?;
         let margins = vec![1.0; settings.classes.len()];
@@ -126,8 +130,8 @@
         })
     }
 
-    /// Takes an event that happened at `now`, in microseconds of a clock that only goes forward, and appends
-    /// what to do to `actions`. Events about unknown requests, attempts or targets change nothing.
+    /// Handles an event that happened at `now`, in microseconds of a monotonic clock, and appends the
+    /// resulting actions to `actions`. Events about unknown requests, attempts or targets change nothing.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.ownership.since.get_or_insert(now);
         match event {
--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -1,45 +1,46 @@
-//! Whether an arriving request is admitted. One that is not is answered at once.
+//! Admission control of arriving requests. A request that is not admitted is answered at once.
 
 use super::Scheduler;
 use super::request::RequestState;
 use crate::interface::{Action, Micros, RequestId, RequestProfile, ShardId, TargetId};
 
-/// A request beyond its volume's fair share is admitted while it is predicted within this fraction of its
-/// objective: it is rejected before requests within their share are. How a half was found is not recorded
-/// (docs/design/open-questions.md).
+/// A request beyond its volume's fair share is admitted only if it is predicted to complete within this
+/// fraction of its objective, so that it is rejected before requests within their share are.
 const EXCESS_OBJECTIVE_FRACTION: f64 = 0.5;
-/// A background request waits in the queue for this fraction of the time to its client's deadline at most:
-/// it holds one of its client's connections, which the client's other requests lack. Trials from 0.08 to 0.95
-/// are in docs/results.md.
+/// The longest time that a background request waits in the queue, as a fraction of the time to its client's
+/// deadline. A waiting request occupies one of its client's connections, which the client's other requests
+/// then lack. docs/results.md compares fractions from 0.08 to 0.95.
 const BACKGROUND_QUEUE_TIMEOUT_FRACTION: f64 = 0.08;
 
-/// What becomes of an arriving request.
+/// The decision on an arriving request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Admission {
-    /// It waits in its shard's queue, or for a shard.
+    /// The request waits in the queue of its shard, or for a shard.
     Admitted,
     Rejected,
 }
 
-/// An arriving request at the target that would serve it.
+/// An arriving request and the target that would serve it.
 struct Candidate {
     id: RequestId,
     shard: ShardId,
     target: TargetId,
-    /// Its place in the shard's queue.
+    /// The position in the shard's queue at which the request would be inserted.
     position: usize,
     is_within_fair_share: bool,
 }
 
-/// When an arriving request is predicted to be complete.
+/// The predicted completion of an arriving request.
 struct Prediction {
-    /// Units that the target has to serve until then: in flight, ahead of the request, and its own.
+    /// Units that the target has to serve until then: those in flight, those queued ahead of the request, and
+    /// its own.
     units: f64,
     completes_at: Micros,
 }
 
 impl Scheduler {
-    /// A request arrives: it is answered at once, or admitted and dispatched as soon as it may be.
+    /// Handles an arriving request: answers it at once, or admits it and dispatches it if the rules allow
+    /// that now.
     pub(super) fn request_arrived(
         &mut self,
         now: Micros,
@@ -75,7 +76,8 @@
         }
     }
 
-    /// The state of an arriving request. Sizes that are no positive number count as the mean size.
+    /// Creates the state of an arriving request. A size that is not a positive finite number is replaced by
+    /// the mean size.
     fn new_request(&self, now: Micros, class: usize, profile: &RequestProfile) -> RequestState {
         let settings = &self.settings;
         let RequestProfile { deadline, units, .. } = *profile;
@@ -101,9 +103,9 @@
         }
     }
 
-    /// When an arriving request that has had no attempt is given up: at its objective, since it is late from
-    /// then on; a background request after a fraction of its time; one that waits for its key's turn at its
-    /// deadline.
+    /// When an arriving request expires if it has had no attempt. A request expires at its objective, since
+    /// it is late from then on; a background request after a fraction of the time to its deadline; a request
+    /// of a class that is ordered by key at its deadline, since it has to wait for its key's turn.
     fn queue_timeout_at(&self, now: Micros, class: usize, deadline: Micros) -> Micros {
         let settings = &self.settings.classes[class];
         if settings.ordered_by_key {
@@ -117,17 +119,18 @@
         (now + timeout).min(deadline)
     }
 
-    /// Decides whether an arriving request is admitted, and queues it if so. It is rejected where
+    /// Decides whether an arriving request is admitted, and queues it if so. The request is rejected if
     ///
-    /// - its volume's limit has no units for it before its deadline,
-    /// - no target takes requests of its target set, or none that holds its data does,
-    /// - it is predicted to miss its objective, or a part of it if it is beyond its volume's fair share,
-    /// - or it would make a queued request miss its own.
+    /// - the limit of its volume does not provide its units before its deadline,
+    /// - no target of its target set is active, or none that holds its data is,
+    /// - it is predicted to miss its objective, or [`EXCESS_OBJECTIVE_FRACTION`] of it if it is beyond its
+    ///   volume's fair share,
+    /// - or it would make a queued request miss that request's objective.
     ///
-    /// Background requests are always admitted, and deferred where they are predicted late.
+    /// The predictions do not reject background requests: one that is predicted late is deferred.
     ///
-    /// Guards against queues in which every request waits until it is late: clients are answered at once, and
-    /// may try elsewhere.
+    /// Guards against queues in which every request waits until it is late: a rejected client is answered at
+    /// once, and can retry elsewhere.
     fn admit(&mut self, now: Micros, id: RequestId) -> Admission {
         self.choose_shard(now, id);
         let request = &self.requests[&id];
@@ -153,9 +156,10 @@
         self.admit_candidate(now, &candidate)
     }
 
-    /// Predicts when an arriving request would be complete: what is in flight and queued ahead of it and its
-    /// own units, over the target's speed, plus its latency, from when slow start admits it. Requests ahead
-    /// that have missed their objective are left out, since they are dispatched after it.
+    /// Predicts when an arriving request completes: the units in flight, those queued ahead of it and its
+    /// own, divided by the target's speed, plus the target's latency, counted from when slow start admits the
+    /// request. Queued requests that have missed their objective are left out, since they are dispatched
+    /// after it.
     fn predict(&self, now: Micros, candidate: &Candidate) -> Prediction {
         let Candidate { id, shard, target, position, .. } = *candidate;
         let request = &self.requests[&id];
@@ -163,8 +167,8 @@
         let units_ahead: f64 = ahead.filter(|ahead| ahead.objective_at >= now).map(|ahead| ahead.units).sum();
         let units = self.targets[&target].units_in_flight + units_ahead + request.units;
         let admits_at = self.slow_start_admits_at(now, target, request, units_ahead);
-        let takes = self.predicted_time(now, target, request.class, units);
-        Prediction { units, completes_at: admits_at + takes }
+        let serving_time = self.predicted_time(now, target, request.class, units);
+        Prediction { units, completes_at: admits_at + serving_time }
     }
 
     /// Decides on an arriving request by its predicted completion, and queues it if it is admitted.
@@ -189,8 +193,8 @@
         Admission::Admitted
     }
 
-    /// The latest predicted completion with which an arriving request is admitted: its objective, or a part
-    /// of it for a request beyond its volume's fair share.
+    /// The latest predicted completion at which an arriving request is admitted: its objective, or a fraction
+    /// of the time to it if the request is beyond its volume's fair share.
     fn latest_completion(&self, now: Micros, request: &RequestState, candidate: &Candidate) -> Micros {
         if candidate.is_within_fair_share {
             return request.virtual_deadline;
@@ -199,8 +203,9 @@
         now + (objective * EXCESS_OBJECTIVE_FRACTION) as Micros
     }
 
-    /// Moves a background request that is predicted late to the end of its time, and returns its position
-    /// there. One beyond its volume's fair share counts as having missed its objective.
+    /// Defers a background request that is predicted late to its client's deadline, and returns its new
+    /// position in the queue. A request beyond its volume's fair share also counts as having missed its
+    /// objective.
     fn defer_background(&mut self, now: Micros, candidate: &Candidate) -> usize {
         let deadline = self.requests[&candidate.id].deadline;
         self.requests.entry(candidate.id).and_modify(|request| {
@@ -212,21 +217,21 @@
         self.queue_position(candidate.shard, deadline)
     }
 
-    /// Whether a queued request behind an arriving one is predicted in time without it, and late with it.
-    /// Background requests are not counted.
+    /// Whether a queued request behind the arriving one is predicted in time without the arriving one, and
+    /// late with it. Queued background requests are not considered.
     fn makes_others_late(&self, now: Micros, candidate: &Candidate, prediction: &Prediction) -> bool {
         let own_units = self.requests[&candidate.id].units;
         let mut units = prediction.units;
-        for behind in &self.queues.requests(candidate.shard)[candidate.position..] {
-            let behind = &self.requests[behind];
-            let complete_at = |units| now + self.predicted_time(now, candidate.target, behind.class, units);
-            let with_behind = units + behind.units;
-            let is_in_time_without = complete_at(with_behind - own_units) <= behind.virtual_deadline;
-            let is_late_with = complete_at(with_behind) > behind.virtual_deadline;
-            if !self.objectives.is_background(behind.class) && is_in_time_without && is_late_with {
+        for queued in &self.queues.requests(candidate.shard)[candidate.position..] {
+            let queued = &self.requests[queued];
+            let complete_at = |units| now + self.predicted_time(now, candidate.target, queued.class, units);
+            let units_with_queued = units + queued.units;
+            let is_in_time_without = complete_at(units_with_queued - own_units) <= queued.virtual_deadline;
+            let is_late_with = complete_at(units_with_queued) > queued.virtual_deadline;
+            if !self.objectives.is_background(queued.class) && is_in_time_without && is_late_with {
                 return true;
             }
-            units = with_behind;
+            units = units_with_queued;
         }
         false
     }
--- a/src/scheduler/backoff.rs
+++ b/src/scheduler/backoff.rs
@@ -1,20 +1,21 @@
-//! How long a target that fails gets nothing.
+//! Backoff of failing targets.
 
 use super::Scheduler;
 use crate::interface::{Micros, Outcome, TargetId};
 
-// How the two spans were found is not recorded (docs/design/open-questions.md).
-
-/// The backoff after a first failure: short, since one full queue or broken connection is soon over.
+/// The backoff after the first failure: short, since a single full queue or broken connection soon clears.
 const INITIAL_BACKOFF_MICROS: Micros = 20_000;
-/// The longest backoff: a target that is back must be found again within the deadline of a usual request.
+/// The longest backoff: a target that has recovered must be tried again within the deadline of a typical
+/// request.
 const MAX_BACKOFF_MICROS: Micros = 640_000;
-/// Doublings that are counted at most, so that the shift cannot overflow; the bound above is reached sooner.
+/// The largest number of doublings, so that the shift cannot overflow; [`MAX_BACKOFF_MICROS`] is reached
+/// sooner.
 const MAX_DOUBLINGS: u32 = 16;
 
 impl Scheduler {
-    /// After an attempt that found the target's queue full, or no target at all, nothing is sent there for a
-    /// pause that doubles with each consecutive failure. A served request ends it.
+    /// Updates a target's backoff at the end of an attempt. After an attempt that found the target's queue
+    /// full, or could not connect, nothing is sent to the target for a pause that doubles with each
+    /// consecutive failure. A served request resets the count of failures.
     ///
     /// Guards against requests that spend all their attempts on a target that cannot take them.
     pub(super) fn update_backoff(&mut self, now: Micros, target: TargetId, outcome: Outcome) {
@@ -24,7 +25,7 @@
             return;
         }
         let is_failure = matches!(outcome, Outcome::QueueFull | Outcome::Unreachable);
-        // Several attempts that were sent together and failed together count once.
+        // Attempts that were sent together and failed together count as one failure.
         if is_failure && now >= state.backoff_until {
             let doublings = state.consecutive_failures.min(MAX_DOUBLINGS);
             state.backoff_until = now + (INITIAL_BACKOFF_MICROS << doublings).min(MAX_BACKOFF_MICROS);
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -5,12 +5,12 @@
 use super::request::{AttemptState, Execution, InFlightKey, RequestState};
 use crate::interface::{Action, AttemptNumber, Micros, RequestId, ShardId, TargetId};
 
-/// Which requests of a queue a pass dispatches.
+/// The requests of a queue that one dispatch pass sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum QueuePass {
-    /// Those that can meet their objective.
+    /// Requests that can still meet their objective.
     InTime,
-    /// Those that have missed it.
+    /// Requests that have missed their objective.
     Late,
 }
 
@@ -18,17 +18,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Dispatchability {
     Ready,
-    /// Not now; requests behind it may be.
+    /// This request may not be dispatched now; requests behind it may.
     NotNow,
-    /// Its target takes nothing now.
+    /// The target is in backoff or has no capacity, so that requests behind this one are blocked as well.
     TargetBlocked,
 }
 
 impl Scheduler {
-    /// Dispatches what a shard's target can take now, in the queue's order. Requests that have missed their
-    /// objective go when none that can still meet it is ready: they earn little, and would be first in the
-    /// order. This guards against the backlog after a target's pause; it costs where a late response earns as
-    /// much as one in time.
+    /// Dispatches the queued requests of a shard that its target has capacity for, in the queue's order.
+    /// Requests that have missed their objective are sent only when no request that can still meet its own is
+    /// ready: they earn little, and would come first in the order. This guards against the backlog after a
+    /// pause of the target. It is a loss where a late response earns as much as one in time.
     pub(super) fn dispatch_ready(&mut self, now: Micros, shard: ShardId, actions: &mut Vec<Action>) {
         let Some(shard_target) = self.serving_target(shard, None) else { return };
         for pass in [QueuePass::InTime, QueuePass::Late] {
@@ -39,8 +39,9 @@
         }
     }
 
-    /// Dispatches the requests of one pass, and returns whether the shard's target takes nothing any more. A
-    /// request with a target set may have another target than its shard's; it does not block those behind it.
+    /// Dispatches the requests of one pass, and returns whether the shard's target is blocked. A request with
+    /// a target set may have another target than its shard's; if that one is blocked, the requests behind it
+    /// are still considered.
     fn dispatch_pass(
         &mut self,
         now: Micros,
@@ -95,16 +96,17 @@
         }
     }
 
-    /// Sends a request to a target if all rules on sends allow it now, and returns whether it was sent:
+    /// Sends a request to a target if all dispatch rules allow it now, and returns whether it was sent. The
+    /// rules are, in this order:
     ///
-    /// 1. one attempt of a request at a time, and no more than the settings allow (retry.rs),
-    /// 2. what must still hold when the connection is up ([`Scheduler::may_send`]),
+    /// 1. a request has one attempt at a time, and no more than the settings allow (retry.rs),
+    /// 2. the conditions that must still hold once the connection is up ([`Scheduler::may_send`]),
     /// 3. slow start (slow_start.rs),
     /// 4. the order of requests of one key (key_order.rs),
-    /// 5. for a retry, the budget of all retries (retry.rs),
+    /// 5. for a retry, the budget that all retries share (retry.rs),
     /// 6. for a first attempt, the volume's limit (quota.rs), which counts each request once.
     ///
-    /// The order is fixed: the retry budget is spent by asking for it, so it comes after all rules that could
+    /// The order is fixed: the check of the retry budget spends it, so it comes after all rules that could
     /// still refuse a retry.
     fn dispatch(&mut self, now: Micros, id: RequestId, target: TargetId, actions: &mut Vec<Action>) -> bool {
         let request = &self.requests[&id];
@@ -155,7 +157,8 @@
         });
     }
 
-    /// Whether it is a request's turn among those of its key; see [`super::key_order::KeyOrder`].
+    /// Whether the order of requests with the same key allows a request to be sent; see
+    /// [`super::key_order::KeyOrder`].
     fn key_allows(&self, now: Micros, id: RequestId, request: &RequestState) -> bool {
         match request.key {
             Some(key) if self.settings.classes[request.class].ordered_by_key => {
@@ -165,12 +168,12 @@
         }
     }
 
-    /// The rules on sends that time and endpoint updates can turn against an attempt while its connection
-    /// comes up: the request has neither a final response nor run out of time, what may have run is sent
-    /// again only as its class allows, and the target is active and in the request's target set.
+    /// The conditions of a send that the passing of time and endpoint updates can invalidate while the
+    /// connection comes up: the request has no final response and has time left, a request that may have run
+    /// is sent again only as its class allows, and the target is active and in the request's target set.
     ///
-    /// Guards against sends to a target that drains or is removed: nothing new starts there, and a queued
-    /// request waits for another target of its shard until it is given up.
+    /// Guards against sends to a target that drains or is removed: no new attempt starts there, and a queued
+    /// request waits for another target of its shard until it expires.
     fn may_send(&self, now: Micros, request: &RequestState, target: TargetId) -> bool {
         !request.finished
             && !self.is_out_of_time(now, request)
@@ -179,8 +182,9 @@
             && self.target_sets.allows(request.target_set, target)
     }
 
-    /// Whether an attempt may begin now that its connection is up, asked before its first byte. It may not
-    /// where the target has been started anew since the attempt was sent: what slow start admitted is void.
+    /// Whether an attempt may begin, to be checked when its connection is up and before its first byte is
+    /// sent. It may not if the target has restarted since the attempt was sent: the slow-start budget that
+    /// admitted it is void.
     pub fn may_start(&self, now: Micros, id: RequestId, attempt: AttemptNumber) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
         let Some(attempt) = request.attempt(attempt) else { return false };
@@ -192,8 +196,9 @@
             && self.may_send(now, request, attempt.target)
     }
 
-    /// A request's first byte has gone to its target: what the request reserved there, and of its volume's
-    /// limit, is spent from now on. Without an attempt in flight only the limit's units are.
+    /// Commits the units that a request reserved, once its first byte has been sent to its target: they count
+    /// as spent from the target's slow-start budget and from the volume's limit. Without an attempt in flight
+    /// only the units of the limit are committed.
     pub fn commit_reserved(&mut self, now: Micros, id: RequestId) {
         let attempt = self.requests.get(&id).and_then(|request| request.attempts.last());
         if let Some(attempt) = attempt.filter(|attempt| attempt.is_in_flight()) {
--- a/src/scheduler/endpoint_updates.rs
+++ b/src/scheduler/endpoint_updates.rs
@@ -1,13 +1,13 @@
-//! What an update of the endpoint list changes.
+//! Updates of the endpoint list.
 
 use super::Scheduler;
 use crate::interface::{Action, EndpointEntry, EndpointUpdateKind, Micros};
 use rowanglade_slow_start::TargetBudget;
 
 impl Scheduler {
-    /// Takes over endpoint entries. A target that is new, or has started again, begins without anything that
-    /// was learned. One that drains or is removed gets nothing new; what waits for it waits for another
-    /// target of its shard, and what is in flight there ends by itself.
+    /// Applies endpoint entries. A target that is new, or has restarted, begins without learned state. A
+    /// target that drains or is removed gets no new attempts: requests that are queued for it wait for
+    /// another target of its shard, and attempts in flight there run to their end.
     pub(super) fn endpoints_changed(
         &mut self,
         now: Micros,
@@ -29,11 +29,11 @@
         self.tick(now, actions);
     }
 
-    /// Whether an entry names a target that is not known, or another start of a known one. A start of 0 or
-    /// none says nothing.
+    /// Whether an entry names an unknown target, or another start of a known one. A start time of 0 or none
+    /// does not show a restart.
     fn is_new_start(&self, entry: &EndpointEntry) -> bool {
         let started = entry.started.filter(|started| *started > 0);
-        let known = self.targets.get(&entry.target);
-        !known.is_some_and(|target| target.started == started || started.is_none())
+        let known_target = self.targets.get(&entry.target);
+        !known_target.is_some_and(|target| target.started == started || started.is_none())
     }
 }
--- a/src/scheduler/fairness.rs
+++ b/src/scheduler/fairness.rs
@@ -1,5 +1,5 @@
-//! Which requests are within their volume's fair share of a shard: its reserve, and a share of the rest in
-//! proportion to its weight.
+//! The fair share of a volume at a shard: its reserve, and a part of the remaining capacity in proportion to
+//! its weight.
 
 use super::decaying_sum::Rate;
 use super::volume_usage::ShardDemand;
@@ -7,37 +7,38 @@
 use crate::interface::{Micros, QosPlan, RequestId, ShardId};
 use std::collections::BTreeMap;
 
-/// The exponent by which the share level grows in a second: while nothing within the share is rejected, a
-/// shard with free capacity soon admits all that is asked for. The figures of the level came with the first
-/// version (docs/design/open-questions.md).
+/// The rate of the share level's exponential growth, per second: while no request within its share is
+/// rejected, a shard with free capacity soon admits all requests.
 const LEVEL_RISE_PER_SECOND: f64 = 0.5;
-/// The exponent by which it falls when all that is asked for is within the share and rejected. With the rise
-/// it settles where a twentieth of the units within the share is rejected: high enough to use the target
-/// fully.
+/// The exponent by which the share level falls if the whole demand is within the share and rejected; a
+/// rejected part of the demand lowers the level in proportion. Together with the growth rate, the level
+/// settles where a twentieth of the units within the share is rejected, which is high enough to use the
+/// target fully.
 const LEVEL_FALL_PER_REJECTED_FRACTION: f64 = 10.0;
-/// It never falls below this fraction of the largest excess: a plan may have no reserve to live on, and its
-/// volumes must not stay shut out after an overload.
+/// The lower bound of the share level, as a fraction of the largest excess: a plan may have no reserve, and
+/// its volumes must not stay shut out after an overload.
 const MIN_LEVEL_FRACTION: f64 = 0.1;
-/// The largest step of time, in seconds, that the level rises at once: while nothing is asked for, nothing
-/// shows that more could be served.
+/// The longest time, in seconds, by which the share level grows at once: a period without requests does not
+/// show that more could be served.
 const MAX_LEVEL_STEP_SECONDS: f64 = 1.0;
-/// The smallest weight that an excess is divided by.
+/// The lower bound of weights in divisions.
 const SMALLEST_WEIGHT: f64 = 1e-9;
 
-/// The share level of a shard: units a second beyond the reserve for a weight of 1.
+/// The share level of a shard: the units per second beyond its reserve that a volume of weight 1 may request.
 #[derive(Default)]
 pub(super) struct ShareLevel {
-    /// Unlimited until it is first asked for.
+    /// Infinite from the first request until the level is first lowered.
     level: f64,
     updated_at: Micros,
-    /// The largest excess of a volume over its reserve in the last second or so, for a weight of 1.
+    /// The largest excess of a volume over its reserve, divided by its weight; it decays with a time constant
+    /// of a second.
     largest_excess: f64,
-    /// Asked for at the shard through this initiator.
+    /// Units requested at the shard through this initiator.
     demand: Rate,
 }
 
 impl ShareLevel {
-    /// A request has arrived: the level rises with the time since the last one.
+    /// Records an arriving request: the share level grows with the time since the last one.
     fn record_arrival(&mut self, now: Micros, units: f64, excess: f64) {
         if self.updated_at == 0 {
             self.level = f64::INFINITY;
@@ -49,15 +50,16 @@
         self.largest_excess = (self.largest_excess * (-seconds).exp()).max(excess);
     }
 
-    /// A request within the fair share was rejected: the shard is overloaded, and the level falls.
+    /// Lowers the share level after a request within its fair share was rejected, which shows that the shard
+    /// is overloaded.
     pub fn lower(&mut self, now: Micros, rejected_units: f64) {
         let fraction = rejected_units / self.demand.per_second(now).max(rejected_units);
-        let fallen =
+        let lowered_level =
             self.level.min(self.largest_excess) * (-LEVEL_FALL_PER_REJECTED_FRACTION * fraction).exp();
-        self.level = fallen.max(MIN_LEVEL_FRACTION * self.largest_excess);
+        self.level = lowered_level.max(MIN_LEVEL_FRACTION * self.largest_excess);
     }
 
-    /// Units a second that a volume may ask for through this initiator within its fair share.
+    /// Units per second that a volume may request through this initiator within its fair share.
     fn allowed_rate(&self, plan: &QosPlan, demand: &ShardDemand) -> f64 {
         let fair_share = demand.reserve + self.level * plan.weight;
         fair_share * demand.here / (demand.here + demand.elsewhere)
@@ -75,17 +77,18 @@
         self.levels.entry(shard).or_default()
     }
 
-    /// Forgets the levels of shards that are not in use any more.
-    pub fn forget_unused(&mut self, in_use: impl Fn(ShardId) -> bool) {
+    /// Removes the share levels of shards that are no longer in use.
+    pub fn remove_unused(&mut self, in_use: impl Fn(ShardId) -> bool) {
         self.levels.retain(|shard, _| in_use(*shard));
     }
 }
 
 impl Scheduler {
-    /// Counts an arriving request as asked for, and returns whether it is within its volume's fair share of
-    /// the shard. A request without a plan always is.
+    /// Records the demand of an arriving request, and returns whether the request is within its volume's fair
+    /// share of the shard. A request without a plan always is.
     ///
-    /// Guards against a volume that asks for all that a target can do and leaves the others' requests late.
+    /// Guards against a volume that requests all that a target can serve and so makes the requests of other
+    /// volumes late.
     pub(super) fn record_demand_within_share(&mut self, now: Micros, id: RequestId, shard: ShardId) -> bool {
         let request = &self.requests[&id];
         let Some(plan) = request.plan.map(|plan| &self.settings.plans[plan.0 as usize]) else {
--- a/src/scheduler/key_order.rs
+++ b/src/scheduler/key_order.rs
@@ -1,4 +1,4 @@
-//! Requests of one key run one at a time, in the order in which they arrived.
+//! Requests with the same key run one at a time, in the order in which they arrived.
 
 use crate::interface::{KeyId, Micros, RequestId};
 use std::collections::{BTreeMap, VecDeque};
@@ -7,14 +7,14 @@
 struct KeyQueue {
     /// In the order of arrival.
     requests: VecDeque<RequestId>,
-    /// No first attempt is sent before then: an earlier request's attempt may still run.
+    /// No first attempt of the key is sent before this time: an attempt of an earlier request may still run.
     quiet_until: Micros,
 }
 
 /// The order of requests whose class is ordered by key.
 ///
-/// Guards against two requests of one key that run at once: the first request's attempt may still run after
-/// its time-out, so its successors wait for the quiet period.
+/// Guards against two requests of one key that run at the same time: an attempt of the first request may
+/// still run after its time-out, so the next request waits for the quiet period.
 #[derive(Default)]
 pub(super) struct KeyOrder {
     queues: BTreeMap<KeyId, KeyQueue>,
@@ -31,21 +31,23 @@
         }
     }
 
-    /// An attempt may still run: no other request of its key is sent before then.
-    pub fn keep_quiet_until(&mut self, key: KeyId, until: Micros) {
+    /// Extends the quiet period of a key after an attempt that may still run: no other request of the key is
+    /// sent before `until`.
+    pub fn extend_quiet_period(&mut self, key: KeyId, until: Micros) {
         if let Some(queue) = self.queues.get_mut(&key) {
             queue.quiet_until = queue.quiet_until.max(until);
         }
     }
 
-    /// Whether a request is the first of its key, and its first attempt not within the quiet period.
+    /// Whether a request may be sent: it is the first of its key and, unless it is a retry, the quiet period
+    /// is over.
     pub fn allows(&self, now: Micros, key: KeyId, id: RequestId, is_retry: bool) -> bool {
         let Some(queue) = self.queues.get(&key) else { return true };
         queue.requests.front() == Some(&id) && (queue.quiet_until <= now || is_retry)
     }
 
-    /// Forgets keys without requests whose quiet period is over.
-    pub fn forget_idle(&mut self, now: Micros) {
+    /// Removes keys without requests whose quiet period is over.
+    pub fn remove_idle(&mut self, now: Micros) {
         self.queues.retain(|_, queue| !queue.requests.is_empty() || queue.quiet_until > now);
     }
 }
--- a/src/scheduler/learning.rs
+++ b/src/scheduler/learning.rs
@@ -1,43 +1,41 @@
-//! What the end of an attempt teaches: the latency and speed of its target and of all, and its class's
-//! margin.
+//! What is learned from the end of an attempt: the latency and speed of its target and of all targets, and
+//! the margin of its class.
 
 use super::estimates::confidence;
 use super::{MICROS_PER_SECOND, Scheduler};
 use crate::interface::{Micros, Outcome, TargetId};
 
-// The four figures came with the first version; the design leaves the smoothing open
-// (docs/design/open-questions.md).
-
-/// The weight of a new response where there is full confidence in what was learned: one response that varies
-/// must not move the estimate much.
+/// The weight of a new response at full confidence in the estimate: a single response that deviates must not
+/// move the estimate much.
 const SETTLED_SAMPLE_WEIGHT: f64 = 0.1;
-/// Its weight where nothing was learned before: half, since the mean of all targets stands in for the rest.
+/// The weight of a new response without confidence in the estimate: half, since the mean of all targets makes
+/// up the rest.
 const FIRST_SAMPLE_WEIGHT: f64 = 0.5;
-/// The fraction of responses that should come within their prediction.
+/// The fraction of responses that should arrive within their predicted time.
 const PREDICTIONS_MET_FRACTION: f64 = 0.6;
-/// How far one response moves the margin of its class.
+/// How far one response moves the margin of its class, as a fraction of the margin.
 const MARGIN_STEP: f64 = 0.05;
-/// The bounds of the margins: what lies outside is another fault than the closed form's.
+/// The bounds of the margins: an error outside them has another cause than the closed form.
 const MIN_MARGIN: f64 = 0.25;
 const MAX_MARGIN: f64 = 4.0;
-/// A latency beyond this multiple of the learned one counts as this multiple: one late response of a target
-/// that has recovered must not shut it out.
+/// The upper bound of an observed latency, as a multiple of the learned one: one late response of a target
+/// that has recovered must not shut the target out.
 const MAX_LATENCY_RATIO: f64 = 3.0;
 
-/// What is learned from the end of an attempt.
+/// What the end of an attempt shows of its target.
 pub(super) struct ResponseSample {
     pub class: usize,
     pub units: f64,
-    /// From the send to the end.
+    /// From the send to the end, in microseconds.
     pub elapsed: Micros,
     pub predicted_micros: f64,
-    /// How long the client would have waited from the send on.
-    pub client_would_wait: Micros,
-    /// It was cancelled, since its response did not come.
+    /// From the send to the client's deadline, in microseconds.
+    pub time_to_deadline: Micros,
+    /// The attempt was cancelled because no response arrived.
     pub stalled: bool,
 }
 
-/// The weight of a new response.
+/// The weight of a new response in an estimate.
 fn sample_weight(is_first: bool, confidence: f64) -> f64 {
     if is_first {
         return 1.0;
@@ -47,22 +45,22 @@
 
 impl ResponseSample {
     /// The latency that an outcome shows, in microseconds; absent: it shows none. Without a response the
-    /// latency was at least the elapsed time, and a full queue means at least what the client would wait: an
-    /// overload is not forgotten.
+    /// latency was at least the elapsed time. A full queue counts as at least the time to the client's
+    /// deadline, so that an overload is not forgotten.
     fn latency_micros(&self, outcome: Outcome, learned_micros: f64) -> Option<f64> {
         match outcome {
-            // A connection that fell silent says nothing of the target.
+            // A connection that fell silent shows nothing of the target's latency.
             _ if self.stalled => None,
             Outcome::Served => Some(self.elapsed.max(1) as f64),
             Outcome::TimedOut | Outcome::Cancelled => Some((self.elapsed as f64).max(learned_micros)),
-            Outcome::QueueFull => Some((self.client_would_wait as f64).max(learned_micros)),
+            Outcome::QueueFull => Some((self.time_to_deadline as f64).max(learned_micros)),
             _ => None,
         }
     }
 }
 
 impl Scheduler {
-    /// Learns from the end of an attempt at a known target.
+    /// Updates the estimates and the class's margin from the end of an attempt at a known target.
     pub(super) fn learn(&mut self, now: Micros, target: TargetId, outcome: Outcome, sample: ResponseSample) {
         self.learn_margin(outcome, &sample);
         let learned = self.estimate(now, &self.targets[&target]);
@@ -86,8 +84,9 @@
         overall.last_response_at = Some(now);
     }
 
-    /// Moves a class's margin so that [`PREDICTIONS_MET_FRACTION`] of its responses come within their
-    /// prediction. The closed form errs with the load of other initiators and with parallel work.
+    /// Moves a class's margin so that [`PREDICTIONS_MET_FRACTION`] of its responses arrive within their
+    /// predicted time. The closed form is inaccurate because of the load of other initiators and of requests
+    /// that are served in parallel.
     fn learn_margin(&mut self, outcome: Outcome, sample: &ResponseSample) {
         let shows_time = matches!(outcome, Outcome::Served | Outcome::TimedOut);
         if !shows_time || sample.predicted_micros <= 0.0 {
--- a/src/scheduler/objectives.rs
+++ b/src/scheduler/objectives.rs
@@ -1,11 +1,10 @@
-//! What follows from the latency objectives of all classes together.
+//! The tightest latency objective, and the classes that are background work because their objectives are
+//! long.
 
 use crate::interface::{Micros, RequestClass};
 
-/// A class that does not write, and whose objective is this multiple of the tightest one or more, is
-/// background work: delaying it costs its clients little, and a write holds resources until it is done. The
-/// design leaves background work to us; the figure came with the first version
-/// (docs/design/open-questions.md).
+/// A class that does not write, and whose objective is at least this multiple of the tightest one, is
+/// background work: a delay costs its clients little. A delayed write would hold resources until it is done.
 const BACKGROUND_OBJECTIVE_MULTIPLE: f64 = 2.5;
 
 /// The tightest objective, and which classes are background work.
@@ -23,7 +22,8 @@
         Objectives { tightest, background }
     }
 
-    /// Whether a class is background work: always admitted, and sent in spare capacity.
+    /// Whether a class is background work: admitted whatever its prediction, and sent only into spare
+    /// capacity.
     pub fn is_background(&self, class: usize) -> bool {
         self.background[class]
     }
--- a/src/scheduler/outcomes.rs
+++ b/src/scheduler/outcomes.rs
@@ -1,4 +1,4 @@
-//! What follows from the end of an attempt.
+//! The end of an attempt, and what follows from it for its request, its target and the estimates.
 
 use super::Scheduler;
 use super::learning::ResponseSample;
@@ -11,13 +11,13 @@
     pub id: RequestId,
     pub attempt: AttemptNumber,
     pub outcome: Outcome,
-    /// From the send to the end.
+    /// From the send to the end, in microseconds.
     pub elapsed: Micros,
-    /// The request has its final response.
+    /// Whether the request has its final response.
     pub request_over: bool,
 }
 
-/// An attempt that has ended, with what it took up.
+/// An attempt that has ended, and the capacity that it occupied.
 struct EndedAttempt {
     target: TargetId,
     key: InFlightKey,
@@ -26,8 +26,8 @@
 }
 
 impl Scheduler {
-    /// An attempt has ended: its target has its capacity back, its time is learned from, and its request is
-    /// retried or finished.
+    /// Handles the end of an attempt: releases its capacity, updates the estimates and the backoff of its
+    /// target, and retries or finishes its request.
     pub(super) fn attempt_ended(&mut self, now: Micros, end: AttemptEnd, actions: &mut Vec<Action>) {
         let AttemptEnd { id, outcome, .. } = end;
         let Some(ended) = self.record_execution(&end) else { return };
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Notes whether an attempt may have run. Absent: it is not known, or has ended before.
+    /// Records whether an attempt may have run. Absent: the attempt is unknown, or had ended before.
     fn record_execution(&mut self, end: &AttemptEnd) -> Option<EndedAttempt> {
         let request = self.requests.get_mut(&end.id)?;
         let attempt = request.attempts.get_mut(end.attempt.0 as usize)?;
@@ -74,22 +74,22 @@
                 units: request.units,
                 elapsed: end.elapsed,
                 predicted_micros: attempt.predicted_micros,
-                client_would_wait: request.deadline.saturating_sub(attempt.sent_at),
+                time_to_deadline: request.deadline.saturating_sub(attempt.sent_at),
                 stalled: attempt.stalled,
             },
         })
     }
 
-    /// After an attempt that may still run, no other request of its key is sent for the quiet period.
+    /// Starts the quiet period of a request's key after an attempt that may still run.
     fn start_quiet_period(&mut self, now: Micros, id: RequestId, outcome: Outcome) {
-        let may_run_on = matches!(outcome, Outcome::TimedOut | Outcome::Broken | Outcome::Cancelled);
-        let Some(request) = self.requests.get(&id).filter(|_| may_run_on) else { return };
+        let may_still_run = matches!(outcome, Outcome::TimedOut | Outcome::Broken | Outcome::Cancelled);
+        let Some(request) = self.requests.get(&id).filter(|_| may_still_run) else { return };
         if let (true, Some(key)) = (self.settings.classes[request.class].ordered_by_key, request.key) {
-            self.key_order.keep_quiet_until(key, now + self.settings.rules.key_quiet_period);
+            self.key_order.extend_quiet_period(key, now + self.settings.rules.key_quiet_period);
         }
     }
 
-    /// Notes when a target responded, and to which of its attempts.
+    /// Records when a target responded, and when the attempt that it responded to was sent.
     fn record_response(&mut self, now: Micros, target: TargetId, sent_at: Micros, outcome: Outcome) {
         let Some(state) = self.targets.get_mut(&target) else { return };
         if !matches!(outcome, Outcome::TimedOut | Outcome::Cancelled | Outcome::NotSent) {
@@ -102,9 +102,9 @@
         }
     }
 
-    /// A response has begun, or the rest of a long request is being passed on: the attempt takes up no
-    /// capacity of its target any more. If the deadline does not apply any more, the request is not failed at
-    /// it, and the attempt lasts as long as its client takes.
+    /// Handles the start of a transfer: a response has begun, or the rest of a long request is being passed
+    /// on. The attempt no longer occupies capacity of its target. If the deadline no longer applies, the
+    /// request does not fail at its deadline, and the attempt lasts as long as its client takes.
     pub(super) fn transfer_started(&mut self, id: RequestId, attempt: AttemptNumber, deadline_applies: bool) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         if !deadline_applies {
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -1,46 +1,46 @@
-//! Which shard a new object goes to.
+//! Placement of new objects: the choice of the shard that stores them.
 
 use super::Scheduler;
 use super::request::RequestState;
 use super::target::Target;
 use crate::interface::{Micros, RequestId, ShardId, TargetId, TargetSetId};
 
-/// Targets that are compared for one new object at most. Where there are more, those that this initiator
-/// knows best are compared with some drawn at random: a comparison of all would make each request cost what
-/// the endpoint list is long.
+/// The most targets that are compared for one new object. If there are more, the preferred targets and those
+/// that responded last are compared with some drawn at random: a comparison of all would make the cost of
+/// each request grow with the endpoint list.
 const MAX_COMPARED_TARGETS: usize = 256;
-/// Of these, at most so many that have responded lately; the rest is left for random draws. How the two
-/// figures were found is not recorded (docs/design/open-questions.md).
+/// How many of the compared targets are chosen because they responded last, at most; the rest is left for
+/// random draws.
 const MAX_RECENT_RESPONDERS: usize = 96;
-/// A target that is predicted within this fraction of the objective is early enough: no other is faster in a
-/// way that a client would notice.
+/// A target is early enough if it is predicted to complete the request within this fraction of its objective:
+/// a client would not notice the difference to a faster one.
 const EARLY_ENOUGH_OBJECTIVE_FRACTION: f64 = 0.5;
-/// The random factor on each target's predicted time, and how far above it the factor may be. Initiators that
-/// see the same load must not all choose the same target.
+/// The smallest random factor on a target's predicted time; [`COST_FACTOR_SPREAD`] is how far above it the
+/// factor may be. Initiators that see the same load must not all choose the same target.
 const MIN_COST_FACTOR: f64 = 0.9;
 const COST_FACTOR_SPREAD: f64 = 0.2;
 
-/// In which order targets are chosen; of one rank, the one with the least cost.
+/// The order in which targets are chosen. Within one rank, the target with the least cost is chosen.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 enum PlacementRank {
-    /// Early enough, and preferred by this initiator.
+    /// The target is early enough, and preferred by this initiator.
     Preferred,
-    /// Early enough, and known to respond: it needs no new connection.
+    /// The target is early enough, and has responded before: it needs no new connection.
     Known,
     Other,
 }
 
-/// A target that may take a new object.
+/// A target that can take a new object.
 struct Choice {
     rank: PlacementRank,
-    /// The predicted time, in microseconds, with the random factor.
+    /// The predicted time in microseconds, multiplied by the random factor.
     cost: f64,
     shard: ShardId,
 }
 
 impl Scheduler {
-    /// Chooses the shard of a new object that has not run anywhere. Requests for data that a shard holds, and
-    /// those that may have run, keep theirs.
+    /// Chooses the shard of a new object of which no attempt can have run. Requests for data that a shard
+    /// holds, and requests that may have run, keep their shard.
     pub(super) fn choose_shard(&mut self, now: Micros, id: RequestId) {
         let request = &self.requests[&id];
         if request.shard_is_given || !request.is_proven_not_executed() {
@@ -50,13 +50,13 @@
         self.requests.entry(id).and_modify(|request| request.shard = shard);
     }
 
-    /// The shard whose target would complete a new object first, of those compared. Absent: none takes it
-    /// now.
+    /// The shard of the compared target that is best for a new object, by its rank and then by its predicted
+    /// time. Absent: none of the compared targets takes it now.
     fn place(&mut self, now: Micros, id: RequestId) -> Option<ShardId> {
         let mut best: Option<Choice> = None;
         for target in self.compared_targets(self.requests[&id].target_set) {
             let factor = MIN_COST_FACTOR + COST_FACTOR_SPREAD * self.random.next_fraction();
-            let Some(choice) = self.choice(now, &self.requests[&id], target, factor) else { continue };
+            let Some(choice) = self.assess(now, &self.requests[&id], target, factor) else { continue };
             let is_better =
                 best.as_ref().is_none_or(|best| (choice.rank, choice.cost) < (best.rank, best.cost));
             if is_better {
@@ -66,9 +66,9 @@
         best.map(|choice| choice.shard)
     }
 
-    /// A target as a place for a new object; absent: it takes none now, since it is not its shard's serving
-    /// target, is in backoff or is warming up.
-    fn choice(&self, now: Micros, request: &RequestState, target: TargetId, factor: f64) -> Option<Choice> {
+    /// Assesses a target for a new object. Absent: the target takes none now, since it is not its shard's
+    /// serving target, is in backoff, or is warming up and has no slow-start budget for the request.
+    fn assess(&self, now: Micros, request: &RequestState, target: TargetId, factor: f64) -> Option<Choice> {
         let state = &self.targets[&target];
         if self.serving_target(state.shard, request.target_set) != Some(target) || state.backoff_until > now {
             return None;
@@ -78,13 +78,16 @@
             return None;
         }
         let units = state.units_in_flight + queued_units + request.units;
-        // Before the first response all times are zero: every initiator would begin with the same target.
+        // Before the first response all predicted times are zero. Without the lower bound every initiator
+        // would begin with the same target.
         let cost = factor * self.predicted_time(now, target, request.class, units).max(1) as f64;
         Some(Choice { rank: self.placement_rank(request, target, state, cost), cost, shard: state.shard })
     }
 
-    /// Guards against initiators that each hold a connection to almost every target: one to a target that has
-    /// never responded is a new one, which buys nothing where another is early enough.
+    /// The rank of a target for a new object.
+    ///
+    /// Guards against initiators that each hold a connection to almost every target: a target that has never
+    /// responded needs a new connection, which gains nothing where another target is early enough.
     fn placement_rank(
         &self,
         request: &RequestState,
@@ -103,13 +106,13 @@
         }
     }
 
-    /// The units that wait for a shard.
+    /// The units of the requests that are queued at a shard.
     pub(super) fn queued_units(&self, shard: ShardId) -> f64 {
         self.queues.requests(shard).iter().map(|id| self.requests[id].units).sum()
     }
 
-    /// The targets that are compared for a request with this target set: all active ones, or of many the
-    /// preferred ones, those that have responded lately, and some drawn at random.
+    /// The targets that are compared for a request with this target set: all active ones, or, if there are
+    /// too many, the preferred ones, those that responded last, and some drawn at random.
     fn compared_targets(&mut self, set: Option<TargetSetId>) -> Vec<TargetId> {
         let members = set.map(|set| self.target_sets.members(set));
         let count = members.map_or(self.targets.active().len(), <[TargetId]>::len);
@@ -126,10 +129,10 @@
         let recent = recent.filter(|t| self.is_candidate(set, t));
         let mut compared: Vec<TargetId> = preferred.take(MAX_COMPARED_TARGETS / 2).chain(recent).collect();
         while compared.len() < MAX_COMPARED_TARGETS {
-            let place = (self.random.next_fraction() * count as f64) as usize;
+            let index = (self.random.next_fraction() * count as f64) as usize;
             compared.extend(match set {
-                Some(set) => self.target_sets.members(set).get(place).copied(),
-                None => self.targets.active().get_index(place).copied(),
+                Some(set) => self.target_sets.members(set).get(index).copied(),
+                None => self.targets.active().get_index(index).copied(),
             });
         }
         compared
--- a/src/scheduler/queues.rs
+++ b/src/scheduler/queues.rs
@@ -1,29 +1,29 @@
-//! The queue of each shard, and new objects that no shard takes yet.
+//! The queue of each shard, and the new objects without a shard.
 
 use crate::interface::{RequestId, ShardId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The queues of all shards that were asked for, and which of them are not empty.
+/// The queues of all shards, and an index of those that are not empty.
 #[derive(Default)]
 pub(super) struct Queues {
     by_shard: BTreeMap<ShardId, Vec<RequestId>>,
     not_empty: BTreeSet<ShardId>,
-    /// New objects that no target takes yet; they are placed again at each tick.
+    /// New objects that no target takes yet; their placement is retried at each tick.
     unplaced: Vec<RequestId>,
 }
 
 impl Queues {
-    /// The requests that wait for a shard, in the order in which they are dispatched.
+    /// The queued requests of a shard, in the order in which they are dispatched.
     pub fn requests(&self, shard: ShardId) -> &[RequestId] {
         self.by_shard.get(&shard).map_or(&[], Vec::as_slice)
     }
 
-    /// The shards that a request waits for.
+    /// The shards with queued requests.
     pub fn not_empty(&self) -> impl Iterator<Item = ShardId> {
         self.not_empty.iter().copied()
     }
 
-    /// Puts a request into a shard's queue, and returns those behind it.
+    /// Inserts a request into a shard's queue, and returns the requests behind it.
     pub fn insert(&mut self, shard: ShardId, position: usize, id: RequestId) -> &[RequestId] {
         let requests = self.by_shard.entry(shard).or_default();
         requests.insert(position, id);
@@ -31,7 +31,7 @@
         &requests[position + 1..]
     }
 
-    /// Takes a request out of a shard's queue, if it is there.
+    /// Removes a request from a shard's queue, if it is there.
     pub fn remove(&mut self, shard: ShardId, id: RequestId) {
         let Some(requests) = self.by_shard.get_mut(&shard) else { return };
         requests.retain(|other| *other != id);
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Keeps a new object that no shard takes yet.
+    /// Adds a new object that no target takes yet.
     pub fn add_unplaced(&mut self, id: RequestId) {
         self.unplaced.push(id);
     }
@@ -49,12 +49,12 @@
         self.unplaced.retain(|other| *other != id);
     }
 
-    /// How many new objects no shard takes yet.
+    /// The number of new objects that no target takes yet.
     pub fn unplaced_count(&self) -> usize {
         self.unplaced.len()
     }
 
-    /// Takes out all new objects that no shard takes yet.
+    /// Removes and returns all new objects that no target takes yet.
     pub fn take_unplaced(&mut self) -> Vec<RequestId> {
         std::mem::take(&mut self.unplaced)
     }
@@ -63,8 +63,8 @@
         self.unplaced = unplaced;
     }
 
-    /// Forgets empty queues of shards that no target has any more.
-    pub fn forget_empty(&mut self, has_target: impl Fn(ShardId) -> bool) {
+    /// Removes the empty queues of shards that no target holds any more.
+    pub fn remove_empty(&mut self, has_target: impl Fn(ShardId) -> bool) {
         self.by_shard.retain(|shard, requests| !requests.is_empty() || has_target(*shard));
     }
 }
--- a/src/scheduler/quota.rs
+++ b/src/scheduler/quota.rs
@@ -1,4 +1,5 @@
-//! Volume limits: how many units this initiator may send for a volume, and what moves between initiators.
+//! Volume limits: how many units this initiator may send for a volume, and the quota exchange with other
+//! initiators.
 
 use super::request::RequestState;
 use super::token_bucket::TokenBucket;
@@ -6,24 +7,24 @@
 use crate::interface::{Action, Micros, RequestId, VolumeId};
 use std::collections::BTreeMap;
 
-/// Below this fraction of its bucket an initiator asks others for units, and gives none away: an exchange
-/// takes a round trip, and the rest of the bucket lasts for it (docs/design/fleet.md).
+/// Below this fraction of its bucket's capacity an initiator requests units from others, and gives none away:
+/// an exchange takes a round trip, and the rest of the bucket has to last for it (docs/design/fleet.md).
 const LOW_BUCKET_FRACTION: f64 = 0.25;
-/// Beside that, an initiator keeps what its own requests ask for in this many seconds
+/// In addition, an initiator keeps the units that its own requests demand in this many seconds
 /// (docs/design/fleet.md).
 const KEPT_DEMAND_SECONDS: f64 = 0.5;
 
-/// The buckets of all volumes with a limit that this initiator has seen requests of.
+/// The token buckets of all volumes with a limit whose requests this initiator has received.
 #[derive(Default)]
 pub(super) struct QuotaLedger {
     buckets: BTreeMap<VolumeId, TokenBucket>,
 }
 
-/// What a request lacks of its volume's limit here.
+/// The units of its volume's limit that a request lacks at this initiator.
 pub(super) struct QuotaShortfall {
-    /// Not positive: nothing.
+    /// Zero or negative if no units are lacking.
     pub units: f64,
-    /// When the bucket has filled up to the request's units, from now on.
+    /// The time until the bucket has filled up to the request's units, in microseconds.
     pub fills_in: Micros,
 }
 
@@ -44,21 +45,21 @@
         self.buckets.clear();
     }
 
-    /// Another initiator gave up units for this one. They are lost where no bucket is kept, and what passes
-    /// the bucket's capacity is cut off when it is next read.
+    /// Adds units that another initiator gave to this one. They are lost if there is no bucket for the
+    /// volume. Units beyond the bucket's capacity are dropped when the bucket is next read.
     pub fn receive(&mut self, now: Micros, volume: VolumeId, units: f64) {
         self.buckets.entry(volume).and_modify(|bucket| bucket.add(now, units.max(0.0)));
     }
 
-    /// Forgets idle buckets of volumes without requests.
-    pub fn forget_idle(&mut self, now: Micros, after: Micros, has_requests: impl Fn(VolumeId) -> bool) {
+    /// Removes idle buckets of volumes without requests.
+    pub fn remove_idle(&mut self, now: Micros, after: Micros, has_requests: impl Fn(VolumeId) -> bool) {
         self.buckets.retain(|volume, bucket| !bucket.is_idle(now, after) || has_requests(*volume));
     }
 }
 
 impl Scheduler {
-    /// Brings the bucket of an arriving request's volume up to date with its plan, and asks other initiators
-    /// for units before it is empty.
+    /// Updates the bucket of an arriving request's volume from its plan, and requests units from other
+    /// initiators before the bucket is empty.
     pub(super) fn prepare_quota(&mut self, now: Micros, request: &RequestState, actions: &mut Vec<Action>) {
         let plan = request.plan.map(|plan| &self.settings.plans[plan.0 as usize]);
         let Some(limit) = plan.and_then(|plan| plan.limit) else { return };
@@ -73,8 +74,9 @@
         }
     }
 
-    /// What a request lacks of this initiator's part of its volume's limit. Absent: its plan has no limit.
-    /// Without a bucket, or while another process owns it, the request lacks all of its units for ever.
+    /// The units that a request lacks of this initiator's part of its volume's limit. Absent: the request's
+    /// plan has no limit. Without a bucket, or while another process owns it, the request lacks all of its
+    /// units indefinitely.
     pub(super) fn quota_shortfall(&self, now: Micros, request: &RequestState) -> Option<QuotaShortfall> {
         let limit = self.settings.plans[request.plan?.0 as usize].limit?;
         let bucket = self.quota.get(request.volume).filter(|_| !self.ownership.is_transferred);
@@ -86,7 +88,7 @@
         Some(QuotaShortfall { units, fills_in })
     }
 
-    /// Whether a request's volume has its units only after the client has given the request up.
+    /// Whether the units of a request's volume become available only at the client's deadline or later.
     pub(super) fn quota_fills_too_late(&self, now: Micros, request: &RequestState) -> bool {
         let shortfall = self.quota_shortfall(now, request);
         shortfall.is_some_and(|shortfall| now + shortfall.fills_in >= request.deadline)
@@ -100,28 +102,30 @@
         self.quota.buckets.entry(request.volume).and_modify(|bucket| bucket.reserve(now, units));
     }
 
-    /// A request's first attempt has reached its target: its units are spent.
+    /// Commits the reserved units of a request whose first attempt has reached its target: they are spent.
     pub(super) fn commit_quota(&mut self, now: Micros, id: RequestId) {
         if let Some((bucket, units)) = self.end_quota_reservation(id) {
             bucket.commit(now, units);
         }
     }
 
-    /// No attempt of a request has reached a target, or ever will: its units come back.
+    /// Releases the reserved units of a request of which no attempt has reached a target, or ever will.
     pub(super) fn release_quota(&mut self, now: Micros, id: RequestId) {
         if let Some((bucket, units)) = self.end_quota_reservation(id) {
             bucket.release(now, units);
         }
     }
 
-    /// Ends a request's reservation, and returns its bucket and its units; absent: it has none.
+    /// Ends a request's reservation, and returns the bucket and the reserved units. Absent: nothing was
+    /// reserved, or the bucket is gone.
     fn end_quota_reservation(&mut self, id: RequestId) -> Option<(&mut TokenBucket, f64)> {
         let request = self.requests.get_mut(&id).filter(|request| request.quota_reserved)?;
         request.quota_reserved = false;
         Some((self.quota.buckets.get_mut(&request.volume)?, request.units))
     }
 
-    /// Takes out of a volume's bucket what its own requests do not need soon, for another initiator.
+    /// Takes the units that the volume's own requests do not need soon out of its bucket, up to `max_units`,
+    /// and offers them to another initiator.
     pub(super) fn offer_quota(
         &mut self,
         now: Micros,
@@ -131,11 +135,11 @@
     ) {
         let units = self.quota.buckets.get_mut(&volume).map_or(0.0, |bucket| {
             let demand = self.volumes.get(&volume).map_or(0.0, |usage| usage.demand.per_second(now));
-            let kept = demand * KEPT_DEMAND_SECONDS;
-            let free = bucket.available(now) - kept - bucket.low_mark(LOW_BUCKET_FRACTION);
-            let offered = free.min(max_units).max(0.0);
-            bucket.add(now, -offered);
-            offered
+            let kept_units = demand * KEPT_DEMAND_SECONDS;
+            let spare_units = bucket.available(now) - kept_units - bucket.low_mark(LOW_BUCKET_FRACTION);
+            let offered_units = spare_units.min(max_units).max(0.0);
+            bucket.add(now, -offered_units);
+            offered_units
         });
         actions.push(Action::QuotaOffered { volume, units });
     }
--- a/src/scheduler/random.rs
+++ b/src/scheduler/random.rs
@@ -11,7 +11,7 @@
         RandomDraws { state: seed }
     }
 
-    /// A number from 0 to 1, without 1.
+    /// A number from 0 (inclusive) to 1 (exclusive).
     pub fn next_fraction(&mut self) -> f64 {
         self.state = self.state.wrapping_add(0x9E37_79B9_7F4A_7C15);
         let mut mixed = self.state;
--- a/src/scheduler/request.rs
+++ b/src/scheduler/request.rs
@@ -1,4 +1,4 @@
-//! What the scheduler keeps of a request and of its attempts.
+//! The state of a request and of its attempts.
 
 use crate::interface::{
     AttemptNumber, KeyId, Micros, PlanId, RequestId, ShardId, TargetId, TargetSetId, VolumeId,
@@ -7,11 +7,11 @@
 /// Whether an attempt may have run at its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Execution {
-    /// It has no outcome yet.
+    /// The attempt has no outcome yet.
     InFlight,
-    /// Its outcome proves that it never ran.
+    /// The outcome proves that the attempt never ran.
     NotExecuted,
-    /// It may have run, or may still run.
+    /// The attempt may have run, or may still run.
     Unknown,
 }
 
@@ -20,9 +20,9 @@
     pub target: TargetId,
     pub sent_at: Micros,
     pub execution: Execution,
-    /// It was cancelled, since its response does not come.
+    /// The attempt was cancelled because its response did not arrive.
     pub stalled: bool,
-    /// The predicted time to its response, in microseconds, without the class's margin.
+    /// The predicted time from the send to the response, in microseconds, without the class's margin.
     pub predicted_micros: f64,
 }
 
@@ -35,38 +35,41 @@
 /// A request that has no final response yet, or has an attempt in flight.
 #[derive(Default)]
 pub(super) struct RequestState {
-    /// Its place in the settings' classes.
+    /// The index of the class in the settings.
     pub class: usize,
     pub volume: VolumeId,
     pub plan: Option<PlanId>,
     pub key: Option<KeyId>,
     pub units: f64,
-    /// The shard holds the request's data; otherwise the request is a new object and the shard was chosen.
+    /// Whether the request named the shard, which then holds its data. Otherwise the request is a new object,
+    /// and placement chooses the shard.
     pub shard_is_given: bool,
     pub shard: Option<ShardId>,
-    /// A response by then earns the full priority weight.
+    /// A response by this time earns the full priority weight.
     pub objective_at: Micros,
-    /// Without an attempt by then, the request is given up.
+    /// The request expires at this time if it has had no attempt.
     pub queue_timeout_at: Micros,
-    /// The request's place in the queue's order: its objective, or what background work was deferred to.
+    /// Determines the request's position in the queue: its objective, or its deadline if it is a deferred
+    /// background request.
     pub virtual_deadline: Micros,
-    /// The client gives the request up then.
+    /// The client stops waiting at this time.
     pub deadline: Micros,
-    /// The targets that its route reaches; absent: all.
+    /// The targets that the request's route allows; absent: all.
     pub target_set: Option<TargetSetId>,
-    /// Through how many initiators the volume works; the shares of what they hold together follow from it.
+    /// The number of initiators through which the volume's requests arrive. The volume's limit and reserve
+    /// are divided by it.
     pub initiators: f64,
-    /// How often a request with an earlier virtual deadline was queued before it.
+    /// How often a request with an earlier virtual deadline was inserted ahead of this one.
     pub overtaken_count: u32,
-    /// It is in its shard's queue.
+    /// The request is in its shard's queue.
     pub queued: bool,
-    /// Its response passes to its client, and its deadline does not apply any more.
+    /// The response is being passed to the client, and the deadline no longer applies.
     pub deadline_lifted: bool,
-    /// Units of its volume's limit are reserved for it.
+    /// Units of the volume's limit are reserved for the request.
     pub quota_reserved: bool,
-    /// It has its final response, or needs none.
+    /// The request has its final response, or needs none.
     pub finished: bool,
-    /// In the order of the sends.
+    /// In the order in which they were sent.
     pub attempts: Vec<AttemptState>,
 }
 
@@ -92,7 +95,7 @@
     }
 }
 
-/// An attempt that takes up capacity at its target. Sorts by the time of the send.
+/// An attempt that occupies capacity at its target. Sorts by the time of the send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct InFlightKey {
     pub sent_at: Micros,
--- a/src/scheduler/responses.rs
+++ b/src/scheduler/responses.rs
@@ -1,16 +1,16 @@
-//! The final response of a request, and what is removed with it.
+//! The final response of a request, and the removal of the request.
 
 use super::Scheduler;
 use super::request::RequestState;
 use crate::interface::{Action, AttemptNumber, Micros, RequestId};
 
-/// The shortest time that a rejected client is asked to stay away. Trials with 5 and 60 ms, and with always
-/// the longest time, gave no better result (docs/results.md, "Tried and taken back").
+/// The shortest Retry-After time of a rejected request. With 5 or 60 ms, or always the longest time, the
+/// results were no better (docs/results.md, "Tried and taken back").
 const MIN_RETRY_AFTER_MICROS: Micros = 20_000;
 
 impl Scheduler {
-    /// The one way to a final response of this initiator's own: a rejection where the client may retry
-    /// without harm, else a failure.
+    /// Gives a request a final response of this initiator's own: a rejection if the client may retry without
+    /// harm, else a failure. Every request whose class is known gets such a response only here.
     pub(super) fn reject_or_fail(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id).filter(|request| !request.finished) else { return };
         actions.push(if self.client_may_retry(request) {
@@ -21,16 +21,17 @@
         self.finish(now, id);
     }
 
-    /// How long a rejected client should stay away, in microseconds: until its volume's limit has its units,
-    /// and its target takes requests and is predicted to meet the objective; within the settings' bound.
+    /// The Retry-After time of a rejected request, in microseconds: until its volume's limit has its units,
+    /// its target is out of backoff, slow start admits the request there, and it is predicted to meet the
+    /// objective; within the bound of the settings.
     fn retry_after(&self, now: Micros, request: &RequestState) -> Micros {
         let until_quota = self.quota_shortfall(now, request).map_or(0, |shortfall| shortfall.fills_in);
         let until_target = self.time_until_target(now, request).unwrap_or(Micros::MAX);
         until_quota.max(until_target).max(MIN_RETRY_AFTER_MICROS).min(self.settings.max_retry_after)
     }
 
-    /// How long the request's target stays in backoff, in slow start, or predicted late for it. Absent: it
-    /// has no target.
+    /// The time for which the request's target stays in backoff, slow start does not admit the request, or
+    /// the target is predicted late for it. Absent: the request has no target.
     fn time_until_target(&self, now: Micros, request: &RequestState) -> Option<Micros> {
         let shard = request.shard?;
         let target = self.serving_target(shard, request.target_set)?;
@@ -43,7 +44,8 @@
         Some(late_by.max(admits_at.saturating_sub(now)))
     }
 
-    /// The client went away: nobody waits for the request. Where targets can drop waiting work, they should.
+    /// Handles a client that no longer waits for its request. Where targets can drop cancelled attempts, the
+    /// attempts in flight are cancelled.
     pub(super) fn client_gone(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         if self.settings.may_cancel
             && let Some(request) = self.requests.get(&id)
@@ -57,8 +59,8 @@
         self.finish(now, id);
     }
 
-    /// A request has its final response, or needs none: it leaves its queue, and is removed once no attempt
-    /// is in flight.
+    /// Marks a request as finished, because it has its final response or needs none: the request leaves its
+    /// queue, and is removed once no attempt is in flight.
     pub(super) fn finish(&mut self, now: Micros, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.finished = true;
@@ -74,7 +76,7 @@
     }
 
     /// Removes a finished request without an attempt in flight. The units of its volume's limit are spent if
-    /// an attempt may have run, and come back otherwise.
+    /// an attempt may have run, and are released otherwise.
     pub(super) fn remove_if_settled(&mut self, now: Micros, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         if !request.finished || request.has_attempt_in_flight() {
--- a/src/scheduler/retry.rs
+++ b/src/scheduler/retry.rs
@@ -1,5 +1,6 @@
-//! Every rule on retries: whether a failed request is retried, whether it may run again at a target, how many
-//! attempts it and all requests together may have, and what its client is promised about its own retry.
+//! The rules of retries: whether a failed request is retried, whether it may run again at a target, how many
+//! attempts one request and all requests together may have, and when its client is promised that its own
+//! retry does no harm.
 
 use super::request::{Execution, RequestState};
 use super::{RESPONSE_MARGIN_MICROS, Scheduler};
@@ -8,10 +9,9 @@
 };
 use std::collections::VecDeque;
 
-/// The attempts beyond each request's first that all requests together have had lately, and the arrivals that
-/// they are measured against.
+/// The recent retries of all requests together, and the arrivals that they are measured against.
 ///
-/// Guards against retries that multiply the load of targets that are overloaded already.
+/// Guards against retries that multiply the load of targets that are already overloaded.
 #[derive(Default)]
 pub(super) struct RetryBudgetWindow {
     arrivals: VecDeque<Micros>,
@@ -19,15 +19,15 @@
 }
 
 impl RetryBudgetWindow {
-    /// A request has arrived, whatever becomes of it.
+    /// Records the arrival of a request, whether it is admitted or not.
     pub fn record_arrival(&mut self, now: Micros, budget: &RetryBudget) {
         self.arrivals.push_back(now);
         self.arrivals.retain(|at| at + budget.window > now);
     }
 
-    /// Counts a retry if the window allows it: the retries within it stay at or below the minimum plus the
-    /// ratio of the arrivals. A retry counts one microsecond longer than an arrival, so that the bound holds
-    /// whichever end of the window is counted as inside.
+    /// Counts a retry if the budget allows it: the retries within the window stay at or below the minimum
+    /// plus the ratio of the arrivals. A retry stays in the window one microsecond longer than an arrival, so
+    /// that the bound holds whichever end of the window is inclusive.
     pub fn try_spend(&mut self, now: Micros, budget: &RetryBudget) -> bool {
         self.retries.retain(|at| at + budget.window >= now);
         let arrivals = self.arrivals.iter().filter(|at| **at + budget.window > now).count() as f64;
@@ -40,9 +40,10 @@
 }
 
 impl Scheduler {
-    /// After an attempt that was not served: the request is queued for a retry, or gets its final response.
-    /// It is retried unless its attempts or its time are used up, or it may not run again at the target that
-    /// failed. Once the response passes to its client, or while it waits in a queue, nothing is to be done.
+    /// Handles an attempt that was not served: queues the request for a retry, or gives it its final
+    /// response. The request is retried unless it has no attempts or no time left, or may not run again at
+    /// the target that failed. Nothing is done if it has its final response, if its response is being passed
+    /// to its client, or if it is already queued.
     pub(super) fn retry_or_finish(
         &mut self,
         now: Micros,
@@ -55,8 +56,8 @@
         if request.finished || request.deadline_lifted || request.queued {
             return;
         }
-        let is_over = outcome.is_late() || self.is_out_of_time(now, request);
-        if is_over || !self.has_attempts_left(request) || !self.may_run_again(now, request, target) {
+        let no_time_left = outcome.is_late() || self.is_out_of_time(now, request);
+        if no_time_left || !self.has_attempts_left(request) || !self.may_run_again(now, request, target) {
             self.reject_or_fail(now, id, actions);
         } else {
             self.enqueue(now, id);
@@ -74,8 +75,8 @@
     }
 
     /// Whether the request may run at a target, given that its earlier attempts may have run. An idempotent
-    /// one may; a non-idempotent one only if none may have run; a keyed one only while the deduplication
-    /// window of each such attempt lasts, at a target within its deduplication scope.
+    /// request may; a non-idempotent one only if no attempt may have run; a keyed one only while the
+    /// deduplication window of each such attempt lasts, at a target within its deduplication scope.
     ///
     /// Guards against a request that takes effect twice.
     pub(super) fn may_run_again(&self, now: Micros, request: &RequestState, target: TargetId) -> bool {
@@ -83,9 +84,10 @@
             Idempotency::Idempotent => true,
             Idempotency::NonIdempotent => !request.may_have_executed(),
             Idempotency::KeyedWithin { scope, window } => {
-                let mut unknown = request.attempts.iter().filter(|a| a.execution == Execution::Unknown);
-                unknown.all(|attempt| {
-                    // The retry has to arrive within the window.
+                let mut unknown_executions =
+                    request.attempts.iter().filter(|a| a.execution == Execution::Unknown);
+                unknown_executions.all(|attempt| {
+                    // The retry has to arrive within the deduplication window.
                     self.deduplicates(scope, attempt.target, target)
                         && now + RESPONSE_MARGIN_MICROS < attempt.sent_at + window
                 })
@@ -93,7 +95,8 @@
         }
     }
 
-    /// Whether one target drops what another has run. Targets that are not known have no scope in common.
+    /// Whether `target` drops a repeat of a request that ran at `ran_at`. An unknown target is in no common
+    /// zone or shard.
     fn deduplicates(&self, scope: DeduplicationScope, ran_at: TargetId, target: TargetId) -> bool {
         match (scope, self.targets.get(&ran_at), self.targets.get(&target)) {
             (DeduplicationScope::All, _, _) => true,
@@ -103,7 +106,7 @@
         }
     }
 
-    /// Whether all requests together may have one more retry now; if so, it is counted.
+    /// Whether the retry budget of all requests allows one more retry now; if so, the retry is counted.
     pub(super) fn spend_retry_budget(&mut self, now: Micros) -> bool {
         match &self.settings.rules.retry_budget {
             Some(budget) => self.retry_budget.try_spend(now, budget),
@@ -111,8 +114,8 @@
         }
     }
 
-    /// Whether the client can be promised that its own retry does no harm, wherever it goes: no attempt has
-    /// run or can still run, or a second run has no effect anywhere.
+    /// Whether the client can be promised that its own retry does no harm at any target: no attempt has run
+    /// or can still run, or a second execution has no effect anywhere.
     pub(super) fn client_may_retry(&self, request: &RequestState) -> bool {
         request.is_proven_not_executed()
             || match self.settings.classes[request.class].idempotency {
--- a/src/scheduler/slow_start.rs
+++ b/src/scheduler/slow_start.rs
@@ -1,28 +1,30 @@
-//! Slow start: what may be sent to a target that has just started. The budgets and their reasons are in
-//! `crates/slow-start`; here they are kept for each target and volume, and asked for each request.
+//! Slow start: the bounds on what is sent to a target that has just started. The budgets and their reasons
+//! are in `crates/slow-start`; this module keeps a budget for each target and a pacer for each volume, and
+//! applies them to requests.
 
 use super::request::RequestState;
 use super::{NEVER, Scheduler};
 use crate::interface::{Micros, RequestId, TargetId};
 use rowanglade_slow_start::{ReservePacer, ReservedUnits};
 
-/// A volume's pacer at a warming target, and the rate that it paces.
+/// The reserve pacer of a volume at a warming target, and the rate that it paces.
 struct PacedReserve {
     pacer: ReservePacer,
-    /// This initiator's share of the volume's reserve at the target, in units a second.
+    /// This initiator's part of the volume's reserve at the target, in units per second.
     rate: f64,
 }
 
 impl Scheduler {
-    /// Whether a target has started so recently that it bears only a part of its capacity.
+    /// Whether a target started so recently that it can bear only a part of its capacity.
     pub(super) fn is_warming_up(&self, now: Micros, target: TargetId) -> bool {
         self.targets[&target].started.is_some_and(|started| self.slow_start.is_warming_up(started, now))
     }
 
-    /// When slow start admits a request to a target, after `units_before` of other requests; `now` where the
-    /// target is warm. Either budget may admit it: the initiator's even part, or the volume's paced reserve.
+    /// When slow start admits a request to a target after `units_before` units of other requests; `now` if
+    /// the target is warm. Either budget may admit the request: the initiator's even part, or the volume's
+    /// paced reserve.
     ///
-    /// Guards against the sum of all initiators overloading a target whose caches and connections are cold.
+    /// Guards against the initiators together overloading a target whose caches and connections are cold.
     pub(super) fn slow_start_admits_at(
         &self,
         now: Micros,
@@ -45,12 +47,13 @@
         even_part_at.min(reserve_at)
     }
 
-    /// The pacer of a request's volume at a warming target, and the rate that it paces. Absent: the request
-    /// has no plan.
+    /// The reserve pacer of a request's volume at a warming target, and the rate that it paces. Absent: the
+    /// request has no plan.
     ///
-    /// The reserve is for all targets of the volume: a target has no more of it than its part of the nominal
-    /// rate, as far as requests of the last half minute show that part. One request of mean size is counted
-    /// in addition, so that the first ones of a volume do not claim all of the reserve for their target.
+    /// The reserve is for all targets of the volume together: the rate at one target is at most the target's
+    /// part of the volume's nominal rate, as shown by the volume's requests of the last half minute. One
+    /// request of mean size is added to the volume's demand, so that its first requests do not claim all of
+    /// the reserve for their target.
     fn paced_reserve(&self, now: Micros, target: TargetId, request: &RequestState) -> Option<PacedReserve> {
         let plan = &self.settings.plans[request.plan?.0 as usize];
         let mean_units = self.settings.mean_request_units;
@@ -68,8 +71,8 @@
         })
     }
 
-    /// Reserves the units of a request that is sent to a warming target: of its volume's reserve if the pacer
-    /// admits it, else of this initiator's even part.
+    /// Reserves the units of a request that is sent to a warming target: from the volume's reserve if the
+    /// pacer admits the request, else from this initiator's even part.
     pub(super) fn reserve_slow_start(&mut self, now: Micros, target: TargetId, id: RequestId) {
         let request = &self.requests[&id];
         let (volume, reserve) = (request.volume, self.paced_reserve(now, target, request));
@@ -89,7 +92,7 @@
         }
     }
 
-    /// A request has arrived at its target: what it reserved there counts from now on.
+    /// Commits the units of a request that has arrived at its target: they count from now on.
     pub(super) fn commit_slow_start(&mut self, now: Micros, target: TargetId, id: RequestId) {
         let Some(state) = self.targets.get_mut(&target) else { return };
         state.slow_start.commit(now, id.0);
@@ -98,7 +101,7 @@
         }
     }
 
-    /// A request never left for its target: what it reserved there comes back.
+    /// Releases the units of a request that was never sent to its target.
     pub(super) fn release_slow_start(&mut self, target: TargetId, id: RequestId) {
         let Some(state) = self.targets.get_mut(&target) else { return };
         state.slow_start.release(id.0);
--- a/src/scheduler/snapshot.rs
+++ b/src/scheduler/snapshot.rs
@@ -1,8 +1,8 @@
-//! What an initiator hands over to its successor, and what it goes on with after. Nothing is decided here:
-//! the state is read out of one scheduler and put into another, which decides with it as the first would
-//! have.
+//! Snapshots of a scheduler's state, which an initiator's process hands over to its successor. No decisions
+//! are made here: the state is read from one scheduler and restored in another, which then decides as the
+//! first would have.
 //!
-//! The types are messages between two builds, mostly with defaults for what is absent. A field keeps its
+//! The types are messages between two builds; most absent fields have a default. A field must keep its
 //! serialized name for ever, or a successor would silently start without it.
 
 use super::Scheduler;
@@ -15,15 +15,15 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What is owned and what was learned, with targets and volumes called by `T` and `V`.
+/// The owned state and the estimates of a scheduler. `T` and `V` identify targets and volumes.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SchedulerSnapshot<T, V> {
-    /// Since when all that was sent is known.
+    /// The start of the period in which everything that the initiator sent is known.
     #[serde(rename = "born")]
     owned_since: Option<Micros>,
     #[serde(rename = "all")]
     overall: EstimateSnapshot,
-    /// For each class, in the settings' order.
+    /// For each class, in the order of the settings.
     margins: Vec<f64>,
     #[serde(rename = "nodes")]
     targets: Vec<(T, TargetSnapshot)>,
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 struct TargetSnapshot {
-    /// What was learned and sent since another start is void.
+    /// The start of the target that the rest of the state belongs to; for another start it is void.
     started: Option<Micros>,
     #[serde(rename = "learned")]
     estimate: EstimateSnapshot,
@@ -59,16 +59,17 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 struct VolumeSnapshot {
-    /// Units of the limit that are available, and when that was so.
+    /// The available units of the limit, and the time for which they were computed.
     #[serde(rename = "left")]
     available_units: Option<(f64, Micros)>,
-    /// By shard number, where the target is or was warming up.
+    /// By shard number, for shards whose target is or was warming up.
     #[serde(rename = "paces")]
     reserve_pacers: Vec<(u32, ReservePacer)>,
 }
 
 impl<T, V> SchedulerSnapshot<T, V> {
-    /// The same with other names. What `target` or `volume` has no name for is left out.
+    /// Replaces the identifiers of targets and volumes. A target or volume for which `target` or `volume`
+    /// returns no new identifier is left out.
     pub fn map_names<U, W>(
         self,
         mut target: impl FnMut(T) -> Option<U>,
@@ -118,7 +119,8 @@
 }
 
 impl Scheduler {
-    /// What a successor goes on with. All of it stays here too, until the successor has it for good.
+    /// The state that a successor continues with. This scheduler keeps it too, until the successor has taken
+    /// over for good.
     pub fn snapshot(&self, now: Micros) -> SchedulerSnapshot<TargetId, VolumeId> {
         SchedulerSnapshot {
             owned_since: self.ownership.since,
@@ -140,8 +142,8 @@
         volumes
     }
 
-    /// Goes on with what a predecessor handed over, on the same clock. What it says of targets that are not
-    /// in the endpoint list here, or have another start, is dropped.
+    /// Continues with the state that a predecessor handed over, on the same clock. The state of targets that
+    /// are not in this scheduler's endpoint list, or have another start, is dropped.
     pub fn restore(&mut self, snapshot: SchedulerSnapshot<TargetId, VolumeId>) {
         self.ownership.since = snapshot.owned_since.or(self.ownership.since);
         self.estimates.overall = snapshot.overall.into();
@@ -177,14 +179,15 @@
         }
     }
 
-    /// Goes on as if this process had just started: another one had what is owned, and may have spent it.
+    /// Resets the owned state to that of a process that has just started: another process owned it in the
+    /// meantime, and may have spent it.
     pub fn reset_owned_state(&mut self, now: Micros) {
         self.ownership.since = Some(now);
         self.quota.clear();
         let shard_usages = self.volumes.values_mut().flat_map(|volume| volume.by_shard.values_mut());
         shard_usages.for_each(|usage| usage.reserve_pacer = None);
         for target in self.targets.values_mut() {
-            // A whole phase is waited for: nothing is known of what was sent meanwhile.
+            // The budget waits for a whole phase, since what was sent in the meantime is unknown.
             target.slow_start = TargetBudget::new(target.started.unwrap_or(0), now, 1.0);
         }
     }
--- a/src/scheduler/stalled_attempts.rs
+++ b/src/scheduler/stalled_attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts whose response does not come although their target responds to others.
+//! Detection and cancellation of stalled attempts, whose response does not arrive.
 
 use super::Scheduler;
 use super::estimates::confidence;
@@ -6,28 +6,27 @@
 use super::target::Target;
 use crate::interface::{Action, Micros};
 
-/// An attempt has been overtaken once this many attempts that were sent later have responses: one or two may
-/// just have been smaller. How the figures here were found is only partly recorded
-/// (docs/design/open-questions.md).
+/// An attempt is overtaken once this many attempts that were sent later have been answered: one or two of
+/// them may just have been smaller.
 pub(super) const STALLED_AFTER_LATER_RESPONSES: usize = 4;
-/// An overtaken attempt is stalled once it has waited for this multiple of its expected time. Too small where
-/// the work of requests varies by as much.
+/// An overtaken attempt is stalled once it has waited for this multiple of its expected time. The multiple is
+/// too small where the work of requests varies by as much.
 const STALLED_TIME_MULTIPLE: f64 = 4.0;
-/// One that is alone at its target waits for this many times as long: no other response shows that the target
-/// is well.
-const LONE_ATTEMPT_PATIENCE: f64 = 2.0;
-/// It also waits for this fraction of the tightest objective, longer where its target has not responded
-/// lately: the latencies of other targets predict little for one that may just be slow. Attempts that were
-/// cancelled earlier ran all the same, and their retries ran as well.
+/// An attempt that is alone at its target has to wait this many times as long, since no other response shows
+/// that the target is healthy.
+const LONE_ATTEMPT_TIME_MULTIPLE: f64 = 2.0;
+/// It also has to wait for this fraction of the tightest objective, and longer if its target has not
+/// responded lately: the latencies of other targets say little about a target that may just be slow. Attempts
+/// that were cancelled sooner still ran at their targets, and their retries ran as well.
 const LONE_ATTEMPT_OBJECTIVE_FRACTION: f64 = 0.5;
 
 impl Scheduler {
-    /// Cancels stalled attempts, whose requests are then retried as their class permits. Where targets cannot
-    /// cancel, nothing is done.
+    /// Cancels stalled attempts; their requests are then retried as their class permits. Does nothing where
+    /// targets cannot cancel.
     ///
-    /// Guards against connections that fall silent: their attempts would hold capacity and their clients
-    /// until the deadline. How the multiples were found: docs/results.md, row "silent
-    /// connections are called off".
+    /// Guards against connections that fall silent: their attempts would occupy capacity, and their clients
+    /// would wait, until the deadline. docs/results.md compares the multiples, row "silent connections are
+    /// called off".
     pub(super) fn cancel_stalled_attempts(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if !self.settings.may_cancel {
             return;
@@ -55,8 +54,8 @@
     }
 }
 
-/// Whether an attempt in flight at a target is stalled. `latency` is the target's, `lone_wait` the shortest
-/// wait of an attempt that is alone there; both in microseconds.
+/// Whether an attempt in flight at a target is stalled. `latency` is the estimated latency of the target,
+/// `lone_wait` the shortest wait of an attempt that is alone there; both in microseconds.
 fn is_stalled(now: Micros, target: &Target, attempt: &AttemptState, latency: f64, lone_wait: f64) -> bool {
     let waited = (now - attempt.sent_at) as f64;
     let expected = STALLED_TIME_MULTIPLE * latency.max(attempt.predicted_micros);
@@ -64,5 +63,5 @@
     let is_overtaken = later_responses >= STALLED_AFTER_LATER_RESPONSES;
     let is_alone = target.in_flight.len() == 1;
     is_overtaken && waited > expected
-        || is_alone && waited > (LONE_ATTEMPT_PATIENCE * expected).max(lone_wait)
+        || is_alone && waited > (LONE_ATTEMPT_TIME_MULTIPLE * expected).max(lone_wait)
 }
--- a/src/scheduler/target.rs
+++ b/src/scheduler/target.rs
@@ -1,4 +1,4 @@
-//! What the scheduler keeps of one target.
+//! The state of one target.
 
 use super::estimates::Estimate;
 use super::request::InFlightKey;
@@ -14,21 +14,21 @@
     pub state: TargetState,
     /// When it last started; absent: long ago.
     pub started: Option<Micros>,
-    /// When this initiator was notified of that start.
+    /// When this initiator was notified of the target's current start.
     pub notified_at: Micros,
-    /// What was sent while it warms up.
+    /// The budget of what is sent to the target while it warms up.
     pub slow_start: TargetBudget,
-    /// What its own responses taught.
+    /// The estimate from the target's own responses.
     pub estimate: Estimate,
-    /// The attempts that take up its capacity.
+    /// The attempts that occupy the target's capacity.
     pub in_flight: BTreeSet<InFlightKey>,
     pub units_in_flight: f64,
-    /// Nothing is sent before then.
+    /// Nothing is sent to the target before this time.
     pub backoff_until: Micros,
-    /// Times at which it was full or unreachable since it last served.
+    /// Failures that started a backoff since the target last served a request.
     pub consecutive_failures: u32,
-    /// Its last response of any kind.
+    /// When the target last responded, or a connection to it last failed.
     pub responded_at: Micros,
-    /// When the attempts of its last responses were sent.
+    /// When the most recently answered attempts were sent.
     pub answered_sends: VecDeque<Micros>,
 }
--- a/src/scheduler/target_sets.rs
+++ b/src/scheduler/target_sets.rs
@@ -7,14 +7,14 @@
 /// The target sets of routes, and the targets that this initiator prefers for new objects.
 #[derive(Default)]
 pub(super) struct TargetSets {
-    /// Each in the order of target numbers.
+    /// The targets of each set, in the order of their ids.
     sets: BTreeMap<TargetSetId, Vec<TargetId>>,
-    /// Empty: no target is preferred.
+    /// The preferred targets; empty: this initiator has no preference.
     pub preferred: BTreeSet<TargetId>,
 }
 
 impl TargetSets {
-    /// Replaces a target set; absent: no request has it any more.
+    /// Replaces the targets of a set; absent: no request has the set any more.
     pub fn set(&mut self, set: TargetSetId, targets: Option<Vec<TargetId>>) {
         match targets {
             Some(mut targets) => {
@@ -26,7 +26,7 @@
         }
     }
 
-    /// The targets of a set. One that was never set is empty.
+    /// The targets of a set, none if they were never set.
     pub fn members(&self, set: TargetSetId) -> &[TargetId] {
         self.sets.get(&set).map_or(&[], Vec::as_slice)
     }
@@ -38,8 +38,8 @@
 }
 
 impl Scheduler {
-    /// The target that requests of a shard are sent to: of the active targets that their set allows, the one
-    /// that started last, since a target and its successor hold the same shard.
+    /// The target that the requests of a shard are sent to: of the active targets that the target set allows,
+    /// the one that started last, since a target and its successor hold the same shard.
     pub(super) fn serving_target(&self, shard: ShardId, set: Option<TargetSetId>) -> Option<TargetId> {
         let active = self.targets.of_shard(shard).filter(|(_, target)| target.state == TargetState::Active);
         let allowed = active.filter(|(id, _)| self.target_sets.allows(set, *id));
--- a/src/scheduler/targets.rs
+++ b/src/scheduler/targets.rs
@@ -1,7 +1,7 @@
-//! All targets, with an index for each question that a request or a timer asks of them.
+//! All targets, with an index for each lookup that requests and timers need.
 //!
-//! There may be thousands of targets, and a request concerns a few. So nothing that happens for each request
-//! or each timer walks over all of them: the indexes are kept up by what changes.
+//! There may be thousands of targets, while a request concerns a few of them. No event of a request or a
+//! timer may iterate over all targets, so every change updates the indexes.
 
 use super::request::InFlightKey;
 use super::target::Target;
@@ -11,17 +11,17 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Index;
 
-/// The targets of the endpoint list, and those that left it while attempts are in flight there.
+/// The targets of the endpoint list, and removed targets with attempts still in flight.
 #[derive(Default)]
 pub(super) struct Targets {
     all: BTreeMap<TargetId, Target>,
-    /// The targets of each shard, in the order of their numbers.
+    /// The targets of each shard, in the order of their ids.
     by_shard: BTreeMap<ShardId, Vec<TargetId>>,
-    /// The active targets, in no order.
+    /// The active targets, unordered.
     active: IndexSet<TargetId>,
-    /// The targets at which attempts take up capacity.
+    /// The targets with attempts that occupy capacity.
     busy: BTreeSet<TargetId>,
-    /// The targets that have responded, by the time at which they last did.
+    /// The targets that have responded, by the time of their last response.
     by_last_response: BTreeSet<(Micros, TargetId)>,
 }
 
@@ -38,8 +38,8 @@
         self.all.get(target)
     }
 
-    /// For fields without an index. Shard, state, the last response and what is in flight have methods of
-    /// their own.
+    /// For fields without an index only. Shard, state, last response and attempts in flight are changed by
+    /// other methods.
     pub fn get_mut(&mut self, target: &TargetId) -> Option<&mut Target> {
         self.all.get_mut(target)
     }
@@ -52,7 +52,7 @@
         self.all.iter()
     }
 
-    /// As [`Targets::get_mut`], of all targets.
+    /// All targets, to change fields without an index as with [`Targets::get_mut`].
     pub fn values_mut(&mut self) -> impl Iterator<Item = &mut Target> {
         self.all.values_mut()
     }
@@ -63,27 +63,27 @@
         targets.iter().map(|target| (*target, &self.all[target]))
     }
 
-    /// The targets that may take new work.
+    /// The targets to which new attempts may be sent.
     pub fn active(&self) -> &IndexSet<TargetId> {
         &self.active
     }
 
-    /// Whether a target may take new work.
+    /// Whether new attempts may be sent to a target.
     pub fn is_active(&self, target: TargetId) -> bool {
         self.all.get(&target).is_some_and(|state| state.state == TargetState::Active)
     }
 
-    /// The targets at which attempts take up capacity.
+    /// The targets with attempts that occupy capacity.
     pub fn busy(&self) -> impl Iterator<Item = (TargetId, &Target)> {
         self.busy.iter().map(|target| (*target, &self.all[target]))
     }
 
-    /// The targets that have responded, the latest first.
+    /// The targets that have responded, the most recent first.
     pub fn latest_responders(&self) -> impl Iterator<Item = TargetId> {
         self.by_last_response.iter().rev().map(|(_, target)| *target)
     }
 
-    /// Sets when a target last responded with something to learn from.
+    /// Sets when the estimate of a target was last updated from a response.
     pub fn set_last_response(&mut self, target: TargetId, at: Option<Micros>) {
         let Some(state) = self.all.get_mut(&target) else { return };
         let before = std::mem::replace(&mut state.estimate.last_response_at, at);
@@ -93,7 +93,7 @@
         self.by_last_response.extend(at.map(|at| (at, target)));
     }
 
-    /// An attempt takes up capacity at a target.
+    /// Adds an attempt that occupies capacity at a target.
     pub fn add_in_flight(&mut self, target: TargetId, attempt: InFlightKey, units: f64) {
         let Some(state) = self.all.get_mut(&target) else { return };
         state.in_flight.insert(attempt);
@@ -101,7 +101,7 @@
         self.busy.insert(target);
     }
 
-    /// An attempt takes up none of a target's capacity any more.
+    /// Removes an attempt that no longer occupies capacity at a target.
     pub fn remove_in_flight(&mut self, target: TargetId, attempt: InFlightKey, units: f64) {
         let Some(state) = self.all.get_mut(&target) else { return };
         if !state.in_flight.remove(&attempt) {
@@ -109,19 +109,20 @@
         }
         state.units_in_flight -= units;
         if state.in_flight.is_empty() {
-            state.units_in_flight = 0.0; // sums of fractions leave a remainder
+            state.units_in_flight = 0.0; // removes the rounding error of the sum
             self.busy.remove(&target);
         }
     }
 
-    /// A snapshot of the endpoint list begins: what it does not name is removed.
+    /// Begins a snapshot of the endpoint list by marking all targets as removed; those that it names are
+    /// updated after.
     pub fn begin_snapshot(&mut self) {
         self.all.values_mut().for_each(|target| target.state = TargetState::Removed);
         self.active.clear();
     }
 
-    /// The target of this entry is new, or has started again: what was learned of it is void. What is in
-    /// flight there stays.
+    /// Replaces a target that is new, or has restarted, by one without learned state. Attempts in flight
+    /// there are kept.
     pub fn replace(&mut self, entry: &EndpointEntry, notified_at: Micros, slow_start: TargetBudget) {
         self.set_last_response(entry.target, None);
         let mut target = Target {
@@ -139,7 +140,7 @@
         self.join_shard(entry.target, entry.shard);
     }
 
-    /// Takes over what the endpoint list says of a target that is known.
+    /// Applies an endpoint entry to a known target.
     pub fn update(&mut self, entry: &EndpointEntry) {
         let Some(target) = self.all.get_mut(&entry.target) else { return };
         let shard_before = std::mem::replace(&mut target.shard, entry.shard);
@@ -154,8 +155,8 @@
         }
     }
 
-    /// Forgets removed targets at which nothing is in flight.
-    pub fn forget_removed(&mut self) {
+    /// Drops removed targets without attempts in flight.
+    pub fn drop_removed(&mut self) {
         let is_idle = |target: &Target| target.state == TargetState::Removed && target.in_flight.is_empty();
         let idle: Vec<TargetId> =
             self.all.iter().filter(|(_, target)| is_idle(target)).map(|(id, _)| *id).collect();
@@ -173,8 +174,8 @@
 
     fn join_shard(&mut self, target: TargetId, shard: ShardId) {
         let targets = self.by_shard.entry(shard).or_default();
-        if let Err(place) = targets.binary_search(&target) {
-            targets.insert(place, target);
+        if let Err(position) = targets.binary_search(&target) {
+            targets.insert(position, target);
         }
     }
 
--- a/src/scheduler/volume_usage.rs
+++ b/src/scheduler/volume_usage.rs
@@ -1,4 +1,4 @@
-//! What is known of a volume's use: what is asked for here, served here, and used through other initiators.
+//! The usage of a volume: what is requested here, served here, and used through other initiators.
 
 use super::Scheduler;
 use super::decaying_sum::{LongRate, Rate};
@@ -6,32 +6,32 @@
 use rowanglade_slow_start::ReservePacer;
 use std::collections::BTreeMap;
 
-/// For how many of its periods the usage meter's last figure counts. A volume that other initiators stopped
-/// using has no further figure; how four periods were found is not recorded (docs/design/open-questions.md).
+/// For how many metering periods the last reading of the usage meter is valid: a volume that other initiators
+/// no longer use gets no further reading.
 const METER_VALID_PERIODS: Micros = 4;
-/// The smallest rate, in units a second, that is divided by.
+/// The lower bound of rates in divisions, in units per second.
 const SMALLEST_RATE: f64 = 1e-9;
 
-/// The last figure of the usage meter.
+/// The last reading of the usage meter.
 #[derive(Clone, Copy)]
 struct MeterReading {
     at: Micros,
-    /// Units a second that were served for the volume through all initiators.
+    /// Units per second that were served for the volume through all initiators.
     units_per_second: f64,
 }
 
 /// A volume's requests at one shard, as this initiator sees them.
 #[derive(Default)]
 pub(super) struct ShardUsage {
-    /// Asked for through this initiator.
+    /// Requested through this initiator.
     demand: Rate,
-    /// Served through other initiators, as responses report it.
+    /// Served through other initiators, as reported in responses.
     elsewhere: Rate,
-    /// Asked for, over a longer time: the volume's part at this shard.
+    /// Requested over a longer time: shows this shard's part of the volume's requests.
     pub demand_long: LongRate,
     /// Paces the volume's reserve while the shard's target warms up.
     pub reserve_pacer: Option<ReservePacer>,
-    /// Units that are within the fair share now.
+    /// The units of the fair share that may be spent now.
     credit_units: f64,
     credited_at: Micros,
 }
@@ -43,25 +43,26 @@
     served: Rate,
     meter: Option<MeterReading>,
     pub last_request_at: Micros,
-    /// Asked for at all shards, over a longer time.
+    /// Requested at all shards, over a longer time.
     pub demand_long: LongRate,
     pub by_shard: BTreeMap<ShardId, ShardUsage>,
 }
 
-/// What a volume asks for at one shard, in units a second.
+/// The demand of a volume at one shard, in units per second.
 pub(super) struct ShardDemand {
-    /// Asked for through this initiator.
+    /// Requested through this initiator.
     pub here: f64,
-    /// Asked for through other initiators, as far as it is known.
+    /// Requested through other initiators, as far as it is known.
     pub elsewhere: f64,
     /// The part of the volume's reserve at this shard.
     pub reserve: f64,
 }
 
-/// What the end of an attempt reports of its volume's use.
+/// What the end of an attempt reports of its volume's usage.
 pub(super) struct UsageReport {
     pub outcome: Outcome,
-    /// Units served for the volume everywhere in the meter's last period, as a fraction of its nominal rate.
+    /// Units served for the volume through all initiators in the meter's last period, as a fraction of its
+    /// nominal rate.
     pub used_fraction: Option<f64>,
     /// Units served for the volume at this shard through other initiators since the last report.
     pub units_elsewhere: f64,
@@ -77,9 +78,10 @@
         at_shard.demand_long.add(now, units);
     }
 
-    /// What is asked for at a shard. What comes through other initiators is, in this order: what responses
-    /// report for the shard, the usage meter's figure for the volume, or an even part of the nominal rate.
-    /// Figures for the volume are divided by where this initiator's requests go.
+    /// The demand at a shard. The demand through other initiators is the first of these that is known: the
+    /// units that responses report for the shard, the usage meter's reading for the volume, or an even part
+    /// of the nominal rate. Figures for the whole volume are divided among its shards as this initiator's
+    /// requests are.
     pub fn demand(
         &self,
         now: Micros,
@@ -107,8 +109,8 @@
 }
 
 impl ShardUsage {
-    /// Adds what the allowed rate has credited since the last request, and takes a request's units if there
-    /// is as much. The credit holds a second's rate, or one request, at most.
+    /// Adds the credit that the allowed rate has earned since the last request, and spends a request's units
+    /// if there is enough. The credit is capped at the rate of one second, or one request if that is larger.
     pub fn spend_credit(&mut self, now: Micros, allowed_rate: f64, units: f64) -> bool {
         let gained = allowed_rate * now.saturating_sub(self.credited_at) as f64 / super::MICROS_PER_SECOND;
         self.credit_units = (self.credit_units + gained).min(allowed_rate.max(units));
@@ -122,7 +124,7 @@
 }
 
 impl Scheduler {
-    /// Takes over what the end of an attempt reports of its volume's use.
+    /// Records what the end of an attempt reports of its volume's usage.
     pub(super) fn record_usage(&mut self, now: Micros, id: RequestId, report: UsageReport) {
         let Some(request) = self.requests.get(&id) else { return };
         let Some(volume) = self.volumes.get_mut(&request.volume) else { return };
--- a/src/settings/translate.rs
+++ b/src/settings/translate.rs
@@ -1,4 +1,4 @@
-//! The translation of the settings to the scheduler's.
+//! The translation of the settings to the scheduler's settings.
 
 use super::wire::{self, Class, Plan, Settings};
 use crate::interface as api;
@@ -6,15 +6,16 @@
 use crate::names::Names;
 
 impl Settings {
-    /// The scheduler's settings. The names of zones, classes, plans and load report fields go to `names`.
+    /// Translates the settings to the scheduler's. The names of zones, classes, plans and load report fields
+    /// are stored in `names`.
     ///
     /// # Errors
-    /// A key holds a word that is unknown; the error names the key.
+    /// The value of a key is not one of those allowed; the error names the key.
     pub fn translate(&self, names: &mut Names) -> Result<api::Settings, SettingsError> {
         if ![wire::ON_REQUEST, wire::PUSHED].contains(&self.discovery.as_str()) {
-            return Err(unknown_word("discovery".to_string()));
+            return Err(unknown_value("discovery".to_string()));
         }
-        self.name_all(names);
+        self.store_names(names);
         let deployment = &self.deployment;
         Ok(api::Settings {
             initiators: self.initiators,
@@ -33,8 +34,8 @@
         })
     }
 
-    /// Puts names in the order of the scheduler's numbers.
-    fn name_all(&self, names: &mut Names) {
+    /// Stores the names of zones, classes, plans and load report fields, in the order of the scheduler's ids.
+    fn store_names(&self, names: &mut Names) {
         names.zones = self.zones.clone();
         names.classes = self.class_names();
         names.plans = self.plans().map(str::to_string).collect();
@@ -86,7 +87,7 @@
             scope: deduplication_scope(number, class)?,
             window: class.deduplication_window.unwrap_or(0),
         }),
-        _ => Err(unknown_word(format!("grades[{number}].idempotency"))),
+        _ => Err(unknown_value(format!("grades[{number}].idempotency"))),
     }
 }
 
@@ -95,7 +96,7 @@
         None | Some("all") => Ok(api::DeduplicationScope::All),
         Some("zone") => Ok(api::DeduplicationScope::Zone),
         Some("cell") => Ok(api::DeduplicationScope::Shard),
-        _ => Err(unknown_word(format!("grades[{number}].group"))),
+        _ => Err(unknown_value(format!("grades[{number}].group"))),
     }
 }
 
@@ -113,7 +114,8 @@
     }
 }
 
-/// The error of a key that holds a word which the settings do not have; `field` is the key as it is written.
-fn unknown_word(field: String) -> SettingsError {
-    SettingsError::new(field, SettingsProblem::UnknownWord)
+/// The error for a key whose value is not one of those allowed; `field` is the key as it is written in the
+/// settings.
+fn unknown_value(field: String) -> SettingsError {
+    SettingsError::new(field, SettingsProblem::UnknownValue)
 }
--- a/src/settings/wire.rs
+++ b/src/settings/wire.rs
@@ -1,19 +1,19 @@
-//! The settings' JSON. Its keys and words are the platform's and the simulator's; they are mapped to this
-//! project's names here and nowhere else.
+//! The settings in JSON. Their keys and values are those of the platform and the simulator; only this module
+//! maps them to this project's names.
 
 use crate::interface::Micros;
 use serde::Deserialize;
 
-/// The word of settings whose endpoint list comes only when it is polled for.
+/// The value of `discovery` if the endpoint list is sent only in response to polls.
 pub(super) const ON_REQUEST: &str = "on_request";
-/// The word of settings whose endpoint list is pushed.
+/// The value of `discovery` if the endpoint list is pushed.
 pub(super) const PUSHED: &str = "pushed";
-/// The word of a class whose requests carry an idempotency key.
+/// The value of `idempotency` for a class whose requests carry an idempotency key.
 pub(super) const KEYED: &str = "by_key";
 
-/// How long a target lets a connection stay idle where the settings do not say, in microseconds.
+/// How long a target keeps an idle connection open if the settings do not contain it, in microseconds.
 const DEFAULT_CONNECTION_IDLE_MICROS: Micros = 30_000_000;
-/// How long a connection may take to come up where the settings do not say, in microseconds.
+/// The connect timeout if the settings do not contain it, in microseconds.
 const DEFAULT_CONNECT_TIMEOUT_MICROS: Micros = 250_000;
 
 /// The settings of an initiator.
@@ -38,7 +38,7 @@
     pub(super) initiator_number: Option<u32>,
 }
 
-/// What an initiator may do at most. Times are in microseconds.
+/// The bounds on what an initiator may do. Times are in microseconds.
 #[derive(Debug, Deserialize)]
 pub(super) struct Ceilings {
     #[serde(default)]
@@ -69,7 +69,7 @@
     DEFAULT_CONNECT_TIMEOUT_MICROS
 }
 
-/// What is known of the deployment.
+/// Properties of the deployment.
 #[derive(Debug, Deserialize, Default)]
 pub(super) struct Deployment {
     #[serde(rename = "cold-units")]
@@ -86,19 +86,19 @@
     pub(super) mean_request_units: Option<f64>,
     #[serde(rename = "within-share")]
     pub(super) weight_within_share: Option<f64>,
-    /// Of each class, whether its requests are writes.
+    /// For each class, whether its requests write.
     pub(super) writes: Option<Vec<bool>>,
 }
 
 /// A request class. Times are in microseconds.
 #[derive(Debug, Deserialize)]
 pub(super) struct Class {
-    /// The word for the scope within which keys are deduplicated.
+    /// The scope within which idempotency keys are deduplicated.
     #[serde(rename = "group")]
     pub(super) deduplication_scope: Option<String>,
     #[serde(rename = "hard-limit")]
     pub(super) deadline: Micros,
-    /// The word for whether a request may run again.
+    /// Whether a request of the class may run again.
     pub(super) idempotency: String,
     #[serde(rename = "fifo-by-key", default)]
     pub(super) ordered_by_key: bool,
@@ -113,7 +113,7 @@
     pub(super) priority_weight: Option<f64>,
 }
 
-/// A QoS plan. Rates are in units a second.
+/// A QoS plan. Rates are in units per second.
 #[derive(Debug, Deserialize)]
 pub(super) struct Plan {
     pub(super) burst: Option<f64>,
@@ -131,7 +131,8 @@
 }
 
 impl Plan {
-    /// The units a second that no volume on the plan exceeds; zero on the wire stands for no limit.
+    /// The rate that no volume with the plan may exceed, in units per second. `None`: there is no limit,
+    /// written as 0 in the settings.
     pub(super) fn max_rate(&self) -> Option<f64> {
         self.limit.filter(|rate| *rate != 0.0)
     }
@@ -144,7 +145,7 @@
     pub(super) fields: Vec<String>,
 }
 
-/// What initiators are held to. Times are in microseconds.
+/// The bounds of the rules that initiators must keep. Times are in microseconds.
 #[derive(Debug, Deserialize)]
 pub(super) struct Rules {
     #[serde(rename = "cold-from")]
