--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter on hand-written wire lines.
+//! The simulator adapter, as a process that is given hand-written lines of the simulator's protocol.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -31,19 +31,19 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the adapter starts");
-    // A child that stops at a bad line closes its input early: that write may fail.
-    let _ = child.stdin.take().expect("piped").write_all(input.as_bytes());
-    child.wait_with_output().expect("the adapter ends")
+        .expect("the adapter can be started");
+    // The adapter stops at a bad line and closes its input, so this write may fail.
+    let _ = child.stdin.take().expect("stdin is piped").write_all(input.as_bytes());
+    child.wait_with_output().expect("the adapter exits")
 }
 
 fn replies(output: &Output) -> Vec<serde_json::Value> {
-    let text = String::from_utf8(output.stdout.clone()).expect("UTF-8");
-    text.lines().map(|l| serde_json::from_str(l).expect("a reply is JSON")).collect()
+    let text = String::from_utf8(output.stdout.clone()).expect("the output is UTF-8");
+    text.lines().map(|line| serde_json::from_str(line).expect("a reply is JSON")).collect()
 }
 
 #[test]
-fn a_request_goes_out_and_its_outcome_ends_it() {
+fn a_request_is_sent_and_finished_by_its_outcome() {
     let resolved = r#"{"verb":"Resolved","gateway-id":3,"xid":"a-1","go":0,"store":"10.0.0.1:7000",
         "state-code":"pass","delay-seen":900,"last":true,"metered":null,"others-got":0,"metrics":[3]}"#;
     let input = [
@@ -59,49 +59,55 @@
     assert_eq!(replies[0], serde_json::json!({"do": []}));
     let sent = &replies[2]["do"][0];
     assert_eq!(*sent, serde_json::json!({"verb":"Issue","gateway-id":3,"xid":"a-1","store":"10.0.0.1:7000"}));
-    assert!(replies[3]["do"].as_array().expect("a list").iter().all(|a| a["verb"] == "WakeAt"));
+    assert!(
+        replies[3]["do"]
+            .as_array()
+            .expect("the reply has a list of actions")
+            .iter()
+            .all(|a| a["verb"] == "WakeAt")
+    );
 }
 
 #[test]
-fn an_unknown_class_fails_and_unknown_requests_are_passed_over() {
-    let gone = r#"{"verb":"Withdrawn","gateway-id":3,"xid":"nobody"}"#;
-    let strange = inbound("b-2").replace("\"cls\":\"g\"", "\"cls\":\"h\"");
-    let output = run(&[batch(10, &[BORN, LIST]), batch(20, &[gone, &strange])].concat());
+fn an_unknown_class_fails_and_an_unknown_request_is_ignored() {
+    let client_gone = r#"{"verb":"Withdrawn","gateway-id":3,"xid":"nobody"}"#;
+    let unknown_class = inbound("b-2").replace("\"cls\":\"g\"", "\"cls\":\"h\"");
+    let output = run(&[batch(10, &[BORN, LIST]), batch(20, &[client_gone, &unknown_class])].concat());
     assert_eq!(replies(&output)[1]["do"][0]["verb"], "RespondError");
 }
 
 #[test]
-fn unusable_settings_are_told_as_a_failed_decision() {
+fn invalid_settings_are_reported_as_a_panic_action() {
     let born = BORN.replace("\"max-attempts\":3", "\"max-attempts\":0");
     let output = run(&batch(10, &[&born]));
-    let told = &replies(&output)[0]["do"][0];
-    assert_eq!(told["verb"], "Panic");
-    assert!(told["line"].as_str().expect("text").contains("attempts"));
+    let action = &replies(&output)[0]["do"][0];
+    assert_eq!(action["verb"], "Panic");
+    assert!(action["line"].as_str().expect("the line is a string").contains("attempts"));
 }
 
 #[test]
-fn a_bad_line_ends_it_with_the_line_and_the_field() {
-    for (bad, word) in [
+fn an_invalid_line_stops_the_adapter_with_its_number_and_the_field() {
+    for (invalid, expected) in [
         ("no json\n".to_string(), "line 2"),
         (batch(20, &[r#"{"verb":"Withdrawn","gateway-id":3}"#]), "xid"),
         ("{\"arrivals\":[]}\n".to_string(), "at-time"),
     ] {
-        let output = run(&[batch(10, &[BORN, LIST]), bad].concat());
+        let output = run(&[batch(10, &[BORN, LIST]), invalid].concat());
         assert_ne!(output.status.code(), Some(0));
-        let error = String::from_utf8(output.stderr).expect("UTF-8");
+        let error = String::from_utf8(output.stderr).expect("the error is UTF-8");
         assert_eq!(error.lines().count(), 1, "{error}");
-        assert!(error.contains("line 2") && error.contains(word), "{error}");
-        assert_eq!(output.stdout.iter().filter(|b| **b == b'\n').count(), 1);
+        assert!(error.contains("line 2") && error.contains(expected), "{error}");
+        assert_eq!(output.stdout.iter().filter(|byte| **byte == b'\n').count(), 1);
     }
 }
 
 #[test]
-fn instances_keep_apart_and_a_destroyed_one_forgets() {
-    let stop = r#"{"verb":"Destroy","gateway-id":3}"#;
+fn initiators_are_separate_and_a_destroyed_one_loses_its_requests() {
+    let destroy = r#"{"verb":"Destroy","gateway-id":3}"#;
     let input = [
         batch(1_000_000, &[BORN, LIST]),
         batch(1_000_100, &[&inbound("c-1")]),
-        batch(1_000_200, &[stop, BORN, LIST]),
+        batch(1_000_200, &[destroy, BORN, LIST]),
         batch(1_000_300, &[r#"{"verb":"Withdrawn","gateway-id":3,"xid":"c-1"}"#, &inbound("c-2")]),
     ];
     let replies = replies(&run(&input.concat()));
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,5 +1,5 @@
-//! Volumes with a limit, whose requests reach their targets long after they were sent: a connection can take
-//! a second and more to come up.
+//! Volume limits when requests reach their targets long after they were sent: a connection can take more than
+//! a second to come up.
 
 mod support;
 
@@ -9,30 +9,33 @@
 use std::collections::BTreeSet;
 use support::*;
 
-/// Targets enough that no bound but the limit's holds a request back.
+/// There are so many targets that only the volume's limit holds requests back.
 const TARGETS: u32 = 16;
-/// A class whose requests wait for as long as their clients do.
+/// A class whose requests are queued until their deadline.
 const CLASS: u32 = 3;
 const RATE: f64 = 10.0;
 const BURST: f64 = 20.0;
 const DEBT_LIMIT: f64 = 2.0;
 
-fn limited(started_at: Option<Micros>) -> Harness {
+fn harness_with_limit(started_at: Option<Micros>) -> Harness {
     let entries: Vec<EndpointEntry> = (0..TARGETS).map(|n| entry(n, n)).collect();
-    let mut s = Settings { initiators: 1, ..settings() };
-    (s.classes[CLASS as usize].latency_objective, s.classes[CLASS as usize].deadline) =
+    let mut settings = Settings { initiators: 1, ..settings() };
+    (settings.classes[CLASS as usize].latency_objective, settings.classes[CLASS as usize].deadline) =
         (5 * SECOND, 5 * SECOND);
-    let mut harness = Harness::unlisted(s, 1);
+    let mut harness = Harness::unlisted(settings, 1);
     harness.now = started_at.unwrap_or(harness.now);
     harness.endpoints_changed(EndpointUpdateKind::Cached, &entries);
     harness.manual_arrivals = true;
     harness
 }
 
-/// The same, with a bucket that has filled up.
-fn filled() -> Harness {
-    let mut harness = limited(None);
-    assert!(started_requests(&harness.arrive(limited_request(0))).is_empty(), "it starts with nothing");
+/// A harness as from [`harness_with_limit`], with a full bucket.
+fn harness_with_full_bucket() -> Harness {
+    let mut harness = harness_with_limit(None);
+    assert!(
+        started_requests(&harness.arrive(limited_request(0))).is_empty(),
+        "the bucket is empty at a start"
+    );
     harness.event(Event::ClientGone { id: RequestId(0) });
     harness.advance(4 * SECOND);
     harness
@@ -43,30 +46,31 @@
     RequestProfile { plan: Some(PlanId(1)), initiators: 1, units: 2.0, shard, ..request(id, CLASS) }
 }
 
-/// The volume's bucket as all of the platform's initiators and targets count it.
+/// The bucket of the volume's limit as the platform counts it, over all initiators and targets.
 struct PlatformBucket {
-    left: f64,
-    at: Micros,
+    available: f64,
+    updated_at: Micros,
 }
 
 impl PlatformBucket {
     fn draw(&mut self, now: Micros, units: f64) {
-        self.left = (self.left + (now - self.at) as f64 / 1e6 * RATE).min(BURST) - units;
-        self.at = now;
+        self.available = (self.available + (now - self.updated_at) as f64 / 1e6 * RATE).min(BURST) - units;
+        self.updated_at = now;
         assert!(
-            self.left >= -DEBT_LIMIT - 1e-6,
-            "at {now}: {:.2} below what the limit allows",
-            -self.left - DEBT_LIMIT
+            self.available >= -DEBT_LIMIT - 1e-6,
+            "at {now} us: {:.2} units more than the limit allows",
+            -self.available - DEBT_LIMIT
         );
     }
 }
 
-// On a day on which connections came up to 1.5 s late (zone+brink, seed 403) a volume went past its limit:
-// the bucket filled up again while what it had granted was still on its way, and both arrived together.
+// Guards against units that are granted twice. The bucket filled up again while the units that it had granted
+// had not reached a target, and both arrived together. A volume exceeded its limit when connections came up
+// as much as 1.5 s late (zone+brink, seed 403).
 #[test]
 fn units_of_a_limit_are_not_granted_again_before_they_have_arrived() {
-    let mut harness = filled();
-    let mut bucket = PlatformBucket { left: BURST, at: harness.now };
+    let mut harness = harness_with_full_bucket();
+    let mut bucket = PlatformBucket { available: BURST, updated_at: harness.now };
     let mut sent = Vec::new();
     for id in 1..=40 {
         sent.extend(started_requests(&harness.arrive(limited_request(id))));
@@ -77,14 +81,14 @@
         harness.scheduler.commit_reserved(harness.now, RequestId(*id));
     }
     assert_eq!(sent.len(), 11, "the burst and the debt limit");
-    // What is drawn leaves room again.
+    // The bucket fills up again once the reserved units are committed.
     assert_eq!(started_requests(&harness.advance(SECOND)).len(), 5);
 }
 
-// What was taken for a request that never was sent on is there for another.
+// The units of a request that was never sent are available to other requests.
 #[test]
-fn units_of_a_request_that_was_never_sent_come_back() {
-    let mut harness = filled();
+fn units_of_a_request_that_was_never_sent_are_released() {
+    let mut harness = harness_with_full_bucket();
     let sent: Vec<u64> =
         (1..=11).flat_map(|id| started_requests(&harness.arrive(limited_request(id)))).collect();
     assert_eq!(sent.len(), 11);
@@ -98,13 +102,14 @@
     assert!(again.len() >= 9, "{again:?}");
 }
 
-/// Requests whose connections come up any time later, are cancelled, or are never up: the platform's count stays within the limit.
+/// The platform's count stays within the limit if connections come up at any time later, are cancelled, or
+/// never come up.
 #[test]
 fn the_limit_holds_whenever_requests_arrive() {
     for seed in 0..20 {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
-        let mut harness = filled();
-        let mut bucket = PlatformBucket { left: BURST, at: harness.now };
+        let mut harness = harness_with_full_bucket();
+        let mut bucket = PlatformBucket { available: BURST, updated_at: harness.now };
         let (mut next, mut out) = (1, BTreeSet::new());
         for _ in 0..400 {
             let mut actions = match random.random_range(0..4) {
@@ -135,11 +140,12 @@
     }
 }
 
-// A process that was killed may have used up the burst and the debt limit; the next one took the debt limit once more.
+// Guards against a new process that grants the debt limit a second time: the process before it may have been
+// killed after it had used up the burst and the debt limit.
 #[test]
 fn a_new_process_grants_nothing_that_the_one_before_may_have_used() {
-    let mut harness = filled();
-    let mut bucket = PlatformBucket { left: BURST, at: harness.now };
+    let mut harness = harness_with_full_bucket();
+    let mut bucket = PlatformBucket { available: BURST, updated_at: harness.now };
     let mut drawn = 0;
     for life in 0..4 {
         for id in 1..=40 {
@@ -151,8 +157,8 @@
                 drawn += 1;
             }
         }
-        harness = limited(Some(harness.now + 50 * MS));
+        harness = harness_with_limit(Some(harness.now + 50 * MS));
     }
-    // The burst, the debt limit, and what fills up while they live.
-    assert!((15..=20).contains(&drawn), "{drawn}");
+    // The burst, the debt limit, and the units that the bucket fills up by in the test.
+    assert!((15..=20).contains(&drawn), "{drawn} requests drew on the limit, expected 15 to 20");
 }
