--- a/tests/compatibility/handover.rs
+++ b/tests/compatibility/handover.rs
@@ -38,7 +38,7 @@
     let mut all: Vec<Message> =
         kinds.into_iter().map(|kind| Message { kind: Some(kind), ..Message::default() }).collect();
     all.extend(commands.map(|command| Message { admin_command: Some(command), ..Message::default() }));
-    all.extend(seen.map(|seen| Message { object_seen: Some(seen), ..Message::default() }));
+    all.extend(seen.map(|seen| Message { object_observation: Some(seen), ..Message::default() }));
     all.push(Message { share: Some(DescriptorShare { descriptors: 5 }), ..Message::default() });
     all
 }
@@ -54,8 +54,8 @@
     for (line, message) in KINDS.lines().zip(messages()) {
         let read = decoded(line);
         assert_eq!(
-            (read.kind, &read.admin_command, read.object_seen, read.share),
-            (message.kind, &message.admin_command, message.object_seen, message.share)
+            (read.kind, &read.admin_command, read.object_observation, read.share),
+            (message.kind, &message.admin_command, message.object_observation, message.share)
         );
         assert_eq!(encoded(&read), line);
     }
@@ -76,7 +76,7 @@
 fn the_handed_over_state_keeps_every_field() {
     let read = decoded(STATE.trim_end());
     let state = read.state.as_ref().expect("a state");
-    assert!(state.maintenance.is_out("box-1"));
+    assert!(state.maintenance.is_in_maintenance("box-1"));
     assert_eq!(state.object_locations, [((21, 22), Observation::At(1)), ((23, 24), Observation::NotAt(2))]);
     assert_eq!(encoded(&read), STATE.trim_end());
 }
