--- a/src/bin/simulator-adapter/wire/tests.rs
+++ b/src/bin/simulator-adapter/wire/tests.rs
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn events_that_carry_nothing_for_the_scheduler_are_classified() {
+fn events_that_the_scheduler_does_not_receive_are_classified() {
     let classify = |text: &str| serde_json::from_str::<Event>(text).expect("the text is an event").classify();
     let failed = classify(r#"{"verb":"Membership","gateway-id":4,"mode":"X"}"#);
     assert!(matches!(failed, Ok((4, InitiatorEvent::DiscoveryFailed))));
--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn units_that_wait_for_a_connection_count_as_long_as_they_do() {
+fn units_count_while_their_connection_comes_up() {
     let mut harness = single_initiator();
     harness.advance(2 * SECOND);
     assert_eq!(started_requests(&harness.arrive(request(1, BACKGROUND))), [1]);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn an_attempt_answered_with_an_error_has_arrived() {
+fn an_attempt_answered_with_an_error_counts_as_arrived() {
     let mut harness = single_initiator();
     harness.advance(2 * SECOND);
     assert_eq!(started_requests(&harness.arrive(large(1))), [1]);
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -143,7 +143,7 @@
 // Guards against a new process that grants the debt limit a second time: the process before it may have been
 // killed after it had used up the burst and the debt limit.
 #[test]
-fn a_new_process_grants_nothing_that_the_one_before_may_have_used() {
+fn a_new_process_does_not_grant_units_that_its_predecessor_may_have_used() {
     let mut harness = harness_with_full_bucket();
     let mut bucket = PlatformBucket { available: BURST, updated_at: harness.now };
     let mut drawn = 0;
--- a/tests/many_initiators.rs
+++ b/tests/many_initiators.rs
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn initiators_with_nothing_in_flight_reject_what_an_overloaded_target_cannot_serve_in_time() {
+fn idle_initiators_reject_requests_that_an_overloaded_target_cannot_serve_in_time() {
     const SERVICE_TIME: Micros = 20 * MS;
     let settings = Settings { initiators: 20, ..settings() };
     let mut fleet: Vec<Harness> =
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn an_attempt_is_cancelled_when_its_client_has_gone_where_that_is_allowed() {
+fn an_attempt_is_cancelled_when_its_client_has_gone_if_targets_can_cancel() {
     for may_cancel in [true, false] {
         let mut harness = Harness::new(Settings { may_cancel, ..settings() }, &[entry(0, 0)]);
         assert_eq!(started_requests(&harness.arrive(request(1, READ))), [1]);
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -34,7 +34,7 @@
 #[test]
 fn overtakes_of_a_queued_request_are_capped() {
     let mut harness = target_with_latency(MS);
-    let mut queued: Vec<u64> = Vec::new();
+    let mut started_keyed: Vec<u64> = Vec::new();
     // Fill the target, then insert reads ahead of one keyed request beyond the cap on overtakes.
     let mut started_reads: Vec<u64> = Vec::new();
     for id in 1..60 {
@@ -43,7 +43,7 @@
     let started_count = started_reads.len() as u64;
     assert!(started_count < 59, "the concurrency limit holds");
     for id in 100..101 {
-        queued.extend(started_requests(&harness.arrive(request(id, KEYED))));
+        started_keyed.extend(started_requests(&harness.arrive(request(id, KEYED))));
     }
     for id in 200..260 {
         harness.arrive(request(id, READ));
@@ -57,11 +57,11 @@
     }
     let position = order.iter().position(|id| *id == 100).expect("request 100 is started");
     let overtaken = order[..position].iter().filter(|id| **id >= 200).count();
-    assert!(queued.is_empty() && overtaken <= 12, "overtaken {overtaken} times");
+    assert!(started_keyed.is_empty() && overtaken <= 12, "overtaken {overtaken} times");
 }
 
 #[test]
-fn a_request_predicted_late_is_rejected_on_arrival_and_background_work_never() {
+fn a_request_predicted_late_is_rejected_on_arrival_unless_it_is_background_work() {
     let mut harness = target_with_latency(40 * MS); // 50 units a second
     assert_eq!(started_requests(&harness.arrive(request(1, READ))), [1]);
     assert_eq!(final_responses(&harness.arrive(request(2, READ))), [(2, Rejected)]);
@@ -74,7 +74,7 @@
 // Guards against background requests that wait until their deadline: they occupied their clients'
 // connections, and requests with tight objectives found none.
 #[test]
-fn background_work_without_capacity_is_given_up_well_before_half_of_its_time() {
+fn background_requests_without_capacity_are_rejected_well_before_half_of_their_deadline() {
     let mut harness = target_with_latency(40 * MS);
     assert!(harness.arrive(request(1, BACKGROUND)).is_empty(), "queued: the target is predicted to be busy");
     assert!(final_responses(&harness.advance(150 * MS)).is_empty());
@@ -92,28 +92,33 @@
     assert_eq!(started_requests(&harness.arrive(large(1, KEYED))), [1]);
     let queued = harness.arrive(RequestProfile { units: 9.0, ..request(2, KEYED) });
     assert!(queued.is_empty(), "(4 + 9) / 80 s + 25 ms: just in time, and queued since the limit is reached");
-    let pushed = harness.arrive(request(3, READ));
-    assert_eq!(final_responses(&pushed), [(3, Rejected)], "in time itself, but request 2 would be late");
+    let actions = harness.arrive(request(3, READ));
+    assert_eq!(final_responses(&actions), [(3, Rejected)], "in time itself, but request 2 would be late");
 }
 
 #[test]
 fn the_concurrency_limit_follows_the_speed_between_its_bounds() {
-    let count = |took: Micros| {
-        let mut harness = target_with_latency(took);
+    let started_count = |latency: Micros| {
+        let mut harness = target_with_latency(latency);
         (1..60).map(|id| started_requests(&harness.arrive(request(id, BACKGROUND))).len()).sum::<usize>()
     };
-    assert!(count(MS) > count(5 * MS), "{} {}", count(MS), count(5 * MS));
-    assert!(count(5 * MS) > count(20 * MS));
-    assert!(count(20 * MS) >= 1);
-    assert!(count(1) <= 24);
+    assert!(
+        started_count(MS) > started_count(5 * MS),
+        "{} requests started at 1 ms, {} at 5 ms",
+        started_count(MS),
+        started_count(5 * MS)
+    );
+    assert!(started_count(5 * MS) > started_count(20 * MS));
+    assert!(started_count(20 * MS) >= 1);
+    assert!(started_count(1) <= 24);
 }
 
 #[test]
 fn a_new_object_goes_where_it_completes_first() {
     let mut harness = Harness::new(settings(), &[entry(0, 0), entry(1, 1)]);
-    for (id, shard, took) in [(1, 0, 60 * MS), (2, 1, 10 * MS)] {
+    for (id, shard, latency) in [(1, 0, 60 * MS), (2, 1, 10 * MS)] {
         harness.arrive(RequestProfile { shard: Some(ShardId(shard)), ..request(id, READ) });
-        harness.attempt_ended(id, 0, shard, Outcome::Served, took);
+        harness.attempt_ended(id, 0, shard, Outcome::Served, latency);
     }
     let sent = harness.arrive(RequestProfile { shard: None, ..request(3, NON_IDEMPOTENT) });
     assert_eq!(sent, [Action::StartAttempt { id: RequestId(3), target: TargetId(1), timeout: None }]);
@@ -127,8 +132,9 @@
     let mut harness = Harness::new(settings, &[entry(0, 0)]);
     harness.arrive(request(1_000, READ));
     harness.served(1_000, 20 * MS); // 100 units a second: two requests may be in flight
-    let out: Vec<u64> = (1..4).flat_map(|id| started_requests(&harness.arrive(request(id, KEYED)))).collect();
-    assert_eq!(out, [1, 2], "request 3 is queued");
+    let started: Vec<u64> =
+        (1..4).flat_map(|id| started_requests(&harness.arrive(request(id, KEYED)))).collect();
+    assert_eq!(started, [1, 2], "request 3 is queued");
     harness.advance(300 * MS); // the objective of all three requests has passed
     assert!(harness.arrive(request(20, NON_IDEMPOTENT)).is_empty(), "request 20 is queued");
     assert_eq!(
@@ -190,7 +196,7 @@
 }
 
 #[test]
-fn an_unreachable_target_is_tried_with_one_request_not_a_burst() {
+fn an_unreachable_target_gets_one_request_after_its_backoff_and_no_burst() {
     let mut harness = target_with_latency(MS);
     let ids: Vec<u64> = (1..11).collect();
     for id in &ids {
@@ -201,8 +207,8 @@
         sent.extend(started_requests(&harness.attempt_ended(*id, 0, 0, Outcome::Unreachable, MS)));
     }
     assert!(sent.is_empty(), "the target is in backoff");
-    let again = started_requests(&harness.advance(30 * MS));
-    assert_eq!(again.len(), 1, "{again:?}");
+    let started = started_requests(&harness.advance(30 * MS));
+    assert_eq!(started.len(), 1, "{started:?}");
 }
 
 #[test]
@@ -236,7 +242,7 @@
 }
 
 #[test]
-fn unusable_settings_name_the_field() {
+fn invalid_settings_return_an_error_that_names_the_field() {
     let mut invalid = settings();
     invalid.plans[1].weight = f64::NAN;
     let error = rowanglade::scheduler::Scheduler::new(invalid, 1).err().expect("rejected");
@@ -279,7 +285,7 @@
 }
 
 #[test]
-fn one_slow_response_of_a_seldom_used_target_does_not_shut_it_out() {
+fn one_slow_response_does_not_exclude_a_seldom_used_target() {
     let mut harness = Harness::new(settings(), &[entry(0, 0), entry(1, 1)]);
     for id in 1..60 {
         harness.arrive(RequestProfile { shard: Some(ShardId(1)), ..request(id, READ) });
@@ -334,10 +340,11 @@
 }
 
 #[test]
-fn background_work_waits_while_the_target_is_busy_with_others_work() {
+fn background_work_waits_while_the_target_is_busy_with_requests_of_others() {
     // Nothing of this initiator is in flight in either case; a read's objective is 100 ms.
-    let started_count =
-        |took: Micros| started_requests(&target_with_latency(took).arrive(request(2, BACKGROUND))).len();
+    let started_count = |latency: Micros| {
+        started_requests(&target_with_latency(latency).arrive(request(2, BACKGROUND))).len()
+    };
     assert_eq!(started_count(10 * MS), 1);
     assert_eq!(started_count(80 * MS), 0);
     let mut harness = target_with_latency(80 * MS);
@@ -352,12 +359,12 @@
 
 #[test]
 fn the_margin_follows_responses_that_keep_coming_late() {
-    let rejected = |took: Micros| {
+    let rejected = |latency: Micros| {
         let mut harness = target_with_latency(10 * MS);
         for id in 1..200 {
             harness.arrive(request(id, READ));
             harness.advance(20 * MS);
-            harness.served(id, took);
+            harness.served(id, latency);
         }
         harness.arrive(request(300, READ));
         (301..400).filter(|id| !final_responses(&harness.arrive(request(*id, READ))).is_empty()).count()
@@ -368,7 +375,7 @@
 // Guards against clients beyond their volume's limit that were kept waiting until their deadline, without a
 // response that made them slow down.
 #[test]
-fn a_request_that_its_limit_keeps_past_its_objective_is_rejected_with_retry_after() {
+fn a_request_delayed_past_its_objective_by_its_volumes_limit_is_rejected_with_retry_after() {
     let mut settings = settings();
     settings.max_retry_after = 500 * MS;
     let mut harness = Harness::new(settings, &[entry(0, 0)]);
@@ -400,7 +407,7 @@
 // A route's target set may exclude the target that other requests of the shard are sent to, and even every
 // target.
 #[test]
-fn a_request_goes_to_targets_of_its_target_set_alone() {
+fn a_request_is_sent_only_to_targets_of_its_target_set() {
     let mut successor = entry(1, 0);
     successor.started = Some(50 * SECOND);
     let mut harness = Harness::new(settings(), &[entry(0, 0), successor, entry(2, 1)]);
--- a/tests/safety_rules.rs
+++ b/tests/safety_rules.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_request_whose_client_has_gone_gets_nothing_more() {
+fn a_request_whose_client_has_gone_is_neither_sent_nor_answered() {
     let mut harness = Harness::new(settings(), &[]);
     harness.arrive(request(1, READ));
     harness.event(Event::ClientGone { id: RequestId(1) });
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_successor_target_takes_what_waits_for_its_shard() {
+fn a_successor_target_gets_the_requests_queued_for_its_shard() {
     let mut harness = Harness::new(settings(), &[]);
     harness.arrive(request(1, READ));
     assert_eq!(started_requests(&harness.endpoints_changed(EndpointUpdateKind::Delta, &[entry(7, 0)])), [1]);
