--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -185,7 +185,7 @@
         }
         let warm: Vec<EndpointEntry> = (1..TARGETS).map(|n| entry(n, n)).collect();
         let harness = |index| {
-            let mut harness = Harness::seeded(settings.clone(), &warm, seed * 1_000 + index);
+            let mut harness = Harness::with_seed(settings.clone(), &warm, seed * 1_000 + index);
             harness.manual_arrivals = true;
             harness
         };
@@ -258,7 +258,7 @@
         let now = self.initiators[initiator].now;
         let mut entries: Vec<EndpointEntry> = (1..TARGETS).map(|n| entry(n, n)).collect();
         entries.extend((self.notified_at[initiator] <= now).then(warming));
-        let mut harness = Harness::unlisted(self.settings.clone(), self.random.random());
+        let mut harness = Harness::without_endpoints(self.settings.clone(), self.random.random());
         (harness.now, harness.manual_arrivals) = (now, true);
         harness.endpoints_changed(EndpointUpdateKind::Cached, &entries);
         self.initiators[initiator] = harness;
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -22,7 +22,7 @@
     let mut settings = Settings { initiators: 1, ..settings() };
     (settings.classes[CLASS as usize].latency_objective, settings.classes[CLASS as usize].deadline) =
         (5 * SECOND, 5 * SECOND);
-    let mut harness = Harness::unlisted(settings, 1);
+    let mut harness = Harness::without_endpoints(settings, 1);
     harness.now = started_at.unwrap_or(harness.now);
     harness.endpoints_changed(EndpointUpdateKind::Cached, &entries);
     harness.manual_arrivals = true;
--- a/tests/many_initiators.rs
+++ b/tests/many_initiators.rs
@@ -12,7 +12,7 @@
     let started = 100 * SECOND;
     let warming = EndpointEntry { started: Some(started), ..entry(0, 0) };
     let mut fleet: Vec<Harness> =
-        (0..100).map(|seed| Harness::seeded(settings.clone(), &[warming], seed)).collect();
+        (0..100).map(|seed| Harness::with_seed(settings.clone(), &[warming], seed)).collect();
     let mut sent: Vec<(Micros, f64)> = Vec::new();
     for step in 0..90u64 {
         for (index, harness) in fleet.iter_mut().enumerate() {
@@ -85,7 +85,7 @@
     let settings = reserved_settings();
     let seeds = (0..48).map(|initiator| draw * 1_000 + initiator);
     let mut fleet: Vec<Harness> =
-        seeds.map(|seed| Harness::seeded(settings.clone(), &[warming], seed)).collect();
+        seeds.map(|seed| Harness::with_seed(settings.clone(), &[warming], seed)).collect();
     let mut sent: Vec<(Micros, f64)> = Vec::new();
     for step in 0..80u64 {
         for (index, harness) in fleet.iter_mut().enumerate() {
@@ -155,7 +155,7 @@
     const SERVICE_TIME: Micros = 20 * MS;
     let settings = Settings { initiators: 20, ..settings() };
     let mut fleet: Vec<Harness> =
-        (0..20).map(|seed| Harness::seeded(settings.clone(), &[entry(0, 0)], seed)).collect();
+        (0..20).map(|seed| Harness::with_seed(settings.clone(), &[entry(0, 0)], seed)).collect();
     let mut queue: VecDeque<(usize, u64, Micros)> = VecDeque::new();
     let (mut next_done, mut served, mut in_time, mut arrived) = (0, 0, 0, 0);
     for ms in 0..20_000u64 {
