--- a/src/bin/simulator-adapter/wire/event.rs
+++ b/src/bin/simulator-adapter/wire/event.rs
@@ -140,8 +140,11 @@
             outcome: outcome(&self.outcome),
             elapsed: self.elapsed,
             request_over: self.request_over,
-            used_fraction: self.used.filter(|used| *used > 0.0).map(|used| (used - 1.0) / 100.0),
-            units_elsewhere: self.elsewhere.unwrap_or(0.0),
+            used_fraction: self
+                .used_percent_plus_one
+                .filter(|used| *used > 0.0)
+                .map(|used| (used - 1.0) / 100.0),
+            units_elsewhere: self.units_elsewhere.unwrap_or(0.0),
             load: load(self.load, names),
         })
     }
--- a/src/bin/simulator-adapter/wire/message.rs
+++ b/src/bin/simulator-adapter/wire/message.rs
@@ -129,9 +129,9 @@
     pub(super) request_over: bool,
     /// One more than the used percentage of the volume's nominal rate. Zero or absent: not reported.
     #[serde(rename = "metered")]
-    pub(super) used: Option<f64>,
+    pub(super) used_percent_plus_one: Option<f64>,
     #[serde(rename = "others-got")]
-    pub(super) elsewhere: Option<f64>,
+    pub(super) units_elsewhere: Option<f64>,
     #[serde(rename = "metrics")]
     pub(super) load: Option<Vec<Option<f64>>>,
 }
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -84,7 +84,7 @@
 struct Ownership {
     /// The start of the period in which everything that the initiator sent is known here: the first event, or
     /// the start that a predecessor handed over.
-    since: Option<Micros>,
+    history_since: Option<Micros>,
     /// Another process owns the state now.
     is_transferred: bool,
 }
@@ -133,7 +133,7 @@
     /// Handles an event that happened at `now`, in microseconds of a monotonic clock, and appends the
     /// resulting actions to `actions`. Events about unknown requests, attempts or targets change nothing.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
-        self.ownership.since.get_or_insert(now);
+        self.ownership.history_since.get_or_insert(now);
         match event {
             Event::RequestArrived(profile) => self.request_arrived(now, profile, actions),
             Event::AttemptEnded {
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -82,11 +82,11 @@
         if self.targets[&target].backoff_until > now {
             return Dispatchability::TargetBlocked;
         }
-        let is_low = pass == QueuePass::Late || self.objectives.is_background(request.class);
-        let priority = if is_low { DispatchPriority::Low } else { DispatchPriority::Normal };
+        let is_low_priority = pass == QueuePass::Late || self.objectives.is_background(request.class);
+        let priority = if is_low_priority { DispatchPriority::Low } else { DispatchPriority::Normal };
         let is_late = request.objective_at < now;
         let is_in_pass = is_late == (pass == QueuePass::Late);
-        if is_low && !is_in_pass {
+        if is_low_priority && !is_in_pass {
             return Dispatchability::NotNow;
         }
         match (self.is_full(now, target, request.units, priority), priority) {
--- a/src/scheduler/quota.rs
+++ b/src/scheduler/quota.rs
@@ -64,11 +64,11 @@
         let plan = request.plan.map(|plan| &self.settings.plans[plan.0 as usize]);
         let Some(limit) = plan.and_then(|plan| plan.limit) else { return };
         let volume = request.volume;
-        let started_at = self.ownership.since.unwrap_or(now);
+        let started_at = self.ownership.history_since.unwrap_or(now);
         let new = TokenBucket::exhausted(limit.debt_limit / request.initiators, started_at);
         let bucket = self.quota.buckets.entry(volume).or_insert(new);
         bucket.configure(limit.rate / request.initiators, limit.burst / request.initiators);
-        if bucket.available(now) - request.units < bucket.low_mark(LOW_BUCKET_FRACTION) {
+        if bucket.available(now) - request.units < bucket.low_threshold(LOW_BUCKET_FRACTION) {
             let initiators = request.initiators as u32;
             actions.push(Action::QuotaNeeded { volume, units: request.units, initiators });
         }
@@ -136,7 +136,7 @@
         let units = self.quota.buckets.get_mut(&volume).map_or(0.0, |bucket| {
             let demand = self.volumes.get(&volume).map_or(0.0, |usage| usage.demand.per_second(now));
             let kept_units = demand * KEPT_DEMAND_SECONDS;
-            let spare_units = bucket.available(now) - kept_units - bucket.low_mark(LOW_BUCKET_FRACTION);
+            let spare_units = bucket.available(now) - kept_units - bucket.low_threshold(LOW_BUCKET_FRACTION);
             let offered_units = spare_units.min(max_units).max(0.0);
             bucket.add(now, -offered_units);
             offered_units
--- a/src/scheduler/slow_start.rs
+++ b/src/scheduler/slow_start.rs
@@ -39,7 +39,7 @@
             return NEVER;
         }
         let budget = &self.targets[&target].slow_start;
-        let history_since = self.ownership.since.unwrap_or(0);
+        let history_since = self.ownership.history_since.unwrap_or(0);
         let even_units = units_before + request.units;
         let even_part_at = budget.admits_at(&self.slow_start, now, history_since, even_units);
         let Some(reserve) = self.paced_reserve(now, target, request) else { return even_part_at };
--- a/src/scheduler/snapshot.rs
+++ b/src/scheduler/snapshot.rs
@@ -123,7 +123,7 @@
     /// over for good.
     pub fn snapshot(&self, now: Micros) -> SchedulerSnapshot<TargetId, VolumeId> {
         SchedulerSnapshot {
-            owned_since: self.ownership.since,
+            owned_since: self.ownership.history_since,
             overall: self.estimates.overall.into(),
             margins: self.estimates.margins.clone(),
             targets: self.targets.iter().map(|(id, target)| (*id, target.into())).collect(),
@@ -145,7 +145,7 @@
     /// Continues with the state that a predecessor handed over, on the same clock. The state of targets that
     /// are not in this scheduler's endpoint list, or have another start, is dropped.
     pub fn restore(&mut self, snapshot: SchedulerSnapshot<TargetId, VolumeId>) {
-        self.ownership.since = snapshot.owned_since.or(self.ownership.since);
+        self.ownership.history_since = snapshot.owned_since.or(self.ownership.history_since);
         self.estimates.overall = snapshot.overall.into();
         if snapshot.margins.len() == self.estimates.margins.len() {
             self.estimates.margins = snapshot.margins;
@@ -182,7 +182,7 @@
     /// Resets the owned state to that of a process that has just started: another process owned it in the
     /// meantime, and may have spent it.
     pub fn reset_owned_state(&mut self, now: Micros) {
-        self.ownership.since = Some(now);
+        self.ownership.history_since = Some(now);
         self.quota.clear();
         let shard_usages = self.volumes.values_mut().flat_map(|volume| volume.by_shard.values_mut());
         shard_usages.for_each(|usage| usage.reserve_pacer = None);
--- a/src/scheduler/token_bucket.rs
+++ b/src/scheduler/token_bucket.rs
@@ -79,7 +79,7 @@
     }
 
     /// The available units below which this initiator requests more from others, and gives none away.
-    pub fn low_mark(&self, fraction: f64) -> f64 {
+    pub fn low_threshold(&self, fraction: f64) -> f64 {
         fraction * self.capacity
     }
 
