--- a/crates/discovery-polling/src/config.rs
+++ b/crates/discovery-polling/src/config.rs
@@ -1,19 +1,20 @@
-//! What a schedule is made from.
+//! Configuration of a polling schedule.
 
 use crate::Micros;
 
 /// How discovery delivers the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
-    /// One service for all initiators answers when polled.
+    /// One service answers the polls of all initiators.
     Polled {
-        /// How long an initiator may go without polling, in microseconds; 0 if the settings do not say.
+        /// Longest time that an initiator may go without polling, in microseconds; 0 if the settings give
+        /// none.
         max_poll_interval: Micros,
     },
-    /// An agent of this initiator's own is up to date without being polled, and what it has counts as known
-    /// here.
+    /// This initiator's own agent receives every change without being polled. A change that the agent has
+    /// received counts as known to the initiator.
     Pushed {
-        /// How long sends by an older list are allowed, in microseconds.
+        /// How long requests may still be sent according to an outdated list, in microseconds.
         drain_grace: Micros,
     },
 }
@@ -21,21 +22,21 @@
 /// How a watch is kept open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchMode {
-    /// By requests that wait for a change for a bounded time, one after another.
+    /// By consecutive requests, each of which waits for a change for a bounded time.
     LongPoll,
-    /// By one request; changes come without further requests until the subscription breaks.
+    /// By one request: discovery sends changes without further requests until the subscription breaks.
     Subscription,
 }
 
-/// What a schedule is made from.
+/// Configuration of a [`Schedule`](crate::Schedule).
 #[derive(Clone, Copy, Debug)]
 pub struct PollingConfig {
-    /// How discovery delivers the list.
+    /// Whether the list is polled from a shared service or pushed to an agent.
     pub delivery: Delivery,
-    /// How a watch is kept open.
+    /// How a watch is kept open once the list has been received.
     pub watch_mode: WatchMode,
-    /// How many initiators poll the same discovery, this one included.
+    /// Number of initiators that poll the same discovery service, this one included.
     pub initiators: u32,
-    /// The index of this initiator among all, from 0; none: not known.
+    /// Index of this initiator in the fleet, from 0; `None` if unknown.
     pub instance_index: Option<u32>,
 }
--- a/crates/discovery-polling/src/constants.rs
+++ b/crates/discovery-polling/src/constants.rs
@@ -1,109 +1,113 @@
-//! The bounds of the schedule, with their reasons. docs/design/discovery.md has the measurements.
+//! Timing constants of the polling schedule, with their reasons. docs/design/discovery.md has the
+//! measurements.
 
 use crate::Micros;
 
 const MILLISECOND: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
 
-/// From the moment that discovery can be reached, the list is received within this time: from then on the
-/// platform counts a change as known to every initiator.
+/// Time from the moment that discovery becomes reachable until every initiator must have received the list.
+/// The platform treats a change as known to all initiators from then on.
 pub const LIST_RECEIPT_DEADLINE: Micros = 6 * SECOND;
 
 // Requests in flight.
 
-/// Requests of one initiator in flight at most: the first and one hedged request, since each costs the shared
-/// discovery work.
+/// Maximum requests in flight from one initiator: the first and one hedged request, since each costs the
+/// shared discovery service work.
 pub(crate) const MAX_REQUESTS_IN_FLIGHT: usize = 2;
-/// The same to an initiator's own agent, for which one request more is little work.
+/// Maximum requests in flight to an initiator's own agent, for which an additional request is little work.
 pub(crate) const MAX_REQUESTS_TO_AGENT_IN_FLIGHT: usize = 8;
-/// A request that does not wait, and has no response after this long, may be lost: a hedged request is sent
-/// beside it. Discovery fails a request that waits too long in its queue before that.
+/// A request that does not wait for a change may be lost if it has no response after this long: a hedged
+/// request is sent. Discovery rejects a request that waits too long in its queue sooner than that.
 pub(crate) const HEDGE_AFTER: Micros = 3 * SECOND;
-/// A request that does not wait is given up after this long. Equal to [`MAX_CYCLE`]; why it is not shorter is
-/// not recorded (docs/design/open-questions.md).
+/// Time after which a request that does not wait for a change is abandoned; equal to [`MAX_CYCLE`]. Whether
+/// it can be shorter is an open question (docs/design/open-questions.md).
 pub(crate) const REQUEST_TIMEOUT: Micros = 5 * SECOND;
 
 // Long polls.
 
-/// The longest wait of a long poll. A change missed by a silent watch counts as known 6 s after the watch fell
-/// silent, or 2 s after the wait, whichever is later: a short wait leaves the most time to notice the silence
-/// and to poll again.
+/// Longest wait of a long poll. A change missed by a silent watch counts as known 6 s after the watch went
+/// silent or 2 s after the end of the wait, whichever is later, so a short wait leaves the most time to
+/// detect the silence and to poll again.
 pub(crate) const MAX_LONG_POLL_WAIT: Micros = 2 * SECOND;
-/// The shortest wait, where the settings' poll interval is shorter: a watch must not become a busy loop.
+/// Shortest wait of a long poll, even if the poll interval of the settings is shorter: a watch must not
+/// become a busy loop.
 pub(crate) const MIN_LONG_POLL_WAIT: Micros = 500 * MILLISECOND;
-/// A response this much later than the end of its wait does not come any more: the watch is silent.
+/// Time after the end of a long poll's wait at which a missing response means that the watch is silent.
 pub(crate) const LONG_POLL_RESPONSE_TIMEOUT: Micros = 700 * MILLISECOND;
 
 // Cycles: from one request of an initiator to its next.
 
-/// The longest cycle while discovery is not known to be overloaded. Within a cycle after discovery can be
-/// reached, each initiator sends one request that can be served; together with its wait in discovery's queue
-/// that has to stay under [`LIST_RECEIPT_DEADLINE`].
+/// Longest cycle while discovery is not known to be overloaded. Within one cycle after discovery becomes
+/// reachable, each initiator sends one request that can be served; the cycle and the request's time in
+/// discovery's queue together have to stay under [`LIST_RECEIPT_DEADLINE`].
 pub const MAX_CYCLE: Micros = 5 * SECOND;
-/// The same for a fleet smaller than [`SMALL_FLEET_BELOW`]: each request is a larger part of discovery's work
-/// there, so a shorter cycle leaves time for it. The requests of one cycle may then wait for each other, for
-/// less than discovery lets them.
+/// Longest cycle of a fleet smaller than [`SMALL_FLEET_BELOW`]. Each request is a larger part of discovery's
+/// work there, so a shorter cycle leaves time for it. The requests of one cycle may then queue behind each
+/// other, for less time than discovery allows.
 pub(crate) const MAX_CYCLE_OF_SMALL_FLEET: Micros = 3_500 * MILLISECOND;
-/// An initiator alone shares discovery with nobody.
-pub(crate) const MAX_CYCLE_OF_ONE: Micros = SECOND;
-/// Initiators from which a cycle reaches [`MAX_CYCLE`] by [`CYCLE_PER_INSTANCE`] alone.
-pub(crate) const SMALL_FLEET_BELOW: Micros = MAX_CYCLE / CYCLE_PER_INSTANCE;
-/// The first cycle after a failure that was no rejection, at least.
+/// Longest cycle of a single initiator, which shares discovery with no other.
+pub(crate) const MAX_CYCLE_OF_SINGLE_INITIATOR: Micros = SECOND;
+/// Number of initiators from which [`CYCLE_PER_INITIATOR`] alone makes a cycle as long as [`MAX_CYCLE`].
+pub(crate) const SMALL_FLEET_BELOW: Micros = MAX_CYCLE / CYCLE_PER_INITIATOR;
+/// Shortest first cycle after a failure other than a rejection.
 pub(crate) const MIN_CYCLE: Micros = 500 * MILLISECOND;
-/// What each initiator adds to a cycle that is shorter than the longest: more than discovery took for one
-/// request where that was measured (50 to 80 ms).
-pub(crate) const CYCLE_PER_INSTANCE: Micros = 125 * MILLISECOND;
-/// After a rejection, from one request to the next at least: a rejected request still costs discovery work.
+/// Time that each initiator adds to a cycle that is shorter than the longest: more than the 50 to 80 ms that
+/// discovery takes for one request.
+pub(crate) const CYCLE_PER_INITIATOR: Micros = 125 * MILLISECOND;
+/// Shortest time from a rejected request to the next request: a rejected request still costs discovery work.
 pub(crate) const MIN_CYCLE_AFTER_REJECTION: Micros = 2 * SECOND;
-/// From a failure to the next request at least.
+/// Shortest delay between a failure and the next request.
 pub(crate) const MIN_RETRY_DELAY: Micros = 50 * MILLISECOND;
-/// A cycle doubles for so many consecutive failures at most; by then every bound on it is reached.
+/// Maximum number of doublings of a cycle for consecutive failures; by then every upper bound on it is
+/// reached.
 pub(crate) const MAX_DOUBLINGS: u32 = 8;
 
-// What one request costs discovery, as response times have shown.
+// Service time of one request at discovery, estimated from response times.
 
-/// The part of a request's learned service time that a cycle has for each initiator: the requests of one cycle
-/// may wait for each other, for less than discovery lets them. Found by simulation (docs/design/discovery.md).
-pub(crate) const SERVICE_TIME_PART: f64 = 0.7;
-/// A response that took longer than the learned service time raises that by this part of the difference: one
-/// that stood in a queue must not count in full. Found by simulation.
+/// Fraction of a request's estimated service time that a cycle allots to each initiator: the requests of one
+/// cycle may queue behind each other, for less time than discovery allows (docs/design/discovery.md).
+pub(crate) const SERVICE_TIME_FRACTION: f64 = 0.7;
+/// Fraction by which a response time above the estimated service time raises the estimate: time that a
+/// request spent in discovery's queue must not count in full.
 pub(crate) const SERVICE_TIME_GAIN: f64 = 0.125;
 
-// Initiators that begin to poll together.
+// Initiators that begin to poll at the same time.
 
-/// After a change of discovery's address, which operators make by a reload, initiators poll within this time.
+/// Longest spread of the initiators' polls after a change of discovery's address, which operators make by a
+/// reload.
 pub(crate) const MAX_SPREAD_AFTER_ADDRESS_CHANGE: Micros = SECOND;
-/// After silence, in which the watches of all initiators may have fallen silent together, and part of the time
-/// is gone already.
+/// Longest spread of the polls after a watch went silent: the watches of all initiators may have gone silent
+/// together, and part of the time to receive the missed change has passed already.
 pub(crate) const MAX_SPREAD_AFTER_SILENCE: Micros = 3 * SECOND;
-/// A request that opens a silent watch again gets a hedged request beside it after this long at least, since
-/// the change that was missed is older by then.
+/// Shortest delay between the request that reopens a silent watch and its hedged request. It is shorter than
+/// [`HEDGE_AFTER`], since the missed change is older by then.
 pub(crate) const MIN_HEDGE_AFTER_SILENCE: Micros = 500 * MILLISECOND;
-/// The same at most, where many initiators may stand in discovery's queue with such requests.
+/// Longest such delay, for fleets of which many such requests may be in discovery's queue.
 pub(crate) const MAX_HEDGE_AFTER_SILENCE: Micros = 2_200 * MILLISECOND;
-/// What each initiator adds between the two: the least that discovery took for one request
-/// where that was measured.
-pub(crate) const HEDGE_PER_INSTANCE: Micros = 50 * MILLISECOND;
+/// Time that each initiator adds between the two bounds: the shortest time that discovery takes for one
+/// request.
+pub(crate) const HEDGE_PER_INITIATOR: Micros = 50 * MILLISECOND;
 
 // Long outages.
 
-/// Requests that have failed for this long mean a long outage or an overload; initiators then poll less often
-/// than once in [`MAX_CYCLE`], up to the settings' poll interval.
+/// Failures that last this long indicate a long outage or an overload. Initiators then poll less often than
+/// once per [`MAX_CYCLE`], down to once per poll interval of the settings.
 pub(crate) const LONG_OUTAGE_AFTER: Micros = 12 * SECOND;
-/// The poll interval in a long outage where the settings give none.
+/// Poll interval in a long outage if the settings give none.
 pub(crate) const DEFAULT_MAX_POLL_INTERVAL: Micros = 10 * SECOND;
 
 // An initiator's own agent.
 
-/// The drain grace is divided by this for the pause between two requests to the agent, so that several fit
-/// into it. Why four is not recorded (docs/design/open-questions.md).
+/// The delay between two requests to the agent is the drain grace divided by this, so that several requests
+/// fit into the grace. The best divisor is an open question (docs/design/open-questions.md).
 pub(crate) const AGENT_RETRIES_PER_GRACE: Micros = 4;
-/// The shortest pause, where the settings give a short grace or none.
+/// Shortest delay between requests to the agent, for settings with a short grace or none.
 pub(crate) const MIN_AGENT_RETRY_DELAY: Micros = 20 * MILLISECOND;
-/// The longest pause, however long the grace: changes are wanted soon.
+/// Longest delay between requests to the agent, however long the grace is: changes must be received soon.
 pub(crate) const MAX_AGENT_RETRY_DELAY: Micros = 500 * MILLISECOND;
-/// A request to the agent is given up after so many pauses: in that time the others that may be in flight have
-/// been sent, each about a grace after the one before.
+/// Time after which a request to the agent is abandoned, in retry delays. It is long enough to send all the
+/// others that may be in flight, each about one grace after the previous one.
 pub(crate) const AGENT_TIMEOUT_RETRY_DELAYS: Micros = 32;
-/// The same at most.
+/// Upper bound on the time after which a request to the agent is abandoned.
 pub(crate) const MAX_AGENT_REQUEST_TIMEOUT: Micros = 5 * SECOND;
--- a/crates/discovery-polling/src/lib.rs
+++ b/crates/discovery-polling/src/lib.rs
@@ -2,24 +2,24 @@
 //! deadlines. It has no sockets, runtime or clock: a driver passes the time and the outcome of each request
 //! to [`Schedule`] and carries out the [`Command`]s that it returns.
 //!
-//! # What it promises
+//! # Guarantee
 //!
-//! With 5 to 1,024 initiators, after an outage of up to 11 s, every initiator has received the list within
-//! [`LIST_RECEIPT_DEADLINE`] of discovery's return, as long as discovery serves all initiators once in 5 s; with
-//! 1 to 4, as long as it does in 3 s. It is not promised after longer outages, in which initiators poll less
-//! often: see docs/design/discovery.md.
+//! With 5 to 1,024 initiators, after an outage of up to 11 s, every initiator receives the list within
+//! [`LIST_RECEIPT_DEADLINE`] of discovery's return, provided that discovery can serve all initiators once in
+//! 5 s; with 1 to 4 initiators, once in 3 s. Longer outages, in which initiators poll less often, are not
+//! covered: see docs/design/discovery.md.
 //!
 //! # Why requests are paced and not retried at once
 //!
-//! Discovery is one service for all initiators. It serves requests one after another and fails those that
-//! would wait too long; a request that it fails still costs it work. Retries that come faster than it can
-//! serve them therefore keep it failing all of them, for ever. So each initiator sends one request in a
-//! *cycle*, at a phase drawn at random: the sum over all initiators is a steady stream of requests, whatever
-//! made them poll at the same moment (a restart, an outage, a reset of all watches). Where requests have
-//! failed for long, even this stream may be too much; only then does the cycle grow, up to the poll interval
-//! of the settings, which discovery has to bear.
+//! Discovery is one service for all initiators. It serves requests one after another and rejects those that
+//! would wait too long, and a rejected request still costs it work. Retries that arrive faster than discovery
+//! can serve them would therefore keep it rejecting all of them indefinitely. So each initiator sends one
+//! request per *cycle*, at a phase drawn at random: all initiators together produce a steady stream of
+//! requests, whatever made them poll at the same moment (a restart, an outage, a reset of all watches). If
+//! requests keep failing, even this stream may be too much; only then does the cycle grow, up to the poll
+//! interval of the settings, a rate that discovery has to sustain.
 //!
-//! docs/design/discovery.md has the measurements and the options that were weighed.
+//! docs/design/discovery.md has the measurements and the alternatives that were considered.
 
 #![forbid(unsafe_code)]
 
--- a/crates/discovery-polling/src/pacer.rs
+++ b/crates/discovery-polling/src/pacer.rs
@@ -1,18 +1,20 @@
-//! How often one initiator may poll, so that the requests of all initiators together do not overload discovery.
+//! Limits how often one initiator polls, so that the requests of all initiators together do not overload
+//! discovery.
 
 use crate::constants::*;
 use crate::{Delivery, Micros};
 
-/// The pace of one initiator's requests.
+/// Computes the delays between one initiator's requests.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Pacer {
     delivery: Delivery,
     initiators: Micros,
     consecutive_failures: u32,
     first_failure_at: Option<Micros>,
-    /// Of the consecutive failures, those since the outage was found to be long.
+    /// Consecutive failures since the outage was found to be a long one.
     long_outage_failures: u32,
-    /// What discovery takes for a request that does not wait, as far as responses have shown; 0: none has.
+    /// Estimated time that discovery takes for a request that does not wait for a change; 0 before the first
+    /// response.
     service_time: Micros,
 }
 
@@ -28,19 +30,17 @@
         }
     }
 
-    /// Whether requests go to this initiator's own agent instead of a service for all initiators.
+    /// Whether requests go to this initiator's own agent instead of a service shared by all initiators.
     pub fn polls_own_agent(&self) -> bool {
         matches!(self.delivery, Delivery::Pushed { .. })
     }
 
-    /// Forgets the failures so far.
     pub fn reset_failures(&mut self) {
         self.consecutive_failures = 0;
         self.first_failure_at = None;
         self.long_outage_failures = 0;
     }
 
-    /// A request failed at `now`.
     pub fn record_failure(&mut self, now: Micros) {
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
         let since = *self.first_failure_at.get_or_insert(now);
@@ -49,10 +49,11 @@
         }
     }
 
-    /// A request that did not wait for a change took this long, its time in discovery's queue included.
+    /// Updates the estimated service time with a request that did not wait for a change. `response_time`
+    /// includes the time in discovery's queue.
     ///
-    /// The least that one took is the best estimate of the work itself, so a shorter time counts at once and
-    /// a longer one only in part.
+    /// The shortest response time is the best estimate of the work itself, so a shorter time replaces the
+    /// estimate and a longer one raises it only in part.
     pub fn record_response_time(&mut self, response_time: Micros) {
         let learned = self.service_time as f64;
         let observed = response_time as f64;
@@ -61,25 +62,25 @@
         self.service_time = estimate as Micros;
     }
 
-    /// The part of the learned service time that counts for each initiator.
-    fn service_time_part(&self) -> Micros {
-        (SERVICE_TIME_PART * self.service_time as f64) as Micros
+    /// Part of a cycle that the estimated service time requires for each initiator.
+    fn service_time_share(&self) -> Micros {
+        (SERVICE_TIME_FRACTION * self.service_time as f64) as Micros
     }
 
-    /// The cycle that the size of the fleet and the cost of a request ask for, without a bound.
+    /// The cycle that the fleet's size and the estimated service time require, before any bound is applied.
     fn unbounded_cycle(&self) -> Micros {
-        CYCLE_PER_INSTANCE.max(self.service_time_part()) * self.initiators
+        CYCLE_PER_INITIATOR.max(self.service_time_share()) * self.initiators
     }
 
     fn max_cycle(&self) -> Micros {
         match self.initiators {
-            1 => MAX_CYCLE_OF_ONE,
+            1 => MAX_CYCLE_OF_SINGLE_INITIATOR,
             initiators if initiators < SMALL_FLEET_BELOW => MAX_CYCLE_OF_SMALL_FLEET,
             _ => MAX_CYCLE,
         }
     }
 
-    /// Within which time initiators that begin together send their first requests.
+    /// Time over which initiators that start together spread their first requests.
     pub fn spread(&self) -> Micros {
         match self.polls_own_agent() {
             true => 0,
@@ -97,15 +98,16 @@
         self.spread().min(MAX_SPREAD_AFTER_SILENCE)
     }
 
-    /// How long after a request that opens a silent watch again a hedged request follows.
+    /// Delay between the request that reopens a silent watch and its hedged request.
     ///
-    /// Where requests are heavy, others of the fleet are in discovery's queue for as long as they take.
+    /// It grows with the service time, since other initiators' requests are in discovery's queue for as long
+    /// as they take to be served.
     pub fn hedge_after_silence(&self) -> Micros {
-        let per_instance = HEDGE_PER_INSTANCE.max(self.service_time_part());
-        (per_instance * self.initiators).clamp(MIN_HEDGE_AFTER_SILENCE, MAX_HEDGE_AFTER_SILENCE)
+        let per_initiator = HEDGE_PER_INITIATOR.max(self.service_time_share());
+        (per_initiator * self.initiators).clamp(MIN_HEDGE_AFTER_SILENCE, MAX_HEDGE_AFTER_SILENCE)
     }
 
-    /// When to send the next request, after a failure at `now` of one that was sent at `sent_at`.
+    /// When to send the next request after one that was sent at `sent_at` has failed at `now`.
     pub fn retry_at(&self, now: Micros, sent_at: Micros, rejected: bool) -> Micros {
         match self.agent_retry_delay() {
             Some(delay) => now + delay,
@@ -113,11 +115,11 @@
         }
     }
 
-    /// From one request to the next: doubled at each further failure up to the longest cycle, and beyond that
-    /// only in a long outage.
+    /// Time from one request to the next. It doubles with each further failure up to the longest cycle, and
+    /// beyond that only in a long outage.
     ///
-    /// A rejected request was work for discovery, and all initiators that poll it may have been rejected: the
-    /// first cycle is twice as long then.
+    /// The first cycle after a rejection is twice as long, since a rejected request was work for discovery
+    /// and the other initiators that poll it may have been rejected as well.
     fn cycle(&self, rejected: bool) -> Micros {
         let first_cycle = match rejected {
             true => (2 * self.unbounded_cycle()).max(MIN_CYCLE_AFTER_REJECTION),
@@ -136,7 +138,7 @@
         }
     }
 
-    /// The pause between two requests to an initiator's own agent; none where there is no agent.
+    /// Delay between two requests to the initiator's own agent; `None` if there is no agent.
     fn agent_retry_delay(&self) -> Option<Micros> {
         match self.delivery {
             Delivery::Pushed { drain_grace } => {
@@ -147,14 +149,14 @@
         }
     }
 
-    /// How long a request to an initiator's own agent may go without a response before a hedged request is sent
-    /// beside it: about the grace. An agent that is back answers the new request, and one that is slow the old.
-    /// None where there is no agent.
+    /// Time without a response after which a hedged request is sent to the initiator's own agent: about the
+    /// drain grace. An agent that has restarted answers the new request, a slow one the old. `None` if there
+    /// is no agent.
     pub fn agent_hedge_after(&self) -> Option<Micros> {
         self.agent_retry_delay().map(|delay| delay * AGENT_RETRIES_PER_GRACE)
     }
 
-    /// When a request that does not wait is given up.
+    /// Time after which a request that does not wait for a change is abandoned.
     pub fn request_timeout(&self) -> Micros {
         match self.agent_retry_delay() {
             Some(delay) => (delay * AGENT_TIMEOUT_RETRY_DELAYS).min(MAX_AGENT_REQUEST_TIMEOUT),
--- a/crates/discovery-polling/src/request.rs
+++ b/crates/discovery-polling/src/request.rs
@@ -1,8 +1,8 @@
-//! Requests for the list, as the schedule and its driver speak of them.
+//! Requests for the list, commands to the driver, and the outcomes that the driver reports.
 
 use crate::Micros;
 
-/// Identifies a request of one schedule; never used twice.
+/// Identifies a request of one schedule; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
@@ -11,31 +11,32 @@
 pub struct PollRequest {
     /// Identifies the request in [`crate::Schedule::handle_outcome`].
     pub id: RequestId,
-    /// How long discovery may wait for a change before it responds, in microseconds. 0: it responds at once.
+    /// How long discovery may wait for a change before it responds, in microseconds. 0 requests an immediate
+    /// response.
     pub max_wait: Micros,
 }
 
-/// What the driver has to do.
+/// An action that the driver has to carry out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Command {
     /// Send this request, and pass its outcome to [`crate::Schedule::handle_outcome`].
     Send(PollRequest),
-    /// Drop this request; its outcome is not wanted.
+    /// Cancel this request; its outcome is ignored.
     Cancel(RequestId),
 }
 
-/// How a request ended. One that does not end is cancelled by the schedule.
+/// Outcome of a request. The schedule cancels a request that has no outcome within its timeout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It brought a snapshot or a delta.
+    /// The response contained a snapshot or a delta.
     Received,
-    /// Discovery responded that it does not serve the request.
+    /// Discovery responded with a rejection.
     Rejected,
-    /// The connection failed or closed, or the response cannot be used.
+    /// The connection failed or closed, or the response is invalid.
     Failed,
 }
 
-/// A request without an outcome.
+/// A request that has no outcome yet.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct InFlight {
     pub id: RequestId,
@@ -45,7 +46,7 @@
 }
 
 impl InFlight {
-    /// Whether discovery may wait for a change before it responds: it keeps a watch open.
+    /// Whether discovery may wait for a change before it responds, which keeps a watch open.
     pub fn is_long_poll(&self) -> bool {
         self.max_wait > 0
     }
--- a/crates/discovery-polling/src/schedule.rs
+++ b/crates/discovery-polling/src/schedule.rs
@@ -1,4 +1,5 @@
-//! The state machine: events go in with their time, commands for the driver come out.
+//! The state machine of one initiator's polls: receives events with their time, returns commands for the
+//! driver.
 
 use crate::constants::*;
 use crate::pacer::Pacer;
@@ -8,16 +9,16 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::VecDeque;
 
-/// What the schedule is at.
+/// State of the schedule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// The list is not known to be up to date; a request that does not wait brings what was missed.
+    /// The list may be out of date; a request that does not wait for a change retrieves the missed changes.
     CatchingUp,
     /// A watch is open.
     Watching,
 }
 
-/// When one initiator sends which request to discovery.
+/// Decides when one initiator sends which request to discovery.
 #[derive(Debug)]
 pub struct Schedule {
     config: PollingConfig,
@@ -26,17 +27,17 @@
     pacer: Pacer,
     in_flight: Vec<InFlight>,
     next_id: u64,
-    /// When the next request is due that brings what was missed.
+    /// When the next request for missed changes is due.
     send_at: Option<Micros>,
-    /// When a hedged request is due beside one without a response.
+    /// When a hedged request is due because earlier ones have no response.
     hedge_at: Option<Micros>,
-    /// From one of these requests to the next hedged request.
+    /// Delay from a request for missed changes, or its last hedged request, to the next hedged request.
     hedge_after: Micros,
     commands: VecDeque<Command>,
 }
 
 impl Schedule {
-    /// A schedule whose first request is due within a cycle from `now`, at a phase drawn from `seed`.
+    /// Creates a schedule whose first request is due within one cycle of `now`, at a phase drawn from `seed`.
     pub fn new(config: PollingConfig, seed: u64, now: Micros) -> Schedule {
         let mut schedule = Schedule {
             config,
@@ -54,8 +55,8 @@
         schedule
     }
 
-    /// The next command; none: nothing until [`Schedule::next_timeout`]. To be called until it returns none,
-    /// after every event and whenever the time of [`Schedule::next_timeout`] has come.
+    /// Returns the next command, or `None` if there is none before [`Schedule::next_timeout`]. Call it after
+    /// every event and at that time, until it returns `None`.
     pub fn poll(&mut self, now: Micros) -> Option<Command> {
         if self.commands.is_empty() {
             self.cancel_expired(now);
@@ -64,13 +65,13 @@
         self.commands.pop_front()
     }
 
-    /// When [`Schedule::poll`] has a command next; none: only after an event.
+    /// When [`Schedule::poll`] returns a command next; `None` if only an event can lead to one.
     pub fn next_timeout(&self) -> Option<Micros> {
         let expiries = self.in_flight.iter().map(|request| request.expires_at);
         expiries.chain(self.send_at).chain(self.hedge_at).min()
     }
 
-    /// A request has ended. Requests that are not in flight any more are ignored.
+    /// Handles the end of a request. Outcomes of requests that are no longer in flight are ignored.
     pub fn handle_outcome(&mut self, now: Micros, id: RequestId, outcome: Outcome) {
         let Some(index) = self.in_flight.iter().position(|request| request.id == id) else { return };
         let request = self.in_flight.remove(index);
@@ -81,15 +82,15 @@
         }
     }
 
-    /// The subscription of [`WatchMode::Subscription`] has broken.
+    /// Handles the end of the subscription of [`WatchMode::Subscription`].
     pub fn handle_subscription_broken(&mut self, now: Micros) {
         if self.phase == Phase::Watching {
             self.catch_up(now, self.pacer.spread(), HEDGE_AFTER);
         }
     }
 
-    /// Discovery is at another address. The driver drops all requests in flight itself; no command to cancel
-    /// them follows.
+    /// Handles a change of discovery's address. The driver drops all requests in flight itself; no command to
+    /// cancel them follows.
     pub fn handle_address_change(&mut self, now: Micros) {
         self.in_flight.clear();
         self.commands.clear();
@@ -102,8 +103,8 @@
         self.phase == Phase::Watching
     }
 
-    /// A random time within `spread`, in this initiator's own part of it: all initiators together cover it
-    /// evenly.
+    /// Draws a random time within `spread`. An initiator with a known index draws from its own slice, so that
+    /// all initiators together cover the spread evenly.
     fn phase_offset(&mut self, spread: Micros) -> Micros {
         let initiators = u128::from(self.config.initiators.max(1));
         let index = self.config.instance_index.map(u128::from).filter(|index| *index < initiators);
@@ -115,7 +116,7 @@
         ((u128::from(spread) * part + within_part) / parts) as Micros
     }
 
-    /// Plans a request that brings what was missed, at a time of this initiator's within `spread`.
+    /// Schedules a request for the missed changes, at this initiator's offset within `spread`.
     fn catch_up(&mut self, now: Micros, spread: Micros, hedge_after: Micros) {
         self.phase = Phase::CatchingUp;
         self.send_at = Some(now + self.phase_offset(spread));
@@ -140,14 +141,15 @@
 
     fn handle_failure(&mut self, now: Micros, request: InFlight, rejected: bool) {
         if request.is_long_poll() {
-            // The watch broke: all initiators may have lost theirs in the same moment.
+            // The watch broke. All initiators may have lost their watches at the same moment, so the requests
+            // are spread.
             self.catch_up(now, self.pacer.spread(), HEDGE_AFTER);
         } else if self.in_flight.is_empty() {
             self.plan_retry(now, request.sent_at, rejected);
         }
     }
 
-    /// Plans the next request after one that was sent at `sent_at` for nothing.
+    /// Schedules the retry of a request that was sent at `sent_at` and has failed.
     fn plan_retry(&mut self, now: Micros, sent_at: Micros, rejected: bool) {
         self.pacer.record_failure(now);
         self.hedge_at = None;
@@ -159,7 +161,7 @@
         self.commands.extend(requests.map(|request| Command::Cancel(request.id)));
     }
 
-    /// Gives up requests that have no response in time.
+    /// Cancels requests that have no response in time.
     fn cancel_expired(&mut self, now: Micros) {
         while let Some(index) = self.in_flight.iter().position(|request| request.expires_at <= now) {
             let request = self.in_flight.remove(index);
@@ -184,7 +186,7 @@
         }
     }
 
-    /// Sends a hedged request beside those without a response.
+    /// Sends a hedged request because earlier ones have no response.
     fn send_hedge(&mut self, now: Micros) {
         let max_in_flight = match self.pacer.polls_own_agent() {
             true => MAX_REQUESTS_TO_AGENT_IN_FLIGHT,
@@ -202,8 +204,8 @@
         self.commands.push_back(Command::Send(PollRequest { id, max_wait }));
     }
 
-    /// How long the next long poll waits: shorter by chance, so that the watches of all initiators, which the
-    /// same change has renewed, do not end together.
+    /// Draws how long the next long poll waits. The wait is random so that the watches of all initiators,
+    /// which the same change has renewed, do not end together.
     fn draw_long_poll_wait(&mut self) -> Micros {
         let longest = match self.config.delivery {
             Delivery::Polled { max_poll_interval } if max_poll_interval > 0 => {
--- a/crates/discovery-polling/tests/support/mod.rs
+++ b/crates/discovery-polling/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet of schedules before one discovery that serves their calls one after another, in simulated time.
+//! A simulated fleet of schedules and one discovery service that serves their requests one after another.
 #![allow(dead_code)]
 
 use rowanglade_discovery_polling::*;
@@ -6,79 +6,87 @@
 
 pub const MS: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
-/// The step of the simulation.
+/// Simulated time per step.
 const STEP: Micros = 10 * MS;
 
-/// What discovery is at.
+/// State of the discovery service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Service {
     Up,
-    /// Every call hangs for the time-out and is refused.
+    /// Every request gets no response until the timeout and is then rejected.
     Down,
-    /// Every call is refused at once.
-    Refusing,
-    /// Connections are reset at once.
+    /// Every request is rejected immediately.
+    Rejecting,
+    /// Connections are reset immediately.
     Resetting,
-    /// No call is ever answered, nor is a watch that was open.
+    /// No request gets a response, and neither do the watches that are open.
     Silent,
 }
 
-/// One discovery. A call takes its time whether or not its caller still waits; one that would wait longer
-/// than the time-out is refused, after the time-out or, where the queue is twice as long, at once, and still
-/// takes its time.
+/// The discovery service. A request takes its service time whether or not its sender still waits. One that
+/// would queue for longer than the timeout is rejected, after the timeout or, if the queue is more than twice
+/// as long, immediately; it takes its service time all the same.
 pub struct Discovery {
     pub service: Service,
-    /// The work of one call.
-    pub call: Micros,
+    /// Work of one request.
+    pub service_time: Micros,
     pub timeout: Micros,
     free_at: Micros,
-    /// Calls so far, those refused among them, and the longest queue in time.
-    pub calls: usize,
-    pub refused: usize,
+    /// Requests received, the rejected ones among them, and the longest queue in time.
+    pub requests: usize,
+    pub rejected: usize,
     pub longest_queue: Micros,
 }
 
 impl Discovery {
-    pub fn new(call: Micros, timeout: Micros) -> Discovery {
-        Discovery { service: Service::Up, call, timeout, free_at: 0, calls: 0, refused: 0, longest_queue: 0 }
+    pub fn new(service_time: Micros, timeout: Micros) -> Discovery {
+        Discovery {
+            service: Service::Up,
+            service_time,
+            timeout,
+            free_at: 0,
+            requests: 0,
+            rejected: 0,
+            longest_queue: 0,
+        }
     }
 
-    /// When and how a call ends that comes now; none: never.
+    /// When and how a request received at `now` ends; `None` if it gets no response.
     fn serve(&mut self, now: Micros) -> Option<(Micros, Outcome)> {
-        self.calls += 1;
+        self.requests += 1;
         match self.service {
             Service::Down => return Some((now + self.timeout, Outcome::Rejected)),
-            Service::Refusing => return Some((now, Outcome::Rejected)),
+            Service::Rejecting => return Some((now, Outcome::Rejected)),
             Service::Resetting => return Some((now, Outcome::Failed)),
             Service::Silent => return None,
             Service::Up => {}
         }
         let queue = self.free_at.saturating_sub(now);
-        self.free_at = self.free_at.max(now) + self.call;
+        self.free_at = self.free_at.max(now) + self.service_time;
         self.longest_queue = self.longest_queue.max(queue);
         if queue <= self.timeout {
             return Some((self.free_at, Outcome::Received));
         }
-        self.refused += 1;
+        self.rejected += 1;
         let at = if queue > 2 * self.timeout { now } else { now + self.timeout };
         Some((at, Outcome::Rejected))
     }
 }
 
-/// One initiator, and what is on its way to it.
+/// An initiator, and the outcomes that have not reached it yet.
 pub struct Initiator {
     pub schedule: Schedule,
-    /// Ends on their way.
-    ends: Vec<(Micros, RequestId, Outcome)>,
-    /// The held call, which ends when its wait is over, or never.
-    held: Option<(Micros, RequestId)>,
-    /// When the list was last heard.
-    pub heard: Option<Micros>,
-    /// When its calls began.
-    pub calls: Vec<Micros>,
+    /// Outcomes with the time at which they reach the initiator.
+    pending_outcomes: Vec<(Micros, RequestId, Outcome)>,
+    /// The long poll in flight and when it ends: after its wait, or never.
+    watch: Option<(Micros, RequestId)>,
+    /// When the list was last received.
+    pub received_at: Option<Micros>,
+    /// When its requests were sent.
+    pub requests: Vec<Micros>,
 }
 
-/// All of them.
+/// All initiators and their discovery service.
 pub struct Fleet {
     pub now: Micros,
     pub discovery: Discovery,
@@ -115,28 +123,34 @@
             ..self.config
         };
         let schedule = Schedule::new(config, seed, self.now);
-        Initiator { schedule, ends: Vec::new(), held: None, heard: None, calls: Vec::new() }
+        Initiator {
+            schedule,
+            pending_outcomes: Vec::new(),
+            watch: None,
+            received_at: None,
+            requests: Vec::new(),
+        }
     }
 
-    /// Kills and starts one initiator.
+    /// Ends an initiator and starts a new one in its place.
     pub fn restart(&mut self, instance_index: usize) {
         self.initiators[instance_index] = self.start(instance_index as u32);
     }
 
-    /// Ends every watch that is open.
+    /// Fails every watch that is open.
     pub fn reset_watches(&mut self) {
         let now = self.now;
         for initiator in &mut self.initiators {
-            if let Some((_, id)) = initiator.held.take() {
+            if let Some((_, id)) = initiator.watch.take() {
                 initiator.schedule.handle_outcome(now, id, Outcome::Failed);
             }
         }
     }
 
-    /// Open watches fall silent, once.
+    /// Makes the open watches silent; later ones are not affected.
     pub fn silence_watches(&mut self) {
         for initiator in &mut self.initiators {
-            initiator.held = initiator.held.map(|(_, id)| (Micros::MAX, id));
+            initiator.watch = initiator.watch.map(|(_, id)| (Micros::MAX, id));
         }
     }
 
@@ -161,39 +175,40 @@
     fn step(&mut self) {
         let now = self.now;
         for initiator in &mut self.initiators {
-            if let Some((at, id)) = initiator.held
+            if let Some((at, id)) = initiator.watch
                 && at <= now
             {
-                initiator.held = None;
-                initiator.heard = Some(now);
+                initiator.watch = None;
+                initiator.received_at = Some(now);
                 initiator.schedule.handle_outcome(now, id, Outcome::Received);
             }
-            let due: Vec<_> = initiator.ends.extract_if(.., |(at, ..)| *at <= now).collect();
-            for (_, id, end) in due {
-                if end == Outcome::Received {
-                    initiator.heard = Some(now);
+            let due_outcomes: Vec<_> =
+                initiator.pending_outcomes.extract_if(.., |(at, ..)| *at <= now).collect();
+            for (_, id, outcome) in due_outcomes {
+                if outcome == Outcome::Received {
+                    initiator.received_at = Some(now);
                 }
-                initiator.schedule.handle_outcome(now, id, end);
+                initiator.schedule.handle_outcome(now, id, outcome);
             }
             while let Some(command) = initiator.schedule.poll(now) {
                 match command {
                     Command::Cancel(id) => {
-                        initiator.ends.retain(|(_, call, _)| *call != id);
-                        initiator.held = initiator.held.filter(|(_, call)| *call != id);
+                        initiator.pending_outcomes.retain(|(_, request, _)| *request != id);
+                        initiator.watch = initiator.watch.filter(|(_, request)| *request != id);
                     }
-                    // A watch that goes on costs no turn.
-                    Command::Send(call) if call.max_wait > 0 => {
+                    // Renewing a watch takes no service time.
+                    Command::Send(request) if request.max_wait > 0 => {
                         let at = if self.discovery.service == Service::Silent {
                             Micros::MAX
                         } else {
-                            now + call.max_wait
+                            now + request.max_wait
                         };
-                        initiator.held = Some((at, call.id));
+                        initiator.watch = Some((at, request.id));
                     }
-                    Command::Send(call) => {
-                        initiator.calls.push(now);
-                        if let Some((at, end)) = self.discovery.serve(now) {
-                            initiator.ends.push((at, call.id, end));
+                    Command::Send(request) => {
+                        initiator.requests.push(now);
+                        if let Some((at, outcome)) = self.discovery.serve(now) {
+                            initiator.pending_outcomes.push((at, request.id, outcome));
                         }
                     }
                 }
@@ -201,17 +216,18 @@
         }
     }
 
-    /// How many have heard the list since `since`.
-    pub fn heard_since(&self, since: Micros) -> usize {
-        self.initiators.iter().filter(|i| i.heard.is_some_and(|at| at >= since)).count()
+    /// Number of initiators that have received the list since `since`.
+    pub fn received_since(&self, since: Micros) -> usize {
+        self.initiators.iter().filter(|i| i.received_at.is_some_and(|at| at >= since)).count()
     }
 
-    /// Runs until all have heard the list after `since`; the span that it took, or none after `most`.
-    pub fn all_heard_within(&mut self, since: Micros, most: Micros) -> Option<Micros> {
-        while self.now < since + most {
+    /// Runs until all initiators have received the list since `since`, and returns the time that this took;
+    /// `None` after `max_span`.
+    pub fn all_received_within(&mut self, since: Micros, max_span: Micros) -> Option<Micros> {
+        while self.now < since + max_span {
             self.now += STEP;
             self.step();
-            if self.heard_since(since) == self.initiators.len() {
+            if self.received_since(since) == self.initiators.len() {
                 return Some(self.now - since);
             }
         }
@@ -219,10 +235,10 @@
     }
 }
 
-/// The largest number of calls in any second, over all initiators.
-pub fn most_calls_a_second(fleet: &Fleet, since: Micros) -> usize {
+/// The largest number of requests in any second, over all initiators.
+pub fn max_requests_per_second(fleet: &Fleet, since: Micros) -> usize {
     let mut seconds: BTreeMap<Micros, usize> = BTreeMap::new();
-    for at in fleet.initiators.iter().flat_map(|i| &i.calls).filter(|at| **at >= since) {
+    for at in fleet.initiators.iter().flat_map(|i| &i.requests).filter(|at| **at >= since) {
         *seconds.entry(at / SECOND).or_default() += 1;
     }
     seconds.values().copied().max().unwrap_or(0)
--- a/crates/drain-gossip/src/budget.rs
+++ b/crates/drain-gossip/src/budget.rs
@@ -1,4 +1,4 @@
-//! How many bytes a second an initiator sends to its peers in answers.
+//! Limits the bytes per second that an initiator sends to its peers in answers.
 
 use crate::Micros;
 use crate::constants::{BUDGET_BYTES_PER_SECOND, MAX_BURST_BYTES};
@@ -18,7 +18,7 @@
         ByteBudget { available: MAX_BURST_BYTES, refilled_at: now }
     }
 
-    /// Takes so many bytes, if as many are available.
+    /// Takes this many bytes out of the bucket. Returns false, and takes none, if fewer are available.
     pub fn try_take(&mut self, now: Micros, bytes: usize) -> bool {
         self.refill(now);
         let Some(available) = self.available.checked_sub(bytes as u64) else { return false };
@@ -26,7 +26,8 @@
         true
     }
 
-    /// Time that is too short for one byte stays uncounted until it is enough: it must not be lost to rounding.
+    /// Elapsed time that is too short for one byte is left for the next call, so that it is not lost to
+    /// rounding.
     fn refill(&mut self, now: Micros) {
         let elapsed = now.saturating_sub(self.refilled_at);
         let bytes = elapsed.saturating_mul(BUDGET_BYTES_PER_SECOND) / MICROS_PER_SECOND;
--- a/crates/drain-gossip/src/cursor.rs
+++ b/crates/drain-gossip/src/cursor.rs
@@ -1,36 +1,38 @@
-//! How far the drains are known, over reports that may be lost or come out of order.
+//! Tracks which drains have been received, although reports may be lost or arrive out of order.
 
 use crate::Position;
 use crate::constants::MAX_OUT_OF_ORDER_REPORTS;
 use std::collections::BTreeMap;
 
-/// The position up to which all drains are known, and the reports behind it that do not join on to it yet.
+/// The position up to which all drains have been received, and the later reports that are not adjacent to it
+/// yet.
 #[derive(Debug, Default)]
 pub(crate) struct Cursor {
     position: Position,
-    /// Where each report that came out of order begins and ends.
+    /// Maps the start of each out-of-order report to its end.
     out_of_order: BTreeMap<Position, Position>,
 }
 
 impl Cursor {
-    /// All drains up to here are known.
+    /// All drains up to this position have been received.
     pub fn position(&self) -> Position {
         self.position
     }
 
-    /// Starts again from `position`.
+    /// Discards all progress and restarts from `position`.
     pub fn reset(&mut self, position: Position) {
         self.position = position;
         self.out_of_order.clear();
     }
 
-    /// Moves on to `position` if that is ahead.
+    /// Advances to `position` unless the cursor is already past it.
     pub fn skip_to(&mut self, position: Position) {
         self.position = self.position.max(position);
     }
 
-    /// Counts the drains behind `after` up to `through` as known. A report that does not join on is remembered
-    /// until the ones before it have come; beyond the bound it is forgotten and queried for again.
+    /// Records that the drains after `after` up to `through` have been received. A report that is not
+    /// adjacent to the position is stored until the ones before it have arrived; beyond
+    /// [`MAX_OUT_OF_ORDER_REPORTS`] it is dropped and its drains are queried again.
     pub fn record(&mut self, after: Position, through: Position) {
         if through > after && self.out_of_order.len() < MAX_OUT_OF_ORDER_REPORTS {
             self.out_of_order.insert(after, through);
@@ -38,7 +40,7 @@
         self.advance();
     }
 
-    /// Moves over the reports that join on to the position.
+    /// Advances over the stored reports that are adjacent to the position.
     fn advance(&mut self) {
         while let Some(entry) = self.out_of_order.first_entry()
             && *entry.key() <= self.position
--- a/crates/drain-gossip/src/gossip.rs
+++ b/crates/drain-gossip/src/gossip.rs
@@ -1,4 +1,4 @@
-//! The state machine: lists and datagrams go in with their time, datagrams to peers come out.
+//! The state machine: receives endpoint lists and datagrams with their time, returns datagrams for peers.
 
 use crate::budget::ByteBudget;
 use crate::constants::*;
@@ -9,31 +9,31 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeSet;
 
-/// What was counted since the start.
+/// Totals since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Drains sent to peers.
     pub sent: u64,
-    /// Drains that peers reported, whether or not they were known.
+    /// Drains reported by peers, including those that were already known.
     pub received: u64,
-    /// Answers cut short by the budget of bytes.
+    /// Answers that the byte budget cut short.
     pub over_budget: u64,
-    /// Reports of peers that did not know all that was queried.
+    /// Reports of peers that no longer had all the drains that the query asked for.
     pub gaps: u64,
-    /// Reports that were no answer to a query of the last rounds.
+    /// Reports that answered no query of the latest rounds, or arrived while a watch was open.
     pub unsolicited: u64,
 }
 
 /// A datagram to a peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outgoing {
-    /// The peer's index among all initiators.
+    /// The peer's index in the fleet.
     pub to: usize,
-    /// What is sent.
+    /// The content of the datagram.
     pub message: Message,
 }
 
-/// When a peer that has more to report is queried again.
+/// The query that is due at a peer whose last answer was incomplete.
 #[derive(Clone, Copy, Debug)]
 struct FollowUp {
     at: Micros,
@@ -46,9 +46,9 @@
     own_index: usize,
     initiators: usize,
     random: Pcg64Mcg,
-    /// The newest version of the list that is held; 0: none.
+    /// Version of the newest endpoint list; 0 if there is none or its version is unknown.
     version: u64,
-    /// A list of the present discovery is held.
+    /// Whether a list of the current discovery service has been received or cached.
     has_list: bool,
     log: DrainLog,
     budget: ByteBudget,
@@ -62,7 +62,7 @@
 }
 
 impl DrainGossip {
-    /// The gossip of initiator `own_index` of so many, which does not watch discovery yet.
+    /// Creates the gossip of initiator `own_index` of `initiators`, without an open watch.
     pub fn new(own_index: usize, initiators: usize, seed: u64, now: Micros) -> DrainGossip {
         let mut gossip = DrainGossip {
             own_index,
@@ -84,12 +84,12 @@
         gossip
     }
 
-    /// What was counted since the start.
+    /// Totals since the start.
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// A cached list is held, as of a version that discovery served earlier; 0: it is not known which.
+    /// Handles a cached list of a version that discovery served earlier; 0 if the version is unknown.
     pub fn handle_cached_list(&mut self, version: u64) {
         self.version = version;
         if version > 0 {
@@ -99,8 +99,8 @@
         self.reset_cursor();
     }
 
-    /// Discovery sent a list of this version: its targets, and whether each is active. Those that a snapshot
-    /// does not name any more are to be among them.
+    /// Handles a list of this version from discovery: its targets, and whether each is active. Targets that a
+    /// snapshot no longer contains must be passed as well, as inactive.
     pub fn handle_endpoint_list<'a>(
         &mut self,
         now: Micros,
@@ -108,7 +108,7 @@
         targets: impl Iterator<Item = (&'a str, bool)>,
     ) {
         if !self.has_list {
-            // What drained before this list is not known here.
+            // Drains before this list are unknown.
             self.log.begin_after(version.saturating_sub(1));
         }
         self.version = version;
@@ -116,7 +116,7 @@
         for (name, is_active) in targets {
             let key = TargetKey::of(name);
             match is_active {
-                true => self.log.record_return(key),
+                true => self.log.record_active(key),
                 false => self.log.record_drain(now, version, key),
             }
         }
@@ -124,7 +124,7 @@
         self.reset_cursor();
     }
 
-    /// Discovery is at another address, and counts its versions in another way.
+    /// Handles a change of discovery's address. The new service numbers its versions independently.
     pub fn handle_address_change(&mut self) {
         self.version = 0;
         self.has_list = false;
@@ -132,13 +132,14 @@
         self.reset_cursor();
     }
 
-    /// What is known is what the list said.
+    /// Restarts the cursor at the version of the endpoint list.
     fn reset_cursor(&mut self) {
         self.cursor.reset(Position::after_version(self.version));
         self.follow_up = None;
     }
 
-    /// Whether a watch on discovery is open. While none is, peers are queried. Returns whether that has changed.
+    /// Sets whether a watch on discovery is open; peers are queried while none is. Returns whether the value
+    /// changed.
     pub fn set_watching(&mut self, now: Micros, watching: bool) -> bool {
         if self.watching == watching {
             return false;
@@ -152,13 +153,13 @@
         true
     }
 
-    /// When [`DrainGossip::poll`] has something to send next; none: only after an event.
+    /// When [`DrainGossip::poll`] returns a query next; `None` if only an event can lead to one.
     pub fn next_timeout(&self) -> Option<Micros> {
         let follow_up_at = self.follow_up.map(|follow_up| follow_up.at);
         self.next_round_at.into_iter().chain(follow_up_at).min()
     }
 
-    /// Queries that are due.
+    /// Returns the queries that are due.
     pub fn poll(&mut self, now: Micros) -> Vec<Outgoing> {
         let mut queried = BTreeSet::new();
         if let Some(follow_up) = self.follow_up.take_if(|follow_up| follow_up.at <= now) {
@@ -189,7 +190,7 @@
         peers
     }
 
-    /// The answer to a peer's query: none without an open watch, or where nothing is behind its position.
+    /// Answers a peer's query. Returns no reports without an open watch or without drains after `after`.
     pub fn handle_query(&mut self, now: Micros, from: usize, round: u32, after: Position) -> Vec<Outgoing> {
         if !self.watching {
             return Vec::new();
@@ -200,14 +201,14 @@
 
     fn build_reports(&mut self, now: Micros, round: u32, after: Position) -> Vec<Report> {
         const MAX_TARGETS_PER_ANSWER: usize = MAX_REPORTS_PER_QUERY * MAX_TARGETS_PER_REPORT;
-        let (mut begin, gap) = self.log.start(after);
+        let (mut begin, gap) = self.log.report_start(after);
         let mut drains: Vec<Position> = self.log.after(begin).take(MAX_TARGETS_PER_ANSWER + 1).collect();
-        let more_than_answer = drains.len() > MAX_TARGETS_PER_ANSWER;
+        let exceeds_answer = drains.len() > MAX_TARGETS_PER_ANSWER;
         drains.truncate(MAX_TARGETS_PER_ANSWER);
-        let mut parts = drains.chunks(MAX_TARGETS_PER_REPORT).peekable();
+        let mut chunks = drains.chunks(MAX_TARGETS_PER_REPORT).peekable();
         let mut reports: Vec<Report> = Vec::new();
-        while let Some(part) = parts.next() {
-            let Some(last) = part.last().copied() else { break };
+        while let Some(chunk) = chunks.next() {
+            let Some(last) = chunk.last().copied() else { break };
             if !self.budget.try_take(now, MAX_DATAGRAM_BYTES) {
                 self.counters.over_budget += 1;
                 if let Some(report) = reports.last_mut() {
@@ -215,28 +216,28 @@
                 }
                 break;
             }
-            let is_last_part = parts.peek().is_none();
-            // Behind the last drain there is nothing up to the version that is held.
-            let through = match is_last_part && !more_than_answer {
+            let is_last_chunk = chunks.peek().is_none();
+            // There are no further drains up to the version of the list.
+            let through = match is_last_chunk && !exceeds_answer {
                 true => last.max(Position::after_version(self.version)),
                 false => last,
             };
-            self.counters.sent += part.len() as u64;
+            self.counters.sent += chunk.len() as u64;
             reports.push(Report {
                 round,
                 after: begin,
                 through,
                 gap: gap && reports.is_empty(),
-                more: is_last_part && more_than_answer,
-                draining: part.iter().map(|position| position.key).collect(),
+                more: is_last_chunk && exceeds_answer,
+                draining: chunk.iter().map(|position| position.key).collect(),
             });
             begin = through;
         }
         reports
     }
 
-    /// A peer's report. Returns the targets that it says are draining or removed; none where it is no answer
-    /// to a query of the last rounds, or a watch is open.
+    /// Handles a peer's report and returns the targets that it reports as draining or removed. Returns none
+    /// if the report answers no query of the latest rounds or a watch is open.
     pub fn handle_report(&mut self, now: Micros, from: usize, report: &Report) -> Vec<TargetKey> {
         if self.watching || self.round.wrapping_sub(report.round) >= ACCEPTED_ROUNDS {
             self.counters.unsolicited += 1;
@@ -245,7 +246,7 @@
         self.counters.received += report.draining.len() as u64;
         self.counters.gaps += u64::from(report.gap);
         if report.gap {
-            // This peer cannot tell what came before, and others that can are queried too.
+            // This peer no longer has the earlier drains; others that still have them are queried as well.
             self.cursor.skip_to(report.after);
         }
         self.cursor.record(report.after, report.through);
--- a/crates/drain-gossip/src/lib.rs
+++ b/crates/drain-gossip/src/lib.rs
@@ -1,29 +1,31 @@
-//! Which targets are draining, as initiators report it to each other while discovery does not answer one of
-//! them.
+//! Drain gossip: an initiator that discovery does not answer learns from its peers which targets are
+//! draining.
 //!
-//! Discovery is one service for all initiators. After an outage, or a restart of many initiators, it needs
-//! seconds to answer all of them, and those that wait would go on sending to targets that drain. So an
-//! initiator without an open watch queries a few peers, drawn at random, and one whose watch is open answers
-//! with the targets that have begun to drain or were removed since the version that is held. Only those
-//! without a watch query, and only those with one answer, so gossip costs nothing while discovery answers.
+//! Discovery is one service for all initiators. After an outage, or a restart of many initiators, it takes
+//! seconds to answer all of them, and those that wait would go on sending to draining targets. So an
+//! initiator without an open watch queries a few peers, drawn at random, and a peer whose watch is open
+//! answers with the targets that have begun to drain or were removed since the version of the list that the
+//! query states. Only initiators without a watch send queries, and only those with one answer, so the gossip
+//! costs nothing while discovery answers.
 //!
-//! # What a report can do
+//! # Effect of a report
 //!
-//! It can only take a target out of use, and only until discovery itself answers: a target is never used
-//! because a peer says so, and a report that is late, duplicated, forged or wrong keeps a target idle for
-//! seconds at most. Reports are accepted only as answers to queries of the last seconds. One that claims a gap
-//! moves the position that is queried from: wrongly claimed by a peer, it can keep other peers' drains from
-//! this initiator until discovery answers.
+//! A report can only take a target out of use, and only until discovery itself answers: no target is used
+//! because a peer reported it, and a report that is late, duplicated, forged or wrong keeps a target idle for
+//! seconds at most. Reports are accepted only as answers to queries of the last seconds. A report that claims
+//! a gap advances the position from which this initiator queries: a peer that claims one wrongly can hide the
+//! drains that other peers know from this initiator until discovery answers.
 //!
-//! # How thousands of drains are reported
+//! # Reporting thousands of drains
 //!
-//! All drains stand in one order that the initiators share ([`Position`]). A query names the position up to
-//! which its sender knows them, an answer goes on from there in datagrams that each name where they begin and
-//! end, and the last says whether there is more. So the receiver notices a datagram that was lost, queries
-//! from the gap on, and gets all in the end: nothing is left out in silence. What an initiator sends is bounded
-//! by a budget of bytes a second; reaching it is counted ([`Counters`]), and the receiver queries again later.
+//! All drains are in one order that the initiators share ([`Position`]). A query contains the position up to
+//! which its sender has all drains. The answer continues from there in datagrams that each state where they
+//! begin and end, and the last one states whether there are more drains. The receiver thus detects a lost
+//! datagram, queries again from the gap, and receives all drains eventually; none is omitted silently. The
+//! bytes that an initiator sends per second are limited by a budget; an answer that the budget cuts short is
+//! counted ([`Counters`]), and the receiver queries again later.
 //!
-//! There is no clock, socket or runtime here: a driver passes the time and the datagrams' contents to
+//! This crate has no clock, socket or runtime: a driver passes times and the content of datagrams to
 //! [`DrainGossip`] and sends the datagrams that it returns.
 
 #![forbid(unsafe_code)]
--- a/crates/drain-gossip/src/log.rs
+++ b/crates/drain-gossip/src/log.rs
@@ -1,4 +1,4 @@
-//! The drains that an initiator knows, in the order that all initiators share.
+//! The log of drains, in the order that all initiators share.
 
 use crate::constants::{LOG_RETENTION, MAX_LOG_ENTRIES};
 use crate::{Micros, TargetKey};
@@ -6,18 +6,19 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound::{Excluded, Unbounded};
 
-/// A place in the order of all drains: the version of the list that first named it, then the target's key.
-/// Initiators that poll the same discovery agree on it, so one can go on at a peer where another peer stopped.
+/// A position in the order of all drains: the version of the list that first contained the drain, then the
+/// target's key. Initiators that poll the same discovery service agree on it, so a query can continue at one
+/// peer from where another peer's answer ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Position {
-    /// The version of the endpoint list; 0: before all versions.
+    /// The version of the endpoint list; 0 comes before all versions.
     pub version: u64,
-    /// The target.
+    /// The key of the target.
     pub key: TargetKey,
 }
 
 impl Position {
-    /// Behind all drains that a list of this version names; for version 0, before all that there are.
+    /// The position after all drains of this version of the list; for version 0, before all drains.
     pub fn after_version(version: u64) -> Position {
         match version {
             0 => Position::default(),
@@ -30,24 +31,25 @@
     }
 }
 
-/// The drains by their positions.
+/// The known drains, by target and in the order of their positions.
 #[derive(Debug, Default)]
 pub(crate) struct DrainLog {
     positions: BTreeMap<TargetKey, Position>,
     order: BTreeSet<Position>,
-    /// When each version's drains were received; the oldest first.
+    /// When the drains of each version were received, in the order of the versions.
     received_at: BTreeMap<u64, Micros>,
-    /// All drains behind this position are here.
+    /// The log contains all drains after this position.
     complete_after: Position,
 }
 
 impl DrainLog {
-    /// The list is held as of a version; drains before it are not known here.
+    /// Marks the drains up to and including this version as unknown.
     pub fn begin_after(&mut self, version: u64) {
         self.complete_after = self.complete_after.max(Position::after_version(version));
     }
 
-    /// Another discovery counts its versions in its own way: what is known comes before all of them.
+    /// Handles a change to a discovery service with its own versions: the known drains move before all of
+    /// them.
     pub fn restart(&mut self) {
         let keys: Vec<TargetKey> = self.positions.keys().copied().collect();
         let last_received_at = self.received_at.values().copied().max();
@@ -65,7 +67,8 @@
         self.order.insert(position);
     }
 
-    /// A list of this version names a target as draining or removed. A target that is known keeps its position.
+    /// Records that a list of this version has a target as draining or removed. A drain that is already in
+    /// the log keeps its position.
     pub fn record_drain(&mut self, now: Micros, version: u64, key: TargetKey) {
         if !self.positions.contains_key(&key) {
             self.insert(Position { version, key });
@@ -73,29 +76,29 @@
         }
     }
 
-    /// A target is active again.
-    pub fn record_return(&mut self, key: TargetKey) {
+    /// Removes the drain of a target that is active again.
+    pub fn record_active(&mut self, key: TargetKey) {
         if let Some(position) = self.positions.remove(&key) {
             self.order.remove(&position);
         }
     }
 
-    /// Forgets what is old, and the oldest where there are too many.
+    /// Drops drains older than [`LOG_RETENTION`], and the oldest beyond [`MAX_LOG_ENTRIES`].
     pub fn prune(&mut self, now: Micros) {
         while let Some(entry) = self.received_at.first_entry()
             && *entry.get() + LOG_RETENTION <= now
         {
             let (version, _) = entry.remove_entry();
-            self.forget_through(Position::last_of(version));
+            self.evict_through(Position::last_of(version));
         }
         while self.order.len() > MAX_LOG_ENTRIES
             && let Some(oldest) = self.order.first().copied()
         {
-            self.forget_through(oldest);
+            self.evict_through(oldest);
         }
     }
 
-    fn forget_through(&mut self, last: Position) {
+    fn evict_through(&mut self, last: Position) {
         while let Some(position) = self.order.first().copied().filter(|position| *position <= last) {
             self.order.remove(&position);
             self.positions.remove(&position.key);
@@ -103,13 +106,13 @@
         self.complete_after = self.complete_after.max(last);
     }
 
-    /// Where a report that goes on behind `cursor` can begin, and whether drains before that are not known
-    /// here.
-    pub fn start(&self, cursor: Position) -> (Position, bool) {
+    /// Returns the position after which a report that continues from `cursor` begins, and whether drains
+    /// between the two are no longer in the log.
+    pub fn report_start(&self, cursor: Position) -> (Position, bool) {
         (cursor.max(self.complete_after), cursor < self.complete_after)
     }
 
-    /// The drains behind a position, in order.
+    /// The drains after a position, in order.
     pub fn after(&self, position: Position) -> impl Iterator<Item = Position> {
         self.order.range((Excluded(position), Unbounded)).copied()
     }
--- a/crates/drain-gossip/src/message.rs
+++ b/crates/drain-gossip/src/message.rs
@@ -1,4 +1,4 @@
-//! The datagrams: a byte for the version of the format, then the message by postcard, which writes fields and
+//! The datagram format: one byte for its version, then the message in postcard, which encodes fields and
 //! variants by their order and not by their names.
 
 use crate::Position;
@@ -6,77 +6,77 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Version 1 was a format of earlier builds; a datagram of another version is not read.
+/// Version of the format. Version 1 was used by earlier builds; a datagram of any other version is rejected.
 const FORMAT: u8 = 2;
 
-/// A target's name as a hash, in little-endian bytes: names have no bound on their length.
+/// The hash of a target's name, as little-endian bytes, since names have no maximum length.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TargetKey(pub [u8; 8]);
 
 impl TargetKey {
-    /// The key of the target with this name; the same on every initiator.
+    /// The key of the target with this name, which is the same on every initiator.
     pub fn of(name: &str) -> TargetKey {
         TargetKey(xxh3_64(name.as_bytes()).to_le_bytes())
     }
 }
 
-/// What one initiator sends another.
+/// A message from one initiator to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Asks which targets have begun to drain or were removed behind a position.
+    /// Requests the targets that began to drain or were removed after a position.
     Query {
-        /// The sender's round of queries, which the answer repeats.
+        /// The sender's round of queries; the answer repeats it.
         #[serde(rename = "number")]
         round: u32,
-        /// The sender knows all drains up to here.
+        /// The sender has all drains up to this position.
         after: Position,
     },
-    /// A part of the answer to a query.
+    /// Part of the answer to a query.
     Report(Report),
 }
 
-/// A part of an answer: all drains behind one position up to another.
+/// Part of an answer: all drains after one position up to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// The round of the query.
+    /// The round of the query that is answered.
     #[serde(rename = "number")]
     pub round: u32,
-    /// Where the part begins.
+    /// The position after which this part begins.
     pub after: Position,
-    /// Where the part ends.
+    /// The position up to which this part contains all drains.
     pub through: Position,
-    /// Drains before `after` that the query asked for are not known to the sender.
+    /// Whether drains before `after` that the query asked for are unknown to the sender.
     pub gap: bool,
-    /// The answer ends here for now, and there is more behind it.
+    /// Whether the answer ends here although the sender has more drains.
     pub more: bool,
     /// The targets that are draining or removed, in the order of their positions.
     #[serde(rename = "departed")]
     pub draining: Vec<TargetKey>,
 }
 
-/// Why a datagram is not used.
+/// Why a datagram was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// It is of another version of the format.
-    #[error("format {0} is not known")]
+    /// The datagram has another version of the format.
+    #[error("unsupported format version {0}, expected {expected}", expected = FORMAT)]
     UnknownFormat(u8),
-    /// It is empty, torn, too long, or has bytes left over.
-    #[error("it cannot be read")]
+    /// The datagram is empty, truncated, too long, or has trailing bytes.
+    #[error("datagram is empty, truncated, too long, or has trailing bytes")]
     Malformed,
 }
 
 impl Message {
-    /// The datagram of the message.
+    /// Encodes the message as a datagram.
     pub fn encode(&self) -> Vec<u8> {
         let start = vec![FORMAT];
-        // Nothing that can fail: the buffer grows, and all types are plain.
+        // Encoding cannot fail: the buffer grows, and all types are plain.
         postcard::to_extend(self, start).unwrap_or_default()
     }
 
     /// Decodes a datagram.
     ///
     /// # Errors
-    /// It is of another format, torn, too long, or names too many targets.
+    /// The datagram has another version of the format, is truncated or too long, or has trailing bytes.
     pub fn decode(bytes: &[u8]) -> Result<Message, DecodeError> {
         let (format, rest) = bytes.split_first().ok_or(DecodeError::Malformed)?;
         if *format != FORMAT {
--- a/crates/drain-gossip/tests/compatibility.rs
+++ b/crates/drain-gossip/tests/compatibility.rs
@@ -1,10 +1,10 @@
-//! The datagrams against recorded bytes. Guards against an initiator whose peers, which run another build,
-//! misread what it tells them: postcard writes fields by their order, which a round trip within one build
-//! does not show.
+//! The datagrams compared with recorded bytes. Guards against a change that makes peers on another build
+//! misread datagrams: postcard encodes fields by their order, which a round trip within one build does not
+//! reveal.
 
 use rowanglade_drain_gossip::{Message, Position, Report, TargetKey};
 
-/// A kind and the bytes of its datagram in hex.
+/// Each line is the kind of a message and its datagram in hex.
 const SAMPLES: &str = include_str!("samples/datagrams.txt");
 
 fn messages() -> [(&'static str, Message); 2] {
--- a/crates/quota-exchange/src/exchange.rs
+++ b/crates/quota-exchange/src/exchange.rs
@@ -1,45 +1,46 @@
-//! The state machine that moves quota toward demand.
+//! The state machine that moves quota to the initiators that need it.
 //!
-//! Each of the `k` initiators that a volume comes through has a token bucket of its own that fills at a `k`th of
-//! the limit's rate and holds a `k`th of its burst at most. That is the even split, and what stands where no
+//! Each of the `k` initiators that serve a volume has a token bucket of its own, which fills at a `k`th of
+//! the limit's rate and holds at most a `k`th of its burst. This is the even split, and it applies while no
 //! peer answers. An initiator that needs units requests them from all others; one that has unused units takes
 //! them out of its bucket and sends them.
 //!
-//! **Invariant.** At any time, over all initiators: units spent, plus units in all buckets, plus units in grants
-//! that will still be accepted, are at most the units that the buckets were ever filled with; and no bucket
-//! holds more than its `k`th of the burst. So what all spend in any window is at most the burst and what fills
-//! in the window.
+//! **Invariant.** At any time, over all initiators: units spent, plus units in all buckets, plus units in
+//! grants that will still be accepted, are at most the units that the buckets were ever filled with; and no
+//! bucket holds more than its `k`th of the burst. So the units that all initiators spend in any window are at
+//! most the burst plus the units filled in during the window.
 //!
-//! *Proof.* Units enter a bucket by filling, or by accepting a grant; they leave by being spent, by being
-//! granted, or with an initiator that ends. A grant is made only of units that its sender has taken out of its
-//! bucket in the same step ([`TokenBuckets::take_unused`] comes first), so making one moves units from a bucket
-//! into the grant. A grant answers one request, named by a nonce that only the requester made: its incarnation,
-//! drawn at random at its start, and a sequence number that it never uses twice. The requester accepts a grant
-//! only while that request is open, and one from each peer; so a datagram that is duplicated, or late beyond
-//! the request's timeout or the requester's life, adds nothing, and what is accepted was taken out once. A
-//! second grant of the same peer for the same request (the request was duplicated) is dropped: its units are
-//! lost, never doubled. Lost datagrams lose units. An initiator that starts has empty buckets and no open
-//! request. No step compares two initiators' clocks: a requester closes its requests by its own, and closing
-//! early only loses units. Accepting adds to a bucket no more than its capacity. ∎
+//! *Proof.* Units enter a bucket by filling, or by an accepted grant; they leave it by being spent, by being
+//! granted, or when their initiator stops. A grant contains only units that its sender has taken out of its
+//! bucket in the same step ([`TokenBuckets::take_unused`] comes first), so making a grant moves units from a
+//! bucket into the grant. A grant answers one request, identified by a nonce that only the requester made:
+//! its incarnation, drawn at random at its start, and a sequence number that it never reuses. The requester
+//! accepts a grant only while that request is open, and one from each peer; so a datagram that is duplicated,
+//! or arrives after the request's timeout or the requester's restart, adds nothing, and accepted units were
+//! taken out once. A second grant of the same peer for the same request (the request was duplicated) is
+//! dropped: its units are lost, never doubled. Lost datagrams lose units. An initiator that starts has empty
+//! buckets and no open request. No step compares the clocks of two initiators: a requester closes its
+//! requests by its own clock, and closing one early only loses units. Accepting a grant adds no more to a
+//! bucket than its capacity. ∎
 //!
-//! An initiator grants units of a volume only if requests of it come through it; otherwise it is none of the
-//! `k`, and what it would grant was never filled.
+//! An initiator grants units of a volume only if it has received requests for it; otherwise it is not one of
+//! the `k` initiators, and the units that it would grant were never filled in.
 
 use crate::constants::*;
 use crate::{Message, Micros, MilliUnits, Nonce, Peer, VolumeUnits};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// This initiator's token buckets, which the scheduler owns.
+/// The token buckets of this initiator, which the scheduler owns.
 pub trait TokenBuckets {
-    /// Takes unused units out of the volume's bucket, `max` at most, and returns how many they were: 0 where no
-    /// request of the volume has come through this initiator.
+    /// Takes up to `max` unused units out of the volume's bucket and returns how many it took: 0 if this
+    /// initiator has received no request for the volume.
     fn take_unused(&mut self, volume: u64, max: MilliUnits) -> MilliUnits;
-    /// Adds units to the volume's bucket, as many as it has capacity for.
+    /// Adds units to the volume's bucket, up to its capacity.
     fn add(&mut self, volume: u64, units: MilliUnits);
 }
 
-/// A request that still accepts grants.
+/// A request for which grants are still accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct OpenRequest {
     expires_at: Micros,
@@ -47,28 +48,28 @@
     granted_by: BTreeSet<Peer>,
 }
 
-/// Units that have been missing here and have not been requested yet.
+/// Units of a volume that were missing here and have not been requested yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Need {
-    /// What each peer is to be asked for.
+    /// Units to request from each peer.
     units: MilliUnits,
     expires_at: Micros,
 }
 
-/// What was counted since the start.
+/// Totals since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Counters {
-    /// Requests sent; one goes to all others.
+    /// Requests sent; each goes to all other initiators.
     pub requests: u64,
     /// Thousandths of units granted to peers.
     pub granted: u64,
     /// Thousandths of units accepted from peers.
     pub accepted: u64,
-    /// Grants for a request that is not open, or duplicates.
+    /// Grants that were dropped because their request was not open or their sender had granted already.
     pub dropped: u64,
 }
 
-/// One initiator's part in the exchange.
+/// The quota exchange of one initiator.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct QuotaExchange {
     incarnation: u64,
@@ -80,8 +81,8 @@
 }
 
 impl QuotaExchange {
-    /// Of an initiator that has just started. `incarnation` is drawn at random: two lives must not have the
-    /// same.
+    /// Creates the exchange of an initiator that has just started. `incarnation` must be drawn at random, so
+    /// that it differs from that of every earlier run.
     pub fn new(incarnation: u64) -> QuotaExchange {
         QuotaExchange {
             incarnation,
@@ -93,13 +94,13 @@
         }
     }
 
-    /// What was counted since the start.
+    /// Totals since the start.
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// A request of a volume that comes through `initiators` initiators misses units here. Each of the others is
-    /// asked for its part of them.
+    /// Records that units are missing here for a request of a volume that `initiators` initiators serve. Each
+    /// of the others will be asked for an equal part.
     pub fn record_need(&mut self, now: Micros, volume: u64, units: MilliUnits, initiators: u32) {
         let Some(others) = initiators.checked_sub(1).filter(|others| *others > 0) else { return };
         let need = self.needs.entry(volume).or_insert(Need { units: 0, expires_at: 0 });
@@ -107,13 +108,13 @@
         need.expires_at = now + NEED_TIMEOUT;
     }
 
-    /// When to call [`QuotaExchange::poll`] again; none while nothing is needed.
+    /// When to call [`QuotaExchange::poll`] again; `None` while no units are needed.
     pub fn next_timeout(&self) -> Option<Micros> {
         let next_request_at = self.requested_at.map_or(0, |at| at + REQUEST_INTERVAL);
         (!self.needs.is_empty()).then_some(next_request_at)
     }
 
-    /// What to send to all others now, if anything.
+    /// Returns the request to send to all other initiators now, if one is due.
     pub fn poll(&mut self, now: Micros) -> Option<Message> {
         self.open_requests.retain(|_, request| request.expires_at > now);
         self.needs.retain(|_, need| need.expires_at > now);
@@ -123,7 +124,7 @@
         }
         let needed = self.take_largest_needs();
         let sequence = self.next_sequence;
-        // Once all sequence numbers are used there are no more requests: one that comes again could name an old
+        // After the last sequence number there are no more requests: a reused number could match an old
         // grant.
         self.next_sequence = sequence.checked_add(1)?;
         self.requested_at = Some(now);
@@ -138,7 +139,7 @@
         Some(Message::Request { nonce, needed })
     }
 
-    /// Takes out the largest needs that fit into a datagram; the others wait for the next request.
+    /// Removes the largest needs that fit into a datagram; the others wait for the next request.
     fn take_largest_needs(&mut self) -> Vec<VolumeUnits> {
         let needs = self.needs.iter();
         let mut needed: Vec<VolumeUnits> =
@@ -151,7 +152,7 @@
         needed
     }
 
-    /// A datagram was received. The answer, if there is one, goes to its sender.
+    /// Handles a message from a peer. The answer, if there is one, goes to its sender.
     pub fn handle_message(
         &mut self,
         now: Micros,
@@ -176,7 +177,7 @@
     ) -> Option<Message> {
         let mut granted = Vec::new();
         for VolumeUnits { volume, units } in needed.iter().copied() {
-            // Out of this initiator's bucket before anybody else has them.
+            // The units leave this initiator's bucket before any other initiator has them.
             let units = buckets.take_unused(volume, units);
             if units > 0 {
                 self.counters.granted += u64::from(units);
@@ -207,7 +208,7 @@
         }
     }
 
-    /// The open request of this nonce, if this peer has not answered it yet.
+    /// The open request with this nonce, unless this peer has already answered it.
     fn request_awaiting(&mut self, now: Micros, from: Peer, nonce: Nonce) -> Option<&mut OpenRequest> {
         if nonce.incarnation != self.incarnation {
             return None;
--- a/crates/quota-exchange/src/lib.rs
+++ b/crates/quota-exchange/src/lib.rs
@@ -1,7 +1,8 @@
 //! Moves unused units of a volume's limit from initiators that do not need them to those that do.
 //!
-//! [`QuotaExchange`] is the state machine: datagrams and times go in, datagrams and changes of this initiator's
-//! own token buckets come out. [`wire`] is the form of the datagrams. There are no sockets and no clock here.
+//! [`QuotaExchange`] is the state machine: it receives datagrams with their time, returns datagrams, and
+//! changes this initiator's own token buckets. [`wire`] defines the format of the datagrams. This crate has
+//! no sockets and no clock.
 
 #![forbid(unsafe_code)]
 
--- a/crates/quota-exchange/src/message.rs
+++ b/crates/quota-exchange/src/message.rs
@@ -1,4 +1,4 @@
-//! What initiators send each other.
+//! The messages between initiators.
 
 /// Thousandths of a unit.
 pub type MilliUnits = u32;
@@ -7,39 +7,39 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Peer(pub u16);
 
-/// Names a request for quota; never used twice in the fleet.
+/// Identifies a request for quota; unique in the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Nonce {
-    /// Drawn at random at the requester's start.
+    /// Drawn at random when the requester started.
     pub incarnation: u64,
-    /// Never used twice by that incarnation.
+    /// Number of the request, never reused by that incarnation.
     pub sequence: u32,
 }
 
-/// Units of one volume.
+/// An amount of units of one volume.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct VolumeUnits {
-    /// The volume, by the number that all initiators have for it.
+    /// The number of the volume, which is the same on all initiators.
     pub volume: u64,
-    /// Units that are needed or granted.
+    /// The amount that is needed or granted.
     pub units: MilliUnits,
 }
 
-/// What passes between initiators.
+/// A message between initiators.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Message {
-    /// To all others: quota that the sender needs.
+    /// Requests quota that the sender needs; sent to all others.
     Request {
-        /// Names the request.
+        /// Identifies the request.
         nonce: Nonce,
-        /// What each receiver is asked for.
+        /// Units that each receiver is asked for.
         needed: Vec<VolumeUnits>,
     },
-    /// To the requester: quota that is no longer the sender's.
+    /// Grants quota that the sender has given away; sent to the requester.
     Grant {
-        /// The request that is answered.
+        /// The nonce of the request that is answered.
         nonce: Nonce,
-        /// What the requester may add to its token buckets.
+        /// Units that the requester may add to its token buckets.
         granted: Vec<VolumeUnits>,
     },
 }
--- a/crates/quota-exchange/src/wire.rs
+++ b/crates/quota-exchange/src/wire.rs
@@ -1,13 +1,13 @@
-//! The datagrams: 256 bytes at most, with an authentication code that only those who have the fleet's key can
-//! make.
+//! The datagram format: at most 256 bytes, with an authentication code that cannot be made without the
+//! fleet's key.
 //!
 //! Version (1 byte), kind (1), incarnation (8), sequence (4), then for each volume its number (8) and
-//! thousandths of units (4), then the code (16): BLAKE3 keyed by the fleet's key, over the sender's index and
-//! all before it. Numbers are little endian.
+//! thousandths of units (4), then the authentication code (16): BLAKE3 keyed with the fleet's key, over the
+//! sender's index and all bytes before the code. Integers are little-endian.
 
 use crate::{MAX_VOLUMES_PER_DATAGRAM, Message, Nonce, Peer, VolumeUnits};
 
-/// The most bytes of a datagram: far below what any network between initiators splits into fragments.
+/// Maximum size of a datagram: far below the size at which any network between initiators fragments it.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
 
 const VERSION: u8 = 1;
@@ -23,39 +23,39 @@
 
 const _: () = assert!(HEAD_BYTES + MAX_VOLUMES_PER_DATAGRAM * ENTRY_BYTES + CODE_BYTES <= MAX_DATAGRAM_BYTES);
 
-/// The fleet's key.
+/// The key that all initiators of the fleet share.
 pub type Key = [u8; 32];
 
-/// The key that 64 hex digits say; none for any other text.
+/// Parses a key of 64 hex digits; `None` for any other text.
 pub fn parse_key(text: &str) -> Option<Key> {
     blake3::Hash::from_hex(text).ok().map(|hash| *hash.as_bytes())
 }
 
-/// Why a datagram is not used.
+/// Why a datagram was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// It is of another version of the format.
-    #[error("it is of version {0}")]
+    /// The datagram has another version of the format.
+    #[error("unsupported format version {0}, expected {expected}", expected = VERSION)]
     UnknownVersion(u8),
-    /// It is torn, too long, or not a whole number of entries.
-    #[error("it is torn or too long")]
+    /// The datagram is truncated, too long, or ends within an entry.
+    #[error("datagram is truncated, too long, or ends within an entry")]
     BadLength,
-    /// Its authentication code is of another key or sender, or its content was changed.
-    #[error("its code is not the fleet's")]
+    /// The authentication code was made with another key or by another sender, or the content was changed.
+    #[error("authentication code does not match the fleet's key and the sender")]
     BadCode,
-    /// It is neither a request nor a grant.
-    #[error("it is of an unknown kind")]
+    /// The datagram is neither a request nor a grant.
+    #[error("datagram is neither a request nor a grant")]
     UnknownKind,
 }
 
-/// The sender goes in: a datagram sent again under another's address is not that other's.
+/// The code covers the sender's index: a datagram that is replayed from another peer's address is rejected.
 fn authentication_code(key: &Key, from: Peer, bytes: &[u8]) -> blake3::Hash {
     let mut hasher = blake3::Hasher::new_keyed(key);
     hasher.update(&from.0.to_le_bytes()).update(bytes);
     hasher.finalize()
 }
 
-/// A datagram of this initiator, `sender`. Volumes beyond [`MAX_VOLUMES_PER_DATAGRAM`] are left out.
+/// Encodes a datagram of initiator `sender`. Volumes beyond [`MAX_VOLUMES_PER_DATAGRAM`] are left out.
 pub fn encode(key: &Key, sender: Peer, message: &Message) -> Vec<u8> {
     let (kind, nonce, entries) = match message {
         Message::Request { nonce, needed } => (KIND_REQUEST, nonce, needed),
@@ -73,10 +73,11 @@
     datagram
 }
 
-/// Decodes a datagram from a peer.
+/// Decodes a datagram from the peer `from`.
 ///
 /// # Errors
-/// It is none of the fleet's, of another version, or torn. Nothing of it is to be used.
+/// The datagram has another version of the format, is truncated or too long, or its code does not match the
+/// key and the peer. None of its content may be used.
 pub fn decode(key: &Key, from: Peer, datagram: &[u8]) -> Result<Message, DecodeError> {
     if datagram.len() > MAX_DATAGRAM_BYTES {
         return Err(DecodeError::BadLength);
@@ -99,7 +100,7 @@
     expected[CODE_BYTES..].fill(0);
     let mut received = [0; 32];
     received[..CODE_BYTES].copy_from_slice(code);
-    // In constant time, as the crate's comparison of hashes is: a stranger must not find a code byte by byte.
+    // Compared in constant time, as the crate compares hashes: an attacker must not find a code byte by byte.
     match blake3::Hash::from(expected) == blake3::Hash::from(received) {
         true => Ok(()),
         false => Err(DecodeError::BadCode),
--- a/crates/quota-exchange/tests/compatibility.rs
+++ b/crates/quota-exchange/tests/compatibility.rs
@@ -1,10 +1,9 @@
-//! The datagrams against recorded bytes. Guards against an initiator whose peers, which run another build,
-//! drop what it tells them: a change of order, width or code that a round trip within one build does not
-//! show.
+//! The datagrams compared with recorded bytes. Guards against a change of order, width or code that makes
+//! peers on another build reject datagrams, which a round trip within one build does not reveal.
 
 use rowanglade_quota_exchange::{Message, Nonce, Peer, VolumeUnits, decode, encode};
 
-/// A kind and the bytes of its datagram in hex.
+/// Each line is the kind of a message and its datagram in hex.
 const SAMPLES: &str = include_str!("samples/datagrams.txt");
 
 fn messages() -> [(&'static str, Message); 2] {
--- a/crates/quota-exchange/tests/wire.rs
+++ b/crates/quota-exchange/tests/wire.rs
@@ -12,24 +12,24 @@
 }
 
 #[test]
-fn the_longest_datagram_fits_and_is_read() {
+fn a_datagram_with_the_most_volumes_fits_and_is_decoded() {
     let message = message(MAX_VOLUMES_PER_DATAGRAM as u64);
     let bytes = encode(&KEY, Peer(3), &message);
     assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{}", bytes.len());
     assert_eq!(decode(&KEY, Peer(3), &bytes), Ok(message));
 }
 
-// Forged, torn, from another sender, of another version: nothing of it is used.
+// Forged, truncated or changed datagrams and those of another sender, fleet or version.
 #[test]
-fn what_is_not_the_fleets_is_not_taken() {
+fn datagrams_that_the_sender_did_not_make_are_rejected() {
     let bytes = encode(&KEY, Peer(3), &message(2));
     for end in 0..bytes.len() {
-        assert!(decode(&KEY, Peer(3), &bytes[..end]).is_err(), "cut at {end}");
+        assert!(decode(&KEY, Peer(3), &bytes[..end]).is_err(), "truncated to {end} bytes");
     }
-    for place in 0..bytes.len() {
-        let mut spoilt = bytes.clone();
-        spoilt[place] ^= 1;
-        assert!(decode(&KEY, Peer(3), &spoilt).is_err(), "changed at {place}");
+    for index in 0..bytes.len() {
+        let mut changed = bytes.clone();
+        changed[index] ^= 1;
+        assert!(decode(&KEY, Peer(3), &changed).is_err(), "byte {index} changed");
     }
     assert_eq!(decode(&KEY, Peer(4), &bytes), Err(DecodeError::BadCode), "another sender");
     assert_eq!(decode(&[8; 32], Peer(3), &bytes), Err(DecodeError::BadCode), "another fleet");
