--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -1,86 +1,88 @@
-//! Which targets operators have taken out for maintenance, and what of discovery's reports holds for them.
+//! Tracks which targets operators have taken out of service for maintenance, and derives their effective
+//! state.
 //!
-//! Two parties say whether a target may be sent requests: discovery, which lists it, and operators, who take
-//! it out while they work on it. Neither overwrites the other here: the endpoint list is kept as discovery
-//! reports it, and [`Maintenance::effective_state`] says what follows from both. A target that is out drains, whatever
-//! discovery says, and one whose maintenance has ended is as discovery lists it from that moment on, with
-//! nothing to wait for.
+//! Discovery, which lists a target, and operators, who take it out of service while they work on it, both
+//! determine whether it may be sent requests. Neither overwrites the other: discovery's report is kept
+//! unchanged, and [`Maintenance::effective_state`] combines both. A target in maintenance is draining
+//! whatever discovery reports, and a target whose maintenance has ended has the state that discovery reports
+//! from that moment on.
 //!
-//! Operators restart a target while it is out, so it comes back without warm caches, and discovery's report
-//! of that may be late. A target that is back therefore counts as just started until discovery reports a
-//! start that came after its maintenance began.
+//! Operators restart a target during maintenance, so it returns with cold caches, and discovery may report
+//! the restart late. A target that has returned therefore counts as just started until discovery reports a
+//! start later than the beginning of its maintenance.
 
 #![forbid(unsafe_code)]
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A time in microseconds, on the clock in which discovery reports starts.
+/// A time in microseconds, on the clock that discovery uses for start times.
 pub type Micros = u64;
 
-/// The states that discovery reports of a target, in the order in which less and less may be sent to it.
+/// The states that discovery reports of a target, ordered by how much may be sent to it: the most first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum State {
-    /// It may be sent requests.
+    /// The target may be sent requests.
     Active,
-    /// It finishes what it has, and is sent nothing new.
+    /// The target finishes its requests and is sent no new ones.
     Draining,
-    /// It is not listed any more.
+    /// The target is no longer listed.
     Removed,
 }
 
-/// A target that is back from maintenance.
+/// A target that has returned from maintenance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Returned {
-    /// When its maintenance began. A start that discovery reports from before that is from before its
-    /// restart.
+    /// When its maintenance began. A start that discovery reports from before that time precedes the restart.
     #[serde(rename = "out")]
     began: Micros,
-    /// When it ended.
+    /// When its maintenance ended.
     #[serde(rename = "at")]
     ended: Micros,
 }
 
-/// The targets in maintenance, and those that are back from it. A message between two builds: its form stays.
+/// The targets in maintenance, and those that have returned. It is sent between two builds in a handover, so
+/// its serialized form is fixed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Maintenance {
-    /// The targets that are out, and since when.
-    #[serde(default)]
-    out: BTreeMap<String, Micros>,
-    /// The targets that are back, until discovery reports their restart.
+    /// The targets in maintenance, and when their maintenance began.
+    #[serde(default, rename = "out")]
+    began_at: BTreeMap<String, Micros>,
+    /// The targets that have returned, until discovery reports their restart.
     #[serde(default, rename = "back")]
     returned: BTreeMap<String, Returned>,
 }
 
 impl Maintenance {
-    /// Takes a target out. False: it was out already, which changes nothing.
+    /// Begins maintenance of a target. Returns false, and changes nothing, if the target is in maintenance
+    /// already.
     pub fn begin(&mut self, now: Micros, target: &str) -> bool {
-        if self.out.contains_key(target) {
+        if self.began_at.contains_key(target) {
             return false;
         }
         self.returned.remove(target);
-        self.out.insert(target.to_string(), now);
+        self.began_at.insert(target.to_string(), now);
         true
     }
 
-    /// Lets a target serve again. False: it was not out, which changes nothing.
+    /// Ends maintenance of a target. Returns false, and changes nothing, if the target is not in maintenance.
     pub fn end(&mut self, now: Micros, target: &str) -> bool {
-        let Some(began) = self.out.remove(target) else { return false };
+        let Some(began) = self.began_at.remove(target) else { return false };
         self.returned.insert(target.to_string(), Returned { began, ended: now });
         true
     }
 
-    /// Whether a target is out.
+    /// Whether a target is in maintenance.
     pub fn is_in_maintenance(&self, target: &str) -> bool {
-        self.out.contains_key(target)
+        self.began_at.contains_key(target)
     }
 
-    /// The targets that are out, in the order of their names.
+    /// The targets in maintenance, in the order of their names.
     pub fn targets_in_maintenance(&self) -> impl Iterator<Item = &str> {
-        self.out.keys().map(String::as_str)
+        self.began_at.keys().map(String::as_str)
     }
 
-    /// The state and the start that hold for a target of which discovery reports these.
+    /// The effective state and start time of a target for which discovery reports these.
     pub fn effective_state(
         &self,
         target: &str,
@@ -98,8 +100,8 @@
         }
     }
 
-    /// Forgets what discovery's report has made moot: a start since the target's maintenance began, or its
-    /// removal.
+    /// Discards the record of a returned target once discovery reports a start after the beginning of its
+    /// maintenance, or its removal.
     pub fn handle_endpoint_report(&mut self, target: &str, state: State, started: Option<Micros>) {
         let Some(returned) = self.returned.get(target) else { return };
         if state == State::Removed || started.is_some_and(|started| started > returned.began) {
--- a/crates/maintenance/tests/maintenance.rs
+++ b/crates/maintenance/tests/maintenance.rs
@@ -1,76 +1,89 @@
-//! Tests of targets that operators take out of service and bring back.
+//! Targets that operators take out of service and return.
 
 use rowanglade_maintenance::{Maintenance, Micros, State};
 
-const BOX: &str = "s-1";
+const TARGET: &str = "s-1";
 
-fn up(m: &Maintenance, started: Option<Micros>) -> (State, Option<Micros>) {
-    m.effective_state(BOX, State::Active, started)
+fn state_while_active(maintenance: &Maintenance, started: Option<Micros>) -> (State, Option<Micros>) {
+    maintenance.effective_state(TARGET, State::Active, started)
 }
 
 #[test]
-fn a_target_that_is_out_drains_whatever_discovery_says() {
-    let mut m = Maintenance::default();
-    assert!(m.begin(10, BOX));
-    for (told, held) in [
+fn a_target_in_maintenance_is_draining_whatever_discovery_reports() {
+    let mut maintenance = Maintenance::default();
+    assert!(maintenance.begin(10, TARGET));
+    for (reported, effective) in [
         (State::Active, State::Draining),
         (State::Draining, State::Draining),
         (State::Removed, State::Removed),
     ] {
-        assert_eq!(m.effective_state(BOX, told, Some(5)), (held, Some(5)));
+        assert_eq!(maintenance.effective_state(TARGET, reported, Some(5)), (effective, Some(5)));
     }
-    assert_eq!(m.effective_state("s-2", State::Active, None), (State::Active, None));
+    assert_eq!(maintenance.effective_state("s-2", State::Active, None), (State::Active, None));
 }
 
 #[test]
-fn two_calls_out_need_one_call_back() {
-    let mut m = Maintenance::default();
-    assert!(m.begin(10, BOX) && !m.begin(11, BOX));
-    assert!(m.end(20, BOX) && !m.end(21, BOX));
-    assert_eq!(up(&m, None), (State::Active, Some(20)), "the first call back is the one that counts");
+fn a_repeated_begin_or_end_changes_nothing() {
+    let mut maintenance = Maintenance::default();
+    assert!(maintenance.begin(10, TARGET) && !maintenance.begin(11, TARGET));
+    assert!(maintenance.end(20, TARGET) && !maintenance.end(21, TARGET));
+    assert_eq!(state_while_active(&maintenance, None), (State::Active, Some(20)), "the first end counts");
 }
 
-// Discovery's news of the restart is late: the target would count as warm, and be pushed over.
+// Discovery may report the restart late: the target would count as warm and be overloaded.
 #[test]
-fn a_target_called_back_is_cold_until_discovery_tells_its_restart() {
-    let mut m = Maintenance::default();
-    m.begin(10, BOX);
-    m.end(20, BOX);
-    assert_eq!(up(&m, Some(10)), (State::Active, Some(20)), "a start from before");
-    assert_eq!(up(&m, Some(15)), (State::Active, Some(15)), "the restart itself");
-    m.handle_endpoint_report(BOX, State::Active, Some(9));
-    assert_eq!(up(&m, None), (State::Active, Some(20)), "old news changes nothing");
-    m.handle_endpoint_report(BOX, State::Active, Some(15));
-    assert_eq!(up(&m, None), (State::Active, None), "what was told since is discovery's to say");
+fn a_returned_target_counts_as_just_started_until_discovery_reports_its_restart() {
+    let mut maintenance = Maintenance::default();
+    maintenance.begin(10, TARGET);
+    maintenance.end(20, TARGET);
+    assert_eq!(
+        state_while_active(&maintenance, Some(10)),
+        (State::Active, Some(20)),
+        "a start before the maintenance"
+    );
+    assert_eq!(state_while_active(&maintenance, Some(15)), (State::Active, Some(15)), "the restart itself");
+    maintenance.handle_endpoint_report(TARGET, State::Active, Some(9));
+    assert_eq!(
+        state_while_active(&maintenance, None),
+        (State::Active, Some(20)),
+        "a report of an earlier start changes nothing"
+    );
+    maintenance.handle_endpoint_report(TARGET, State::Active, Some(15));
+    assert_eq!(
+        state_while_active(&maintenance, None),
+        (State::Active, None),
+        "after a report of the restart, later reports are used unchanged"
+    );
 }
 
 #[test]
-fn a_restart_while_out_does_not_bring_it_back() {
-    let mut m = Maintenance::default();
-    m.begin(10, BOX);
-    m.handle_endpoint_report(BOX, State::Active, Some(15));
-    assert_eq!(up(&m, Some(15)), (State::Draining, Some(15)));
+fn a_restart_during_maintenance_does_not_end_it() {
+    let mut maintenance = Maintenance::default();
+    maintenance.begin(10, TARGET);
+    maintenance.handle_endpoint_report(TARGET, State::Active, Some(15));
+    assert_eq!(state_while_active(&maintenance, Some(15)), (State::Draining, Some(15)));
 }
 
-// Called out again before discovery told the first restart, what was made up for it must not be left behind.
+// If maintenance begins again before discovery reports the first restart, the assumed start of the first
+// maintenance must not remain.
 #[test]
-fn each_time_out_is_a_start_of_its_own() {
-    let mut m = Maintenance::default();
-    m.begin(10, BOX);
-    m.end(20, BOX);
-    m.begin(30, BOX);
-    assert_eq!(up(&m, Some(15)), (State::Draining, Some(15)));
-    m.end(40, BOX);
-    assert_eq!(up(&m, Some(15)), (State::Active, Some(40)));
+fn each_end_of_maintenance_counts_as_a_start() {
+    let mut maintenance = Maintenance::default();
+    maintenance.begin(10, TARGET);
+    maintenance.end(20, TARGET);
+    maintenance.begin(30, TARGET);
+    assert_eq!(state_while_active(&maintenance, Some(15)), (State::Draining, Some(15)));
+    maintenance.end(40, TARGET);
+    assert_eq!(state_while_active(&maintenance, Some(15)), (State::Active, Some(40)));
 }
 
 #[test]
-fn a_target_that_left_is_forgotten_unless_it_is_out() {
-    let mut m = Maintenance::default();
-    m.begin(10, BOX);
-    m.handle_endpoint_report(BOX, State::Removed, None);
-    assert!(m.is_in_maintenance(BOX), "operators have the last word");
-    m.end(20, BOX);
-    m.handle_endpoint_report(BOX, State::Removed, None);
-    assert_eq!(m, Maintenance::default());
+fn a_removed_target_is_discarded_unless_it_is_in_maintenance() {
+    let mut maintenance = Maintenance::default();
+    maintenance.begin(10, TARGET);
+    maintenance.handle_endpoint_report(TARGET, State::Removed, None);
+    assert!(maintenance.is_in_maintenance(TARGET), "a removal by discovery does not end maintenance");
+    maintenance.end(20, TARGET);
+    maintenance.handle_endpoint_report(TARGET, State::Removed, None);
+    assert_eq!(maintenance, Maintenance::default());
 }
--- a/crates/site-failover/src/command.rs
+++ b/crates/site-failover/src/command.rs
@@ -1,45 +1,46 @@
-//! What the driver has to do, and what it may log.
+//! Commands to the driver, and the changes of a site that it may log.
 
 use crate::Micros;
 
-/// What the driver has to do.
+/// An action that the driver has to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Send this target a health check, and pass on whether it responds.
+    /// Send a health check to this target, and report whether it responds.
     Probe(String),
-    /// What holds for the targets of a site has changed: ask [`crate::SiteFailover::effective_state`] anew.
+    /// The effective state of a site's targets may have changed: call
+    /// [`crate::SiteFailover::effective_state`] again for them.
     SiteChanged {
         /// The site's name.
         site: String,
-        /// What has changed.
+        /// How the site has changed.
         change: SiteChange,
     },
 }
 
-/// What has changed for a site.
+/// A change of a site's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SiteChange {
-    /// It is ejected: its targets get nothing.
+    /// The site is ejected: nothing is sent to its targets.
     Lost {
-        /// How many of its targets fail.
+        /// Number of its targets that are failing.
         failing: usize,
-        /// How many targets it has.
+        /// Number of its targets.
         targets: usize,
-        /// How long it gets nothing, in microseconds.
+        /// How long nothing is sent to it, in microseconds.
         ejection_time: Micros,
     },
-    /// Its targets are used again, as if just started.
+    /// The site's targets are used again, as if they had just started.
     Returning {
-        /// How many of its targets respond.
+        /// Number of its targets that respond.
         responding: usize,
-        /// How many targets it has.
+        /// Number of its targets.
         targets: usize,
     },
-    /// It responds too slowly: its recovery ramp is restarted.
+    /// The site responds too slowly: its recovery ramp starts again.
     RampRestarted {
-        /// Its latency, as a percentage of the usual one.
+        /// Its latency as a percentage of the usual latency.
         latency_percent: u64,
     },
-    /// Its recovery ramp is over.
+    /// The recovery ramp has ended.
     Recovered,
 }
--- a/crates/site-failover/src/config.rs
+++ b/crates/site-failover/src/config.rs
@@ -1,33 +1,33 @@
-//! The figures that an operator sets.
+//! The configuration of site failover.
 
 use crate::Micros;
 
-/// The figures that an operator sets, and this initiator's place in the fleet. Spans are in microseconds.
+/// The settings of site failover, and this initiator's position in the fleet. Durations are in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FailoverConfig {
-    /// A failure or a removal counts as evidence for this long.
+    /// How long a failure or a removal counts as evidence.
     pub evidence_window: Micros,
-    /// A site is lost when this part of its targets fails, and returns when this part responds.
+    /// Fraction of a site's targets that must fail for the site to be lost, and respond for it to return.
     pub quorum: f64,
-    /// A lost site gets nothing for this long at first.
+    /// How long nothing is sent to a lost site the first time.
     pub ejection_time: Micros,
-    /// The ejection time doubles with each further loss up to this.
+    /// Upper bound on the ejection time, which doubles with each further loss.
     pub max_ejection_time: Micros,
-    /// After its ejection time a lost site is probed this often, by all initiators together.
+    /// Interval at which a lost site is probed after its ejection time, by all initiators together.
     pub probe_interval: Micros,
-    /// How long a returned target counts as warming up.
+    /// How long the targets of a site that has returned count as warming up.
     pub recovery_ramp: Micros,
-    /// The ramp is restarted where a returning site responds this many times slower than before.
+    /// The ramp starts again if a returning site responds this many times slower than before.
     pub slow_factor: f64,
-    /// This initiator's index among all, from 0.
+    /// Index of this initiator in the fleet, from 0.
     pub own_index: u32,
-    /// How many initiators there are.
+    /// Number of initiators in the fleet.
     pub initiators: u32,
 }
 
 impl FailoverConfig {
-    /// How many of so many targets are a quorum: one at least.
-    pub(crate) fn quorum_of(&self, targets: usize) -> usize {
+    /// Number of targets that form a quorum of `targets`; at least one.
+    pub(crate) fn quorum_size(&self, targets: usize) -> usize {
         ((self.quorum * targets as f64).ceil() as usize).max(1)
     }
 }
--- a/crates/site-failover/src/failover.rs
+++ b/crates/site-failover/src/failover.rs
@@ -1,4 +1,4 @@
-//! All sites, as one initiator sees them.
+//! The state of all sites as observed by one initiator.
 
 use crate::shards::ShardIndex;
 use crate::site::{Phase, Review, Site};
@@ -6,24 +6,24 @@
 use crate::{Command, FailoverConfig, Micros, TargetState};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How soon to look again while a site is not up or a target fails: well within the shortest evidence window in
-/// use, so that a loss is noticed within it.
+/// How soon to review the sites again while a site is not up or a target fails. This is well within the
+/// shortest evidence window in use, so that a loss is detected within the window.
 const REVIEW_INTERVAL: Micros = 50_000;
 
-/// All sites, as one initiator sees them.
+/// The state of all sites as observed by one initiator.
 #[derive(Clone, Debug)]
 pub struct SiteFailover {
     config: FailoverConfig,
     targets: BTreeMap<String, Target>,
     by_shard: ShardIndex,
-    /// Targets that may have failed or been removed lately: while there is none and all sites are up, nothing
-    /// is reviewed.
+    /// Targets that may have failed or been removed recently. While there are none and all sites are up, no
+    /// review is needed.
     suspects: BTreeSet<String>,
     sites: BTreeMap<String, Site>,
 }
 
 impl SiteFailover {
-    /// Without any target.
+    /// Creates the state machine without any target.
     pub fn new(config: FailoverConfig) -> SiteFailover {
         SiteFailover {
             config,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// What the endpoint list says of a target.
+    /// Handles the endpoint list's entry for a target.
     pub fn handle_endpoint(&mut self, now: Micros, name: &str, site: &str, shard: u32, state: TargetState) {
         let ejection_time = self.config.ejection_time;
         self.sites.entry(site.to_string()).or_insert_with(|| Site::new(ejection_time));
@@ -53,7 +53,8 @@
         self.by_shard.insert(shard, name);
     }
 
-    /// A target responded, whatever it said. `latency`, in microseconds, is given where it served a request.
+    /// Handles a response of a target, whatever its status. `latency`, in microseconds, is given if it served
+    /// a request.
     pub fn handle_response(&mut self, now: Micros, name: &str, latency: Option<Micros>) {
         let Some(target) = self.targets.get_mut(name) else { return };
         target.record_response(now);
@@ -62,7 +63,7 @@
         }
     }
 
-    /// A target could not be connected to, broke a connection, or was silent.
+    /// Handles a target that refused a connection, broke one, or did not respond.
     pub fn handle_failure(&mut self, now: Micros, name: &str) {
         if let Some(target) = self.targets.get_mut(name) {
             target.record_failure(now);
@@ -70,23 +71,23 @@
         }
     }
 
-    /// What a site is at; one that was never listed is up.
+    /// The phase of a site; up for a site that was never listed.
     pub fn phase(&self, site: &str) -> Phase {
         self.sites.get(site).map_or(Phase::Up, |site| site.phase)
     }
 
-    /// A target's site, if the target is known.
+    /// The site of a target; `None` for an unknown target.
     pub fn site_of(&self, name: &str) -> Option<&str> {
         self.targets.get(name).map(|target| target.site.as_str())
     }
 
-    /// The targets of a site, by their names.
+    /// The targets of a site, in the order of their names.
     pub fn targets_of<'a>(&'a self, site: &'a str) -> impl Iterator<Item = &'a str> {
         self.targets.iter().filter(move |(_, target)| target.site == site).map(|(name, _)| name.as_str())
     }
 
-    /// The state and start time, in microseconds, that hold for a target of which the list says these: one of a
-    /// lost site counts as draining, and one that returned as started then.
+    /// The effective state and start time, in microseconds, of a target for which the endpoint list gives
+    /// these: a target of a lost site counts as draining, and one that has returned as started at its return.
     pub fn effective_state(
         &self,
         name: &str,
@@ -100,8 +101,8 @@
         }
     }
 
-    /// Where only targets of lost sites have a shard: the site that may return soonest, and after how many
-    /// microseconds. None where another target has it, or no target at all.
+    /// If all targets of a shard belong to lost sites, returns the site that may return first and the
+    /// microseconds until then. `None` if another target serves the shard, or no target at all.
     pub fn lost_site_of_shard(&self, now: Micros, shard: u32) -> Option<(&str, Micros)> {
         let mut soonest = None;
         let targets = self.by_shard.targets_of(shard).filter_map(|name| self.targets.get(name));
@@ -115,7 +116,7 @@
         soonest
     }
 
-    /// When to call [`SiteFailover::poll`] again; none while all sites are up and no target fails.
+    /// When to call [`SiteFailover::poll`] again; `None` while all sites are up and no target fails.
     pub fn next_timeout(&self, now: Micros) -> Option<Micros> {
         let window = self.config.evidence_window;
         let mut suspects = self.suspects.iter().filter_map(|name| self.targets.get(name));
@@ -127,7 +128,7 @@
         self.sites.values().all(|site| site.phase == Phase::Up)
     }
 
-    /// Reviews all sites: the probes that are due, and what has changed.
+    /// Reviews all sites, and returns the probes that are due and the changes.
     pub fn poll(&mut self, now: Micros) -> Vec<Command> {
         let mut commands = Vec::new();
         if self.suspects.is_empty() && self.all_sites_are_up() {
@@ -138,12 +139,12 @@
             let config = self.config;
             site.poll(&mut Review { now, config, site: name, targets, commands: &mut commands });
         }
-        self.forget_suspects(now);
+        self.remove_suspects(now);
         commands
     }
 
-    /// Forgets suspects that do not fail any more, and targets whose removal is no evidence any more.
-    fn forget_suspects(&mut self, now: Micros) {
+    /// Removes suspects that no longer fail, and removed targets whose removal no longer counts as evidence.
+    fn remove_suspects(&mut self, now: Micros) {
         let window = self.config.evidence_window;
         let SiteFailover { targets, by_shard, suspects, .. } = self;
         suspects.retain(|name| {
--- a/crates/site-failover/src/latency.rs
+++ b/crates/site-failover/src/latency.rs
@@ -1,10 +1,11 @@
-//! The mean latency of a site.
+//! The mean latency of a site's responses.
 
 use crate::Micros;
 
-/// Responses of a returning site after which its latency is judged: fewer may be the slow start's own doing.
+/// Number of responses of a returning site before its latency is judged: fewer may only reflect its slow
+/// start.
 const MIN_SAMPLES: u32 = 8;
-/// The weight of a new sample in the mean: about the last ten responses count.
+/// Weight of a new sample in the mean, so that about the last ten responses count.
 const SAMPLE_WEIGHT: f64 = 0.2;
 
 /// An exponentially weighted moving average of latencies in microseconds.
@@ -21,11 +22,11 @@
         self.samples = self.samples.saturating_add(1);
     }
 
-    /// This mean as a percentage of `usual`, if it is over `factor` times as long and there are samples enough
-    /// to tell.
+    /// Returns this mean as a percentage of `usual` if it exceeds `usual` by more than `factor` and there are
+    /// enough samples for a comparison.
     pub fn percent_if_slower(&self, usual: &MeanLatency, factor: f64) -> Option<u64> {
-        let can_tell = usual.samples > 0 && self.samples >= MIN_SAMPLES;
+        let has_enough_samples = usual.samples > 0 && self.samples >= MIN_SAMPLES;
         let is_slower = self.mean > factor * usual.mean;
-        (can_tell && is_slower).then(|| (100.0 * self.mean / usual.mean.max(1.0)) as u64)
+        (has_enough_samples && is_slower).then(|| (100.0 * self.mean / usual.mean.max(1.0)) as u64)
     }
 }
--- a/crates/site-failover/src/lib.rs
+++ b/crates/site-failover/src/lib.rs
@@ -1,18 +1,20 @@
-//! Whole sites: when one counts as lost, what holds for its targets meanwhile, and how they return.
+//! Site failover: detects that a whole site is lost, and controls how its targets are used until they have
+//! returned.
 //!
-//! A single target that fails is the scheduler's: it backs off, and tries it again. When a site is gone, that
-//! is done for each of its targets and by every initiator, for as long as it is away, and on its return all
-//! turn to it at once. So a site is judged as a whole here.
+//! The scheduler handles single targets that fail, with backoff and retries. When a whole site fails, every
+//! initiator would do that for each of its targets for as long as the site is away, and all of them would
+//! send to it at once when it returns. So sites are also judged as a whole.
 //!
-//! It is lost when most of its targets have failed or left the endpoint list within one window, without a
-//! response since; those without a recent attempt are probed first, since silence about a target is no
-//! evidence. A lost site is ejected: it gets nothing for an ejection time that doubles with each further loss,
-//! since a site that comes and goes must not take the load along each time. After that it is probed, by all
-//! initiators in turn, and returns once most of its targets respond. They return as if just started, whether or
-//! not they were: slow start then parts among all initiators what they are sent, so that the sum of what returns
-//! is paced (the recovery ramp). Where they respond far slower than before the loss, the ramp is restarted.
+//! A site is lost when most of its targets have failed or left the endpoint list within one window, without a
+//! response since. Targets without a recent attempt are probed first, since the absence of attempts is no
+//! evidence. A lost site is ejected: nothing is sent to it for an ejection time, which doubles with each
+//! further loss, so that a site that fails repeatedly does not disrupt the load each time. After that, all
+//! initiators probe it in turn, and it returns once most of its targets respond. Its targets return as if
+//! they had just started, whether or not they have: slow start then divides what is sent to them among all
+//! initiators, so that the load of the returning site grows gradually (the recovery ramp). If the targets
+//! respond much more slowly than before the loss, the ramp starts again.
 //!
-//! Targets that drained before they left are no evidence: somebody planned that.
+//! Targets that drained before they left the list are no evidence, since their removal was planned.
 //!
 //! [`SiteFailover`] is the state machine; it has no sockets and no clock.
 
--- a/crates/site-failover/src/shards.rs
+++ b/crates/site-failover/src/shards.rs
@@ -1,8 +1,8 @@
-//! Which targets have which shard.
+//! Index of targets by shard.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The names of each shard's targets.
+/// The names of the targets of each shard.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ShardIndex(BTreeMap<u32, BTreeSet<String>>);
 
--- a/crates/site-failover/src/site.rs
+++ b/crates/site-failover/src/site.rs
@@ -4,36 +4,38 @@
 use crate::target::Target;
 use crate::{Command, FailoverConfig, Micros, SiteChange};
 
-/// A site that was not lost for so many ejection times is stable: its next ejection is as short as the first.
+/// Number of ejection times without a loss after which a site is stable: its next ejection time is the
+/// initial one.
 const STABLE_PERIODS_BEFORE_RESET: Micros = 10;
-/// One target that fails is not a site: this many at least must fail for a loss.
+/// Minimum number of failing targets for a loss: a single target that fails does not mean that its site has
+/// failed.
 const MIN_FAILING_TARGETS: usize = 2;
 
-/// What a site is at.
+/// The phase of a site.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It is used.
+    /// The site is used.
     Up,
-    /// Nothing is sent to it.
+    /// Nothing is sent to the site.
     Lost {
         /// When it was ejected.
         since: Micros,
-        /// When its ejection time is over: it is probed from then on.
+        /// When its ejection time ends and probing begins.
         until: Micros,
     },
-    /// Its targets are warming up.
+    /// The site's targets are warming up.
     Returning {
         /// When its recovery ramp began.
         since: Micros,
     },
 }
 
-/// What one review of a site needs beside the site itself.
+/// The data that a review of a site needs besides the site itself.
 pub(crate) struct Review<'a> {
     pub now: Micros,
     pub config: FailoverConfig,
     pub site: &'a str,
-    /// The site's targets with their names, in the order of these.
+    /// The site's targets with their names, in the order of the names.
     pub targets: Vec<(&'a String, &'a mut Target)>,
     pub commands: &'a mut Vec<Command>,
 }
@@ -43,29 +45,30 @@
         self.targets.iter().filter(|(_, target)| matches(target)).count()
     }
 
-    /// The targets that a loss is judged by.
-    fn counted(&self) -> usize {
+    /// Number of targets that are considered when a loss is judged.
+    fn count_relevant_targets(&self) -> usize {
         self.count(|target| target.counts_for_site(self.now, self.config.evidence_window))
     }
 
-    fn failing(&self) -> usize {
+    fn count_failing_targets(&self) -> usize {
         self.count(|target| target.is_failing(self.now, self.config.evidence_window))
     }
 
     fn is_lost(&self) -> bool {
-        let counted = self.counted();
-        let quorum = self.config.quorum_of(counted).max(MIN_FAILING_TARGETS);
-        counted >= MIN_FAILING_TARGETS && self.failing() >= quorum
+        let relevant = self.count_relevant_targets();
+        let quorum = self.config.quorum_size(relevant).max(MIN_FAILING_TARGETS);
+        relevant >= MIN_FAILING_TARGETS && self.count_failing_targets() >= quorum
     }
 
     fn report(&mut self, change: SiteChange) {
         self.commands.push(Command::SiteChanged { site: self.site.to_string(), change });
     }
 
-    /// Probes the targets without a recent outcome once half of the site fails: silence is no evidence.
+    /// Once half of the site's targets fail, probes those without a recent outcome: the absence of attempts
+    /// is no evidence.
     fn probe_silent_targets(&mut self) {
-        let counted = self.counted();
-        if counted < MIN_FAILING_TARGETS || 2 * self.failing() < counted {
+        let relevant = self.count_relevant_targets();
+        if relevant < MIN_FAILING_TARGETS || 2 * self.count_failing_targets() < relevant {
             return;
         }
         for (name, target) in &mut self.targets {
@@ -77,7 +80,7 @@
         }
     }
 
-    /// Probes the next target that has not responded since `since`, by its turn.
+    /// Probes one of the targets that have not responded since `since`, selected by `turn`.
     fn probe_next_target(&mut self, since: Micros, turn: usize) {
         let now = self.now;
         let mut candidates: Vec<_> = self
@@ -97,15 +100,15 @@
         self.commands.push(Command::Probe((*name).clone()));
     }
 
-    /// From now on the site's targets count as just started.
+    /// Makes the site's targets count as started now.
     fn restart_targets(&mut self) {
         for (_, target) in &mut self.targets {
             target.returned_at = Some(self.now);
         }
     }
 
-    /// A new life begins: what failed before the return is no evidence for another loss.
-    fn forget_failures(&mut self) {
+    /// Discards failures from before the return, which are no evidence of another loss.
+    fn clear_failures(&mut self) {
         for (_, target) in &mut self.targets {
             target.failed_at = None;
         }
@@ -115,7 +118,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Site {
     pub phase: Phase,
-    /// How long the next ejection lasts.
+    /// Duration of the next ejection.
     ejection_time: Micros,
     ejected_at: Micros,
     next_probe_at: Micros,
@@ -137,7 +140,7 @@
         }
     }
 
-    /// A target of the site served a request with this latency.
+    /// Records the latency of a request that a target of the site has served.
     pub fn record_latency(&mut self, latency: Micros) {
         match self.phase {
             Phase::Up => self.usual_latency.add(latency),
@@ -146,7 +149,7 @@
         }
     }
 
-    /// Moves to another phase where the evidence says so, and sends the probes that are due.
+    /// Changes the phase if the evidence requires it, and sends the probes that are due.
     pub fn poll(&mut self, review: &mut Review<'_>) {
         match self.phase {
             Phase::Up | Phase::Returning { .. } if review.is_lost() => self.eject(review),
@@ -169,10 +172,10 @@
         self.phase = Phase::Lost { since: now, until: now + ejection_time };
         self.ejected_at = now;
         self.ejection_time = (2 * ejection_time).min(config.max_ejection_time).max(config.ejection_time);
-        // Each initiator has a turn of its own, so that all together keep to one probe in an interval.
+        // Each initiator starts at its own turn, so that all of them together send one probe per interval.
         let turn = u64::from(config.own_index);
         self.next_probe_at = now + ejection_time + config.probe_interval * turn;
-        let (failing, targets) = (review.failing(), review.counted());
+        let (failing, targets) = (review.count_failing_targets(), review.count_relevant_targets());
         review.report(SiteChange::Lost { failing, targets, ejection_time });
     }
 
@@ -194,17 +197,17 @@
         review.restart_targets();
     }
 
-    /// The ejection time was over at `until`: returns once most targets have responded since, and probes them
-    /// otherwise.
+    /// Returns the site to service once most of its targets have responded since `until`, the end of its
+    /// ejection time; probes them otherwise.
     fn return_or_probe(&mut self, until: Micros, review: &mut Review<'_>) {
         let targets = review.count(Target::is_active);
         let responding = review.count(|target| target.is_active() && target.has_responded_since(until));
         if targets == 0 {
             return;
         }
-        if responding >= review.config.quorum_of(targets) {
+        if responding >= review.config.quorum_size(targets) {
             self.begin_ramp(review);
-            review.forget_failures();
+            review.clear_failures();
             review.report(SiteChange::Returning { responding, targets });
         } else if review.now >= self.next_probe_at {
             review.probe_next_target(until, self.probe_turn);
@@ -214,8 +217,8 @@
     }
 }
 
-/// Initiators take turns while nothing responds. The first response says that the others are worth a probe, and
-/// this initiator sends those at the whole pace.
+/// Initiators take turns while no target responds. The first response shows that probing the other targets is
+/// worthwhile, and this initiator then sends a probe in every interval.
 fn next_probe_after(config: &FailoverConfig, responding: usize) -> Micros {
     let turns = if responding > 0 { 1 } else { u64::from(config.initiators.max(1)) };
     config.probe_interval * turns
--- a/crates/site-failover/src/target.rs
+++ b/crates/site-failover/src/target.rs
@@ -1,18 +1,18 @@
-//! What is known of one target: the evidence for and against its site.
+//! The evidence that one target gives for or against its site.
 
 use crate::Micros;
 
-/// A probe without an outcome is given up after this long: another may be sent then.
+/// A probe without an outcome is abandoned after this long, and another may be sent.
 const PROBE_TIMEOUT: Micros = 2_000_000;
 
-/// What the endpoint list says of a target.
+/// The state of a target in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetState {
-    /// It takes requests.
+    /// The target accepts requests.
     Active,
-    /// It finishes what it has, and takes nothing new.
+    /// The target finishes its requests and accepts no new ones.
     Draining,
-    /// It is not listed any more.
+    /// The target is no longer listed.
     Removed,
 }
 
@@ -21,18 +21,18 @@
     pub site: String,
     pub shard: u32,
     pub state: TargetState,
-    /// When it was removed without a drain before.
+    /// When the target was removed without having drained first.
     pub removed_undrained_at: Option<Micros>,
     pub responded_at: Option<Micros>,
     pub failed_at: Option<Micros>,
-    /// When the probe that is in flight was sent.
+    /// When the probe in flight was sent.
     pub probed_at: Option<Micros>,
-    /// When it returned with its site.
+    /// When the target last returned with its site.
     pub returned_at: Option<Micros>,
 }
 
 impl Target {
-    /// A target that has never been listed.
+    /// Creates a target that has not been listed yet.
     pub fn new(site: &str, shard: u32) -> Target {
         Target {
             site: site.to_string(),
@@ -50,7 +50,8 @@
         self.state == TargetState::Active
     }
 
-    /// Takes over what the list says. A removal counts as evidence only where no drain came before.
+    /// Updates the state from the endpoint list. A removal counts as evidence only if the target was not
+    /// draining.
     pub fn update_state(&mut self, now: Micros, state: TargetState) {
         if state != TargetState::Removed {
             self.removed_undrained_at = None;
@@ -70,13 +71,13 @@
         self.probed_at = None;
     }
 
-    /// Whether it has failed, or was removed undrained, within the window, without a response since.
+    /// Whether the target has failed, or was removed undrained, within the window, without a response since.
     pub fn is_failing(&self, now: Micros, window: Micros) -> bool {
         let failed = is_within(self.failed_at, now, window) && self.failed_at > self.responded_at;
         failed || self.was_removed_undrained(now, window)
     }
 
-    /// Whether it is one of the site's targets that a loss is judged by.
+    /// Whether the target is considered when a loss of its site is judged.
     pub fn counts_for_site(&self, now: Micros, window: Micros) -> bool {
         self.is_active() || self.was_removed_undrained(now, window)
     }
@@ -90,7 +91,7 @@
         is_within(self.responded_at, now, window) || is_within(self.failed_at, now, window)
     }
 
-    /// Whether it has responded since `since`, and not failed after that.
+    /// Whether the target has responded since `since`, and has not failed after that.
     pub fn has_responded_since(&self, since: Micros) -> bool {
         self.responded_at.is_some_and(|at| at >= since) && self.responded_at >= self.failed_at
     }
--- a/crates/slow-start/src/lib.rs
+++ b/crates/slow-start/src/lib.rs
@@ -1,33 +1,34 @@
-//! What each of many initiators may send to a target that has just started, so that all of them together
-//! never overload it, though none learns what the others send.
+//! Limits what each of many initiators sends to a target that has just started, so that all of them together
+//! never overload it although no initiator knows what the others send.
 //!
-//! A target is overloaded when, for a window, it is sent more than a multiple of what it can do at the time.
-//! Its capacity is not known to any initiator. Two budgets stand side by side, and a request that fits into
-//! either of them may be sent:
+//! A target is overloaded when it is sent, within a window, more than a multiple of what its capacity allows
+//! at that time. No initiator knows the target's capacity. There are two budgets, and a request that fits
+//! into either of them may be sent:
 //!
-//! - **The even part** ([`TargetBudget`]). The settings name a number of units that a target always bears in
-//!   its first window. It grows as the target warms up at its slowest, and each initiator has an equal part.
-//!   Over a hundred initiators that part is less than one request, so it alone leaves a target that has just
-//!   started almost without work until it is warm.
-//! - **The reserves** ([`ReservePacer`]). What is reserved for the volumes whose data a target holds is at
-//!   most what the target can do when warm, or the reserves could not be kept at all. So if every volume's
-//!   reserve is sent at a fraction of its rate, the target gets at most that fraction of its full capacity;
-//!   and it bears [`SlowStartRule::overload_multiple`] times the share of its capacity that it has reached.
-//!   The rule holds whoever else sends, since every initiator paces its own share of the reserve. A volume's
-//!   reserve is for all its targets together: each one that is warming up has a pacer of its own, at that
-//!   target's part of it.
+//! - **The even part** ([`TargetBudget`]). The settings give a number of units that a target always accepts
+//!   in its first window. It grows as the target warms up at its slowest, and each initiator has an equal
+//!   part of it. With more than a hundred initiators that part is less than one request, so on its own it
+//!   would leave a target that has just started almost without work until it is warm.
+//! - **The reserves** ([`ReservePacer`]). The units reserved for the volumes whose data a target holds are
+//!   at most the capacity of the warm target, or the reserves could not be met at all. So if the reserve of
+//!   every volume is sent at a fraction of its rate, the target gets at most that fraction of its full
+//!   capacity, and it accepts [`SlowStartRule::overload_multiple`] times the fraction of its capacity that
+//!   it has reached. The rule holds whatever the other initiators send, since each paces its own share of
+//!   the reserve. A volume's reserve covers all its targets: each target that is warming up has its own
+//!   pacer, at that target's part of the reserve.
 //!
-//! Targets are overloaded by what arrives, and a request arrives when its connection is up, which may be long
-//! after the decision to send it. What was reserved and has not arrived counts as arriving now, each time it
-//! is asked; it counts from its arrival once that is committed, and comes back where it never left
-//! ([`ReservedUnits`]).
+//! What arrives at a target overloads it, and a request arrives when its connection is established, which may
+//! be long after the decision to send it. Units that are reserved and have not arrived count as arriving at
+//! the time of each check. They count from their arrival once they are committed, and are returned if the
+//! request is never sent ([`ReservedUnits`]).
 //!
-//! Many pacers that begin at once must not send their first requests at once: the first request of each waits
-//! for a random phase of the time that its units take at the paced rate. This also keeps a mass restart of
-//! initiators harmless: the phases make up for what a new process does not know of the time before.
+//! Pacers that start at the same time must not send their first requests at the same time: the first request
+//! of each waits for a random fraction (the phase) of the time that its units take at the paced rate. This
+//! also makes a mass restart of initiators harmless: the phases make up for what a new process does not know
+//! of earlier sends.
 //!
 //! The types that derive `Serialize` are part of the handover between two builds. Their serialized names are
-//! fixed; the samples of the handover's compatibility test hold them.
+//! fixed; samples in the handover's compatibility test contain them.
 
 #![forbid(unsafe_code)]
 
--- a/crates/slow-start/src/reserved_units.rs
+++ b/crates/slow-start/src/reserved_units.rs
@@ -1,22 +1,22 @@
-//! Units that are on their way to a target.
+//! Units that have been sent to a target and have not arrived yet.
 
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 
-/// What a request has taken from a budget and has not arrived at its target yet.
+/// Units that a request has taken from a budget, before they have arrived at the target.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReservedUnits {
-    /// The request's number. Only one of its attempts is on its way at a time.
+    /// The number of the request, of which only one attempt is in transit at a time.
     pub request: u64,
     /// The request's size, in units.
     pub units: f64,
-    /// When it has arrived or never will, though neither commit nor release was called.
+    /// Time by which the units have arrived or never will, even if neither commit nor release was called.
     #[serde(rename = "latest")]
     pub arrives_by: Micros,
 }
 
 impl ReservedUnits {
-    /// When the units arrive, as far as is known now.
+    /// When the units arrive, as far as this is known at `now`.
     pub(crate) fn arrives_at(&self, now: Micros) -> Micros {
         self.arrives_by.min(now)
     }
--- a/crates/subset/src/assignment.rs
+++ b/crates/subset/src/assignment.rs
@@ -5,7 +5,7 @@
 use crate::matching::Matching;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A pair that may be taken. Targets stand as numbers of the assignment's own.
+/// A candidate pair. Targets are identified by numbers that the assignment gives them.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Pair {
     pub rank: u64,
@@ -13,24 +13,24 @@
     pub target: u32,
 }
 
-/// The candidate pairs of a fleet. What it stores and does at a change grows with initiators times the size of
-/// a subset.
+/// The candidate pairs of a fleet. Its memory, and the work for a change, grow with the number of initiators
+/// times the size of a subset.
 #[derive(Clone, Debug)]
 pub(crate) struct Assignment {
     config: SubsetConfig,
     initiators: u32,
-    /// Targets' numbers by their names.
+    /// The targets' numbers by name.
     numbers: BTreeMap<String, u32>,
-    /// Numbers of targets that have been removed.
+    /// Numbers of removed targets, which are reused.
     free_numbers: Vec<u32>,
-    /// Layers that each target has drawn.
+    /// Number of layers that each target has drawn.
     layers: u64,
-    /// From the lowest rank up.
+    /// Sorted by rank, the lowest first.
     pairs: Vec<Pair>,
 }
 
 impl Assignment {
-    /// Without targets.
+    /// Creates an assignment without targets.
     pub fn new(config: SubsetConfig, initiators: u32) -> Assignment {
         Assignment {
             config,
@@ -42,8 +42,9 @@
         }
     }
 
-    /// The targets that may take new objects now; returns whether they have changed. Only targets that are new
-    /// draw, unless there are so many more or fewer that all draw another number of layers.
+    /// Sets the targets that currently accept new objects, and returns whether they have changed. Only new
+    /// targets draw candidates, unless the number of targets has changed so much that all have to draw
+    /// another number of layers.
     pub fn update_targets(&mut self, targets: &BTreeSet<String>) -> bool {
         if self.numbers.keys().eq(targets) {
             return false;
@@ -71,7 +72,7 @@
         self.pairs.retain(|pair| !is_removed[pair.target as usize]);
     }
 
-    /// Takes in the candidates of targets that have no number yet.
+    /// Adds the candidates of targets that have no number yet.
     fn add_new(&mut self, targets: &BTreeSet<String>) {
         let mut drawn = vec![false; self.initiators as usize];
         for name in targets {
@@ -86,8 +87,8 @@
         }
     }
 
-    /// Where ranks are the same, indices and names decide, not the order of the list. A stable sort finds what
-    /// is in order already, and merges.
+    /// Equal ranks are ordered by indices and names, so that the order of the list does not matter. A stable
+    /// sort detects the runs that are already sorted and merges them.
     fn sort_pairs(&mut self) {
         let mut pairs = std::mem::take(&mut self.pairs);
         let names = self.names();
@@ -99,23 +100,23 @@
         self.pairs = pairs;
     }
 
-    /// How many targets there are.
+    /// Number of targets.
     pub fn target_count(&self) -> usize {
         self.numbers.len()
     }
 
-    /// How many pairs are candidates.
+    /// Number of candidate pairs.
     #[cfg(test)]
     pub fn pair_count(&self) -> usize {
         self.pairs.len()
     }
 
-    /// How many numbers have been given to targets so far.
+    /// Number of target numbers given out so far, including free ones.
     fn number_count(&self) -> usize {
         self.numbers.len() + self.free_numbers.len()
     }
 
-    /// Targets' names by their numbers; those of removed targets are empty.
+    /// The targets' names by number; empty for free numbers.
     fn names(&self) -> Vec<&str> {
         let mut names = vec![""; self.number_count()];
         for (name, number) in &self.numbers {
@@ -132,7 +133,7 @@
         Matching::build(self.config, self.initiators, names, &self.numbers, &self.pairs)
     }
 
-    /// The targets of all initiators, by name.
+    /// The preferred targets of every initiator, by name.
     pub fn all_subsets(&self) -> Vec<Vec<&str>> {
         if self.holds_all_targets() {
             return vec![self.numbers.keys().map(String::as_str).collect(); self.initiators as usize];
@@ -143,7 +144,7 @@
         subsets.map(|targets| targets.iter().map(|target| names[*target as usize]).collect()).collect()
     }
 
-    /// The targets of one initiator, by name.
+    /// The preferred targets of one initiator, by name.
     pub fn subset_of(&self, initiator: u32) -> BTreeSet<String> {
         if self.holds_all_targets() {
             return self.numbers.keys().cloned().collect();
--- a/crates/subset/src/candidates.rs
+++ b/crates/subset/src/candidates.rs
@@ -1,41 +1,42 @@
-//! Which initiators are candidates of a target: a bounded number for each, found alike by all without a look
-//! at every pair.
+//! Draws the initiators that are candidates of a target: a bounded number for each target, which all
+//! initiators compute alike without examining every pair.
 //!
-//! A target draws in layers. In each it draws one initiator of every block of [`BLOCK_INSTANCES`] consecutive
-//! indices, and its rank for the initiator is the layer and hash of the first such draw. So ranks depend on the
-//! target's name and the initiator's index alone: whoever joins or leaves changes no rank of others, and fewer
-//! layers leave out the worst ranks only.
+//! A target draws in layers. In each layer it draws one initiator from every block of [`BLOCK_SIZE`]
+//! consecutive indices; its rank for an initiator is the layer and hash of the first draw of that initiator.
+//! So ranks depend only on the target's name and the initiator's index: initiators that join or leave change
+//! no other ranks, and fewer layers omit only the worst ranks.
 
 use crate::SubsetConfig;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Initiators of a block: in each layer an initiator is drawn by one in so many targets. All initiators must have
-/// the same figure; why it is 256 is not recorded (docs/design/open-questions.md).
-const BLOCK_INSTANCES: u32 = 256;
-/// An initiator has this many candidates for each target that it takes, and [`EXTRA_CANDIDATES`] more, in the
-/// mean at least: enough that looks at all pairs stay rare.
+/// Initiators per block: in each layer, one in this many targets draws a given initiator. All initiators must
+/// use the same value. The best value is an open question (docs/design/open-questions.md).
+const BLOCK_SIZE: u32 = 256;
+/// An initiator is a candidate of this many targets for each target in its subset, plus [`EXTRA_CANDIDATES`],
+/// on average at least: enough that examining all pairs is rarely necessary.
 const CANDIDATES_PER_TARGET: usize = 2;
-/// See [`CANDIDATES_PER_TARGET`].
+/// Added to the candidates of [`CANDIDATES_PER_TARGET`].
 const EXTRA_CANDIDATES: usize = 32;
-/// Seeds of scores are initiators' indices; those of draws have a layer above these bits, and a block in them.
+/// Seeds of scores are initiators' indices; seeds of draws have the layer above these bits and the block in
+/// them.
 const LAYER_SHIFT: u32 = 32;
 
-/// A pair of an initiator and the target that drew it.
+/// An initiator drawn by a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Candidate {
-    /// How early the initiator was drawn: lower ranks come first.
+    /// Lower ranks come first: the layer of the draw, then its hash.
     pub rank: u64,
     pub initiator: u32,
 }
 
-/// How many layers each of so many targets draws.
+/// Number of layers that each of `targets` targets draws.
 pub(crate) fn layer_count(config: &SubsetConfig, targets: usize) -> u64 {
     let candidates = (CANDIDATES_PER_TARGET * config.size + EXTRA_CANDIDATES) as u64;
-    (candidates * u64::from(BLOCK_INSTANCES)).div_ceil(targets.max(1) as u64)
+    (candidates * u64::from(BLOCK_SIZE)).div_ceil(targets.max(1) as u64)
 }
 
-/// A target's candidates among `initiators`. `drawn` has an entry for each initiator, and is left as it came: all
-/// false.
+/// Draws a target's candidates among `initiators`. `drawn` is scratch space with an entry for each initiator;
+/// all entries must be false, and are false again on return.
 pub(crate) fn draw_candidates(
     target: &str,
     layers: u64,
@@ -44,10 +45,10 @@
 ) -> Vec<Candidate> {
     let mut candidates = Vec::new();
     for layer in 0..layers {
-        for block in 0..initiators.div_ceil(BLOCK_INSTANCES) {
+        for block in 0..initiators.div_ceil(BLOCK_SIZE) {
             let seed = (layer + 1) << LAYER_SHIFT | u64::from(block);
             let hash = xxh3_64_with_seed(target.as_bytes(), seed);
-            let initiator = block * BLOCK_INSTANCES + hash as u32 % BLOCK_INSTANCES;
+            let initiator = block * BLOCK_SIZE + hash as u32 % BLOCK_SIZE;
             if initiator >= initiators || std::mem::replace(&mut drawn[initiator as usize], true) {
                 continue;
             }
@@ -61,7 +62,7 @@
     candidates
 }
 
-/// How well an initiator and a target suit each other where no draw has said so: higher is better.
+/// Score of a pair that has no rank, since the target has not drawn the initiator; higher is better.
 pub(crate) fn score(initiator: u32, target: &str) -> u64 {
     xxh3_64_with_seed(target.as_bytes(), u64::from(initiator))
 }
--- a/crates/subset/src/difference.rs
+++ b/crates/subset/src/difference.rs
@@ -1,17 +1,18 @@
-//! How much a change moves.
+//! Measures how many pairs a change moves.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How two assignments differ.
+/// The difference between two assignments.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Difference {
-    /// Pairs of the first.
+    /// Number of pairs in the first assignment.
     pub pairs: usize,
-    /// Pairs of the first, of initiators and targets that are in both, that the second does not have.
+    /// Number of pairs that only the first assignment contains, although their initiator and target are in
+    /// both.
     pub moved: usize,
 }
 
-/// Compares assignments of the same initiators, or of some more in the second, by the names of their targets.
+/// Compares two assignments by the names of their targets. The second may have additional initiators.
 pub fn difference(
     (before, names_before): (&[BTreeSet<usize>], &[&str]),
     (after, names_after): (&[BTreeSet<usize>], &[&str]),
--- a/crates/subset/src/lib.rs
+++ b/crates/subset/src/lib.rs
@@ -1,22 +1,23 @@
-//! Which targets each of many initiators prefers for new objects, so that their choices add up evenly without
-//! messages between them.
+//! Subsetting: which targets each of many initiators prefers for new objects, so that the load of all
+//! initiators is spread evenly without messages between them.
 //!
-//! Every initiator knows how many there are, its own index, and the endpoint list. From these alone all of them
-//! compute the same assignment: each initiator has [`SubsetConfig::size`] targets, and each target has a number
-//! of initiators near the mean ([`SubsetConfig::bounds`]). The assignment is a matching under a common rank: each
-//! pair of an initiator and a target has a hash, pairs are taken in its order, and one is passed over where its
-//! initiator has enough targets or its target enough initiators; first up to the fewest, then up to the most. So
-//! a change moves the pairs that it touches and few others: an initiator or a target that comes or goes frees or
-//! fills places that only the next in rank move into. The room between the bounds is what keeps such moves
-//! short.
+//! Every initiator has the number of initiators, its own index, and the endpoint list. From these alone all
+//! of them compute the same assignment: each initiator has [`SubsetConfig::size`] targets, and each target
+//! has a number of initiators near the mean ([`SubsetConfig::bounds`]). The assignment is a matching under a
+//! common rank: each pair of an initiator and a target has a hash, and pairs are taken in the order of their
+//! hashes, except those whose initiator has enough targets or whose target has enough initiators; first up to
+//! the minimum of each target, then up to the maximum. So a change moves the pairs that it affects and few
+//! others: when an initiator or a target is added or removed, only the next pairs in rank move into the
+//! places that are freed or filled. The distance between the two bounds keeps such chains of moves short.
 //!
-//! Not every pair takes part: each target draws a bounded number of initiators, alike everywhere, and only where
-//! these leave a place open does it look at all others. So the assignment's cost grows with initiators times the
-//! size of a subset, not with initiators times targets; at a change of the list only the candidates of what has
-//! changed are drawn.
+//! Only some pairs are considered. Each target draws a bounded number of initiators, the same on all
+//! initiators, and only if these leave a place open are all others examined. So the cost of the assignment
+//! grows with the number of initiators times the size of a subset, not with initiators times targets; when
+//! the list changes, only the candidates of changed targets are drawn.
 //!
-//! Lists reach initiators at different times. While two hold different lists their assignments differ in what
-//! the change moves, and no more; nothing depends on their agreement.
+//! Initiators receive an endpoint list at different times. While two of them have different lists, their
+//! assignments differ only in the pairs that the change moves; correctness does not depend on their
+//! agreement.
 
 #![forbid(unsafe_code)]
 
--- a/crates/subset/src/matching.rs
+++ b/crates/subset/src/matching.rs
@@ -1,4 +1,4 @@
-//! The matching: which pairs of initiators and targets are taken.
+//! The matching of initiators and targets.
 
 use crate::SubsetConfig;
 use crate::assignment::Pair;
@@ -6,20 +6,20 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// The targets of each initiator, by their numbers, and how many initiators each target has.
+/// The targets of each initiator, by number, and the number of initiators of each target.
 pub(crate) struct Matching<'a> {
     config: SubsetConfig,
-    /// Targets' names by their numbers.
+    /// The targets' names by number.
     names: &'a [&'a str],
-    /// Targets' numbers by their names.
+    /// The targets' numbers by name.
     numbers: &'a BTreeMap<String, u32>,
     targets_of: Vec<Vec<u32>>,
-    instance_counts: Vec<usize>,
+    initiator_counts: Vec<usize>,
 }
 
 impl<'a> Matching<'a> {
-    /// Matches candidate pairs, which are in the order of their ranks. Targets get their fewest initiators first,
-    /// and go up to their most with what is left.
+    /// Matches candidate pairs, which must be sorted by rank. Targets first get their minimum of initiators,
+    /// then more up to the maximum.
     pub fn build(
         config: SubsetConfig,
         initiators: u32,
@@ -27,21 +27,21 @@
         numbers: &'a BTreeMap<String, u32>,
         pairs: &[Pair],
     ) -> Matching<'a> {
-        let (fewest, most) = config.bounds(initiators, numbers.len());
+        let (min_initiators, max_initiators) = config.bounds(initiators, numbers.len());
         let targets_of = vec![Vec::new(); initiators as usize];
-        let instance_counts = vec![0; names.len()];
-        let mut matching = Matching { config, names, numbers, targets_of, instance_counts };
-        matching.take_candidates(pairs, fewest);
-        matching.fill_targets(fewest);
-        // Where an initiator finds only full targets, it has its next best ones all the same.
-        for limit in [most, most + 1, usize::MAX] {
-            matching.take_candidates(pairs, limit);
-            matching.fill_instances(limit);
+        let initiator_counts = vec![0; names.len()];
+        let mut matching = Matching { config, names, numbers, targets_of, initiator_counts };
+        matching.add_candidates(pairs, min_initiators);
+        matching.fill_targets(min_initiators);
+        // An initiator whose remaining targets all have their maximum still gets the best of them.
+        for limit in [max_initiators, max_initiators + 1, usize::MAX] {
+            matching.add_candidates(pairs, limit);
+            matching.fill_initiators(limit);
         }
         matching
     }
 
-    /// The targets of each initiator, by their numbers.
+    /// The targets of each initiator, by number.
     pub fn targets_of(&self) -> &[Vec<u32>] {
         &self.targets_of
     }
@@ -54,51 +54,53 @@
         0..self.targets_of.len() as u32
     }
 
-    /// Takes a pair, unless it is taken, its initiator has enough targets, or its target `limit` initiators.
-    fn take(&mut self, initiator: u32, target: u32, limit: usize) {
+    /// Adds a pair unless it is in the matching, its initiator has enough targets, or its target has `limit`
+    /// initiators.
+    fn try_add(&mut self, initiator: u32, target: u32, limit: usize) {
         let targets = &mut self.targets_of[initiator as usize];
-        let instance_count = &mut self.instance_counts[target as usize];
-        let has_room = targets.len() < self.config.size && *instance_count < limit;
+        let initiator_count = &mut self.initiator_counts[target as usize];
+        let has_room = targets.len() < self.config.size && *initiator_count < limit;
         if has_room && !targets.contains(&target) {
             targets.push(target);
-            *instance_count += 1;
+            *initiator_count += 1;
         }
     }
 
-    /// Takes candidate pairs, those of the lowest rank first.
-    fn take_candidates(&mut self, pairs: &[Pair], limit: usize) {
+    /// Adds candidate pairs, the lowest rank first.
+    fn add_candidates(&mut self, pairs: &[Pair], limit: usize) {
         for pair in pairs {
-            self.take(pair.initiator, pair.target, limit);
+            self.try_add(pair.initiator, pair.target, limit);
         }
     }
 
-    /// A target that its candidates have left with fewer takes any initiators that need targets, the best first.
-    /// That is rare, and takes a look at all initiators.
-    fn fill_targets(&mut self, fewest: usize) {
+    /// Gives each target that still has fewer than `min_initiators` initiators any others that need targets, the
+    /// best score first. This is rare, and examines all initiators.
+    fn fill_targets(&mut self, min_initiators: usize) {
         for (name, target) in self.numbers {
-            if self.instance_counts[*target as usize] >= fewest {
+            if self.initiator_counts[*target as usize] >= min_initiators {
                 continue;
             }
             let mut others: Vec<u32> =
                 self.initiators().filter(|initiator| self.needs_targets(*initiator)).collect();
             others.sort_by_cached_key(|initiator| Reverse(score(*initiator, name)));
             for initiator in others {
-                self.take(initiator, *target, fewest);
+                self.try_add(initiator, *target, min_initiators);
             }
         }
     }
 
-    /// The same for an initiator that its candidates have left with too few targets.
-    fn fill_instances(&mut self, limit: usize) {
+    /// Gives each initiator that needs targets after its candidates any targets below the limit, the best
+    /// score first.
+    fn fill_initiators(&mut self, limit: usize) {
         for initiator in self.initiators() {
             if !self.needs_targets(initiator) {
                 continue;
             }
             let mut others: Vec<u32> = self.numbers.values().copied().collect();
-            others.retain(|target| self.instance_counts[*target as usize] < limit);
+            others.retain(|target| self.initiator_counts[*target as usize] < limit);
             others.sort_by_cached_key(|target| Reverse(score(initiator, self.names[*target as usize])));
             for target in others {
-                self.take(initiator, target, limit);
+                self.try_add(initiator, target, limit);
             }
         }
     }
--- a/crates/subset/src/subset.rs
+++ b/crates/subset/src/subset.rs
@@ -1,11 +1,11 @@
-//! One initiator's subset, as the endpoint list changes.
+//! The subset of one initiator, which follows the endpoint list.
 
 use crate::SubsetConfig;
 use crate::assignment::Assignment;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The preferred targets of every initiator, by its index. Targets stand as indices into `targets`, whose order
-/// does not matter for who prefers whom.
+/// Returns the preferred targets of every initiator, as indices into `targets`. The order of `targets` does
+/// not affect which targets an initiator prefers.
 pub fn assignments(config: &SubsetConfig, initiators: u32, targets: &[&str]) -> Vec<BTreeSet<usize>> {
     let indices: BTreeMap<&str, usize> =
         targets.iter().enumerate().map(|(index, name)| (*name, index)).collect();
@@ -15,7 +15,7 @@
     subsets.map(|names| names.into_iter().map(|name| indices[name]).collect()).collect()
 }
 
-/// The targets that this initiator prefers for new objects, as the endpoint list changes.
+/// The targets that one initiator prefers for new objects.
 #[derive(Clone, Debug)]
 pub struct Subset {
     config: SubsetConfig,
@@ -25,19 +25,21 @@
     includes_all_targets: bool,
 }
 
-/// What a change of the endpoint list has changed in a subset.
+/// How a change of the endpoint list affects a subset.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SubsetChange {
-    /// Targets that are preferred now.
+    /// Targets that have become preferred.
     pub added: Vec<String>,
-    /// Targets that are not preferred any more.
+    /// Targets that are no longer preferred.
     pub removed: Vec<String>,
-    /// There are no more targets than the subset holds: all are preferred, which is to prefer none.
+    /// Whether the subset contains all targets because there are no more than its size, so that none is
+    /// preferred to another.
     pub includes_all_targets: bool,
 }
 
 impl Subset {
-    /// `own_index` is one of `initiators`; one beyond them counts as one more.
+    /// Creates the subset of the initiator with index `own_index`. An index beyond the number of initiators
+    /// raises that number to include it.
     pub fn new(config: SubsetConfig, own_index: u32, initiators: u32) -> Subset {
         let initiators = initiators.max(own_index.saturating_add(1));
         Subset {
@@ -49,7 +51,8 @@
         }
     }
 
-    /// The targets that may take new objects now. None: nothing has changed for this initiator.
+    /// Sets the targets that currently accept new objects. Returns `None` if that changes nothing for this
+    /// initiator.
     pub fn update_targets(&mut self, targets: BTreeSet<String>) -> Option<SubsetChange> {
         if !self.assignment.update_targets(&targets) {
             return None;
@@ -61,8 +64,8 @@
             includes_all_targets: self.config.size >= self.assignment.target_count(),
         };
         self.preferred = preferred;
-        // With one target more than the subset holds, this initiator's targets may stay the same, but they are a
-        // choice from then on.
+        // With one target more than the subset holds, this initiator's targets may stay the same, but they
+        // now are a selection of all targets.
         let became_choice_or_all = self.includes_all_targets != change.includes_all_targets;
         self.includes_all_targets = change.includes_all_targets;
         let has_changed = became_choice_or_all || !change.added.is_empty() || !change.removed.is_empty();
