--- a/crates/routing/src/addresses.rs
+++ b/crates/routing/src/addresses.rs
@@ -5,10 +5,10 @@
 use std::collections::BTreeSet;
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr};
 
-/// The prefix length under which all of an IPv6 network is mapped IPv4 addresses.
+/// Prefix length of the IPv6 network that contains all IPv4-mapped addresses.
 const IPV4_MAPPED_PREFIX: u8 = 96;
 
-/// A set of addresses, as networks. An IPv4 network mapped into IPv6 counts as the IPv4 one.
+/// A set of addresses, given as networks. An IPv4-mapped IPv6 network is stored as the IPv4 network.
 #[derive(Clone, Debug, Default)]
 pub struct AddressSet {
     networks: Vec<IpNet>,
@@ -23,7 +23,7 @@
 }
 
 impl AddressSet {
-    /// Adds a network.
+    /// Adds all addresses of a network.
     pub fn insert(&mut self, network: IpNet) {
         let network = canonical(network);
         self.networks.push(network);
@@ -33,7 +33,8 @@
         }
     }
 
-    /// The length in bits of the longest prefix that holds the address; none: the address is not in the set.
+    /// The length in bits of the longest prefix that contains the address; `None` if the address is not in
+    /// the set.
     pub fn longest_prefix(&self, addr: IpAddr) -> Option<u8> {
         match addr.to_canonical() {
             IpAddr::V4(v4) => self.v4.get_lpm(&Ipv4Net::from(v4)).map(|network| network.prefix_len()),
@@ -41,8 +42,8 @@
         }
     }
 
-    /// Adds the addresses between which nothing changes: the first of each network, and the one behind its
-    /// last.
+    /// Adds the addresses at which membership in the set may change: the first of each network, and the one
+    /// after its last.
     pub fn boundaries(&self, out: &mut BTreeSet<IpAddr>) {
         for network in &self.networks {
             out.insert(network.network());
@@ -50,14 +51,14 @@
         }
     }
 
-    /// Whether each network of this set lies inside one of the other's. Where several of the other's together
-    /// cover one, the answer is still no.
+    /// Whether each network of this set is contained in a single network of `other`. A network that only
+    /// several networks of `other` together cover counts as not contained.
     pub fn is_within(&self, other: &AddressSet) -> bool {
         let covered = |network| other.networks.iter().any(|outer| outer.contains(network));
         self.networks.iter().all(covered)
     }
 
-    /// Whether the two sets share an address.
+    /// Whether the two sets have an address in common.
     pub fn overlaps(&self, other: &AddressSet) -> bool {
         let shared = |a: &IpNet, b: &IpNet| a.contains(b) || b.contains(a);
         self.networks.iter().any(|a| other.networks.iter().any(|b| shared(a, b)))
@@ -74,7 +75,7 @@
     }
 }
 
-/// The address behind another; none behind the last.
+/// The next address; `None` after the last one.
 fn successor(addr: IpAddr) -> Option<IpAddr> {
     match addr {
         IpAddr::V4(v4) => u32::from(v4).checked_add(1).map(|next| IpAddr::V4(Ipv4Addr::from(next))),
--- a/crates/routing/src/check/checker.rs
+++ b/crates/routing/src/check/checker.rs
@@ -1,4 +1,4 @@
-//! The check of one expectation against the table: every class of equivalent requests is tried.
+//! Checks one expectation against the table by evaluating a sample of every class of equivalent requests.
 
 use super::report::Verdict;
 use super::samples::{RequestSamples, sample_volumes};
@@ -10,7 +10,7 @@
 use crate::target::{TargetInfo, TargetSelector};
 use std::collections::BTreeSet;
 
-/// What expectations are held against.
+/// The data that expectations are checked against.
 pub(super) struct Checker<'a> {
     pub(super) table: &'a RouteTable,
     pub(super) settings: &'a ServiceSettings,
@@ -20,20 +20,20 @@
     all_targets: TargetSelector,
 }
 
-/// Whether a requirement holds for one request.
+/// Whether a requirement is met for one request.
 pub(super) enum RequestVerdict {
     Holds,
-    /// It does not, for this reason, and with this endpoint list.
+    /// The requirement is not met, for this reason and with this endpoint list.
     Broken {
-        why: String,
+        reason: String,
         list: Vec<String>,
     },
-    /// It depends on attributes of these targets, which are not listed.
+    /// The result depends on the attributes of these targets, which are not listed.
     Undecided(BTreeSet<String>),
 }
 
 impl RequestVerdict {
-    /// It holds, unless it depends on these targets.
+    /// The requirement is met unless the result depends on unlisted targets.
     pub(super) fn unless_undecided(unlisted: BTreeSet<String>) -> RequestVerdict {
         match unlisted.is_empty() {
             true => RequestVerdict::Holds,
@@ -58,17 +58,17 @@
         }
     }
 
-    /// Whether the endpoint list names the target.
+    /// Whether the endpoint list contains the target.
     pub(super) fn is_listed(&self, name: &str) -> bool {
         self.listed.contains(name)
     }
 
-    /// The names in a selector that are not listed.
+    /// The names in a selector that the endpoint list does not contain.
     pub(super) fn unlisted<'s>(&self, selector: &'s TargetSelector) -> impl Iterator<Item = &'s String> {
         selector.names.iter().flatten().filter(|name| !self.is_listed(name))
     }
 
-    /// The listed targets that a selector holds for a shard.
+    /// The listed targets that a selector selects; only those of a shard if one is given.
     pub(super) fn members<'s>(
         &self,
         selector: &'s TargetSelector,
@@ -78,7 +78,7 @@
         self.targets.iter().filter(holds_shard).filter(|target| selector.selects(target))
     }
 
-    /// The pools that could serve a request of a route: the first, and where it has no target the second.
+    /// The pools that may serve a request of a route: its pool, and the fallback for when that has no target.
     pub(super) fn pools(&self, route: Option<usize>) -> Vec<&TargetSelector> {
         let Some(route) = route.map(|index| &self.table.routes()[index]) else {
             return vec![&self.all_targets];
@@ -87,16 +87,16 @@
         indices.map(|index| &self.table.pools()[index].targets).collect()
     }
 
-    /// Requests of a volume that stand for all which its routes and this match could tell apart.
+    /// Sample requests of a volume, one for each class that its routes and this match can distinguish.
     pub(super) fn samples(&self, volume: u64, requests: &RequestMatch) -> RequestSamples<'a> {
         let matches = self.table.candidate_matches(volume).chain([requests]);
         RequestSamples::of(matches, self.settings, &self.shards)
     }
 
-    /// Whether an expectation holds.
+    /// Checks an expectation.
     pub(super) fn verdict(&self, expectation: &Expectation) -> Verdict {
-        if let Some(why) = self.broken_by_settings(expectation) {
-            return Verdict::Broken { why, request: None, list: Vec::new(), route: None };
+        if let Some(reason) = self.broken_by_settings(expectation) {
+            return Verdict::Broken { reason, request: None, list: Vec::new(), route: None };
         }
         if expectation.requirement.is_about_settings() {
             return Verdict::Holds;
@@ -104,15 +104,15 @@
         let mut unlisted = BTreeSet::new();
         for volume in sample_volumes(self.table, &expectation.requests) {
             let samples = self.samples(volume, &expectation.requests);
-            for request in samples.requests(volume).filter(|request| self.counts(expectation, request)) {
+            for request in samples.requests(volume).filter(|request| self.applies_to(expectation, request)) {
                 let route = self.table.route(&request);
                 match self.check_request(&expectation.requirement, &request, route) {
                     RequestVerdict::Holds => {}
                     RequestVerdict::Undecided(names) => unlisted.extend(names),
-                    RequestVerdict::Broken { why, list } => {
+                    RequestVerdict::Broken { reason, list } => {
                         let route = route.map(|index| &self.table.routes()[index]);
                         return Verdict::Broken {
-                            why,
+                            reason,
                             request: Some(request.to_string()),
                             list,
                             route: route.map(|route| (route.name.clone(), route.origin.clone())),
@@ -124,8 +124,8 @@
         if unlisted.is_empty() { Verdict::Holds } else { Verdict::Undecided { unlisted } }
     }
 
-    /// Whether a request counts for an expectation.
-    fn counts(&self, expectation: &Expectation, request: &RouteRequest<'_>) -> bool {
+    /// Whether an expectation applies to a request.
+    fn applies_to(&self, expectation: &Expectation, request: &RouteRequest<'_>) -> bool {
         if !expectation.requests.matches(request) {
             return false;
         }
@@ -133,7 +133,8 @@
         match expectation.requirement {
             Requirement::MinNewObjectTargets(_) => false,
             Requirement::Only(_) | Requirement::Never { .. } => true,
-            // A shard that no target holds has none whatever the routes say: only one that is named counts.
+            // No route can reach a target for a shard that no target holds; it counts only if the expectation
+            // names it.
             _ => {
                 let named = expectation.requests.shards.as_ref();
                 self.shards.contains(&shard) || named.is_some_and(|shards| shards.contains(&shard))
--- a/crates/routing/src/check/contradictions.rs
+++ b/crates/routing/src/check/contradictions.rs
@@ -1,4 +1,4 @@
-//! Expectations that cannot hold together.
+//! Finds expectations that cannot be met together.
 
 use super::report::Contradiction;
 use super::selectors::{are_disjoint, attributes_disjoint, attributes_within, is_subset};
@@ -6,23 +6,23 @@
 use crate::target::{ListedState, TargetSelector};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Finds all pairs of expectations that cannot both hold.
+/// Finds all pairs of expectations that cannot both be met.
 pub(super) fn find(expectations: &[Expectation]) -> Vec<Contradiction> {
     let mut contradictions = Vec::new();
-    for (first, second) in pairs_that_may_meet(expectations) {
+    for (first, second) in pairs_that_may_overlap(expectations) {
         let (a, b) = (&expectations[first], &expectations[second]);
         let conflict =
             conflict(&a.requirement, &b.requirement).or_else(|| conflict(&b.requirement, &a.requirement));
-        if let Some(why) = conflict.filter(|_| a.requests.overlaps(&b.requests)) {
-            contradictions.push(Contradiction { first, second, why: why.to_string() });
+        if let Some(reason) = conflict.filter(|_| a.requests.overlaps(&b.requests)) {
+            contradictions.push(Contradiction { first, second, reason: reason.to_string() });
         }
     }
     contradictions
 }
 
-/// Indices of expectations whose requests may overlap. Those that name volumes one by one do so only where they
-/// share one: that keeps thousands of them linear.
-fn pairs_that_may_meet(expectations: &[Expectation]) -> BTreeSet<(usize, usize)> {
+/// Indices of expectations whose requests may overlap. Expectations that name single volumes are paired only
+/// if they share one, which keeps the work linear for thousands of them.
+fn pairs_that_may_overlap(expectations: &[Expectation]) -> BTreeSet<(usize, usize)> {
     let mut by_volume: BTreeMap<u64, Vec<usize>> = BTreeMap::new();
     let mut general = Vec::new();
     for (index, expectation) in expectations.iter().enumerate() {
@@ -44,33 +44,33 @@
     pairs
 }
 
-/// Why two requirements cannot both hold for a request; none: they can.
+/// Why two requirements cannot both be met for a request; `None` if they can.
 fn conflict(a: &Requirement, b: &Requirement) -> Option<&'static str> {
     use Requirement::{MinNewObjectTargets, Never, Only, Rejected, Some as SomeOf};
     match (a, b) {
         (Only(allowed), Only(other)) if disjoint(allowed, other) => {
-            Some("each allows only boxes that the other forbids")
+            Some("each allows only targets that the other forbids")
         }
         (Only(allowed), SomeOf { targets: wanted, .. }) if disjoint(allowed, wanted) => {
-            Some("one wants a box reached that the other forbids")
+            Some("one requires a target that the other forbids")
         }
-        (Only(allowed), Never { targets: banned, states })
-            if within(allowed, banned) && bans_all_work(states) =>
+        (Only(allowed), Never { targets: forbidden, states })
+            if within(allowed, forbidden) && includes_all_accepting_states(states) =>
         {
-            Some("what one allows the other forbids")
+            Some("one forbids all targets that the other allows")
         }
-        (SomeOf { targets: wanted, .. }, Never { targets: banned, states })
-            if within(wanted, banned) && bans_all_work(states) =>
+        (SomeOf { targets: wanted, .. }, Never { targets: forbidden, states })
+            if within(wanted, forbidden) && includes_all_accepting_states(states) =>
         {
-            Some("one wants a box reached that the other forbids")
+            Some("one requires a target that the other forbids")
         }
         (Rejected, SomeOf { .. } | MinNewObjectTargets(1..)) => {
-            Some("one wants it refused, the other served")
+            Some("one requires that requests are rejected, the other that they are served")
         }
         (Only(allowed), MinNewObjectTargets(min))
             if allowed.names.as_ref().is_some_and(|names| names.len() < *min) =>
         {
-            Some("one allows fewer boxes than the other asks for")
+            Some("one allows fewer targets than the other requires")
         }
         _ => None,
     }
@@ -84,7 +84,7 @@
     is_subset(&a.names, &b.names) && attributes_within(a, b, None)
 }
 
-/// Whether the states are all of those in which targets take work.
-fn bans_all_work(states: &[ListedState]) -> bool {
-    ListedState::ALL.iter().all(|state| !state.takes_work() || states.contains(state))
+/// Whether the states include all in which targets accept new requests.
+fn includes_all_accepting_states(states: &[ListedState]) -> bool {
+    ListedState::ALL.iter().all(|state| !state.accepts_requests() || states.contains(state))
 }
--- a/crates/routing/src/check/mod.rs
+++ b/crates/routing/src/check/mod.rs
@@ -1,9 +1,11 @@
-//! Holds expectations against a table: for all requests, by classes of requests that no route and no
-//! expectation tells apart, and for all states of targets, by what a pool could ever hold.
+//! Checks expectations against a table: for all requests, grouped into classes that no route and no
+//! expectation distinguishes, and for all states of targets, based on the targets that a pool can ever
+//! contain.
 //!
-//! A class of requests is one point of each field's values: one for each value that is named, one for all
-//! others, one between any two edges of networks. A target that is not listed can come with any name and place
-//! that its pool takes; where only its attributes would decide, the verdict waits for the list to name it.
+//! A class of requests combines one value of each field: a value that is named, one that stands for all
+//! others, or one between two neighboring boundaries of networks. A target that is not listed may appear with
+//! any name and attributes that its pool allows; if the result depends only on its attributes, the check is
+//! undecided until the endpoint list contains the target.
 
 mod checker;
 mod contradictions;
--- a/crates/routing/src/check/report.rs
+++ b/crates/routing/src/check/report.rs
@@ -1,39 +1,39 @@
-//! What a check found, and what follows for the configuration.
+//! The results of a check, and whether the configuration may be loaded.
 
 use crate::expectation::{Expectation, WhenUndecided};
 use crate::table::Origin;
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// What a check of an expectation found.
+/// The result of checking an expectation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    /// It holds.
+    /// The expectation is met.
     Holds,
-    /// It does not hold.
+    /// The expectation is not met.
     Broken {
-        /// Why not.
-        why: String,
-        /// The smallest request that shows it.
+        /// The reason.
+        reason: String,
+        /// A request that violates the expectation; absent if the settings alone violate it.
         request: Option<String>,
-        /// The smallest endpoint list that shows it.
+        /// The endpoint list with which the request violates the expectation.
         list: Vec<String>,
-        /// The name and place of the route that the request takes.
+        /// The name and origin of the request's route; absent if no route matches the request.
         route: Option<(String, Origin)>,
     },
-    /// It depends on attributes of targets that are not listed.
+    /// The result depends on attributes of targets that are not listed.
     Undecided {
-        /// Their names.
+        /// The names of these targets.
         unlisted: BTreeSet<String>,
     },
 }
 
-/// An expectation's verdict.
+/// The result for one expectation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Finding {
-    /// The expectation's index.
+    /// The index of the expectation.
     pub expectation: usize,
-    /// Whether it holds.
+    /// The result of the check.
     pub verdict: Verdict,
 }
 
@@ -41,60 +41,63 @@
     fn line(&self, expectation: &str) -> Option<String> {
         match &self.verdict {
             Verdict::Holds => None,
-            Verdict::Broken { why, request, list, route } => {
-                let mut line = format!("{expectation} is broken: {why}");
+            Verdict::Broken { reason, request, list, route } => {
+                let mut line = format!("{expectation} is broken: {reason}");
                 if let Some(request) = request {
-                    line += &format!("; by a request of {request}");
+                    line += &format!("; request: {request}");
                 }
                 if !list.is_empty() {
-                    line += &format!("; with the list {}", list.join(", "));
+                    line += &format!("; endpoint list: {}", list.join(", "));
                 }
                 if let Some((route, origin)) = route {
-                    line += &format!("; on route {route:?} ({origin})");
+                    line += &format!("; route: {route:?} ({origin})");
                 }
                 Some(line)
             }
             Verdict::Undecided { unlisted } => {
                 let unlisted: Vec<&str> = unlisted.iter().map(String::as_str).collect();
-                Some(format!("{expectation} cannot be decided before the list names {}", unlisted.join(", ")))
+                Some(format!(
+                    "{expectation} cannot be decided until the endpoint list contains {}",
+                    unlisted.join(", ")
+                ))
             }
         }
     }
 }
 
-/// Two expectations that cannot both hold.
+/// Two expectations that cannot be met together.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Contradiction {
-    /// The index of the first.
+    /// The index of the first expectation.
     pub first: usize,
-    /// The index of the second.
+    /// The index of the second expectation.
     pub second: usize,
-    /// Why they cannot.
-    pub why: String,
+    /// Why they cannot be met together.
+    pub reason: String,
 }
 
-/// What is no error and worth a look.
+/// A route or pool without effect, which is probably a mistake.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Warning {
-    /// Where it stands.
+    /// The origin of the route or pool.
     pub origin: Origin,
-    /// What it is.
+    /// What is probably wrong.
     pub problem: String,
 }
 
-/// All that a check found.
+/// The results of a check.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Report {
-    /// Of every expectation, in their order.
+    /// The results of all expectations, in their order.
     pub findings: Vec<Finding>,
-    /// Expectations that cannot hold together.
+    /// Pairs of expectations that cannot be met together.
     pub contradictions: Vec<Contradiction>,
-    /// Routes and pools that do nothing.
+    /// Routes and pools without effect.
     pub warnings: Vec<Warning>,
 }
 
 impl Report {
-    /// Whether the configuration may be loaded, and if not, whether it may be once the list names more targets.
+    /// Decides whether the configuration may be loaded, or may be once more targets are listed.
     pub fn decision(&self, expectations: &[Expectation]) -> Decision {
         let broken = self.findings.iter().any(|finding| matches!(finding.verdict, Verdict::Broken { .. }));
         let undecided = |when| self.has_undecided(expectations, when);
@@ -115,38 +118,38 @@
             .any(|expectation| expectation.when_undecided == when)
     }
 
-    /// What an operator reads: each broken or undecided expectation, contradiction and warning, a paragraph
-    /// each.
+    /// The report for an operator: a paragraph for each expectation that is broken or undecided, each
+    /// contradiction and each warning.
     pub fn lines(&self, expectations: &[Expectation]) -> Vec<String> {
         let name = |index: usize| {
             expectations.get(index).map_or(String::new(), |e| format!("{}: {:?}", e.origin, e.name))
         };
         let findings = self.findings.iter().filter_map(|finding| finding.line(&name(finding.expectation)));
-        let contradictions = self.contradictions.iter().map(|Contradiction { first, second, why }| {
-            format!("{} and {} contradict each other: {why}", name(*first), name(*second))
+        let contradictions = self.contradictions.iter().map(|Contradiction { first, second, reason }| {
+            format!("{} and {} contradict each other: {reason}", name(*first), name(*second))
         });
         let warnings = self.warnings.iter().map(|w| format!("warning: {}: {}", w.origin, w.problem));
         findings.chain(contradictions).chain(warnings).collect()
     }
 }
 
-/// What happens to a configuration.
+/// The decision on a configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// It is loaded.
+    /// The configuration can be loaded.
     Load,
-    /// It is kept until the list names the targets that it depends on.
+    /// The configuration is held until the targets that it depends on are listed.
     Hold,
-    /// It is not loaded.
+    /// The configuration is refused.
     Refuse,
 }
 
 impl fmt::Display for Decision {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Decision::Load => "it can be loaded",
-            Decision::Hold => "it waits for boxes that are not listed",
-            Decision::Refuse => "it is refused",
+            Decision::Load => "configuration can be loaded",
+            Decision::Hold => "configuration is held until more targets are listed",
+            Decision::Refuse => "configuration is refused",
         })
     }
 }
--- a/crates/routing/src/check/requirements.rs
+++ b/crates/routing/src/check/requirements.rs
@@ -1,4 +1,4 @@
-//! What each requirement asks of the pools that a request could reach.
+//! Checks each kind of requirement against the pools that a request may reach.
 
 use super::checker::{Checker, RequestVerdict};
 use super::selectors::{attributes_disjoint, attributes_within};
@@ -8,23 +8,23 @@
 use crate::target::{ListedState, TargetInfo, TargetSelector};
 use std::collections::BTreeSet;
 
-/// What an operator reads where a pool could hold a target that nobody has listed.
-const UNLISTED_TARGET_REACHED: &str = "it could reach a box that is not listed yet";
+/// The reason for an operator if a pool may contain a target that is not listed.
+const UNLISTED_TARGET_REACHED: &str = "a request could reach a target that is not listed yet";
 
-/// The verdict that a request could reach a target, in a state.
+/// The verdict that a request may reach this target in this state.
 fn reaches(name: &str, state: ListedState) -> RequestVerdict {
     let list = vec![format!("{name} {}", state.word())];
-    RequestVerdict::Broken { why: format!("it could reach {name}"), list }
+    RequestVerdict::Broken { reason: format!("a request could reach {name}"), list }
 }
 
-/// The verdict that a request could reach a target that nobody has listed.
+/// The verdict that a request may reach a target that is not listed.
 fn reaches_unlisted(state: ListedState) -> RequestVerdict {
-    let list = vec![format!("a new box of the pool, {}", state.word())];
-    RequestVerdict::Broken { why: UNLISTED_TARGET_REACHED.to_string(), list }
+    let list = vec![format!("a new target of the pool, {}", state.word())];
+    RequestVerdict::Broken { reason: UNLISTED_TARGET_REACHED.to_string(), list }
 }
 
 impl Checker<'_> {
-    /// Whether a requirement holds for a request that takes this route.
+    /// Whether a requirement is met for a request with this route.
     pub(super) fn check_request(
         &self,
         requirement: &Requirement,
@@ -56,7 +56,7 @@
             if let Some(target) = self.members(pool, shard).find(|target| !wanted.selects(target)) {
                 return reaches(&target.name, ListedState::Active);
             }
-            // A pool that cannot hold the shard holds no target for it.
+            // A pool that cannot contain targets of the shard is never used for the request.
             if shard.is_some_and(|shard| !pool.may_hold_shard(shard)) {
                 continue;
             }
@@ -83,26 +83,26 @@
         &self,
         pools: &[&TargetSelector],
         shard: Option<u32>,
-        banned: &TargetSelector,
+        forbidden: &TargetSelector,
         states: &[ListedState],
     ) -> RequestVerdict {
-        // No target is given new work in the other states, whatever the routes say.
-        let Some(state) = states.iter().copied().find(|state| state.takes_work()) else {
+        // In all other states targets get no new requests, whatever the routes are.
+        let Some(state) = states.iter().copied().find(|state| state.accepts_requests()) else {
             return RequestVerdict::Holds;
         };
         let mut undecided = BTreeSet::new();
         for pool in pools {
-            if let Some(target) = self.members(pool, shard).find(|target| banned.selects(target)) {
+            if let Some(target) = self.members(pool, shard).find(|target| forbidden.selects(target)) {
                 return reaches(&target.name, state);
             }
-            if attributes_disjoint(pool, banned, shard) {
+            if attributes_disjoint(pool, forbidden, shard) {
                 continue;
             }
-            if pool.names.is_none() && banned.names.is_none() {
+            if pool.names.is_none() && forbidden.names.is_none() {
                 return reaches_unlisted(state);
             }
-            for name in names_in_both(pool, banned).into_iter().filter(|name| !self.is_listed(name)) {
-                if pool.is_by_name_only() && banned.is_by_name_only() && shard.is_none() {
+            for name in names_in_both(pool, forbidden).into_iter().filter(|name| !self.is_listed(name)) {
+                if pool.is_by_name_only() && forbidden.is_by_name_only() && shard.is_none() {
                     return reaches(name, state);
                 }
                 undecided.insert(name.clone());
@@ -125,21 +125,24 @@
         let wanted_names: BTreeSet<&str> = wanted_targets.map(|target| target.name.as_str()).collect();
         let first = names(pools[0]);
         let second = pools.get(1).map(|pool| names(pool)).unwrap_or_default();
-        let lost = losses_until_none(&first, &second, &wanted_names);
+        let lost = losses_until_unreachable(&first, &second, &wanted_names);
         if lost > without {
             return RequestVerdict::Holds;
         }
-        let why = match lost {
-            0 => "none of the boxes is reached".to_string(),
-            lost => format!("none of the boxes is reached once {lost} of them have gone"),
+        let reason = match lost {
+            0 => "requests reach none of the required targets".to_string(),
+            lost => format!("requests reach none of the required targets once {lost} of them are gone"),
         };
-        self.too_few(pools, Some(wanted), why)
+        self.verdict_for_too_few(pools, Some(wanted), reason)
     }
 
     fn check_rejected(&self, pools: &[&TargetSelector], shard: Option<u32>) -> RequestVerdict {
         if let Some(target) = pools.iter().find_map(|pool| self.members(pool, shard).next()) {
             let list = vec![format!("{} {}", target.name, ListedState::Active.word())];
-            return RequestVerdict::Broken { why: format!("{} serves it", target.name), list };
+            return RequestVerdict::Broken {
+                reason: format!("{} serves a request that must be rejected", target.name),
+                list,
+            };
         }
         RequestVerdict::unless_undecided(pools.iter().flat_map(|pool| self.unlisted(pool).cloned()).collect())
     }
@@ -150,19 +153,23 @@
         if reachable >= min {
             return RequestVerdict::Holds;
         }
-        self.too_few(pools, None, format!("it can go to {reachable} boxes, not {min}"))
+        self.verdict_for_too_few(
+            pools,
+            None,
+            format!("new objects can go to {reachable} targets, expected at least {min}"),
+        )
     }
 
-    /// The verdict where too few targets are there: that they are too few, or that more are named than listed.
-    fn too_few(
+    /// The verdict for too few targets: undecided if some named targets are not listed yet, broken otherwise.
+    fn verdict_for_too_few(
         &self,
         pools: &[&TargetSelector],
         wanted: Option<&TargetSelector>,
-        why: String,
+        reason: String,
     ) -> RequestVerdict {
         if self.targets.is_empty() {
-            // Without a list nothing can be counted yet.
-            return RequestVerdict::Undecided(["any box".to_string()].into());
+            // Nothing can be counted without an endpoint list.
+            return RequestVerdict::Undecided(["any target".to_string()].into());
         }
         let selectors = pools.iter().copied().chain(wanted);
         let unlisted: BTreeSet<String> =
@@ -171,41 +178,43 @@
             return RequestVerdict::Undecided(unlisted);
         }
         let list = self.targets.iter().map(|target: &TargetInfo| target.name.clone()).collect();
-        RequestVerdict::Broken { why, list }
+        RequestVerdict::Broken { reason, list }
     }
 
-    /// Why the settings alone break an expectation; none: they do not.
+    /// Why the settings alone violate an expectation; `None` if they do not.
     pub(super) fn broken_by_settings(&self, expectation: &Expectation) -> Option<String> {
         let settings = self.settings;
         match expectation.requirement {
             Requirement::MaxAttempts(max) if settings.max_attempts > max => {
-                Some(format!("the settings allow {} attempts, not {max}", settings.max_attempts))
+                Some(format!("the settings allow {} attempts, expected at most {max}", settings.max_attempts))
             }
             Requirement::MaxDrainGraceMs(max) if settings.drain_grace_ms > max => Some(format!(
-                "the settings allow {} ms after a drain is told, not {max}",
+                "the settings allow requests for {} ms after a drain, expected at most {max} ms",
                 settings.drain_grace_ms
             )),
             Requirement::MaxUnitsPerSecond(max) => {
                 let wanted = expectation.requests.plans.as_ref();
                 let applies = |plan: &&PlanSettings| wanted.is_none_or(|names| names.contains(&plan.name));
-                settings.plans.iter().filter(applies).find_map(|plan| exceeded(plan, max))
+                settings.plans.iter().filter(applies).find_map(|plan| plan_limit_violation(plan, max))
             }
             _ => None,
         }
     }
 }
 
-/// Why a plan allows more units a second than `max`; none: it does not.
-fn exceeded(plan: &PlanSettings, max: f64) -> Option<String> {
+/// Why a plan violates the limit `max`, in units per second; `None` if it does not.
+fn plan_limit_violation(plan: &PlanSettings, max: f64) -> Option<String> {
     let name = &plan.name;
     match plan.max_units_per_second {
-        None => Some(format!("plan {name} has no limit")),
-        Some(limit) if limit > max => Some(format!("plan {name} allows {limit} units a second, not {max}")),
+        None => Some(format!("plan {name} has no unit limit, expected at most {max} units per second")),
+        Some(limit) if limit > max => {
+            Some(format!("plan {name} allows {limit} units per second, expected at most {max}"))
+        }
         Some(_) => None,
     }
 }
 
-/// The names that both selectors could hold.
+/// The names that both selectors may select.
 fn names_in_both<'s>(a: &'s TargetSelector, b: &'s TargetSelector) -> BTreeSet<&'s String> {
     match (&a.names, &b.names) {
         (Some(a), Some(b)) => a.intersection(b).collect(),
@@ -214,9 +223,13 @@
     }
 }
 
-/// The fewest targets that must go until none of the wanted is reached: those of the first pool, and where only
-/// wanted ones are in it, those of the second as well.
-fn losses_until_none(first: &BTreeSet<&str>, second: &BTreeSet<&str>, wanted: &BTreeSet<&str>) -> usize {
+/// The smallest number of targets whose loss leaves no wanted target reachable: the wanted ones in the first
+/// pool, and if that pool contains no others, also the wanted ones in the second.
+fn losses_until_unreachable(
+    first: &BTreeSet<&str>,
+    second: &BTreeSet<&str>,
+    wanted: &BTreeSet<&str>,
+) -> usize {
     let wanted_in_first = first.intersection(wanted).count();
     if wanted_in_first < first.len() {
         return wanted_in_first;
--- a/crates/routing/src/check/samples.rs
+++ b/crates/routing/src/check/samples.rs
@@ -1,4 +1,4 @@
-//! Requests that stand for all requests which routes and expectations could tell apart.
+//! Samples of requests: one for each class that routes and expectations can distinguish.
 
 use crate::request::{Front, RouteRequest};
 use crate::request_match::{RequestMatch, VolumeRanges, in_ranges};
@@ -7,7 +7,8 @@
 use std::collections::BTreeSet;
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr};
 
-/// For each field, values that stand for all requests of one volume that a set of matches could tell apart.
+/// For each field, the values needed to represent all requests of one volume that a set of matches can
+/// distinguish.
 pub(crate) struct RequestSamples<'a> {
     fronts: Vec<Front>,
     clients: Vec<Option<IpAddr>>,
@@ -28,12 +29,12 @@
                 true => vec![Front::Http, Front::Iscsi],
                 false => vec![Front::Http],
             },
-            clients: clients(matches.clone()),
+            clients: sample_clients(matches.clone()),
             classes: match any(|m| m.classes.is_some() || m.write.is_some()) {
                 true => &settings.classes,
                 false => settings.classes.get(..1).unwrap_or_default(),
             },
-            plans: plans(settings, any(|m| m.plans.is_some())),
+            plans: sample_plans(settings, any(|m| m.plans.is_some())),
             shards: sample_shards(matches, shards),
         }
     }
@@ -62,7 +63,7 @@
     }
 }
 
-fn clients<'m>(matches: impl Iterator<Item = &'m RequestMatch>) -> Vec<Option<IpAddr>> {
+fn sample_clients<'m>(matches: impl Iterator<Item = &'m RequestMatch>) -> Vec<Option<IpAddr>> {
     let mut boundaries = BTreeSet::new();
     for clients in matches.filter_map(|m| m.clients.as_ref()) {
         boundaries.insert(IpAddr::V4(Ipv4Addr::UNSPECIFIED));
@@ -72,7 +73,7 @@
     [None].into_iter().chain(boundaries.into_iter().map(Some)).collect()
 }
 
-fn plans(settings: &ServiceSettings, named: bool) -> Vec<Option<&str>> {
+fn sample_plans(settings: &ServiceSettings, named: bool) -> Vec<Option<&str>> {
     let mut plans: Vec<Option<&str>> = settings.plans.iter().map(|plan| Some(plan.name.as_str())).collect();
     match named {
         true => plans.push(None),
@@ -81,7 +82,7 @@
     plans
 }
 
-/// No shard, each that is listed or named, and one that is neither.
+/// No shard, each shard that is listed or named, and one other.
 fn sample_shards<'m>(
     matches: impl Iterator<Item = &'m RequestMatch>,
     listed: &BTreeSet<u32>,
@@ -92,8 +93,8 @@
     [None].into_iter().chain(shards.into_iter().chain(other).map(Some)).collect()
 }
 
-/// Volumes that stand for all of some requests: those that routes name, and one between any two edges of
-/// ranges.
+/// Volumes that represent all volumes of `requests`: those that routes name, and one between any two
+/// neighboring boundaries of ranges.
 pub(crate) fn sample_volumes(table: &RouteTable, requests: &RequestMatch) -> Vec<u64> {
     if let Some(named) = requests.single_volumes() {
         return named.collect();
@@ -102,14 +103,14 @@
     let ranges = requests.volumes.as_ref().unwrap_or(&all);
     let mut volumes: BTreeSet<u64> = range_edges(table, ranges)
         .into_iter()
-        .filter_map(|edge| (edge..=u64::MAX).find(|volume| !table.names(*volume)))
+        .filter_map(|edge| (edge..=u64::MAX).find(|volume| !table.names_volume(*volume)))
         .filter(|volume| in_ranges(ranges, *volume))
         .collect();
     volumes.extend(table.named_volumes().filter(|volume| in_ranges(ranges, *volume)));
     volumes.into_iter().collect()
 }
 
-/// Where ranges begin, and the volumes behind the ends of the routes' ranges.
+/// The starts of ranges, and the volumes that follow the ends of the routes' ranges.
 fn range_edges(table: &RouteTable, ranges: &VolumeRanges) -> BTreeSet<u64> {
     let mut edges: BTreeSet<u64> = ranges.iter().map(|(first, _)| *first).collect();
     let with_ranges = table.routes().iter().filter(|route| route.requests.single_volumes().is_none());
--- a/crates/routing/src/check/selectors.rs
+++ b/crates/routing/src/check/selectors.rs
@@ -1,4 +1,4 @@
-//! Relations between sets of targets, for targets that nobody has listed yet.
+//! Relations between sets of targets that also cover targets that are not listed yet.
 
 use crate::addresses::AddressSet;
 use crate::target::TargetSelector;
@@ -28,7 +28,7 @@
     matches!((a, b), (Some(a), Some(b)) if !a.overlaps(b))
 }
 
-/// Whether the attributes, names aside, of every target in `a` that holds the shard are those of one in `b`.
+/// Whether the attributes, except names, of every target of the shard in `a` are also selected by `b`.
 pub(super) fn attributes_within(a: &TargetSelector, b: &TargetSelector, shard: Option<u32>) -> bool {
     let shards = match shard {
         Some(shard) => b.may_hold_shard(shard),
@@ -40,7 +40,7 @@
         && addresses_within(&a.addresses, &b.addresses)
 }
 
-/// Whether no target, names aside, could be in both and hold the shard.
+/// Whether no target of the shard can be in both sets, judged by attributes other than names.
 pub(super) fn attributes_disjoint(a: &TargetSelector, b: &TargetSelector, shard: Option<u32>) -> bool {
     let lacks_shard = |selector: &TargetSelector| shard.is_some_and(|shard| !selector.may_hold_shard(shard));
     lacks_shard(a)
--- a/crates/routing/src/check/warnings.rs
+++ b/crates/routing/src/check/warnings.rs
@@ -1,4 +1,4 @@
-//! Routes that no request takes, and pools without a target.
+//! Warnings about routes that no request uses, and pools without targets.
 
 use super::checker::Checker;
 use super::report::Warning;
@@ -6,7 +6,7 @@
 use crate::table::{Pool, Route};
 
 impl Checker<'_> {
-    /// Routes that no request takes, and pools without a target.
+    /// Routes that no request uses, and pools without targets.
     pub(super) fn warnings(&self) -> Vec<Warning> {
         let routes = self.table.routes().iter().enumerate();
         let unused_routes = routes.filter_map(|(index, route)| self.unused_route(index, route));
@@ -15,7 +15,7 @@
     }
 
     fn unused_route(&self, index: usize, route: &Route) -> Option<Warning> {
-        // The first route that takes one of its requests instead.
+        // The first route found that takes precedence for a request of this route.
         let mut instead = None;
         for volume in sample_volumes(self.table, &route.requests) {
             let samples = self.samples(volume, &route.requests);
@@ -27,11 +27,11 @@
                 instead = instead.or(chosen);
             }
         }
-        let why = match instead.map(|index| &self.table.routes()[index]) {
+        let reason = match instead.map(|index| &self.table.routes()[index]) {
             None => "no class or plan of the settings matches it".to_string(),
-            Some(other) => format!("{:?} ({}) takes its requests", other.name, other.origin),
+            Some(other) => format!("route {:?} ({}) takes precedence", other.name, other.origin),
         };
-        let problem = format!("route {:?} is never taken: {why}", route.name);
+        let problem = format!("route {:?} is never used: {reason}", route.name);
         Some(Warning { origin: route.origin.clone(), problem })
     }
 
@@ -40,7 +40,7 @@
         if self.targets.is_empty() || !empty {
             return None;
         }
-        let problem = format!("pool {:?} holds none of the listed boxes", pool.name);
+        let problem = format!("pool {:?} contains no listed target", pool.name);
         Some(Warning { origin: pool.origin.clone(), problem })
     }
 }
--- a/crates/routing/src/diff.rs
+++ b/crates/routing/src/diff.rs
@@ -1,4 +1,4 @@
-//! What another table would change: which requests reach other targets, by classes of equivalent requests.
+//! Compares two tables: which classes of equivalent requests reach other targets.
 
 use crate::check::samples::{RequestSamples, sample_volumes};
 use crate::request::RouteRequest;
@@ -11,17 +11,17 @@
 /// Requests whose targets change in the same way.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
-    /// One of them.
+    /// One of these requests.
     pub request: String,
-    /// How many classes of equivalent requests change in this way.
+    /// Number of classes of equivalent requests that change in this way.
     pub classes: usize,
-    /// The names of the targets that they reach before.
+    /// Names of the targets that the requests reach with the first table.
     pub before: Vec<String>,
-    /// The names of the targets that they reach after.
+    /// Names of the targets that the requests reach with the second table.
     pub after: Vec<String>,
 }
 
-/// The changes from one table to another, with all these targets active.
+/// The changes from one table to another if all these targets are active.
 pub fn diff(
     before: &RouteTable,
     after: &RouteTable,
@@ -36,8 +36,8 @@
             if request.shard.is_some_and(|shard| !shards.contains(&shard)) {
                 continue;
             }
-            let reached_before = reached(before, &request, targets);
-            let reached_after = reached(after, &request, targets);
+            let reached_before = reached_targets(before, &request, targets);
+            let reached_after = reached_targets(after, &request, targets);
             if reached_before != reached_after {
                 let kind = (reached_before.clone(), reached_after.clone());
                 let change = changes.entry(kind).or_insert_with(|| Change {
@@ -59,7 +59,7 @@
 }
 
 /// The names of the targets that a request reaches.
-fn reached(table: &RouteTable, request: &RouteRequest<'_>, targets: &[TargetInfo]) -> Vec<String> {
+fn reached_targets(table: &RouteTable, request: &RouteRequest<'_>, targets: &[TargetInfo]) -> Vec<String> {
     let active = targets.iter().map(|target| (target, ListedState::Active, target.name.clone()));
     table.reachable(table.route(request), request.shard, active)
 }
--- a/crates/routing/src/expectation.rs
+++ b/crates/routing/src/expectation.rs
@@ -1,4 +1,4 @@
-//! What operators expect of their routes.
+//! Operators' expectations of their routes.
 
 use crate::request_match::RequestMatch;
 use crate::table::Origin;
@@ -7,36 +7,37 @@
 /// What must hold for every request of an expectation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Requirement {
-    /// Every target that could be reached is one of these.
+    /// Requests can reach only these targets.
     Only(TargetSelector),
-    /// No target that is one of these, and in one of these states, is reached.
+    /// Requests cannot reach these targets while they are in these states.
     Never {
-        /// The targets.
+        /// The targets that must not be reached.
         targets: TargetSelector,
-        /// The states.
+        /// The states in which they must not be reached.
         states: Vec<ListedState>,
     },
-    /// One of these is reached while all listed targets are active but for any `without` of them.
+    /// Requests reach one of these targets while all listed targets are active, even if any `without` of them
+    /// are missing.
     Some {
-        /// The targets.
+        /// The targets of which one must be reached.
         targets: TargetSelector,
-        /// How many targets may be missing.
+        /// Number of targets that may be missing.
         without: usize,
     },
-    /// No target can serve it, while all listed targets are active.
+    /// No target can serve the requests while all listed targets are active.
     Rejected,
-    /// So many attempts at most.
+    /// Requests get at most this many attempts.
     MaxAttempts(u32),
-    /// Sends to a target that drains end within this time, in milliseconds.
+    /// Requests are sent to a draining target for at most this time, in milliseconds.
     MaxDrainGraceMs(u64),
-    /// A volume gets so many units a second at most.
+    /// Volumes get at most this many units per second.
     MaxUnitsPerSecond(f64),
-    /// New objects can go to so many targets at least, while all listed targets are active.
+    /// New objects can go to at least this many targets while all listed targets are active.
     MinNewObjectTargets(usize),
 }
 
 impl Requirement {
-    /// Whether the settings alone decide it, whatever the routes are.
+    /// Whether only the settings determine if the requirement is met, and not the routes.
     pub fn is_about_settings(&self) -> bool {
         matches!(
             self,
@@ -45,29 +46,29 @@
     }
 }
 
-/// What to do with the configuration while a target that an expectation depends on is not listed.
+/// What to do with the configuration while an expectation depends on targets that are not listed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WhenUndecided {
-    /// Load it with a warning; check again when the list names the target.
+    /// Load it with a warning; check again when the endpoint list contains the targets.
     #[default]
     Warn,
     /// Do not load it.
     Refuse,
-    /// Do not load it yet: load it when the list has named the target and the expectation holds.
+    /// Load it once the endpoint list contains the targets and the expectation is met.
     Hold,
 }
 
-/// An expectation.
+/// A requirement on the routes, for a set of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Expectation {
-    /// Its name.
+    /// The name that reports show.
     pub name: String,
-    /// The requests for which it must hold.
+    /// The requests for which the requirement must be met.
     pub requests: RequestMatch,
-    /// What must hold.
+    /// The requirement.
     pub requirement: Requirement,
-    /// What to do while it cannot be decided.
+    /// What to do while the expectation cannot be decided.
     pub when_undecided: WhenUndecided,
-    /// Where it stands.
+    /// Where the expectation is defined.
     pub origin: Origin,
 }
--- a/crates/routing/src/file/entry.rs
+++ b/crates/routing/src/file/entry.rs
@@ -1,4 +1,4 @@
-//! An entry of a file, and how its keys become sets of targets and requests.
+//! An entry of an operator's file, and the conversion of its keys to sets of targets and requests.
 
 use super::Source;
 use super::error::RouteError;
@@ -14,7 +14,7 @@
 use std::net::IpAddr;
 use std::ops::Range;
 
-/// Where lines begin, so that a place's line is found without counting from the top.
+/// Offsets of the line breaks, to find the line of a byte without counting from the start of the text.
 pub(super) struct LineIndex(Vec<usize>);
 
 impl LineIndex {
@@ -22,13 +22,13 @@
         LineIndex(text.match_indices('\n').map(|(offset, _)| offset).collect())
     }
 
-    /// The line, from 1, of a byte's offset.
+    /// The line, from 1, that contains the byte at this offset.
     fn line(&self, offset: usize) -> usize {
         self.0.partition_point(|end| *end < offset) + 1
     }
 }
 
-/// Knows where an entry stands, for errors and for what is made of it.
+/// The position of an entry in its file, for error messages and for the origin of what is parsed from it.
 pub(super) struct Entry<'a> {
     source: &'a Source,
     line: usize,
@@ -36,7 +36,7 @@
 }
 
 impl Entry<'_> {
-    /// The `index`th entry under `key`.
+    /// Creates the entry with this index under `key`.
     pub(super) fn new<'a>(
         source: &'a Source,
         lines: &LineIndex,
@@ -51,47 +51,49 @@
         Origin { file: self.source.name.clone(), line: self.line, key: self.key.clone() }
     }
 
-    /// What is wrong with a key of the entry, or with the entry where no key is named.
+    /// An error in a key of the entry, or in the entry itself if `key` is empty.
     pub(super) fn error(&self, key: &str, problem: impl Into<String>) -> RouteError {
         RouteError::in_entry(&self.origin(), key, problem.into())
     }
 
-    fn addresses(&self, key: &str, networks: Names) -> Result<Option<AddressSet>, RouteError> {
+    fn parse_addresses(&self, key: &str, networks: Names) -> Result<Option<AddressSet>, RouteError> {
         let Some(networks) = networks else { return Ok(None) };
         let mut set = AddressSet::default();
         for text in networks.into_vec() {
             let network = parse_network(&text);
-            set.insert(network.map_err(|error| self.error(key, format!("{text:?}: {error}")))?);
+            set.insert(
+                network.map_err(|error| self.error(key, format!("invalid network {text:?}: {error}")))?,
+            );
         }
         Ok(Some(set))
     }
 
-    pub(super) fn target_selector(&self, table: SelectorTable) -> Result<TargetSelector, RouteError> {
+    pub(super) fn parse_target_selector(&self, table: SelectorTable) -> Result<TargetSelector, RouteError> {
         let set = |names: Names| names.map(|names| names.into_vec().into_iter().collect());
         Ok(TargetSelector {
             names: set(table.names),
             zones: set(table.zones),
             kinds: set(table.kinds),
             shards: table.shards.map(|shards| shards.into_vec().into_iter().collect()),
-            addresses: self.addresses("network", table.network)?,
+            addresses: self.parse_addresses("network", table.network)?,
         })
     }
 
-    pub(super) fn request_match(
+    pub(super) fn parse_request_match(
         &self,
         table: MatchTable,
         settings: &ServiceSettings,
     ) -> Result<RequestMatch, RouteError> {
-        let fronts = table.front.map(|fronts| self.fronts(fronts.into_vec()));
-        let volumes = table.volume.map(|volumes| self.volumes(volumes.into_vec()));
+        let fronts = table.front.map(|fronts| self.parse_fronts(fronts.into_vec()));
+        let volumes = table.volume.map(|volumes| self.parse_volumes(volumes.into_vec()));
         if table.new == Some(true) && table.shard.is_some() {
-            return Err(self.error("new", "a new object lies on no shard"));
+            return Err(self.error("new", "new = true excludes shard, since a new object has no shard"));
         }
         Ok(RequestMatch {
             fronts: fronts.transpose()?,
-            clients: self.addresses("network", table.network)?,
-            classes: self.known("class", table.class, |name| settings.class(name).is_some())?,
-            plans: self.known("plan", table.plan, |name| settings.has_plan(name))?,
+            clients: self.parse_addresses("network", table.network)?,
+            classes: self.parse_known_names("class", table.class, |name| settings.class(name).is_some())?,
+            plans: self.parse_known_names("plan", table.plan, |name| settings.has_plan(name))?,
             volumes: volumes.transpose()?,
             shards: table.shard.map(|shards| shards.into_vec().into_iter().collect()),
             write: table.write,
@@ -99,17 +101,17 @@
         })
     }
 
-    fn fronts(&self, words: Vec<String>) -> Result<Vec<Front>, RouteError> {
+    fn parse_fronts(&self, words: Vec<String>) -> Result<Vec<Front>, RouteError> {
         let front = |word: String| match word.as_str() {
             "http" => Ok(Front::Http),
             "iscsi" => Ok(Front::Iscsi),
-            _ => Err(self.error("front", format!("{word:?} is neither http nor iscsi"))),
+            _ => Err(self.error("front", format!("unknown front {word:?}, expected http or iscsi"))),
         };
         words.into_iter().map(front).collect()
     }
 
-    /// Names that the settings must have.
-    fn known(
+    /// Names that must exist in the settings.
+    fn parse_known_names(
         &self,
         key: &str,
         names: Names,
@@ -123,30 +125,32 @@
         }
     }
 
-    fn volumes(&self, texts: Vec<String>) -> Result<VolumeRanges, RouteError> {
-        texts.iter().map(|text| self.volume_range(text)).collect()
+    fn parse_volumes(&self, texts: Vec<String>) -> Result<VolumeRanges, RouteError> {
+        texts.iter().map(|text| self.parse_volume_range(text)).collect()
     }
 
-    /// `00000003b4d60021`, or a range with both its ends, `A..B`.
-    fn volume_range(&self, text: &str) -> Result<(u64, u64), RouteError> {
+    /// A volume, such as `00000003b4d60021`, or a range `A..B` that includes both ends.
+    fn parse_volume_range(&self, text: &str) -> Result<(u64, u64), RouteError> {
         let Some((first, last)) = text.split_once("..") else {
-            let volume = self.volume(text)?;
+            let volume = self.parse_volume(text)?;
             return Ok((volume, volume));
         };
-        let (first, last) = (self.volume(first)?, self.volume(last)?);
+        let (first, last) = (self.parse_volume(first)?, self.parse_volume(last)?);
         if first > last {
-            return Err(self.error("volume", format!("{text:?} ends before it begins")));
+            return Err(self.error("volume", format!("range {text:?} ends before it begins")));
         }
         Ok((first, last))
     }
 
-    fn volume(&self, digits: &str) -> Result<u64, RouteError> {
+    fn parse_volume(&self, digits: &str) -> Result<u64, RouteError> {
         let volume = u64::from_str_radix(digits.trim(), 16);
-        volume.map_err(|error| self.error("volume", format!("{digits:?}: {error}")))
+        volume.map_err(|error| {
+            self.error("volume", format!("invalid volume {digits:?}, expected hex digits: {error}"))
+        })
     }
 }
 
-/// A network, or an address alone.
+/// Parses a network, or a single address as a network of one address.
 fn parse_network(text: &str) -> Result<IpNet, ipnet::AddrParseError> {
     text.parse::<IpNet>().or_else(|error| text.parse::<IpAddr>().map(IpNet::from).map_err(|_| error))
 }
--- a/crates/routing/src/file/mod.rs
+++ b/crates/routing/src/file/mod.rs
@@ -1,4 +1,4 @@
-//! Routes and expectations as an operator's files hold them.
+//! Parsing of operators' files with routes and expectations.
 
 mod entry;
 mod error;
@@ -15,29 +15,29 @@
 use std::collections::HashMap;
 use tables::{PoolTable, RouteFile, RouteTableEntry};
 
-/// A file: its name for errors, and its text.
+/// The content of an operator's file.
 #[derive(Clone, Debug)]
 pub struct Source {
-    /// The name.
+    /// The name of the file, for error messages.
     pub name: String,
-    /// The text.
+    /// The TOML text.
     pub text: String,
 }
 
-/// What the files say.
+/// The routes and expectations of all files.
 #[derive(Clone, Debug, Default)]
 pub struct RoutingRules {
     /// The routes and pools.
     pub table: RouteTable,
-    /// What must hold of them.
+    /// Requirements that the routes have to meet.
     pub expectations: Vec<Expectation>,
 }
 
-/// Reads files in their order: routes and expectations of an earlier file come before those of a later one,
-/// and a pool's name stands for one pool in all of them.
+/// Parses files in the given order: routes and expectations of an earlier file come before those of a later
+/// one, and a pool's name refers to the same pool in all files.
 ///
 /// # Errors
-/// A file cannot be used; the error names it, the line and the key.
+/// A file is invalid; the error gives the file, the line and the key.
 pub fn parse(sources: &[Source], settings: &ServiceSettings) -> Result<RoutingRules, RouteError> {
     let mut files = Vec::new();
     for source in sources {
@@ -57,17 +57,17 @@
     for (source, lines, file) in files {
         for (index, table) in file.route.into_iter().enumerate() {
             let entry = Entry::new(source, &lines, table.span(), "route", index);
-            routes.push(route(&entry, table.into_inner(), &pools, settings)?);
+            routes.push(build_route(&entry, table.into_inner(), &pools, settings)?);
         }
         for (index, table) in file.expect.into_iter().enumerate() {
             let entry = Entry::new(source, &lines, table.span(), "expect", index);
-            expectations.push(entry.expectation(table.into_inner(), settings)?);
+            expectations.push(entry.parse_expectation(table.into_inner(), settings)?);
         }
     }
     Ok(RoutingRules { table: RouteTable::new(routes, pools.pools), expectations })
 }
 
-/// The pools of all files.
+/// The pools of all files, by index and by name.
 #[derive(Default)]
 struct Pools {
     pools: Vec<Pool>,
@@ -79,21 +79,21 @@
         let (name, selector) = table.into_parts();
         if let Some(other) = self.by_name.insert(name.clone(), self.pools.len()) {
             let other = &self.pools[other].origin;
-            return Err(entry.error("name", format!("{name:?} stands already at {other}")));
+            return Err(entry.error("name", format!("{name:?} is already defined at {other}")));
         }
-        let targets: TargetSelector = entry.target_selector(selector)?;
+        let targets: TargetSelector = entry.parse_target_selector(selector)?;
         self.pools.push(Pool { name, targets, origin: entry.origin() });
         Ok(())
     }
 
-    /// The index of the pool that a key names.
+    /// The index of the pool that a key refers to.
     fn index(&self, entry: &Entry<'_>, key: &str, name: &str) -> Result<usize, RouteError> {
         let index = self.by_name.get(name).copied();
         index.ok_or_else(|| entry.error(key, format!("there is no pool {name:?}")))
     }
 }
 
-fn route(
+fn build_route(
     entry: &Entry<'_>,
     table: RouteTableEntry,
     pools: &Pools,
@@ -102,6 +102,6 @@
     let pool = pools.index(entry, "pool", &table.pool)?;
     let fallback = table.fallback.as_ref().map(|name| pools.index(entry, "fallback", name)).transpose()?;
     let (name, requests) = table.into_parts();
-    let requests = entry.request_match(requests, settings)?;
+    let requests = entry.parse_request_match(requests, settings)?;
     Ok(Route { name, requests, pool, fallback, origin: entry.origin() })
 }
--- a/crates/routing/src/file/tables.rs
+++ b/crates/routing/src/file/tables.rs
@@ -1,10 +1,10 @@
-//! The tables of an operator's file, with the names of their keys. The compatibility test holds a sample with
-//! every key.
+//! The tables of an operator's file and the names of their keys. The sample of the compatibility test
+//! contains every key.
 
 use serde::Deserialize;
 use toml::Spanned;
 
-/// The part of a file that is about routing; its other tables are read elsewhere.
+/// The routing tables of a file; its other tables are parsed elsewhere.
 #[derive(Default, Deserialize)]
 pub(super) struct RouteFile {
     #[serde(default)]
@@ -15,7 +15,7 @@
     pub(super) expect: Vec<Spanned<ExpectTable>>,
 }
 
-/// One value, or several.
+/// A single value or a list of values.
 #[derive(Clone, Deserialize)]
 #[serde(untagged)]
 pub(super) enum OneOrMore<T> {
@@ -32,12 +32,12 @@
     }
 }
 
-/// A key with names.
+/// A key whose value is one or more names.
 pub(super) type Names = Option<OneOrMore<String>>;
-/// A key with shards.
+/// A key whose value is one or more shards.
 pub(super) type Shards = Option<OneOrMore<u32>>;
 
-/// A set of targets.
+/// The keys that select targets.
 #[derive(Clone, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct SelectorTable {
@@ -49,8 +49,8 @@
     pub(super) network: Names,
 }
 
-/// `[[pool]]`: a name and the keys of a set of targets. They stand here again because serde cannot both flatten
-/// a table and reject unknown keys.
+/// `[[pool]]`: a name and the keys that select targets. The keys are repeated because serde cannot both
+/// flatten a table and reject unknown keys.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct PoolTable {
@@ -69,7 +69,7 @@
     }
 }
 
-/// A set of requests.
+/// The keys that match requests.
 #[derive(Clone, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct MatchTable {
@@ -83,7 +83,7 @@
     pub(super) new: Option<bool>,
 }
 
-/// `[[route]]`: a name, pools and the keys of a set of requests.
+/// `[[route]]`: a name, pools and the keys that match requests.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct RouteTableEntry {
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,17 +1,18 @@
-//! Routes: which targets a request may reach, as data, and what operators expect of them, checked without
-//! traffic.
+//! Routing: which targets a request may reach, configured as data, and operators' expectations of it, which
+//! are checked without traffic.
 //!
-//! A [`RouteTable`] matches a request to a route and the route to a pool of targets. Which target of the pool
-//! gets the request, when, and whether it is retried stays with the scheduler: the table only says which it may
-//! be. Data on one target never routes elsewhere: a request for a shard reaches targets of that shard only,
-//! whatever its pool.
+//! A [`RouteTable`] matches a request to a route and the route to a pool of targets. The scheduler decides
+//! which target of the pool gets the request, when, and whether it is retried; the table only determines the
+//! targets to choose from. A request never reaches targets that do not hold its data: a request for a shard
+//! reaches only targets of that shard, whatever its pool is.
 //!
-//! **Precedence.** Of the routes that match a request, the one whose network holds the client's address by
-//! the longest prefix wins; a route without a network counts as prefix 0. Among equals the first wins: the
-//! files in the order given, each from its top. [`RouteTable::route`] is the one place where this is so.
+//! **Precedence.** Of the routes that match a request, the one whose network contains the client's address
+//! with the longest prefix is used; a route without a network counts as prefix 0. Of several such routes the
+//! first is used, with the files in the order given and each file from its top. Only [`RouteTable::route`]
+//! decides this.
 //!
-//! [`check()`] holds expectations against a table for all requests and all states that a list can show, not
-//! for samples. No part of this crate does I/O or knows the time.
+//! [`check()`] checks expectations against a table for all requests and all states of the endpoint list, not
+//! only for samples. This crate does no I/O and has no clock.
 #![forbid(unsafe_code)]
 
 pub mod addresses;
--- a/crates/routing/src/request.rs
+++ b/crates/routing/src/request.rs
@@ -3,10 +3,10 @@
 use std::fmt;
 use std::net::IpAddr;
 
-/// The front that a request came through.
+/// The front that received a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Front {
-    /// The platform's HTTP.
+    /// The platform's HTTP front.
     Http,
     /// The iSCSI-style front.
     Iscsi,
@@ -15,19 +15,19 @@
 /// The attributes of a request that routes match on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RouteRequest<'a> {
-    /// The front that it came through.
+    /// The front that received the request.
     pub front: Front,
-    /// The client's address; none where the front does not know it.
+    /// The client's address; `None` if the front does not have it.
     pub client: Option<IpAddr>,
-    /// The name of its class.
+    /// The name of the request class.
     pub class: &'a str,
-    /// The name of its volume's QoS plan.
+    /// The name of the volume's QoS plan; `None` if it has none.
     pub plan: Option<&'a str>,
-    /// Whether it writes.
+    /// Whether the request is a write.
     pub write: bool,
-    /// The volume that it reads or writes.
+    /// The volume that the request reads or writes.
     pub volume: u64,
-    /// The shard that holds the object; none for a new object.
+    /// The shard of the object; `None` for a new object.
     pub shard: Option<u32>,
 }
 
--- a/crates/routing/src/request_match.rs
+++ b/crates/routing/src/request_match.rs
@@ -1,10 +1,10 @@
-//! Sets of requests, by the attributes that routes and expectations name.
+//! Sets of requests, defined by the attributes that routes and expectations name.
 
 use crate::addresses::AddressSet;
 use crate::request::{Front, RouteRequest};
 use std::collections::BTreeSet;
 
-/// Volumes, as ranges that include both their ends.
+/// Volumes, as ranges that include both ends.
 pub type VolumeRanges = Vec<(u64, u64)>;
 
 /// Whether a volume is in one of the ranges.
@@ -16,33 +16,33 @@
     a.iter().any(|(a_first, a_last)| b.iter().any(|(b_first, b_last)| a_first <= b_last && b_first <= a_last))
 }
 
-/// A set of requests. An attribute that is none matches every request.
+/// A set of requests. An attribute that is `None` matches every request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RequestMatch {
-    /// The fronts that they come through.
+    /// The fronts that receive the requests.
     pub fronts: Option<Vec<Front>>,
-    /// The clients' addresses.
+    /// The addresses of the clients.
     pub clients: Option<AddressSet>,
-    /// The names of their classes.
+    /// The names of the request classes.
     pub classes: Option<BTreeSet<String>>,
-    /// The names of their volumes' plans.
+    /// The names of the volumes' QoS plans.
     pub plans: Option<BTreeSet<String>>,
-    /// Their volumes.
+    /// The volumes.
     pub volumes: Option<VolumeRanges>,
-    /// The shards of their objects.
+    /// The shards of the objects.
     pub shards: Option<BTreeSet<u32>>,
-    /// Writes, or reads.
+    /// Only writes if true, only reads if false.
     pub write: Option<bool>,
-    /// New objects, or those that lie on a shard.
+    /// Only new objects if true, only objects that have a shard if false.
     pub new: Option<bool>,
 }
 
-/// Whether two values that are both given differ.
+/// Whether both values are given and differ.
 fn differ<T: PartialEq>(a: Option<T>, b: Option<T>) -> bool {
     matches!((a, b), (Some(a), Some(b)) if a != b)
 }
 
-/// Whether two sets share a value; a set that is none holds all.
+/// Whether two sets have a value in common; `None` contains all values.
 fn overlap<T: Ord>(a: &Option<BTreeSet<T>>, b: &Option<BTreeSet<T>>) -> bool {
     match (a, b) {
         (Some(a), Some(b)) => !a.is_disjoint(b),
@@ -50,14 +50,14 @@
     }
 }
 
-/// Whether both values are given and a test of them fails.
-fn both_and_not<T>(a: &Option<T>, b: &Option<T>, test: impl Fn(&T, &T) -> bool) -> bool {
+/// Whether both values are given and the test fails for them.
+fn are_exclusive<T>(a: &Option<T>, b: &Option<T>, test: impl Fn(&T, &T) -> bool) -> bool {
     matches!((a, b), (Some(a), Some(b)) if !test(a, b))
 }
 
 impl RequestMatch {
-    /// Whether the request is in the set, and by how long a prefix of its network in bits: 0 where none is
-    /// named. None: it is not.
+    /// The length in bits of the network prefix by which the request is in the set; 0 if the set names no
+    /// network. `None` if the request is not in the set.
     pub fn matched_prefix(&self, request: &RouteRequest<'_>) -> Option<u8> {
         if !self.matches_all_but_client(request) {
             return None;
@@ -84,14 +84,15 @@
             && self.new.is_none_or(|wanted| wanted == shard.is_none())
     }
 
-    /// Whether the two sets could share a request. It may say yes where only their networks keep them apart.
+    /// Whether the two sets may have a request in common. May be true although only their networks exclude
+    /// it.
     pub fn overlaps(&self, other: &RequestMatch) -> bool {
         let shard_against_new =
             |a: &RequestMatch, b: &RequestMatch| a.shards.is_some() && b.new == Some(true);
         let share_front = |a: &Vec<Front>, b: &Vec<Front>| a.iter().any(|front| b.contains(front));
-        !both_and_not(&self.fronts, &other.fronts, share_front)
-            && !both_and_not(&self.volumes, &other.volumes, ranges_overlap)
-            && !both_and_not(&self.clients, &other.clients, AddressSet::overlaps)
+        !are_exclusive(&self.fronts, &other.fronts, share_front)
+            && !are_exclusive(&self.volumes, &other.volumes, ranges_overlap)
+            && !are_exclusive(&self.clients, &other.clients, AddressSet::overlaps)
             && overlap(&self.classes, &other.classes)
             && overlap(&self.plans, &other.plans)
             && overlap(&self.shards, &other.shards)
@@ -101,7 +102,7 @@
             && !shard_against_new(other, self)
     }
 
-    /// The volumes that it names one by one; none where it holds a range or all.
+    /// The volumes, if each is named individually; `None` if the set contains a range or all volumes.
     pub fn single_volumes(&self) -> Option<impl Iterator<Item = u64> + '_> {
         let ranges = self.volumes.as_ref()?;
         let single = ranges.iter().all(|(first, last)| first == last);
--- a/crates/routing/src/settings.rs
+++ b/crates/routing/src/settings.rs
@@ -1,25 +1,25 @@
 //! The part of the platform's settings that routes and expectations refer to.
 
-/// What the settings say that routes and expectations can refer to.
+/// The settings that routes and expectations can refer to.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ServiceSettings {
     /// The request classes.
     pub classes: Vec<ClassSettings>,
     /// The QoS plans.
     pub plans: Vec<PlanSettings>,
-    /// How many attempts a request gets, at most.
+    /// Maximum number of attempts for a request.
     pub max_attempts: u32,
-    /// How long after a drain was announced a target may still be sent requests, in milliseconds.
+    /// How long requests may still be sent to a target after its drain was announced, in milliseconds.
     pub drain_grace_ms: u64,
 }
 
 impl ServiceSettings {
-    /// The class of this name.
+    /// The class with this name.
     pub fn class(&self, name: &str) -> Option<&ClassSettings> {
         self.classes.iter().find(|class| class.name == name)
     }
 
-    /// Whether there is a plan of this name.
+    /// Whether there is a plan with this name.
     pub fn has_plan(&self, name: &str) -> bool {
         self.plans.iter().any(|plan| plan.name == name)
     }
@@ -28,17 +28,17 @@
 /// A request class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassSettings {
-    /// Its name.
+    /// The name that routes refer to.
     pub name: String,
-    /// Whether its requests are writes.
+    /// Whether requests of the class are writes.
     pub writes: bool,
 }
 
 /// A QoS plan.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlanSettings {
-    /// Its name.
+    /// The name that routes refer to.
     pub name: String,
-    /// The units a second that no volume on it exceeds; none: it has no limit.
+    /// Maximum units per second for each volume with this plan; `None` if the plan has no limit.
     pub max_units_per_second: Option<f64>,
 }
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -1,4 +1,4 @@
-//! The route table: routes, pools, and the one place where a request's route is chosen.
+//! The route table: routes, pools, and the selection of a request's route.
 
 use crate::request::RouteRequest;
 use crate::request_match::RequestMatch;
@@ -7,10 +7,10 @@
 use std::collections::HashMap;
 use std::fmt;
 
-/// Where an entry stands: a file, a line from 1, and a key.
+/// Where an entry is defined: the file, the line and the key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Default)]
 pub struct Origin {
-    /// The file's name.
+    /// The name of the file.
     pub file: String,
     /// The line, from 1.
     pub line: usize,
@@ -27,43 +27,44 @@
 /// A named set of targets.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Pool {
-    /// Its name.
+    /// The name that routes refer to.
     pub name: String,
-    /// The targets in it.
+    /// The targets in the pool.
     pub targets: TargetSelector,
-    /// Where it stands.
+    /// Where the pool is defined.
     pub origin: Origin,
 }
 
-/// Requests, and the pool that may serve them.
+/// A set of requests, and the pools that may serve them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Its name.
+    /// The name that reports show.
     pub name: String,
-    /// The requests that it matches.
+    /// The requests that the route matches.
     pub requests: RequestMatch,
-    /// The index of its pool.
+    /// The index of the pool.
     pub pool: usize,
-    /// The index of the pool that serves where the first has no target; none: such requests are rejected.
+    /// The index of the pool that serves requests for which the first has no target; `None` if they are
+    /// rejected.
     pub fallback: Option<usize>,
-    /// Where it stands.
+    /// Where the route is defined.
     pub origin: Origin,
 }
 
-/// Routes and pools, as one value that does not change.
+/// An immutable set of routes and pools.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
     routes: Vec<Route>,
     pools: Vec<Pool>,
-    /// Indices of the routes that name volumes one by one, by those; in the order of the routes.
+    /// Indices of the routes that name individual volumes, by volume and in the order of the routes.
     by_volume: HashMap<u64, Vec<usize>>,
     /// Indices of all other routes.
     general: Vec<usize>,
 }
 
 impl RouteTable {
-    /// A table of these. The routes' indices must be those of pools: [`RouteTable::reachable`] panics where one
-    /// is not.
+    /// Creates a table. The pool indices in the routes must be valid: [`RouteTable::reachable`] panics
+    /// otherwise.
     pub fn new(routes: Vec<Route>, pools: Vec<Pool>) -> RouteTable {
         let mut by_volume: HashMap<u64, Vec<usize>> = HashMap::new();
         let mut general = Vec::new();
@@ -76,44 +77,44 @@
         RouteTable { routes, pools, by_volume, general }
     }
 
-    /// The routes, in the order of precedence among equal prefixes.
+    /// The routes; of routes with equal prefixes the first takes precedence.
     pub fn routes(&self) -> &[Route] {
         &self.routes
     }
 
-    /// The pools.
+    /// The pools that routes refer to by index.
     pub fn pools(&self) -> &[Pool] {
         &self.pools
     }
 
-    /// Whether there is no route.
+    /// Whether there are no routes.
     pub fn is_empty(&self) -> bool {
         self.routes.is_empty()
     }
 
-    /// Indices of the routes that could match a request of this volume.
+    /// Indices of the routes that may match a request of this volume.
     pub fn candidates(&self, volume: u64) -> impl Iterator<Item = usize> + '_ {
-        let naming = self.by_volume.get(&volume).map_or(&[][..], Vec::as_slice);
-        naming.iter().chain(&self.general).copied()
+        let naming_routes = self.by_volume.get(&volume).map_or(&[][..], Vec::as_slice);
+        naming_routes.iter().chain(&self.general).copied()
     }
 
-    /// What the routes match that could match a request of this volume.
+    /// The matches of the routes that may match a request of this volume.
     pub fn candidate_matches(&self, volume: u64) -> impl Iterator<Item = &RequestMatch> + Clone + '_ {
-        let naming = self.by_volume.get(&volume).map_or(&[][..], Vec::as_slice);
-        naming.iter().chain(&self.general).map(|index| &self.routes[*index].requests)
+        let naming_routes = self.by_volume.get(&volume).map_or(&[][..], Vec::as_slice);
+        naming_routes.iter().chain(&self.general).map(|index| &self.routes[*index].requests)
     }
 
-    /// Volumes that routes name one by one.
+    /// Volumes that routes name individually.
     pub fn named_volumes(&self) -> impl Iterator<Item = u64> + '_ {
         self.by_volume.keys().copied()
     }
 
-    /// Whether a route names this volume by itself.
-    pub fn names(&self, volume: u64) -> bool {
+    /// Whether a route names this volume individually.
+    pub fn names_volume(&self, volume: u64) -> bool {
         self.by_volume.contains_key(&volume)
     }
 
-    /// The routes that match a request, as their rank: the least comes first.
+    /// The routes that match a request, with their ranks: the lowest takes precedence.
     fn ranked(&self, request: &RouteRequest<'_>) -> impl Iterator<Item = (Reverse<u8>, usize)> {
         self.candidates(request.volume).filter_map(|index| {
             let prefix = self.routes[index].requests.matched_prefix(request)?;
@@ -121,22 +122,22 @@
         })
     }
 
-    /// The index of a request's route; none: it may reach every target. Precedence is decided here and nowhere
-    /// else.
+    /// The index of a request's route; `None` if no route matches, so that the request may reach every
+    /// target. Only this function decides precedence.
     pub fn route(&self, request: &RouteRequest<'_>) -> Option<usize> {
         self.ranked(request).min().map(|(_, index)| index)
     }
 
-    /// The indices of the routes that match a request, the one that is taken first, each with its prefix's
-    /// length in bits.
+    /// The indices of the routes that match a request, in the order of precedence, each with the length of
+    /// its matching prefix in bits.
     pub fn explain(&self, request: &RouteRequest<'_>) -> Vec<(usize, u8)> {
         let mut matching: Vec<_> = self.ranked(request).collect();
         matching.sort_unstable();
         matching.into_iter().map(|(Reverse(prefix), index)| (index, prefix)).collect()
     }
 
-    /// Which of these targets a request for a shard (none: a new object) may reach on a route, in their
-    /// order. A target is given by its attributes, its state, and an id that is returned.
+    /// Returns the targets that a request may reach on a route, in their order. `shard` is `None` for a new
+    /// object. Each target is given by its attributes, its state, and the id to return.
     pub fn reachable<'t, Id>(
         &self,
         route: Option<usize>,
@@ -144,7 +145,7 @@
         targets: impl Iterator<Item = (&'t TargetInfo, ListedState, Id)> + Clone,
     ) -> Vec<Id> {
         let serving = targets.filter(|(target, state, _)| {
-            state.takes_work() && shard.is_none_or(|shard| shard == target.shard)
+            state.accepts_requests() && shard.is_none_or(|shard| shard == target.shard)
         });
         let Some(route) = route.map(|index| &self.routes[index]) else {
             return serving.map(|(.., id)| id).collect();
--- a/crates/routing/src/target.rs
+++ b/crates/routing/src/target.rs
@@ -1,44 +1,44 @@
-//! Targets as routes see them: their fixed attributes, the states in which discovery can list them, and sets
-//! of them.
+//! Targets as seen by routes: their attributes, the states in which discovery can list them, and sets of
+//! them.
 
 use crate::addresses::AddressSet;
 use std::collections::BTreeSet;
 use std::net::IpAddr;
 
-/// The attributes of a target that stay the same while discovery lists it.
+/// The attributes of a target, which do not change while discovery lists it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct TargetInfo {
-    /// Its name.
+    /// The name in the endpoint list.
     pub name: String,
-    /// Its zone.
+    /// The zone.
     pub zone: String,
-    /// Its kind of hardware.
+    /// The kind of hardware.
     pub kind: String,
-    /// The shard that it holds.
+    /// The shard that the target holds.
     pub shard: u32,
-    /// Its address.
+    /// The IP address.
     pub addr: IpAddr,
 }
 
-/// The states in which discovery can list a target.
+/// The states of a target in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ListedState {
     /// Not listed yet.
     Unlisted,
-    /// It serves.
+    /// The target accepts requests.
     Active,
-    /// Just started: it takes new work, little at first.
+    /// The target has just started, and accepts few requests at first.
     WarmingUp,
-    /// It takes no new work.
+    /// The target accepts no new requests.
     Draining,
     /// No longer listed.
     Removed,
-    /// Listed again under the same name after it was removed; warming up.
+    /// The target is listed again under the same name after its removal, and is warming up.
     Relisted,
 }
 
 impl ListedState {
-    /// All states.
+    /// All states, in the order in which error messages list them.
     pub const ALL: [ListedState; 6] = [
         ListedState::Unlisted,
         ListedState::Active,
@@ -60,52 +60,52 @@
         }
     }
 
-    /// The state that a word in an operator's file stands for.
+    /// Parses a word from an operator's file.
     pub fn from_word(word: &str) -> Option<ListedState> {
         ListedState::ALL.into_iter().find(|state| state.word() == word)
     }
 
-    /// Whether the target takes new work in this state.
-    pub fn takes_work(self) -> bool {
+    /// Whether the target accepts new requests in this state.
+    pub fn accepts_requests(self) -> bool {
         matches!(self, ListedState::Active | ListedState::WarmingUp | ListedState::Relisted)
     }
 }
 
-/// A set of targets. An attribute that is none selects every target.
+/// A set of targets. An attribute that is `None` selects every target.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TargetSelector {
-    /// Their names.
+    /// The names of the targets.
     pub names: Option<BTreeSet<String>>,
-    /// Their zones.
+    /// The zones of the targets.
     pub zones: Option<BTreeSet<String>>,
-    /// Their kinds of hardware.
+    /// The kinds of hardware.
     pub kinds: Option<BTreeSet<String>>,
-    /// Their shards.
+    /// The shards that the targets hold.
     pub shards: Option<BTreeSet<u32>>,
-    /// Their addresses.
+    /// The addresses of the targets.
     pub addresses: Option<AddressSet>,
 }
 
-fn holds<T: Ord>(set: &Option<BTreeSet<T>>, value: &T) -> bool {
+fn contains_or_any<T: Ord>(set: &Option<BTreeSet<T>>, value: &T) -> bool {
     set.as_ref().is_none_or(|set| set.contains(value))
 }
 
 impl TargetSelector {
     /// Whether the target is in the set.
     pub fn selects(&self, target: &TargetInfo) -> bool {
-        holds(&self.names, &target.name)
-            && holds(&self.zones, &target.zone)
-            && holds(&self.kinds, &target.kind)
+        contains_or_any(&self.names, &target.name)
+            && contains_or_any(&self.zones, &target.zone)
+            && contains_or_any(&self.kinds, &target.kind)
             && self.may_hold_shard(target.shard)
             && self.addresses.as_ref().is_none_or(|set| set.longest_prefix(target.addr).is_some())
     }
 
-    /// Whether a target of this shard can be in the set.
+    /// Whether the set can contain a target of this shard.
     pub fn may_hold_shard(&self, shard: u32) -> bool {
-        holds(&self.shards, &shard)
+        contains_or_any(&self.shards, &shard)
     }
 
-    /// Whether names alone decide.
+    /// Whether the set is defined by names alone.
     pub fn is_by_name_only(&self) -> bool {
         let TargetSelector { names: _, zones, kinds, shards, addresses } = self;
         zones.is_none() && kinds.is_none() && shards.is_none() && addresses.is_none()
--- a/crates/routing/tests/agreement.rs
+++ b/crates/routing/tests/agreement.rs
@@ -1,5 +1,5 @@
-//! The checker and brute force: on small random configurations they agree, request by request and list by
-//! list.
+//! Compares the checker with a brute-force evaluation on small random configurations, for all requests and
+//! endpoint lists.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -14,21 +14,21 @@
 const ZONES: [&str; 3] = ["a", "b", "elsewhere"];
 const SHARDS: [u32; 3] = [0, 1, 9];
 const ADDRESSES: [[u8; 4]; 3] = [[10, 1, 0, 1], [10, 2, 0, 1], [11, 0, 0, 1]];
-const NETS: [&str; 3] = ["10.0.0.0/8", "10.1.0.0/16", "11.0.0.0/8"];
+const NETWORKS: [&str; 3] = ["10.0.0.0/8", "10.1.0.0/16", "11.0.0.0/8"];
 const NAMES: [&str; 4] = ["s-0", "s-1", "s-2", "s-3"];
-/// A box that nobody names.
-const FRESH: &str = "fresh";
+/// A target whose name no selector contains.
+const UNNAMED_TARGET: &str = "fresh";
 
-fn some<T: std::fmt::Debug + Clone + 'static>(
+fn optional<T: std::fmt::Debug + Clone + 'static>(
     value: impl Strategy<Value = T> + 'static,
 ) -> BoxedStrategy<Option<T>> {
     prop_oneof![2 => Just(None), 1 => value.prop_map(Some)].boxed()
 }
 
-fn nets() -> impl Strategy<Value = AddressSet> {
-    (0..NETS.len()).prop_map(|i| {
+fn networks() -> impl Strategy<Value = AddressSet> {
+    (0..NETWORKS.len()).prop_map(|i| {
         let mut set = AddressSet::default();
-        set.insert(NETS[i].parse().expect("a network"));
+        set.insert(NETWORKS[i].parse().expect("a network"));
         set
     })
 }
@@ -43,7 +43,7 @@
 
 fn selector() -> impl Strategy<Value = TargetSelector> {
     let zones = (0..2usize).prop_map(|z| [ZONES[z].to_string()].into());
-    (some(names()), some(zones), some(shards()), some(nets())).prop_map(
+    (optional(names()), optional(zones), optional(shards()), optional(networks())).prop_map(
         |(names, zones, shards, addresses)| TargetSelector { names, zones, kinds: None, shards, addresses },
     )
 }
@@ -52,8 +52,15 @@
     let classes = (0..2usize).prop_map(|c| [["view", "deposit"][c].to_string()].into());
     let volumes = (1..4u64, 0..2u64).prop_map(|(from, more)| vec![(from, from + more)]);
     let front = (0..2usize).prop_map(|f| vec![[Front::Http, Front::Iscsi][f]]);
-    (some(front), some(nets()), some(classes), some(volumes), some(shards()), some(any::<bool>())).prop_map(
-        |(fronts, clients, classes, volumes, shards, write)| RequestMatch {
+    (
+        optional(front),
+        optional(networks()),
+        optional(classes),
+        optional(volumes),
+        optional(shards()),
+        optional(any::<bool>()),
+    )
+        .prop_map(|(fronts, clients, classes, volumes, shards, write)| RequestMatch {
             fronts,
             clients,
             classes,
@@ -61,8 +68,7 @@
             shards,
             write,
             ..RequestMatch::default()
-        },
-    )
+        })
 }
 
 fn targets() -> impl Strategy<Value = Vec<TargetInfo>> {
@@ -89,7 +95,7 @@
 }
 
 fn table() -> impl Strategy<Value = RouteTable> {
-    let route = (requests(), 0..2usize, some(0..2usize));
+    let route = (requests(), 0..2usize, optional(0..2usize));
     (proptest::collection::vec(selector(), 2..=2), proptest::collection::vec(route, 0..4)).prop_map(
         |(pools, routes)| {
             let pool = |targets| Pool { name: String::new(), targets, origin: Origin::default() };
@@ -118,7 +124,7 @@
 }
 
 fn all_requests() -> Vec<RouteRequest<'static>> {
-    let mut out = Vec::new();
+    let mut requests = Vec::new();
     let clients: [Option<IpAddr>; 4] =
         [None, Some(ADDRESSES[0].into()), Some(ADDRESSES[1].into()), Some(ADDRESSES[2].into())];
     for front in [Front::Http, Front::Iscsi] {
@@ -127,80 +133,95 @@
                 for volume in 1..7 {
                     for shard in [None, Some(0), Some(1), Some(9)] {
                         let plan = Some("basic");
-                        out.push(RouteRequest { front, client, class, plan, write, volume, shard });
+                        requests.push(RouteRequest { front, client, class, plan, write, volume, shard });
                     }
                 }
             }
         }
     }
-    out
+    requests
 }
 
-/// Whether it is broken by listed boxes or one that nobody names, and whether by one that is named and not
-/// listed.
-fn brute(table: &RouteTable, e: &Expectation, listed: &[TargetInfo]) -> (bool, bool) {
-    let (mut plainly, mut by_named) = (false, false);
+/// Whether an expectation is broken by listed targets or by one that no selector names, and whether it is
+/// broken by a target that a selector names and the list does not contain.
+fn brute_force(table: &RouteTable, expectation: &Expectation, listed: &[TargetInfo]) -> (bool, bool) {
+    let (mut broken_by_list, mut broken_by_unlisted) = (false, false);
     let reach = |request: &RouteRequest<'_>, targets: &[(&TargetInfo, ListedState)]| -> Vec<TargetInfo> {
-        let targets = targets.iter().map(|(b, s)| (*b, *s, (*b).clone()));
+        let targets = targets.iter().map(|(target, s)| (*target, *s, (*target).clone()));
         table.reachable(table.route(request), request.shard, targets)
     };
-    let named_shards: BTreeSet<u32> =
-        listed.iter().map(|b| b.shard).chain(e.requests.shards.iter().flatten().copied()).collect();
-    let mut newcomers = Vec::new();
-    for name in NAMES.iter().chain([&FRESH]).filter(|n| !listed.iter().any(|b| b.name == **n)) {
+    let named_shards: BTreeSet<u32> = listed
+        .iter()
+        .map(|target| target.shard)
+        .chain(expectation.requests.shards.iter().flatten().copied())
+        .collect();
+    let mut unlisted_targets = Vec::new();
+    for name in
+        NAMES.iter().chain([&UNNAMED_TARGET]).filter(|n| !listed.iter().any(|target| target.name == **n))
+    {
         for zone in ZONES {
             for shard in SHARDS {
                 for addr in ADDRESSES {
                     let (name, zone, kind) = (name.to_string(), zone.into(), "std".into());
-                    newcomers.push(TargetInfo { name, zone, kind, shard, addr: addr.into() });
+                    unlisted_targets.push(TargetInfo { name, zone, kind, shard, addr: addr.into() });
                 }
             }
         }
     }
-    for request in all_requests().iter().filter(|r| e.requests.matches(r)) {
-        let wrong = |b: &TargetInfo| match &e.requirement {
-            Requirement::Only(wanted) => !wanted.selects(b),
-            Requirement::Never { targets: banned, .. } => banned.selects(b),
+    for request in all_requests().iter().filter(|r| expectation.requests.matches(r)) {
+        let violates = |target: &TargetInfo| match &expectation.requirement {
+            Requirement::Only(wanted) => !wanted.selects(target),
+            Requirement::Never { targets: forbidden, .. } => forbidden.selects(target),
             _ => false,
         };
         let active: Vec<(&TargetInfo, ListedState)> =
-            listed.iter().map(|b| (b, ListedState::Active)).collect();
-        match &e.requirement {
+            listed.iter().map(|target| (target, ListedState::Active)).collect();
+        match &expectation.requirement {
             Requirement::Only(_) | Requirement::Never { .. } => {
-                // Alone it is reached wherever it could be; beside all others the fallback does not count.
-                for b in listed.iter().chain(&newcomers) {
-                    let alone = reach(request, &[(b, ListedState::WarmingUp)]);
-                    let mut beside = active.clone();
-                    beside.push((b, ListedState::Active));
-                    if alone.iter().chain(&reach(request, &beside)).any(wrong) {
-                        match listed.contains(b) || b.name == FRESH {
-                            true => plainly = true,
-                            false => by_named = true,
+                // As the only target it is reached wherever it can be; with all others present the fallback
+                // is not used.
+                for target in listed.iter().chain(&unlisted_targets) {
+                    let alone = reach(request, &[(target, ListedState::WarmingUp)]);
+                    let mut with_others = active.clone();
+                    with_others.push((target, ListedState::Active));
+                    if alone.iter().chain(&reach(request, &with_others)).any(violates) {
+                        match listed.contains(target) || target.name == UNNAMED_TARGET {
+                            true => broken_by_list = true,
+                            false => broken_by_unlisted = true,
                         }
                     }
                 }
             }
             _ if request.shard.is_some_and(|s| !named_shards.contains(&s)) => {}
             Requirement::Some { targets, without } => {
-                for gone in 0..1u32 << listed.len() {
-                    if gone.count_ones() as usize <= *without {
-                        let left = listed.iter().enumerate().map(|(i, b)| {
-                            (b, if gone >> i & 1 == 1 { ListedState::Removed } else { ListedState::Active })
+                for removed_mask in 0..1u32 << listed.len() {
+                    if removed_mask.count_ones() as usize <= *without {
+                        let remaining = listed.iter().enumerate().map(|(i, target)| {
+                            (
+                                target,
+                                if removed_mask >> i & 1 == 1 {
+                                    ListedState::Removed
+                                } else {
+                                    ListedState::Active
+                                },
+                            )
                         });
-                        let reached = reach(request, &left.collect::<Vec<_>>());
-                        plainly |= !reached.iter().any(|b| targets.selects(b));
+                        let reached = reach(request, &remaining.collect::<Vec<_>>());
+                        broken_by_list |= !reached.iter().any(|target| targets.selects(target));
                     }
                 }
             }
-            // Some of the first pool may go, and the second then serves.
-            Requirement::Rejected => plainly |= active.iter().any(|b| !reach(request, &[*b]).is_empty()),
-            Requirement::MinNewObjectTargets(least) => {
-                plainly |= request.shard.is_none() && reach(request, &active).len() < *least;
+            // Targets of the first pool may be missing, and the fallback serves then.
+            Requirement::Rejected => {
+                broken_by_list |= active.iter().any(|target| !reach(request, &[*target]).is_empty())
+            }
+            Requirement::MinNewObjectTargets(min) => {
+                broken_by_list |= request.shard.is_none() && reach(request, &active).len() < *min;
             }
             _ => {}
         }
     }
-    (plainly, by_named)
+    (broken_by_list, broken_by_unlisted)
 }
 
 proptest! {
@@ -213,24 +234,39 @@
 
     #[test]
     fn the_checker_agrees_with_brute_force(table in table(), requests in requests(), requirement in requirement(), listed in targets()) {
-        let e = Expectation {
+        let expectation = Expectation {
             name: String::new(),
             requests,
             requirement,
             when_undecided: WhenUndecided::Warn,
             origin: Origin::default(),
         };
-        let report = check(&table, std::slice::from_ref(&e), &settings(), &listed);
+        let report = check(&table, std::slice::from_ref(&expectation), &settings(), &listed);
         let verdict = &report.findings[0].verdict;
-        let (plainly, by_named) = brute(&table, &e, &listed);
+        let (broken_by_list, broken_by_unlisted) = brute_force(&table, &expectation, &listed);
         match verdict {
-            Verdict::Holds => prop_assert!(!plainly && !by_named, "held, and brute force breaks it"),
-            Verdict::Broken { .. } => prop_assert!(plainly || by_named, "{verdict:?}, and brute force does not"),
+            Verdict::Holds => prop_assert!(
+                !broken_by_list && !broken_by_unlisted,
+                "the checker passes it, but brute force breaks it"
+            ),
+            Verdict::Broken { .. } => prop_assert!(
+                broken_by_list || broken_by_unlisted,
+                "{verdict:?}, but brute force does not break it"
+            ),
             Verdict::Undecided { .. } => {
-                // Boxes that may come can mend what is short, or break what is forbidden.
-                let short = matches!(e.requirement, Requirement::Some { .. } | Requirement::MinNewObjectTargets(_) | Requirement::Rejected);
-                prop_assert!(short || by_named, "{verdict:?}, and no box that may come breaks it");
-                prop_assert!(short || !plainly, "{verdict:?}, and brute force breaks it as it is");
+                // Targets that are listed later can add what is missing, or break what is forbidden.
+                let too_few_is_undecided = matches!(
+                    expectation.requirement,
+                    Requirement::Some { .. } | Requirement::MinNewObjectTargets(_) | Requirement::Rejected
+                );
+                prop_assert!(
+                    too_few_is_undecided || broken_by_unlisted,
+                    "{verdict:?}, but no unlisted target breaks it"
+                );
+                prop_assert!(
+                    too_few_is_undecided || !broken_by_list,
+                    "{verdict:?}, but brute force breaks it with the present list"
+                );
             }
         }
     }
--- a/crates/routing/tests/compatibility.rs
+++ b/crates/routing/tests/compatibility.rs
@@ -1,5 +1,5 @@
 //! A file of routes with every key. Guards against a key that is no longer read: operators' files would be
-//! refused, or an expectation would hold less than it says.
+//! rejected, or an expectation would check less than it states.
 
 use rowanglade_routing::{
     AddressSet, ClassSettings, Front, ListedState, PlanSettings, RequestMatch, Requirement, RoutingRules,
@@ -15,7 +15,7 @@
         plans: vec![PlanSettings { name: "basic".into(), max_units_per_second: None }],
         ..ServiceSettings::default()
     };
-    parse(&[Source { name: "sample".into(), text: SAMPLE.into() }], &settings).expect("usable")
+    parse(&[Source { name: "sample".into(), text: SAMPLE.into() }], &settings).expect("a valid file")
 }
 
 fn names(names: &[&str]) -> Option<BTreeSet<String>> {
--- a/crates/routing/tests/files.rs
+++ b/crates/routing/tests/files.rs
@@ -1,4 +1,4 @@
-//! Files of routes and expectations: what is refused and why, and what the checker finds in them.
+//! Files of routes and expectations: which are rejected and why, and what the checker finds in them.
 
 use rowanglade_routing::{
     ClassSettings, Decision, Front, PlanSettings, RouteRequest, RoutingRules, ServiceSettings, Source,
@@ -33,7 +33,7 @@
 
 fn rules(texts: &[&str]) -> RoutingRules {
     let source = |(i, text): (usize, &&str)| Source { name: format!("{i}.toml"), text: text.to_string() };
-    parse(&texts.iter().enumerate().map(source).collect::<Vec<_>>(), &settings()).expect("usable")
+    parse(&texts.iter().enumerate().map(source).collect::<Vec<_>>(), &settings()).expect("valid files")
 }
 
 fn verdicts(texts: &[&str]) -> (Vec<Verdict>, Decision, Vec<String>) {
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_collection_that_reaches_only_its_box_holds_and_another_is_broken_with_its_request() {
+fn an_expectation_that_is_met_holds_and_a_broken_one_reports_its_request_and_route() {
     let text = file(
         r#"
 [[route]]
@@ -94,9 +94,9 @@
     );
 }
 
-// An expectation about a box not yet listed: names decide where they can, else the verdict waits.
+// An expectation about a target that is not listed yet: if names cannot decide it, it is undecided.
 #[test]
-fn a_box_that_is_not_listed_yet_is_named_and_decided_once_it_is() {
+fn an_expectation_on_an_unlisted_target_is_undecided_until_it_is_listed() {
     let text = |undecided: &str| {
         file(&format!(
             r#"
@@ -117,7 +117,7 @@
     let (found, decision, lines) = verdicts(&[&text("warn")]);
     assert!(matches!(&found[0], Verdict::Undecided { unlisted } if unlisted.contains("s-9")), "{found:?}");
     assert_eq!(decision, Decision::Load);
-    assert!(lines[0].contains("before the list names s-9"));
+    assert!(lines[0].contains("until the endpoint list contains s-9"));
     assert_eq!(verdicts(&[&text("hold")]).1, Decision::Hold);
     assert_eq!(verdicts(&[&text("refuse")]).1, Decision::Refuse);
     let rules = rules(&[&text("hold")]);
@@ -130,31 +130,34 @@
 }
 
 #[test]
-fn a_pool_by_attributes_may_get_boxes_that_an_expectation_by_name_forbids() {
+fn a_pool_by_attributes_can_violate_an_expectation_by_name_with_unlisted_targets() {
     let text = file(
         "[[route]]\nname = \"r\"\npool = \"kingston\"\n[[expect]]\nname = \"e\"\nonly = { boxes = [\"s-1\", \"s-2\"] }\n",
     );
     let (found, ..) = verdicts(&[&text]);
-    assert!(matches!(&found[0], Verdict::Broken { why, .. } if why.contains("not listed yet")), "{found:?}");
+    assert!(
+        matches!(&found[0], Verdict::Broken { reason, .. } if reason.contains("not listed yet")),
+        "{found:?}"
+    );
     let by_zone = text.replace("boxes = [\"s-1\", \"s-2\"]", "zones = \"kingston\"");
     assert_eq!(verdicts(&[&by_zone]).0, [Verdict::Holds]);
 }
 
-// Two files that contradict each other are found although no request shows it.
+// Two expectations in different files that contradict each other are found although no request shows it.
 #[test]
-fn contradictions_between_files_are_found_and_both_lines_named() {
+fn a_contradiction_between_files_is_reported_with_both_lines() {
     let one = file("[[expect]]\nname = \"a\"\nrequests = { volume = \"5\" }\nonly = { boxes = \"s-1\" }\n");
     let two = "[[expect]]\nname = \"b\"\nrequests = { volume = \"0..ff\", class = \"view\" }\nsome = { boxes = \"s-2\" }\n";
     let (_, decision, lines) = verdicts(&[&one, two]);
     assert_eq!(decision, Decision::Refuse);
-    let line = lines.iter().find(|l| l.contains("contradict")).expect("found");
+    let line = lines.iter().find(|l| l.contains("contradict")).expect("a contradiction");
     assert!(line.contains("0.toml line 10") && line.contains("1.toml line 1"), "{line}");
     let apart = two.replace("0..ff", "6..ff");
     assert!(!verdicts(&[&one, &apart]).2.iter().any(|l| l.contains("contradict")));
 }
 
 #[test]
-fn fallbacks_counts_and_settings_are_checked() {
+fn requirements_on_fallbacks_target_counts_and_settings_are_checked() {
     let text = file(
         r#"
 [[route]]
@@ -197,7 +200,10 @@
         verdicts(&[&text]).0.iter().map(|v| matches!(v, Verdict::Broken { .. })).collect();
     assert_eq!(broken, [false, true, true, true, false, false, false, false]);
     let anywhere = text.replace("fallback = \"kingston\"", "fallback = \"all\"");
-    assert!(matches!(verdicts(&[&anywhere]).0.last(), Some(Verdict::Broken { .. })), "the fallback counts");
+    assert!(
+        matches!(verdicts(&[&anywhere]).0.last(), Some(Verdict::Broken { .. })),
+        "the fallback is ignored"
+    );
 }
 
 #[test]
@@ -231,20 +237,20 @@
         };
         rules.table.route(&request).map(|r| rules.table.routes()[r].name.clone())
     };
-    assert_eq!(of("10.20.1.1").as_deref(), Some("mapped"), "the first of equals");
+    assert_eq!(of("10.20.1.1").as_deref(), Some("mapped"), "the first of equal prefixes is not used");
     assert_eq!(of("::ffff:10.20.1.1").as_deref(), Some("mapped"));
     assert_eq!(of("10.21.1.1").as_deref(), Some("wide"));
     assert_eq!(of("11.0.0.1"), None);
     let report = check(&rules.table, &[], &settings(), &targets());
     let warnings: Vec<&str> = report.warnings.iter().map(|w| w.problem.as_str()).collect();
     assert!(
-        warnings.len() == 1 && warnings[0].contains("\"same again\" is never taken: \"mapped\""),
+        warnings.len() == 1 && warnings[0].contains("\"same again\" is never used: route \"mapped\""),
         "{warnings:?}"
     );
 }
 
 #[test]
-fn a_diff_tells_which_classes_of_requests_change_their_boxes() {
+fn a_diff_reports_the_classes_of_requests_that_reach_other_targets() {
     let old = rules(&[&file("[[route]]\nname = \"r\"\nvolume = \"a\"\npool = \"one\"\n")]);
     let new = rules(&[&file("[[route]]\nname = \"r\"\nvolume = \"a\"\nclass = \"view\"\npool = \"one\"\n")]);
     assert!(diff::diff(&old.table, &old.table, &settings(), &targets()).is_empty());
@@ -257,10 +263,10 @@
 }
 
 #[test]
-fn bad_files_are_refused_with_file_line_and_key() {
+fn invalid_files_are_rejected_with_file_line_and_key() {
     for (text, wanted) in [
         ("[[route]]\nname = \"r\"\npool = \"two\"\n", "line 10: route[0].pool: there is no pool \"two\""),
-        ("[[pool]]\nname = \"one\"\n", "line 10: pool[3].name: \"one\" stands already at 0.toml line 2"),
+        ("[[pool]]\nname = \"one\"\n", "line 10: pool[3].name: \"one\" is already defined at 0.toml line 2"),
         (
             "[[route]]\nname = \"r\"\npool = \"one\"\nclass = \"viwe\"\n",
             "route[0].class: the settings have no class \"viwe\"",
@@ -269,10 +275,13 @@
         ("[[route]]\nname = \"r\"\npool = \"one\"\nvolume = \"9..3\"\n", "ends before it begins"),
         ("[[route]]\nname = \"r\"\npool = \"one\"\nnew = true\nshard = 3\n", "route[0].new"),
         ("[[route]]\nname = \"r\"\npool = \"one\"\nzone = \"x\"\n", "zone"),
-        ("[[expect]]\nname = \"e\"\n", "line 10: expect[0]: says nothing"),
-        ("[[expect]]\nname = \"e\"\nrefused = true\nonly = {}\n", "more than one thing"),
-        ("[[expect]]\nname = \"e\"\nonly = {}\nwithout = 1\n", "without with some"),
-        ("[[expect]]\nname = \"e\"\nnever = {}\nin_state = \"tired\"\n", "expect[0].in_state: \"tired\""),
+        ("[[expect]]\nname = \"e\"\n", "line 10: expect[0]: no requirement"),
+        ("[[expect]]\nname = \"e\"\nrefused = true\nonly = {}\n", "more than one requirement"),
+        ("[[expect]]\nname = \"e\"\nonly = {}\nwithout = 1\n", "without only with some"),
+        (
+            "[[expect]]\nname = \"e\"\nnever = {}\nin_state = \"tired\"\n",
+            "expect[0].in_state: unknown state \"tired\"",
+        ),
         ("[[expect]]\nname = \"e\"\nonly = {}\nundecided = \"maybe\"\n", "expect[0].undecided"),
         ("[[route]]\nname = \"r\"\npool = ", "0.toml"),
     ] {
--- a/crates/routing/tests/model.rs
+++ b/crates/routing/tests/model.rs
@@ -1,9 +1,10 @@
-//! A model of the table, the list as it is told, and the module's side of a request, checked over every order
-//! of events of a small configuration: three targets, one request, a list that changes up to three times.
+//! Model check of the route table together with the endpoint list and the scheduler's handling of a request,
+//! over every order of events in a small configuration: three targets, one request, up to three changes of
+//! the list.
 //!
-//! The table is the real one. The module is modelled by what its interface promises: it sends only to boxes
-//! of the request's reach that it was told to be in, tries three times at most, and gives one final answer.
-//! Each mutation takes one of these promises away and must be caught.
+//! The table is the real one. The scheduler is modelled by the guarantees of its interface: it sends only to
+//! targets that the request can reach and that are active in the received list, makes at most three attempts,
+//! and gives one final response. Each mutation removes one of these guarantees, which the check must detect.
 
 use rowanglade_routing::{
     Front, ListedState, Origin, Pool, RequestMatch, Route, RouteRequest, RouteTable, TargetInfo,
@@ -13,50 +14,50 @@
 
 const TARGETS: usize = 3;
 const SHARD: u32 = 0;
-/// Ticks after being told within which a send may still go.
-const GRACE: u8 = 1;
-const CHANGES: u8 = 3;
-const ATTEMPTS: u8 = 3;
+/// Ticks after the initiator was notified of a drain during which it may still send to the target.
+const GRACE_TICKS: u8 = 1;
+const MAX_LIST_CHANGES: u8 = 3;
+const MAX_ATTEMPTS: u8 = 3;
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Mutation {
     None,
-    /// What was in reach when the request came stays so, whatever the list says.
-    GraceDropped,
-    /// A drain that the list tells is not taken up.
-    StaleListTrusted,
-    /// The fallback pool is taken whole.
+    /// Targets that were reachable when the request arrived stay reachable, whatever the list contains.
+    IgnoresListChanges,
+    /// Drains in the list are ignored.
+    IgnoresDrains,
+    /// The fallback pool is used without regard to the shard.
     FallbackIgnoresShard,
-    /// An attempt's end after the last word is given to the client as well.
-    SecondAnswer,
+    /// An attempt that ends after the final response is reported to the client as well.
+    SecondResponse,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Stage {
     NotArrived,
     Waiting,
-    /// At a box.
+    /// In flight at a target.
     InFlight(usize),
-    Answered,
+    Responded,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    /// The list at discovery, and as this initiator was told.
-    truth: [ListedState; TARGETS],
-    known: [ListedState; TARGETS],
-    /// Ticks since it was told that a box drains or is gone.
+    /// The list at discovery, and the list that this initiator has received.
+    listed_states: [ListedState; TARGETS],
+    received_states: [ListedState; TARGETS],
+    /// Ticks since the initiator was notified that a target is draining or removed.
     drain_age: [Option<u8>; TARGETS],
-    changes: u8,
+    list_changes: u8,
     stage: Stage,
-    /// An attempt that the client no longer waits for.
-    left_behind: Option<usize>,
+    /// The target of an attempt that the client no longer waits for.
+    abandoned_at: Option<usize>,
     reach: Vec<usize>,
     attempts: u8,
-    answers: u8,
+    responses: u8,
     served_by_fallback: bool,
     late_send: bool,
-    astray: bool,
+    reached_wrong_shard: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -69,17 +70,17 @@
     Served,
     Rejected,
     Abandoned,
-    LateEnd,
+    LateOutcome,
 }
 
-struct GeneratedCase {
+struct RoutingModel {
     table: RouteTable,
     targets: Vec<TargetInfo>,
     mutation: Mutation,
 }
 
-impl GeneratedCase {
-    fn new(mutation: Mutation) -> GeneratedCase {
+impl RoutingModel {
+    fn new(mutation: Mutation) -> RoutingModel {
         let pool = |names: &[&str]| Pool {
             name: names.join(" "),
             targets: TargetSelector {
@@ -102,15 +103,15 @@
             shard,
             addr: [10, 0, 0, i as u8].into(),
         };
-        GeneratedCase {
+        RoutingModel {
             table: RouteTable::new(vec![route], vec![pool(&["s-0"]), pool(&["s-1", "s-2"])]),
-            // The third holds other data.
+            // The third target holds another shard.
             targets: vec![info(0, SHARD), info(1, SHARD), info(2, SHARD + 1)],
             mutation,
         }
     }
 
-    fn reach(&self, known: &[ListedState; TARGETS]) -> Vec<usize> {
+    fn reach(&self, received_states: &[ListedState; TARGETS]) -> Vec<usize> {
         let request = RouteRequest {
             front: Front::Http,
             client: None,
@@ -121,7 +122,12 @@
             shard: Some(SHARD),
         };
         let route = self.table.route(&request);
-        let targets = self.targets.iter().zip(known).enumerate().map(|(i, (b, s))| (b, *s, i));
+        let targets = self
+            .targets
+            .iter()
+            .zip(received_states)
+            .enumerate()
+            .map(|(i, (target, state))| (target, *state, i));
         let first = self.table.reachable(route, Some(SHARD), targets.clone());
         if self.mutation == Mutation::FallbackIgnoresShard && !first.contains(&0) {
             return self.table.reachable(route, None, targets);
@@ -130,136 +136,154 @@
     }
 }
 
-impl Model for GeneratedCase {
+impl Model for RoutingModel {
     type State = State;
     type Action = Event;
 
     fn init_states(&self) -> Vec<State> {
         vec![State {
-            truth: [ListedState::Active; TARGETS],
-            known: [ListedState::Active; TARGETS],
+            listed_states: [ListedState::Active; TARGETS],
+            received_states: [ListedState::Active; TARGETS],
             drain_age: [None; TARGETS],
-            changes: 0,
+            list_changes: 0,
             stage: Stage::NotArrived,
-            left_behind: None,
+            abandoned_at: None,
             reach: Vec::new(),
             attempts: 0,
-            answers: 0,
+            responses: 0,
             served_by_fallback: false,
             late_send: false,
-            astray: false,
+            reached_wrong_shard: false,
         }]
     }
 
-    fn actions(&self, s: &State, out: &mut Vec<Event>) {
-        if s.changes < CHANGES {
+    fn actions(&self, state: &State, out: &mut Vec<Event>) {
+        if state.list_changes < MAX_LIST_CHANGES {
             for i in 0..TARGETS {
-                for state in
+                for listed_state in
                     [ListedState::Active, ListedState::Draining, ListedState::Removed, ListedState::Relisted]
                 {
-                    if s.truth[i] != state {
-                        out.push(Event::Change(i, state));
+                    if state.listed_states[i] != listed_state {
+                        out.push(Event::Change(i, listed_state));
                     }
                 }
             }
         }
-        if s.truth != s.known || s.drain_age.iter().zip(s.truth).any(|(t, b)| t.is_none() != b.takes_work()) {
+        if state.listed_states != state.received_states
+            || state
+                .drain_age
+                .iter()
+                .zip(state.listed_states)
+                .any(|(age, listed)| age.is_none() != listed.accepts_requests())
+        {
             out.push(Event::ListReceived);
         }
-        if s.drain_age.iter().flatten().any(|t| *t <= GRACE) {
+        if state.drain_age.iter().flatten().any(|age| *age <= GRACE_TICKS) {
             out.push(Event::Tick);
         }
-        match s.stage {
+        match state.stage {
             Stage::NotArrived => out.push(Event::Arrive),
             Stage::Waiting => {
-                // The module's own rule: the box is in, as far as it was told.
-                let takes = |i: &usize| self.mutation == Mutation::GraceDropped || s.known[*i].takes_work();
-                if s.attempts < ATTEMPTS {
-                    out.extend(s.reach.iter().filter(|i| takes(i)).map(|i| Event::Send(*i)));
+                // The scheduler sends only to targets that are active in the received list.
+                let accepts_requests = |i: &usize| {
+                    self.mutation == Mutation::IgnoresListChanges
+                        || state.received_states[*i].accepts_requests()
+                };
+                if state.attempts < MAX_ATTEMPTS {
+                    out.extend(state.reach.iter().filter(|i| accepts_requests(i)).map(|i| Event::Send(*i)));
                 }
                 out.push(Event::Abandoned);
             }
             Stage::InFlight(_) => out.extend([Event::Served, Event::Rejected, Event::Abandoned]),
-            Stage::Answered => {}
+            Stage::Responded => {}
         }
-        if s.left_behind.is_some() {
-            out.push(Event::LateEnd);
+        if state.abandoned_at.is_some() {
+            out.push(Event::LateOutcome);
         }
     }
 
     fn next_state(&self, last: &State, event: Event) -> Option<State> {
-        let mut s = last.clone();
+        let mut state = last.clone();
         match event {
-            Event::Change(i, state) => {
-                s.truth[i] = state;
-                s.changes += 1;
+            Event::Change(i, listed_state) => {
+                state.listed_states[i] = listed_state;
+                state.list_changes += 1;
             }
             Event::ListReceived => {
                 for i in 0..TARGETS {
-                    let takes = s.truth[i].takes_work();
-                    s.drain_age[i] = if takes { None } else { s.drain_age[i].or(Some(0)) };
-                    if takes || self.mutation != Mutation::StaleListTrusted {
-                        s.known[i] = s.truth[i];
+                    let accepts_requests = state.listed_states[i].accepts_requests();
+                    state.drain_age[i] = if accepts_requests { None } else { state.drain_age[i].or(Some(0)) };
+                    if accepts_requests || self.mutation != Mutation::IgnoresDrains {
+                        state.received_states[i] = state.listed_states[i];
                     }
                 }
-                if self.mutation != Mutation::GraceDropped
-                    && matches!(s.stage, Stage::Waiting | Stage::InFlight(_))
+                if self.mutation != Mutation::IgnoresListChanges
+                    && matches!(state.stage, Stage::Waiting | Stage::InFlight(_))
                 {
-                    s.reach = self.reach(&s.known);
+                    state.reach = self.reach(&state.received_states);
                 }
             }
-            Event::Tick => s.drain_age.iter_mut().flatten().for_each(|t| *t = (*t + 1).min(GRACE + 1)),
+            Event::Tick => {
+                state.drain_age.iter_mut().flatten().for_each(|age| *age = (*age + 1).min(GRACE_TICKS + 1))
+            }
             Event::Arrive => {
-                s.stage = Stage::Waiting;
-                s.reach = self.reach(&s.known);
+                state.stage = Stage::Waiting;
+                state.reach = self.reach(&state.received_states);
             }
             Event::Send(i) => {
-                s.late_send |= s.drain_age[i].is_some_and(|t| t > GRACE);
-                s.astray |= self.targets[i].shard != SHARD;
-                s.attempts += 1;
-                s.stage = Stage::InFlight(i);
+                state.late_send |= state.drain_age[i].is_some_and(|age| age > GRACE_TICKS);
+                state.reached_wrong_shard |= self.targets[i].shard != SHARD;
+                state.attempts += 1;
+                state.stage = Stage::InFlight(i);
             }
             Event::Served => {
-                s.served_by_fallback |= s.stage == Stage::InFlight(1);
-                s.answers += 1;
-                s.stage = Stage::Answered;
+                state.served_by_fallback |= state.stage == Stage::InFlight(1);
+                state.responses += 1;
+                state.stage = Stage::Responded;
             }
-            Event::Rejected => s.stage = Stage::Waiting,
+            Event::Rejected => state.stage = Stage::Waiting,
             Event::Abandoned => {
-                if let Stage::InFlight(i) = s.stage {
-                    s.left_behind = Some(i);
+                if let Stage::InFlight(i) = state.stage {
+                    state.abandoned_at = Some(i);
                 }
-                s.answers += 1;
-                s.stage = Stage::Answered;
+                state.responses += 1;
+                state.stage = Stage::Responded;
             }
-            Event::LateEnd => {
-                s.left_behind = None;
-                s.answers += u8::from(self.mutation == Mutation::SecondAnswer);
+            Event::LateOutcome => {
+                state.abandoned_at = None;
+                state.responses += u8::from(self.mutation == Mutation::SecondResponse);
             }
         }
-        Some(s)
+        Some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("nothing new after the grace", |_, s: &State| !s.late_send),
-            Property::always("data on one box never routes elsewhere", |_, s: &State| !s.astray),
-            Property::always("one answer", |_, s: &State| {
-                s.answers <= 1 && (s.stage == Stage::Answered) == (s.answers == 1)
+            Property::always("no request is sent after the drain grace", |_, state: &State| !state.late_send),
+            Property::always("no request is sent to a target of another shard", |_, state: &State| {
+                !state.reached_wrong_shard
+            }),
+            Property::always("one final response", |_, state: &State| {
+                state.responses <= 1 && (state.stage == Stage::Responded) == (state.responses == 1)
             }),
-            Property::sometimes("the fallback serves", |_, s: &State| s.served_by_fallback),
-            Property::sometimes("all attempts are used", |_, s: &State| s.attempts == ATTEMPTS),
+            Property::sometimes("the fallback serves a request", |_, state: &State| state.served_by_fallback),
+            Property::sometimes("all attempts are used", |_, state: &State| state.attempts == MAX_ATTEMPTS),
         ]
     }
 }
 
-/// The properties that some order of events breaks, or the examples that none shows.
-fn broken(mutation: Mutation) -> (Vec<&'static str>, usize) {
-    let checker = GeneratedCase::new(mutation).checker().spawn_bfs().join();
+/// The properties that some order of events violates, and the number of states. Fails if an example is not
+/// found.
+fn violated_properties(mutation: Mutation) -> (Vec<&'static str>, usize) {
+    let checker = RoutingModel::new(mutation).checker().spawn_bfs().join();
     assert!(checker.is_done());
     let found = checker.discoveries();
-    let names = ["nothing new after the grace", "data on one box never routes elsewhere", "one answer"];
-    let examples = ["the fallback serves", "all attempts are used"];
+    let names = [
+        "no request is sent after the drain grace",
+        "no request is sent to a target of another shard",
+        "one final response",
+    ];
+    let examples = ["the fallback serves a request", "all attempts are used"];
     for example in examples.into_iter().filter(|_| mutation == Mutation::None) {
         assert!(found.contains_key(example), "{mutation:?}: no order of events shows that {example}");
     }
@@ -267,20 +291,20 @@
 }
 
 #[test]
-fn over_every_order_of_events_the_rules_hold() {
-    let (broken, states) = broken(Mutation::None);
-    assert_eq!(broken, Vec::<&str>::new());
-    assert!(states > 10_000, "the model has shrunk to {states} states");
+fn all_properties_hold_in_every_order_of_events() {
+    let (violated_properties, states) = violated_properties(Mutation::None);
+    assert_eq!(violated_properties, Vec::<&str>::new());
+    assert!(states > 10_000, "the model has only {states} states");
 }
 
 #[test]
-fn each_mutation_is_caught() {
+fn each_mutation_violates_its_property() {
     for (mutation, property) in [
-        (Mutation::GraceDropped, "nothing new after the grace"),
-        (Mutation::StaleListTrusted, "nothing new after the grace"),
-        (Mutation::FallbackIgnoresShard, "data on one box never routes elsewhere"),
-        (Mutation::SecondAnswer, "one answer"),
+        (Mutation::IgnoresListChanges, "no request is sent after the drain grace"),
+        (Mutation::IgnoresDrains, "no request is sent after the drain grace"),
+        (Mutation::FallbackIgnoresShard, "no request is sent to a target of another shard"),
+        (Mutation::SecondResponse, "one final response"),
     ] {
-        assert_eq!(broken(mutation).0, [property], "{mutation:?}");
+        assert_eq!(violated_properties(mutation).0, [property], "{mutation:?}");
     }
 }
--- a/tests/signals.rs
+++ b/tests/signals.rs
@@ -95,7 +95,10 @@
     write(&expect("never = { boxes = \"s-0\" }"));
     tell("-HUP");
     let broken = until("is broken");
-    assert!(broken.contains("line 7: expect[0]: \"e\"") && broken.contains("it could reach s-0"), "{broken}");
+    assert!(
+        broken.contains("line 7: expect[0]: \"e\"") && broken.contains("a request could reach s-0"),
+        "{broken}"
+    );
     until("configuration rejected");
 
     write(&expect("only = { boxes = \"s-0\" }")[..60]);
@@ -136,7 +139,10 @@
         assert_eq!(output.status.code(), Some(2), "{command}");
         let told = [output.stdout, output.stderr].concat();
         let told = String::from_utf8_lossy(&told);
-        assert!(told.contains("line 7: expect[0]") && told.contains("s-0 serves it"), "{command}: {told}");
+        assert!(
+            told.contains("line 7: expect[0]") && told.contains("s-0 serves a request that must be rejected"),
+            "{command}: {told}"
+        );
     }
     std::fs::remove_dir_all(&dir).expect("removed");
 }
