--- a/src/core/actor/handover.rs
+++ b/src/core/actor/handover.rs
@@ -22,7 +22,7 @@
                 let _ = answer.send(());
             }
             HandoverRequest::ServeWithoutState(answer) => {
-                self.scheduler.reset_owned(self.clock.now());
+                self.scheduler.reset_owned_state(self.clock.now());
                 self.set_handed_over(false);
                 let _ = answer.send(());
             }
@@ -33,7 +33,7 @@
             HandoverRequest::AdminCommand(command) => {
                 self.apply_admin_command(&command);
             }
-            HandoverRequest::ObjectSeen(object, seen) => self.object_locations.merge([(object, seen)]),
+            HandoverRequest::ObjectObserved(object, seen) => self.object_locations.merge([(object, seen)]),
         }
     }
 
