--- a/crates/discovery-polling/src/constants.rs
+++ b/crates/discovery-polling/src/constants.rs
@@ -17,8 +17,8 @@
 pub(crate) const MAX_REQUESTS_IN_FLIGHT: usize = 2;
 /// Maximum requests in flight to an initiator's own agent, for which an additional request is little work.
 pub(crate) const MAX_REQUESTS_TO_AGENT_IN_FLIGHT: usize = 8;
-/// A request that does not wait for a change may be lost if it has no response after this long: a hedged
-/// request is sent. Discovery rejects a request that waits too long in its queue sooner than that.
+/// Time without a response after which a request that does not wait for a change may be lost, so that a
+/// hedged request is sent. Discovery rejects a request that waits too long in its queue sooner than that.
 pub(crate) const HEDGE_AFTER: Micros = 3 * SECOND;
 /// Time after which a request that does not wait for a change is abandoned; equal to [`MAX_CYCLE`]. Whether
 /// it can be shorter is an open question (docs/design/open-questions.md).
@@ -74,8 +74,8 @@
 
 // Initiators that begin to poll at the same time.
 
-/// Longest spread of the initiators' polls after a change of discovery's address, which operators make by a
-/// reload.
+/// Longest spread of the initiators' polls after a change of discovery's address, which operators make by
+/// reloading the configuration.
 pub(crate) const MAX_SPREAD_AFTER_ADDRESS_CHANGE: Micros = SECOND;
 /// Longest spread of the polls after a watch went silent: the watches of all initiators may have gone silent
 /// together, and part of the time to receive the missed change has passed already.
@@ -83,7 +83,7 @@
 /// Shortest delay between the request that reopens a silent watch and its hedged request. It is shorter than
 /// [`HEDGE_AFTER`], since the missed change is older by then.
 pub(crate) const MIN_HEDGE_AFTER_SILENCE: Micros = 500 * MILLISECOND;
-/// Longest such delay, for fleets of which many such requests may be in discovery's queue.
+/// Longest such delay, for fleets that may have many such requests in discovery's queue.
 pub(crate) const MAX_HEDGE_AFTER_SILENCE: Micros = 2_200 * MILLISECOND;
 /// Time that each initiator adds between the two bounds: the shortest time that discovery takes for one
 /// request.
--- a/crates/slow-start/src/reserve_pacer.rs
+++ b/crates/slow-start/src/reserve_pacer.rs
@@ -9,7 +9,7 @@
 
 /// Lower bound on rates that a span is divided by, in units per second.
 const SMALLEST_RATE: f64 = 1e-9;
-/// Upper bound on spans, for a volume without a reserve, which no pace can ever admit.
+/// Upper bound on spans: a volume without a reserve has a rate of zero, and its requests are never admitted.
 const LONGEST_SPAN_MICROS: f64 = 1e15;
 
 /// Paces the requests of one volume to one warming target, so that the sum over all initiators stays below
--- a/crates/subset/src/assignment.rs
+++ b/crates/subset/src/assignment.rs
@@ -53,13 +53,13 @@
         if layers != self.layers {
             *self = Assignment { layers, ..Assignment::new(self.config, self.initiators) };
         }
-        self.remove_all_but(targets);
-        self.add_new(targets);
+        self.retain_targets(targets);
+        self.add_targets(targets);
         self.sort_pairs();
         true
     }
 
-    fn remove_all_but(&mut self, targets: &BTreeSet<String>) {
+    fn retain_targets(&mut self, targets: &BTreeSet<String>) {
         let mut is_removed = vec![false; self.number_count()];
         self.numbers.retain(|name, number| {
             let stays = targets.contains(name);
@@ -73,7 +73,7 @@
     }
 
     /// Adds the candidates of targets that have no number yet.
-    fn add_new(&mut self, targets: &BTreeSet<String>) {
+    fn add_targets(&mut self, targets: &BTreeSet<String>) {
         let mut drawn = vec![false; self.initiators as usize];
         for name in targets {
             if self.numbers.contains_key(name) {
--- a/crates/subset/src/lib.rs
+++ b/crates/subset/src/lib.rs
@@ -1,5 +1,5 @@
-//! Subsetting: which targets each of many initiators prefers for new objects, so that the load of all
-//! initiators is spread evenly without messages between them.
+//! Subsetting: which targets each of many initiators prefers for new objects, so that about the same number
+//! of initiators prefers each target, without messages between them.
 //!
 //! Every initiator has the number of initiators, its own index, and the endpoint list. From these alone all
 //! of them compute the same assignment: each initiator has [`SubsetConfig::size`] targets, and each target
--- a/crates/subset/src/matching.rs
+++ b/crates/subset/src/matching.rs
@@ -73,8 +73,8 @@
         }
     }
 
-    /// Gives each target that still has fewer than `min_initiators` initiators any others that need targets, the
-    /// best score first. This is rare, and examines all initiators.
+    /// Gives each target that still has fewer than `min_initiators` initiators any others that need targets,
+    /// the best score first. This is rare, and examines all initiators.
     fn fill_targets(&mut self, min_initiators: usize) {
         for (name, target) in self.numbers {
             if self.initiator_counts[*target as usize] >= min_initiators {
