--- a/crates/routing/src/check/requirements.rs
+++ b/crates/routing/src/check/requirements.rs
@@ -156,7 +156,7 @@
         self.verdict_for_too_few(
             pools,
             None,
-            format!("new objects can go to {reachable} targets, expected at least {min}"),
+            format!("the number of targets for new objects is {reachable}, expected at least {min}"),
         )
     }
 
@@ -189,7 +189,7 @@
                 Some(format!("the settings allow {} attempts, expected at most {max}", settings.max_attempts))
             }
             Requirement::MaxDrainGraceMs(max) if settings.drain_grace_ms > max => Some(format!(
-                "the settings allow requests for {} ms after a drain, expected at most {max} ms",
+                "the settings allow requests to a draining target for {} ms, expected at most {max} ms",
                 settings.drain_grace_ms
             )),
             Requirement::MaxUnitsPerSecond(max) => {
--- a/crates/routing/src/file/entry.rs
+++ b/crates/routing/src/file/entry.rs
@@ -87,7 +87,9 @@
         let fronts = table.front.map(|fronts| self.parse_fronts(fronts.into_vec()));
         let volumes = table.volume.map(|volumes| self.parse_volumes(volumes.into_vec()));
         if table.new == Some(true) && table.shard.is_some() {
-            return Err(self.error("new", "new = true excludes shard, since a new object has no shard"));
+            return Err(
+                self.error("new", "new = true cannot be combined with shard: a new object has no shard")
+            );
         }
         Ok(RequestMatch {
             fronts: fronts.transpose()?,
