--- a/crates/discovery-polling/tests/schedule.rs
+++ b/crates/discovery-polling/tests/schedule.rs
@@ -67,7 +67,7 @@
 }
 
 // After a watch went silent, the next request was sent only after 5 to 15 s in a fleet of many initiators.
-// Targets that drained in the meantime were sent requests for seconds, 293 of them on a simulated day with
+// Targets that drained in the meantime were sent requests for seconds: 293 times on one day of a fleet with
 // silent watches.
 #[test]
 fn a_silent_watch_is_reopened_while_the_outdated_list_may_still_be_used() {
