--- a/crates/capture/src/access_log.rs
+++ b/crates/capture/src/access_log.rs
@@ -3,7 +3,7 @@
 //! a decimal point and in microseconds if it is whole.
 
 use crate::entry_error::EntryError;
-use crate::offer::Offer;
+use crate::recorded_request::RecordedRequest;
 use jiff::fmt::strtime;
 use std::borrow::Cow;
 
@@ -45,7 +45,7 @@
     ///
     /// # Errors
     /// The line is none of these formats; the error names the field.
-    pub fn parse<'a>(&mut self, line: &'a [u8]) -> Result<Option<Offer<'a>>, EntryError> {
+    pub fn parse<'a>(&mut self, line: &'a [u8]) -> Result<Option<RecordedRequest<'a>>, EntryError> {
         let line = std::str::from_utf8(line).map_err(|_| EntryError::NotUtf8)?.trim();
         if line.is_empty() || line.starts_with('#') {
             return Ok(None);
@@ -85,7 +85,7 @@
             "-" => 0,
             size => size.parse().map_err(|_| invalid("size", size))?,
         };
-        Ok(Some(Offer {
+        Ok(Some(RecordedRequest {
             at: self.at,
             whole_second: true,
             method: Cow::Borrowed(method),
@@ -101,7 +101,7 @@
             received,
             took: took.and_then(microseconds),
             key: None,
-            known: None,
+            logged: None,
         }))
     }
 }
--- a/crates/capture/src/har.rs
+++ b/crates/capture/src/har.rs
@@ -1,7 +1,7 @@
 //! HTTP Archive files, version 1.2, entry by entry: only the entry at hand is held.
 
 use crate::entry_error::EntryError;
-use crate::offer::Offer;
+use crate::recorded_request::RecordedRequest;
 use serde::Deserialize;
 use serde::de::{DeserializeSeed, Deserializer, IgnoredAny, MapAccess, SeqAccess, Visitor};
 use serde_json::value::RawValue;
@@ -132,7 +132,7 @@
 ///
 /// # Errors
 /// The entry is none of HAR 1.2; the error names the key.
-pub fn parse(text: &str) -> Result<Option<Offer<'_>>, EntryError> {
+pub fn parse(text: &str) -> Result<Option<RecordedRequest<'_>>, EntryError> {
     let entry: Entry = serde_json::from_str(text)?;
     let at: jiff::Timestamp = entry.started_date_time.parse().map_err(EntryError::StartedDateTime)?;
     let url = &entry.request.url;
@@ -148,7 +148,7 @@
     let received = size(entry.response.body_size).or(entry.response.content.and_then(|c| size(c.size)));
     let key = entry.request.headers.into_iter().find(|h| h.name.eq_ignore_ascii_case("idempotency-key"));
     let took = entry.time.filter(|t| t.is_finite() && (0.0..1e9).contains(t));
-    Ok(Some(Offer {
+    Ok(Some(RecordedRequest {
         at: at.as_microsecond(),
         whole_second: false,
         path: Cow::Owned(uri.path().to_string()),
@@ -161,6 +161,6 @@
         received: received.unwrap_or(0),
         took: took.map(|ms| (ms * 1e3).round() as u64),
         key: key.map(|h| h.value),
-        known: None,
+        logged: None,
     }))
 }
--- a/crates/capture/src/import.rs
+++ b/crates/capture/src/import.rs
@@ -1,9 +1,9 @@
 //! From recorded files to a trace: read, map, put in order, write.
 
 use crate::mapping::{Mapped, Mapping};
-use crate::offer::Offer;
-use crate::order::Merger;
+use crate::order::ReorderBuffer;
 use crate::read::{self, Format, Options, Progress, ReadError, Stats, Tolerance};
+use crate::recorded_request::RecordedRequest;
 use crate::trace::{Header, Record, TraceError, TraceWriter};
 use std::collections::BTreeMap;
 use std::fmt;
@@ -73,7 +73,7 @@
     /// Requests out of order beyond the window, and by how many microseconds the last of them.
     pub late: (u64, i64),
     /// Requests let go before the window had passed, for want of room.
-    pub crowded: u64,
+    pub released_early: u64,
 }
 
 impl Imported {
@@ -199,16 +199,16 @@
         last: 0,
         per_class: vec![0; mapping.classes().len()],
     };
-    let mut merger = Merger::new(ask.window, HELD);
+    let mut merger = ReorderBuffer::new(ask.window, HELD);
     let mut spread = Spread::default();
     let mut failed = None;
     for (place, file) in ask.files.iter().enumerate() {
         let mut tell = |p| progress(place, p);
         let options = Options { format: ask.format, tolerance: ask.tolerance, progress: &mut tell };
-        let stats = read::read_file(file, options, &mut |offer: Offer<'_>| {
-            match mapping.map(&offer) {
+        let stats = read::read_file(file, options, &mut |recorded: RecordedRequest<'_>| {
+            match mapping.map(&recorded) {
                 Mapped::Request(at, record) => {
-                    let whole = offer.whole_second && mapping.spread_seconds();
+                    let whole = recorded.whole_second && mapping.spread_seconds();
                     merger.push(at, (whole, record));
                 }
                 Mapped::Ignored(rule) => {
@@ -235,7 +235,7 @@
     spread.flush(&mut |at, r| out.write(at, r))?;
     let names = || ask.files.iter().map(|f| f.display().to_string()).collect::<Vec<_>>().join(", ");
     imported.late = merger.late();
-    imported.crowded = merger.crowded();
+    imported.released_early = merger.released_early();
     imported.span = (out.last - out.base) as u64;
     for (class, count) in mapping.classes().iter().zip(&out.per_class) {
         imported.per_class.insert(class.name.clone(), *count);
@@ -247,13 +247,13 @@
 impl fmt::Display for Imported {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (name, stats) in &self.files {
-            let Stats { format, read, passed_over, bad, .. } = stats;
-            writeln!(f, "{name}: {format}, {read} requests, {passed_over} passed over, {bad} bad")?;
+            let Stats { format, read, skipped, bad, .. } = stats;
+            writeln!(f, "{name}: {format}, {read} requests, {skipped} passed over, {bad} bad")?;
             for sample in &stats.samples {
                 writeln!(f, "  {}: {}", sample.place, sample.reason)?;
             }
-            if let Some(torn) = &stats.torn {
-                writeln!(f, "  it ends before its end: {torn}")?;
+            if let Some(truncated) = &stats.truncated {
+                writeln!(f, "  it ends before its end: {truncated}")?;
             }
         }
         for (rule, count) in &self.ignored {
@@ -271,8 +271,8 @@
             let seconds = self.late.1 as f64 / 1e6;
             writeln!(f, "out of order beyond the window: {}, by {seconds:.1} s at most", self.late.0)?;
         }
-        if self.crowded > 0 {
-            writeln!(f, "let go before the window had passed: {}", self.crowded)?;
+        if self.released_early > 0 {
+            writeln!(f, "let go before the window had passed: {}", self.released_early)?;
         }
         let seconds = self.span as f64 / 1e6;
         let classes: Vec<String> = self.per_class.iter().map(|(c, n)| format!("{c} {n}")).collect();
--- a/crates/capture/src/mapping/convert.rs
+++ b/crates/capture/src/mapping/convert.rs
@@ -4,7 +4,7 @@
 use super::names::NameKind;
 use super::rule::{Match, RequestTemplate};
 use super::{Mapped, Mapping};
-use crate::offer::{Known, Offer};
+use crate::recorded_request::{LoggedFields, RecordedRequest};
 use crate::trace::{ClassTerms, Record, Repeat};
 
 /// A rule gave a class that the mapping does not have.
@@ -17,7 +17,7 @@
     /// The class that the rule's template gives is not in the mapping.
     pub(super) fn convert_matched(
         &self,
-        offer: &Offer<'_>,
+        recorded: &RecordedRequest<'_>,
         template: &RequestTemplate,
         groups: &Match<'_>,
     ) -> Result<Mapped, UnknownClass> {
@@ -25,7 +25,7 @@
         let Some((class, terms)) = self.class(&class_name) else { return Err(UnknownClass(class_name)) };
         let volume = self.names.number(NameKind::Volume, &groups.expand(&template.volume));
         let piece = self.names.number(NameKind::Piece, &groups.expand(&template.piece));
-        let bytes = offer.bytes();
+        let bytes = recorded.bytes();
         let record = Record {
             at: 0,
             class,
@@ -40,50 +40,50 @@
             key: is_keyed(terms).then(|| {
                 let template = template.idempotency_key.as_deref();
                 let recorded =
-                    template.map(|key| groups.expand(key)).or(offer.key.as_deref().map(String::from));
+                    template.map(|key| groups.expand(key)).or(recorded.key.as_deref().map(String::from));
                 // Without a recorded key, two writes of one piece count as one write and its repeat.
                 let name = recorded.unwrap_or_else(|| format!("{volume:016x}/{piece:016x}"));
                 self.names.number(NameKind::IdempotencyKey, &name)
             }),
-            status: offer.status,
-            took: offer.took,
+            status: recorded.status,
+            took: recorded.took,
         };
-        Ok(Mapped::Request(self.start(offer), record))
+        Ok(Mapped::Request(self.start(recorded), record))
     }
 
     /// The record of a request that the daemon logged: it needs no rule, only a class and a plan of the
     /// mapping.
-    pub(super) fn convert_known(&self, offer: &Offer<'_>, known: &Known<'_>) -> Mapped {
+    pub(super) fn convert_logged(&self, recorded: &RecordedRequest<'_>, logged: &LoggedFields<'_>) -> Mapped {
         let (Some((class, terms)), Some(plan)) =
-            (self.class(&known.class), self.plan_or_first(known.plan.as_deref()))
+            (self.class(&logged.class), self.plan_or_first(logged.plan.as_deref()))
         else {
-            let plan = known.plan.as_deref().unwrap_or("-");
-            return Mapped::Unmatched(format!("class {} on plan {plan}", known.class));
+            let plan = logged.plan.as_deref().unwrap_or("-");
+            return Mapped::Unmatched(format!("class {} on plan {plan}", logged.class));
         };
-        let recorded_key = offer.key.as_deref().filter(|_| is_keyed(terms));
+        let recorded_key = recorded.key.as_deref().filter(|_| is_keyed(terms));
         let record = Record {
             at: 0,
             class,
             plan,
-            volume: self.names.hide(NameKind::Volume, known.volume),
-            piece: self.names.hide(NameKind::Piece, known.piece),
-            units: known.units as f32,
-            shard: known.shard,
-            hosts: known.hosts.max(1),
-            deadline_ms: known.deadline_ms,
-            bytes: saturate(offer.bytes()),
+            volume: self.names.hide(NameKind::Volume, logged.volume),
+            piece: self.names.hide(NameKind::Piece, logged.piece),
+            units: logged.units as f32,
+            shard: logged.shard,
+            hosts: logged.hosts.max(1),
+            deadline_ms: logged.deadline_ms,
+            bytes: saturate(recorded.bytes()),
             key: recorded_key.map(|key| self.names.number(NameKind::IdempotencyKey, key)),
-            status: offer.status,
-            took: offer.took,
+            status: recorded.status,
+            took: recorded.took,
         };
-        Mapped::Request(offer.at, record)
+        Mapped::Request(recorded.at, record)
     }
 
     /// When the request was made, in microseconds of Unix time.
-    fn start(&self, offer: &Offer<'_>) -> i64 {
+    fn start(&self, recorded: &RecordedRequest<'_>) -> i64 {
         match self.stamp {
-            Stamp::Start => offer.at,
-            Stamp::End => offer.at.saturating_sub(offer.took.unwrap_or(0) as i64),
+            Stamp::Start => recorded.at,
+            Stamp::End => recorded.at.saturating_sub(recorded.took.unwrap_or(0) as i64),
         }
     }
 
--- a/crates/capture/src/mapping/mod.rs
+++ b/crates/capture/src/mapping/mod.rs
@@ -17,7 +17,7 @@
 mod rule;
 mod terms;
 
-use crate::offer::Offer;
+use crate::recorded_request::RecordedRequest;
 use crate::trace::{ClassTerms, PlanTerms, Record};
 use compile::Context;
 use convert::UnknownClass;
@@ -134,19 +134,19 @@
     }
 
     /// What a recorded request stands for.
-    pub fn map(&self, offer: &Offer<'_>) -> Mapped {
-        if let Some(known) = &offer.known {
-            return self.convert_known(offer, known);
+    pub fn map(&self, recorded: &RecordedRequest<'_>) -> Mapped {
+        if let Some(logged) = &recorded.logged {
+            return self.convert_logged(recorded, logged);
         }
-        let network = offer.client.and_then(|client| self.networks.of(client));
+        let network = recorded.client.and_then(|client| self.networks.of(client));
         let matching = self.rules.iter().enumerate().find_map(|(place, rule)| {
-            let groups = rule.matches(offer, network)?;
+            let groups = rule.matches(recorded, network)?;
             Some((place, rule, groups))
         });
-        let Some((place, rule, groups)) = matching else { return Mapped::Unmatched(pattern(offer)) };
+        let Some((place, rule, groups)) = matching else { return Mapped::Unmatched(pattern(recorded)) };
         let Some(template) = &rule.target else { return Mapped::Ignored(place) };
-        self.convert_matched(offer, template, &groups).unwrap_or_else(|UnknownClass(class)| {
-            Mapped::Unmatched(format!("{} (class {class:?} is not in the mapping)", pattern(offer)))
+        self.convert_matched(recorded, template, &groups).unwrap_or_else(|UnknownClass(class)| {
+            Mapped::Unmatched(format!("{} (class {class:?} is not in the mapping)", pattern(recorded)))
         })
     }
 }
--- a/crates/capture/src/mapping/pattern.rs
+++ b/crates/capture/src/mapping/pattern.rs
@@ -1,6 +1,6 @@
 //! Patterns that stand for many similar requests in reports of unmatched ones.
 
-use crate::offer::Offer;
+use crate::recorded_request::RecordedRequest;
 
 /// The most characters of a method that a pattern shows.
 const LONGEST_METHOD: usize = 16;
@@ -15,9 +15,9 @@
 
 /// A request's method and path with numbers and identifiers replaced, so that similar requests share a
 /// pattern.
-pub fn pattern(offer: &Offer<'_>) -> String {
-    let mut out = format!("{} ", offer.method.chars().take(LONGEST_METHOD).collect::<String>());
-    for segment in offer.path.split('/').skip(1).take(MOST_SEGMENTS) {
+pub fn pattern(recorded: &RecordedRequest<'_>) -> String {
+    let mut out = format!("{} ", recorded.method.chars().take(LONGEST_METHOD).collect::<String>());
+    for segment in recorded.path.split('/').skip(1).take(MOST_SEGMENTS) {
         let (stem, ending) = split_ending(segment);
         out.push('/');
         out.push_str(placeholder(stem).unwrap_or(stem));
--- a/crates/capture/src/mapping/rule.rs
+++ b/crates/capture/src/mapping/rule.rs
@@ -2,7 +2,7 @@
 
 use super::format::Units;
 use super::networks::NetworkId;
-use crate::offer::Offer;
+use crate::recorded_request::RecordedRequest;
 use regex::{Captures, Regex};
 use std::ops::RangeInclusive;
 
@@ -78,21 +78,25 @@
 
 impl Rule {
     /// Matches a request whose client is in this network; none where the rule does not apply to it.
-    pub fn matches<'o>(&self, offer: &'o Offer<'_>, network: Option<NetworkId>) -> Option<Match<'o>> {
-        if !self.matches_all_but_path(offer, network) {
+    pub fn matches<'o>(
+        &self,
+        recorded: &'o RecordedRequest<'_>,
+        network: Option<NetworkId>,
+    ) -> Option<Match<'o>> {
+        if !self.matches_all_but_path(recorded, network) {
             return None;
         }
         match &self.path {
             None => Some(Match(None)),
-            Some(path) => path.captures(&offer.path).map(|captures| Match(Some(captures))),
+            Some(path) => path.captures(&recorded.path).map(|captures| Match(Some(captures))),
         }
     }
 
-    fn matches_all_but_path(&self, offer: &Offer<'_>, network: Option<NetworkId>) -> bool {
-        self.matches_method(&offer.method)
+    fn matches_all_but_path(&self, recorded: &RecordedRequest<'_>, network: Option<NetworkId>) -> bool {
+        self.matches_method(&recorded.method)
             && self.network.is_none_or(|id| network == Some(id))
-            && self.bytes.contains(&offer.bytes())
-            && self.matches_query(offer.query.as_deref().unwrap_or_default())
+            && self.bytes.contains(&recorded.bytes())
+            && self.matches_query(recorded.query.as_deref().unwrap_or_default())
     }
 
     fn matches_method(&self, method: &str) -> bool {
--- a/crates/capture/src/order.rs
+++ b/crates/capture/src/order.rs
@@ -9,7 +9,7 @@
 
 /// Puts items in order of their times, in microseconds. Items of one time keep the order they came in.
 #[derive(Debug)]
-pub struct Merger<T> {
+pub struct ReorderBuffer<T> {
     window: i64,
     most: usize,
     held: BinaryHeap<Reverse<Held<T>>>,
@@ -19,7 +19,7 @@
     arrived: u64,
     late: u64,
     latest_by: i64,
-    crowded: u64,
+    released_early: u64,
 }
 
 #[derive(Debug)]
@@ -46,10 +46,10 @@
     }
 }
 
-impl<T> Merger<T> {
+impl<T> ReorderBuffer<T> {
     /// Holds items back for `window` microseconds of their own time, and at most `most` of them.
-    pub fn new(window: i64, most: usize) -> Merger<T> {
-        Merger {
+    pub fn new(window: i64, most: usize) -> ReorderBuffer<T> {
+        ReorderBuffer {
             window: window.max(0),
             most: most.max(1),
             held: BinaryHeap::new(),
@@ -58,7 +58,7 @@
             arrived: 0,
             late: 0,
             latest_by: 0,
-            crowded: 0,
+            released_early: 0,
         }
     }
 
@@ -80,7 +80,7 @@
         if !settled && self.held.len() <= self.most {
             return None;
         }
-        self.crowded += u64::from(!settled);
+        self.released_early += u64::from(!settled);
         self.let_go()
     }
 
@@ -101,7 +101,7 @@
     }
 
     /// Items let go before their window had passed, for want of room.
-    pub fn crowded(&self) -> u64 {
-        self.crowded
+    pub fn released_early(&self) -> u64 {
+        self.released_early
     }
 }
--- a/crates/capture/src/own_log.rs
+++ b/crates/capture/src/own_log.rs
@@ -1,7 +1,7 @@
 //! The daemon's own access log: a line of JSON a request, written and read through one type.
 
 use crate::entry_error::EntryError;
-use crate::offer::{Known, Offer};
+use crate::recorded_request::{LoggedFields, RecordedRequest};
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 use std::net::IpAddr;
@@ -88,7 +88,7 @@
 ///
 /// # Errors
 /// The line is not one of this version; the error names the key.
-pub fn parse(line: &[u8]) -> Result<Option<Offer<'_>>, EntryError> {
+pub fn parse(line: &[u8]) -> Result<Option<RecordedRequest<'_>>, EntryError> {
     if line.iter().all(u8::is_ascii_whitespace) {
         return Ok(None);
     }
@@ -104,7 +104,7 @@
     if !(line.units > 0.0 && line.units <= 1e6) {
         return Err(EntryError::Units(line.units));
     }
-    Ok(Some(Offer {
+    Ok(Some(RecordedRequest {
         at: line.at_us,
         whole_second: false,
         method: Cow::Borrowed(if line.write { "PUT" } else { "GET" }),
@@ -121,7 +121,7 @@
         received: line.received,
         took: Some(line.took_us),
         key: line.key,
-        known: Some(Known {
+        logged: Some(LoggedFields {
             class: line.class,
             plan: line.plan,
             volume,
--- a/crates/capture/src/read.rs
+++ b/crates/capture/src/read.rs
@@ -4,7 +4,7 @@
 
 use crate::entry_error::EntryError;
 use crate::lines::{Line, Lines};
-use crate::offer::Offer;
+use crate::recorded_request::RecordedRequest;
 use crate::{access_log, har, own_log};
 use std::cell::Cell;
 use std::fmt;
@@ -77,7 +77,7 @@
 
 /// An entry that could not be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Bad {
+pub struct BadEntry {
     /// `line 3` or `entry 3`, counted from 1.
     pub place: String,
     /// What is wrong with it.
@@ -92,13 +92,13 @@
     /// Requests handed on.
     pub read: u64,
     /// Empty lines, comments, and entries that never were requests.
-    pub passed_over: u64,
+    pub skipped: u64,
     /// Entries that could not be read.
     pub bad: u64,
     /// The first of the bad ones.
-    pub samples: Vec<Bad>,
+    pub samples: Vec<BadEntry>,
     /// Why the file ended before its end, if it did.
-    pub torn: Option<String>,
+    pub truncated: Option<String>,
 }
 
 /// Why a file could not be read.
@@ -113,14 +113,14 @@
         error: io::Error,
     },
     /// More entries are bad than is tolerated.
-    #[error("{file}: {bad} of {of} entries are bad, more than {percent}%; the first: {first}")]
+    #[error("{file}: {bad} of {total} entries are bad, more than {percent}%; the first: {first}")]
     TooManyBad {
         /// The file.
         file: String,
         /// Bad entries.
         bad: u64,
         /// All entries.
-        of: u64,
+        total: u64,
         /// The part that is tolerated, in percent.
         percent: f64,
         /// The first bad entry: its place and what is wrong with it.
@@ -134,7 +134,7 @@
     /// Bytes of the file that were read.
     pub bytes: u64,
     /// Bytes of the file.
-    pub of: u64,
+    pub total_bytes: u64,
     /// Entries that were read, bad ones too.
     pub entries: u64,
 }
@@ -195,7 +195,7 @@
 }
 
 /// Where requests go. False: no more is wanted.
-pub type Sink<'s> = dyn FnMut(Offer<'_>) -> bool + 's;
+pub type Sink<'s> = dyn FnMut(RecordedRequest<'_>) -> bool + 's;
 
 /// What is asked of a read.
 pub struct Options<'p> {
@@ -210,19 +210,19 @@
 /// Reads a file.
 ///
 /// # Errors The file cannot be opened, or more of it is bad than is tolerated; what came before has been
-/// handed on. A file that is torn is no error: [`Stats::torn`] tells.
+/// handed on. A file that is torn is no error: [`Stats::truncated`] tells.
 pub fn read_file(path: &Path, options: Options<'_>, sink: &mut Sink<'_>) -> Result<Stats, ReadError> {
     let named = |error| ReadError::Io { file: path.display().to_string(), error };
     let file = File::open(path).map_err(named)?;
-    let of = file.metadata().map_err(named)?.len();
-    read(&path.display().to_string(), file, of, options, sink)
+    let total_bytes = file.metadata().map_err(named)?.len();
+    read(&path.display().to_string(), file, total_bytes, options, sink)
 }
 
-/// Reads a stream of `of` bytes, which errors call `name`. Errors: as [`read_file`].
+/// Reads a stream of `total_bytes` bytes, which errors call `name`. Errors: as [`read_file`].
 pub fn read(
     name: &str,
     from: impl Read,
-    of: u64,
+    total_bytes: u64,
     options: Options<'_>,
     sink: &mut Sink<'_>,
 ) -> Result<Stats, ReadError> {
@@ -233,8 +233,8 @@
     let reset = Reset { from: BufReader::with_capacity(BUFFER, from), since: endless };
     let mut from = plain(reset).map_err(named)?;
     let format = options.format.map_or_else(|| sniff(&mut *from), Ok).map_err(named)?;
-    let stats = Stats { format, read: 0, passed_over: 0, bad: 0, samples: Vec::new(), torn: None };
-    let mut reading = Reading { name, stats, options, bytes, of, sink };
+    let stats = Stats { format, read: 0, skipped: 0, bad: 0, samples: Vec::new(), truncated: None };
+    let mut reading = Reading { name, stats, options, bytes, total_bytes, sink };
     match format {
         Format::Har => reading.har(from)?,
         Format::AccessLog => {
@@ -276,7 +276,7 @@
     stats: Stats,
     options: Options<'p>,
     bytes: Rc<Cell<u64>>,
-    of: u64,
+    total_bytes: u64,
     sink: &'a mut Sink<'s>,
 }
 
@@ -285,20 +285,24 @@
     fn take(
         &mut self,
         place: impl FnOnce() -> String,
-        entry: Result<Option<Offer<'_>>, EntryError>,
+        entry: Result<Option<RecordedRequest<'_>>, EntryError>,
     ) -> Result<bool, ReadError> {
         let mut goes_on = true;
         match entry {
-            Ok(Some(offer)) => {
+            Ok(Some(recorded)) => {
                 self.stats.read += 1;
-                goes_on = (self.sink)(offer);
+                goes_on = (self.sink)(recorded);
             }
-            Ok(None) => self.stats.passed_over += 1,
+            Ok(None) => self.stats.skipped += 1,
             Err(error) => self.bad(place(), error.to_string()),
         }
         let entries = self.stats.read + self.stats.bad;
         if entries.is_multiple_of(TELL_EVERY) {
-            (self.options.progress)(Progress { bytes: self.bytes.get(), of: self.of, entries });
+            (self.options.progress)(Progress {
+                bytes: self.bytes.get(),
+                total_bytes: self.total_bytes,
+                entries,
+            });
         }
         if entries >= EARLY {
             self.tolerable()?;
@@ -309,19 +313,19 @@
     fn bad(&mut self, place: String, reason: String) {
         self.stats.bad += 1;
         if self.stats.samples.len() < SAMPLES {
-            self.stats.samples.push(Bad { place, reason });
+            self.stats.samples.push(BadEntry { place, reason });
         }
     }
 
     fn tolerable(&self) -> Result<(), ReadError> {
-        let (bad, of) = (self.stats.bad, self.stats.bad + self.stats.read);
-        if bad as f64 <= self.options.tolerance.bad_share * of as f64 {
+        let (bad, total) = (self.stats.bad, self.stats.bad + self.stats.read);
+        if bad as f64 <= self.options.tolerance.bad_share * total as f64 {
             return Ok(());
         }
         let first = self.stats.samples.first();
         let first = first.map(|b| format!("{}: {}", b.place, b.reason)).unwrap_or_default();
         let percent = self.options.tolerance.bad_share * 100.0;
-        Err(ReadError::TooManyBad { file: self.name.to_string(), bad, of, percent, first })
+        Err(ReadError::TooManyBad { file: self.name.to_string(), bad, total, percent, first })
     }
 
     fn lines(
@@ -329,7 +333,7 @@
         from: impl BufRead,
         mut parse: impl FnMut(
             &[u8],
-            &mut dyn FnMut(Result<Option<Offer<'_>>, EntryError>) -> Result<bool, ReadError>,
+            &mut dyn FnMut(Result<Option<RecordedRequest<'_>>, EntryError>) -> Result<bool, ReadError>,
         ) -> Result<bool, ReadError>,
     ) -> Result<(), ReadError> {
         let mut lines = Lines::new(from);
@@ -381,6 +385,6 @@
     /// The rest cannot be read: it counts as one bad entry.
     fn torn(&mut self, place: String, error: &dyn fmt::Display) {
         self.bad(place.clone(), error.to_string());
-        self.stats.torn = Some(format!("{place}: {error}"));
+        self.stats.truncated = Some(format!("{place}: {error}"));
     }
 }
--- a/crates/capture/src/offer.rs
+++ b/crates/capture/src/recorded_request.rs
@@ -5,7 +5,7 @@
 
 /// One recorded request.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Offer<'a> {
+pub struct RecordedRequest<'a> {
     /// When it was made, in microseconds of Unix time.
     pub at: i64,
     /// The source tells no more of the time than its second.
@@ -29,12 +29,12 @@
     /// The key by which a repeat is known, where the source tells.
     pub key: Option<Cow<'a, str>>,
     /// What the daemon's own log tells beyond that.
-    pub known: Option<Known<'a>>,
+    pub logged: Option<LoggedFields<'a>>,
 }
 
 /// What the daemon knew of a request that it logged.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Known<'a> {
+pub struct LoggedFields<'a> {
     /// The request class.
     pub class: Cow<'a, str>,
     /// The QoS plan.
@@ -53,7 +53,7 @@
     pub deadline_ms: u32,
 }
 
-impl Offer<'_> {
+impl RecordedRequest<'_> {
     /// The larger of the two bodies, in bytes: what the request moved.
     pub fn bytes(&self) -> u64 {
         self.sent.max(self.received)
--- a/crates/capture/src/summary.rs
+++ b/crates/capture/src/summary.rs
@@ -1,6 +1,6 @@
 //! What a source offers as load, summed up while it is read.
 
-use crate::offer::Offer;
+use crate::recorded_request::RecordedRequest;
 use hdrhistogram::Histogram;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::fmt;
@@ -31,14 +31,14 @@
 
 impl Summary {
     /// Takes a request.
-    pub fn add(&mut self, offer: &Offer<'_>) {
+    pub fn add(&mut self, recorded: &RecordedRequest<'_>) {
         self.requests += 1;
-        *self.per_second.entry(offer.at.div_euclid(SECOND)).or_default() += 1;
+        *self.per_second.entry(recorded.at.div_euclid(SECOND)).or_default() += 1;
         let mut hash = DefaultHasher::new();
-        offer.path.hash(&mut hash);
+        recorded.path.hash(&mut hash);
         self.paths.insert(hash.finish());
-        let part = offer.path.trim_start_matches('/').split('/').next().unwrap_or_default();
-        let mut key = (offer.method.to_string(), format!("/{part}"));
+        let part = recorded.path.trim_start_matches('/').split('/').next().unwrap_or_default();
+        let mut key = (recorded.method.to_string(), format!("/{part}"));
         if self.groups.len() >= GROUPS && !self.groups.contains_key(&key) {
             key = ("(others)".into(), String::new());
         }
@@ -51,10 +51,10 @@
             took: Histogram::new(2).expect("two significant digits"),
         });
         group.requests += 1;
-        group.sent += offer.sent;
-        group.received += offer.received;
-        group.failed += u64::from(offer.failed());
-        if let Some(took) = offer.took {
+        group.sent += recorded.sent;
+        group.received += recorded.received;
+        group.failed += u64::from(recorded.failed());
+        if let Some(took) = recorded.took {
             // It grows with its values; a value out of range counts as none.
             let _ = group.took.record(took);
         }
--- a/crates/capture/src/trace.rs
+++ b/crates/capture/src/trace.rs
@@ -134,7 +134,7 @@
     },
     /// The trace has another version.
     #[error("{file}: is a trace of version {found}; this program reads version {VERSION}: import it anew")]
-    OtherVersion {
+    UnsupportedVersion {
         /// The file.
         file: String,
         /// Its version.
@@ -142,7 +142,7 @@
     },
     /// The trace ends within a record, or without its end.
     #[error("{file}: is torn at byte {at}, behind {records} whole records: it was not written to its end")]
-    Torn {
+    Truncated {
         /// The file.
         file: String,
         /// The byte where it ends.
@@ -298,7 +298,7 @@
         }
         let found = u16::from_le_bytes([start[8], start[9]]);
         if found != VERSION {
-            return Err(TraceError::OtherVersion { file: name, found });
+            return Err(TraceError::UnsupportedVersion { file: name, found });
         }
         let header = Header {
             base_us: 0,
@@ -332,7 +332,7 @@
     fn fill(&mut self, buffer: &mut [u8]) -> Result<(), TraceError> {
         self.from.read_exact(buffer).map_err(|error| match error.kind() {
             io::ErrorKind::UnexpectedEof => {
-                TraceError::Torn { file: self.name.clone(), at: self.at, records: self.read.records }
+                TraceError::Truncated { file: self.name.clone(), at: self.at, records: self.read.records }
             }
             _ => TraceError::Io { file: self.name.clone(), error },
         })
--- a/crates/capture/tests/compatibility.rs
+++ b/crates/capture/tests/compatibility.rs
@@ -5,7 +5,7 @@
 use rowanglade_capture::mapping::{Mapped, Mapping};
 use rowanglade_capture::own_log::{AccessLine, End, PREFIX, VERSION, parse};
 use rowanglade_capture::{
-    ClassTerms, Header, Known, Offer, PlanTerms, Record, Repeat, TraceReader, TraceWriter,
+    ClassTerms, Header, LoggedFields, PlanTerms, Record, RecordedRequest, Repeat, TraceReader, TraceWriter,
 };
 use std::path::Path;
 
@@ -126,8 +126,9 @@
         assert!(text.starts_with(PREFIX), "{text}");
         assert_eq!(serde_json::from_str::<AccessLine<'_>>(text).expect("a line"), line);
     }
-    let offer = parse(LINES.lines().next().expect("a line").as_bytes()).expect("a line").expect("a request");
-    let expected = Known {
+    let recorded =
+        parse(LINES.lines().next().expect("a line").as_bytes()).expect("a line").expect("a request");
+    let expected = LoggedFields {
         class: "deposit".into(),
         plan: Some("basic".into()),
         volume: 0x3_b4d6_0021,
@@ -137,7 +138,7 @@
         hosts: 4,
         deadline_ms: 1_500,
     };
-    assert_eq!(offer.known, Some(expected));
+    assert_eq!(recorded.logged, Some(expected));
 }
 
 // Unknown keys are refused, so a key that was renamed fails here; that each has its effect is seen on a
@@ -148,7 +149,7 @@
     assert!(mapping.anonymises() && !mapping.spread_seconds());
     assert_eq!(mapping.classes(), &header().classes[..3]);
     assert_eq!(mapping.plans(), header().plans);
-    let mut offer = Offer {
+    let mut recorded = RecordedRequest {
         at: 5_000_000,
         whole_second: false,
         method: "PUT".into(),
@@ -160,18 +161,18 @@
         received: 10,
         took: Some(1_000),
         key: None,
-        known: None,
+        logged: None,
     };
-    let Mapped::Request(at, record) = mapping.map(&offer) else { panic!("no request") };
+    let Mapped::Request(at, record) = mapping.map(&recorded) else { panic!("no request") };
     assert_eq!(at, 4_999_000, "its end was recorded");
     assert_eq!((record.class, record.plan, record.units, record.shard), (1, 1, 3.0, None));
     assert_eq!((record.hosts, record.deadline_ms, record.bytes), (6, 1_200, 150_000));
     assert!(record.key.is_some());
-    offer.path = "/up".into();
-    assert_eq!(mapping.map(&offer), Mapped::Ignored(1));
+    recorded.path = "/up".into();
+    assert_eq!(mapping.map(&recorded), Mapped::Ignored(1));
     // The defaults are those of the last rule.
-    offer.path = "/view/v1/p1".into();
-    let Mapped::Request(_, record) = mapping.map(&offer) else { panic!("no request") };
+    recorded.path = "/view/v1/p1".into();
+    let Mapped::Request(_, record) = mapping.map(&recorded) else { panic!("no request") };
     assert_eq!((record.class, record.plan, record.units, record.hosts), (0, 0, 1.5, 2));
     assert!(record.shard.is_some_and(|shard| shard < 5));
 }
--- a/crates/capture/tests/modules/access_log.rs
+++ b/crates/capture/tests/modules/access_log.rs
@@ -1,9 +1,9 @@
 //! Tests of the access log reader.
 
 use rowanglade_capture::access_log::Parser;
-use rowanglade_capture::{EntryError, Offer};
+use rowanglade_capture::{EntryError, RecordedRequest};
 
-fn one(line: &str) -> Result<Offer<'_>, EntryError> {
+fn one(line: &str) -> Result<RecordedRequest<'_>, EntryError> {
     Parser::default().parse(line.as_bytes()).map(|o| o.expect("a request"))
 }
 
--- a/crates/capture/tests/modules/har.rs
+++ b/crates/capture/tests/modules/har.rs
@@ -9,10 +9,10 @@
 
 #[test]
 fn an_entry_tells_its_key_and_what_is_unknown_stays_so() {
-    let offer = parse(ENTRY).expect("an entry").expect("a request");
-    assert_eq!(offer.key.as_deref(), Some("k\"1"));
-    assert_eq!((offer.sent, offer.received, offer.took), (300, 12, Some(12_500)));
-    assert_eq!((&*offer.path, offer.query.as_deref()), ("/deposit/1/b", Some("x=1")));
+    let recorded = parse(ENTRY).expect("an entry").expect("a request");
+    assert_eq!(recorded.key.as_deref(), Some("k\"1"));
+    assert_eq!((recorded.sent, recorded.received, recorded.took), (300, 12, Some(12_500)));
+    assert_eq!((&*recorded.path, recorded.query.as_deref()), ("/deposit/1/b", Some("x=1")));
     let unknown = ENTRY.replace("12.5", "-1");
     assert_eq!(parse(&unknown).expect("an entry").expect("a request").took, None);
     let data = ENTRY.replace("http://store/deposit/1/b?x=1", "data:image/png;base64,AAAA");
--- a/crates/capture/tests/modules/order.rs
+++ b/crates/capture/tests/modules/order.rs
@@ -1,9 +1,9 @@
 //! Tests of the reordering window.
 
-use rowanglade_capture::order::Merger;
+use rowanglade_capture::order::ReorderBuffer;
 
-fn merged(window: i64, most: usize, times: &[i64]) -> (Vec<(i64, usize)>, Merger<usize>) {
-    let mut merger = Merger::new(window, most);
+fn merged(window: i64, most: usize, times: &[i64]) -> (Vec<(i64, usize)>, ReorderBuffer<usize>) {
+    let mut merger = ReorderBuffer::new(window, most);
     let mut out = Vec::new();
     for (i, at) in times.iter().enumerate() {
         merger.push(*at, i);
@@ -32,5 +32,5 @@
 fn a_burst_keeps_its_order_and_the_bound() {
     let (out, merger) = merged(10, 3, &[7; 9]);
     assert_eq!(out.iter().map(|o| o.1).collect::<Vec<_>>(), (0..9).collect::<Vec<_>>());
-    assert_eq!(merger.crowded(), 6);
+    assert_eq!(merger.released_early(), 6);
 }
--- a/crates/capture/tests/modules/trace.rs
+++ b/crates/capture/tests/modules/trace.rs
@@ -86,7 +86,7 @@
         let (whole, error) = read(&bytes[..end]);
         assert!(whole == 0 || whole == 20, "{whole} at {end}");
         let error = error.unwrap_or_else(|| panic!("cut at {end} it was read"));
-        let told = matches!(error, TraceError::NotATrace { .. } | TraceError::Torn { .. });
+        let told = matches!(error, TraceError::NotATrace { .. } | TraceError::Truncated { .. });
         assert!(told, "{end}: {error}");
     }
 }
--- a/crates/capture/tests/sources.rs
+++ b/crates/capture/tests/sources.rs
@@ -25,8 +25,8 @@
 fn read(bytes: &[u8], bad_share: f64) -> (Summary, Result<Stats, ReadError>) {
     let mut summary = Summary::default();
     let options = Options { format: None, tolerance: Tolerance { bad_share }, progress: &mut |_| {} };
-    let stats = read::read("f", bytes, bytes.len() as u64, options, &mut |offer| {
-        summary.add(&offer);
+    let stats = read::read("f", bytes, bytes.len() as u64, options, &mut |recorded| {
+        summary.add(&recorded);
         true
     });
     (summary, stats)
@@ -36,7 +36,7 @@
 fn an_access_log_is_summed_up() {
     let (summary, stats) = read(LOG.as_bytes(), 0.0);
     let stats = stats.expect("read");
-    assert_eq!((stats.format, stats.passed_over), (Format::AccessLog, 3));
+    assert_eq!((stats.format, stats.skipped), (Format::AccessLog, 3));
     assert_snapshot!(summary.to_string(), @r"
     requests 3  seconds 3  rate 1.00/s
     busiest second 2  dispersion 0.67
@@ -99,14 +99,14 @@
     for packed in [gzip.as_slice(), zstd.as_slice()] {
         let (summary, stats) = read(packed, 0.0);
         let stats = stats.expect("read");
-        assert_eq!((summary.requests(), stats.torn), (6_000, None));
+        assert_eq!((summary.requests(), stats.truncated), (6_000, None));
         let (summary, stats) = read(&packed[..packed.len() - 9], 0.01);
-        let torn = stats.expect("one bad entry").torn.expect("torn");
+        let torn = stats.expect("one bad entry").truncated.expect("torn");
         assert!(torn.starts_with("line ") && summary.requests() <= 6_000, "{torn}");
     }
     let (summary, stats) = read(&HAR.as_bytes()[..HAR.len() - 3], 0.5);
     let stats = stats.expect("within the share");
-    assert!(summary.requests() == 2 && stats.torn.is_some_and(|t| t.contains("behind entry 2")));
+    assert!(summary.requests() == 2 && stats.truncated.is_some_and(|t| t.contains("behind entry 2")));
 }
 
 fn folder() -> PathBuf {
--- a/crates/lab/src/initiators.rs
+++ b/crates/lab/src/initiators.rs
@@ -73,7 +73,7 @@
         if lines.len() as u64 >= least || Instant::now() >= until {
             let parse = |line: &&[u8]| -> Result<(u64, u16), Failure> {
                 let offer = own_log::parse(line)?.ok_or(Failure::Unexpected("an empty line"))?;
-                let known = offer.known.as_ref().ok_or(Failure::Unexpected("a line without its volume"))?;
+                let known = offer.logged.as_ref().ok_or(Failure::Unexpected("a line without its volume"))?;
                 Ok((known.volume, offer.status))
             };
             return lines.iter().map(parse).collect();
--- a/src/cli/capture/mod.rs
+++ b/src/cli/capture/mod.rs
@@ -58,5 +58,5 @@
 
 /// How much of a file has been read, in percent.
 fn percent(progress: Progress) -> f64 {
-    100.0 * progress.bytes as f64 / progress.of.max(1) as f64
+    100.0 * progress.bytes as f64 / progress.total_bytes.max(1) as f64
 }
--- a/src/core/access_log/tests.rs
+++ b/src/core/access_log/tests.rs
@@ -40,7 +40,7 @@
     let text = std::fs::read_to_string(path).expect("a file");
     let line = |l: &str| {
         let request = rowanglade_capture::own_log::parse(l.as_bytes()).expect("a line").expect("a request");
-        let known = request.known.expect("known");
+        let known = request.logged.expect("known");
         format!("{} {} {:?} {:?}", known.class, request.status, request.key.as_deref(), known.shard)
     };
     let lines: Vec<String> = text.lines().map(line).collect();
