--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -2,18 +2,19 @@
 
 use std::fmt;
 
-/// A key that cannot be used, and why.
+/// A key of the configuration whose value cannot be used.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 #[error("configuration: {key}: {problem}")]
 pub struct ConfigError {
-    /// The variable, the key or the file.
+    /// The environment variable, the key or the file; a key of a table with its path, such as
+    /// `sites.hold_ms`.
     pub key: String,
-    /// What is wrong with it.
+    /// Why the value cannot be used, as a clause that continues the key.
     pub problem: String,
 }
 
 impl ConfigError {
-    /// An error at this key.
+    /// Builds the error for this key.
     pub fn new(key: impl Into<String>, problem: impl fmt::Display) -> ConfigError {
         ConfigError { key: key.into(), problem: problem.to_string() }
     }
--- a/src/config/fleet.rs
+++ b/src/config/fleet.rs
@@ -1,4 +1,4 @@
-//! The operator's `fleet` table.
+//! The operator's `fleet` table: the initiators that exchange quota.
 
 use super::ConfigError;
 use crate::net::quota_exchange::FleetPeers;
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The initiators of the fleet, and the key that all of them share.
+/// The addresses of the fleet's initiators, and the file with the key that they share.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetTable {
@@ -22,21 +22,26 @@
 }
 
 impl FleetTable {
-    /// Checks the table and reads the key.
+    /// Checks the addresses and reads the key.
     ///
     /// # Errors
-    /// `me` is no place in `peers`, a peer stands there twice, or the key file does not hold 64 hex digits. No error
-    /// shows the key.
+    /// `me` is not an index of `peers`, an address is listed twice, or the key file cannot be read or is not
+    /// 64 hex digits. No error contains the key.
     pub fn check(self) -> Result<FleetPeers, ConfigError> {
         if self.peers.len() > usize::from(u16::MAX) || self.own_index >= self.peers.len() {
             return Err(ConfigError::new(
                 "fleet.me",
-                format!("{} is no place in fleet.peers", self.own_index),
+                format!(
+                    "{} is not an index of fleet.peers ({} entries, at most {})",
+                    self.own_index,
+                    self.peers.len(),
+                    u16::MAX
+                ),
             ));
         }
-        let mut known = HashSet::with_capacity(self.peers.len());
-        if let Some(index) = self.peers.iter().position(|peer| !known.insert(peer)) {
-            return Err(ConfigError::new(format!("fleet.peers[{index}]"), "is there twice"));
+        let mut unique = HashSet::with_capacity(self.peers.len());
+        if let Some(index) = self.peers.iter().position(|peer| !unique.insert(peer)) {
+            return Err(ConfigError::new(format!("fleet.peers[{index}]"), "is listed twice"));
         }
         let key = self.read_key()?;
         Ok(FleetPeers { addrs: self.peers, own: Peer(self.own_index as u16), key })
@@ -47,7 +52,7 @@
             ConfigError::new("fleet.key_file", format!("{}: {problem}", self.key_file.display()))
         };
         let text = std::fs::read_to_string(&self.key_file).map_err(|cause| error(&cause))?;
-        // The key itself is secret and stays out of the message.
-        parse_key(text.trim()).ok_or_else(|| error(&"is not 64 hex digits"))
+        // The key is secret, so that the error leaves the file's content out.
+        parse_key(text.trim()).ok_or_else(|| error(&"the content is not 64 hex digits"))
     }
 }
--- a/src/config/iscsi.rs
+++ b/src/config/iscsi.rs
@@ -1,4 +1,4 @@
-//! The operator's `iscsi` table.
+//! The operator's `iscsi` table: the iSCSI-style front, its volumes and its targets.
 
 use super::ConfigError;
 use crate::net::iscsi::Lun;
@@ -8,42 +8,42 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The iSCSI-style front.
+/// The settings of the iSCSI-style front.
 #[derive(Debug, PartialEq)]
 pub struct Iscsi {
-    /// Where sessions connect.
+    /// The address that the front listens on.
     pub listen: SocketAddr,
-    /// The name of the target that sessions log in to, and of the initiator in sessions that go out.
+    /// The iSCSI name that clients log in to, and that this initiator uses in its own sessions with targets.
     pub name: String,
-    /// How many logical blocks count as one unit.
+    /// How many logical blocks count as one unit of a request's size.
     pub blocks_per_unit: u32,
-    /// How long a login to a target may take.
+    /// Timeout of the login to a target.
     pub login_timeout: Duration,
-    /// How long a session that owes responses may be silent before it is asked with a NOP-Out; after as long
-    /// again it counts as broken.
+    /// How long a session with outstanding requests may stay silent before a NOP-Out is sent to it. After the
+    /// same time again without a response it counts as failed.
     pub silence_timeout: Duration,
-    /// Volumes by their LUN.
+    /// The volumes, by LUN.
     pub luns: HashMap<u64, Lun>,
-    /// Targets that discovery does not list.
+    /// Targets that are configured here, in addition to those that discovery lists.
     pub targets: Vec<Portal>,
 }
 
-/// A target that speaks the iSCSI-style protocol.
+/// A target that is reached by the iSCSI-style protocol.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Portal {
-    /// The target's name.
+    /// The target's iSCSI name, unique in the table.
     pub name: String,
-    /// Where it accepts sessions.
+    /// The address that the target accepts sessions on.
     pub addr: SocketAddr,
-    /// Its zone; empty where none is known.
+    /// The target's zone; empty if unknown.
     #[serde(default)]
     pub zone: String,
-    /// The shard that it holds.
+    /// The shard that the target stores.
     pub shard: u32,
 }
 
-/// The table, as written.
+/// The `iscsi` table as it is written.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct IscsiTable {
@@ -61,24 +61,24 @@
     target: Vec<Portal>,
 }
 
-/// A volume, as written.
+/// A `volume` table as it is written.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct VolumeTable {
-    /// In hex digits.
+    /// In hex digits, without a prefix.
     lun: String,
     plan: Option<String>,
-    /// None: its writes are new objects, which any target can take.
+    /// Absent: each write creates a new object, which any target can store.
     shard: Option<u32>,
     #[serde(rename = "hosts", default)]
     initiators: u32,
 }
 
-/// Logical blocks of a unit where the file does not say: a unit is 4 KiB.
+/// Logical blocks per unit if the table sets none. With blocks of 512 bytes, a unit is 4 KiB.
 const DEFAULT_BLOCKS_PER_UNIT: u32 = 8;
-/// How long a login to a target may take where the file does not say.
+/// Timeout of the login to a target if the table sets none.
 const DEFAULT_LOGIN_TIMEOUT_MS: u64 = 500;
-/// How long a session that owes responses may be silent where the file does not say.
+/// How long a session may stay silent if the table sets none.
 const DEFAULT_SILENCE_TIMEOUT_MS: u64 = 400;
 
 fn default_blocks_per_unit() -> u32 {
@@ -94,11 +94,11 @@
 }
 
 impl IscsiTable {
-    /// Checks the table.
+    /// Checks the table against the settings, whose plans the volumes refer to.
     ///
     /// # Errors
-    /// A value is zero, a LUN is no hex number or stands twice, a plan is not in the settings, or a target stands
-    /// twice.
+    /// A value is zero, a LUN is not a hex number or is listed twice, a plan is not in the settings, or a
+    /// target's name is listed twice.
     pub fn check(self, settings: &Settings) -> Result<Iscsi, ConfigError> {
         above_zero("blocks_per_unit", u64::from(self.blocks_per_unit))?;
         let luns = check_volumes(self.volume, settings)?;
@@ -117,7 +117,7 @@
 
 fn above_zero(key: &str, value: u64) -> Result<u64, ConfigError> {
     match value {
-        0 => Err(ConfigError::new(format!("iscsi.{key}"), "is zero")),
+        0 => Err(ConfigError::new(format!("iscsi.{key}"), "must be above zero")),
         _ => Ok(value),
     }
 }
@@ -126,16 +126,17 @@
     let mut luns = HashMap::new();
     for (index, volume) in volumes.into_iter().enumerate() {
         let key = |name: &str| format!("iscsi.volume[{index}].{name}");
-        let lun_number = u64::from_str_radix(&volume.lun, 16)
-            .map_err(|error| ConfigError::new(key("lun"), format!("{:?}: {error}", volume.lun)))?;
+        let lun_number = u64::from_str_radix(&volume.lun, 16).map_err(|error| {
+            ConfigError::new(key("lun"), format!("{:?} is not a hex number: {error}", volume.lun))
+        })?;
         if let Some(plan) =
             volume.plan.as_deref().filter(|plan| !settings.plans().any(|known| known == *plan))
         {
-            return Err(ConfigError::new(key("plan"), format!("the settings have no plan {plan:?}")));
+            return Err(ConfigError::new(key("plan"), format!("{plan:?} is not a plan of the settings")));
         }
         let lun = Lun { plan: volume.plan, shard: volume.shard, initiators: volume.initiators };
         if luns.insert(lun_number, lun).is_some() {
-            return Err(ConfigError::new(key("lun"), format!("{:?} is there twice", volume.lun)));
+            return Err(ConfigError::new(key("lun"), format!("{:?} is listed twice", volume.lun)));
         }
     }
     Ok(luns)
@@ -146,7 +147,7 @@
     for (index, target) in targets.iter().enumerate() {
         if !names.insert(&target.name) {
             let key = format!("iscsi.target[{index}].name");
-            return Err(ConfigError::new(key, format!("{:?} is there twice", target.name)));
+            return Err(ConfigError::new(key, format!("{:?} is listed twice", target.name)));
         }
     }
     Ok(())
--- a/src/config/limits.rs
+++ b/src/config/limits.rs
@@ -1,27 +1,28 @@
-//! The memory and descriptors that the platform lets the program use.
+//! The memory and file descriptors that the platform lets the process use.
 
 use super::ConfigError;
 use serde::Deserialize;
 
-/// Memory of a configuration that sets none, in MB.
+/// Memory in MB if the configuration sets none.
 const DEFAULT_MEMORY_MB: usize = 192;
-/// Descriptors of a configuration that sets none: Linux's usual limit of a process.
+/// File descriptors if the configuration sets none: the usual limit of a process on Linux.
 const DEFAULT_DESCRIPTORS: usize = 1_024;
-/// The least memory in MB: a quarter of it, 4 MB, is left for bodies.
+/// The least memory in MB: a quarter of it, 4 MB, is available to request bodies.
 const MIN_MEMORY_MB: usize = 16;
-/// The fewest descriptors: what is reserved leaves hardly more than what must be shared.
+/// The fewest file descriptors. At this limit, little more than the required minimum is left to be shared
+/// after the reserved descriptors are taken off.
 const MIN_DESCRIPTORS: usize = 64;
-/// Bodies of requests take up at most one part in so many of the memory: the rest is the program's own, the
-/// buffers of its connections and the endpoint list.
+/// Request bodies take up at most one part in this many of the memory. The rest is for the process itself,
+/// the buffers of its connections and the endpoint list.
 const BODY_MEMORY_DIVISOR: usize = 4;
 
-/// What the platform lets the program use.
+/// The memory and file descriptors that the platform lets the process use.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct Limits {
     /// Memory in MB of 2^20 bytes.
     pub memory_mb: usize,
-    /// Descriptors.
+    /// File descriptors, of sockets and files together.
     pub sockets: usize,
 }
 
@@ -38,7 +39,7 @@
         Ok(self)
     }
 
-    /// Bytes that bodies of requests may take up together.
+    /// Bytes that the bodies of all requests may take up together.
     pub fn body_bytes(&self) -> usize {
         self.memory_mb * (1 << 20) / BODY_MEMORY_DIVISOR
     }
@@ -46,7 +47,7 @@
 
 fn at_least(key: &str, value: usize, min: usize) -> Result<(), ConfigError> {
     match value < min {
-        true => Err(ConfigError::new(key, format!("{value} is under {min}"))),
+        true => Err(ConfigError::new(key, format!("{value} is below the minimum of {min}"))),
         false => Ok(()),
     }
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,8 +1,8 @@
-//! The configuration: the platform's JSON, the environment and the operator's files, read, checked and
-//! completed with defaults.
+//! The configuration: the platform's JSON file, the environment and the operator's TOML files. They are read,
+//! checked and completed with defaults.
 //!
-//! Each table of the operator's files has a module of its own, which checks it and gives what the program
-//! uses.
+//! Each table of the operator's files has a module of its own, which checks the table and converts it to the
+//! type that the program uses.
 
 mod access_log;
 mod error;
@@ -37,43 +37,43 @@
 pub use reload::Reload;
 pub use routing::{RouteEvaluation, Routing};
 
-/// The name of an initiator that the configuration does not name.
+/// The initiator's name if the configuration sets none.
 const DEFAULT_NAME: &str = "rowanglade";
 
-/// The whole configuration, checked.
+/// The checked configuration of a process.
 #[derive(Debug)]
 pub struct Config {
     /// The initiator's name.
     pub name: String,
-    /// Where clients of the HTTP front connect.
+    /// The address that the HTTP front listens on.
     pub listen: SocketAddr,
-    /// Discovery's address; none where targets are listed by the configuration alone.
+    /// The address of discovery; absent if the configuration alone lists the targets.
     pub discovery: Option<SocketAddr>,
-    /// Where the admin listener is; none turns it off.
+    /// The address of the admin listener; absent if it is turned off.
     pub admin: Option<SocketAddr>,
-    /// The folder through which this process and its successor find each other; none turns handover off.
+    /// The folder in which this process and its successor find each other; absent if handover is turned off.
     pub handover_dir: Option<PathBuf>,
     /// The seed of the initiator's random numbers.
     pub seed: u64,
-    /// The endpoint list that was known before, for the time until discovery answers.
+    /// The endpoint list that is used until discovery answers.
     pub cached_list: Option<EndpointPage>,
-    /// The other initiators as the platform gives them; none where draining targets are not reported to them.
+    /// The addresses for drain gossip; absent if draining targets are not reported to other initiators.
     pub gossip_peers: Option<PeerAddresses>,
-    /// Classes, plans and rules.
+    /// Request classes, QoS plans and scheduling rules.
     pub settings: Settings,
-    /// Memory and descriptors that the program may use.
+    /// The memory and file descriptors that the process may use.
     pub limits: Limits,
-    /// The iSCSI-style front; none turns it off.
+    /// The iSCSI-style front; absent if it is turned off.
     pub iscsi: Option<Iscsi>,
-    /// Where requests are logged; none turns the log off.
+    /// The access log; absent if it is turned off.
     pub access_log: Option<AccessLog>,
-    /// Routes and their expectations.
+    /// Routes, and the expectations that they must meet.
     pub routing: Routing,
-    /// The other initiators; none turns the exchange of quota with them off.
+    /// The initiators that quota is exchanged with; absent if the quota exchange is turned off.
     pub quota_peers: Option<FleetPeers>,
-    /// When a site is ejected; none turns the monitoring of sites off.
+    /// When a site is ejected and how it returns; absent if sites are not monitored.
     pub sites: Option<SiteSettings>,
-    /// The targets that this initiator prefers for new objects; none prefers none.
+    /// The choice of preferred targets for new objects; absent if all targets are preferred equally.
     pub subset: Option<Subset>,
 }
 
@@ -81,13 +81,14 @@
     /// Reads the environment, the file that `LB_CONFIG` names, and the operator's files.
     ///
     /// # Errors
-    /// A file cannot be read, a key is missing, or a value is not valid; the error names the key.
+    /// A file cannot be read, a key is missing, or a value is not valid. The error names the key.
     pub fn load(env: impl Fn(&str) -> Option<String>, operator: &[PathBuf]) -> Result<Config, ConfigError> {
         let path = env("LB_CONFIG").ok_or_else(|| ConfigError::new("LB_CONFIG", "is not set"))?;
         let file = PlatformFile::read(Path::new(&path))?;
         let peers = file.peer_addresses()?;
-        let listen = Setting::find(&env, "LB_LISTEN", "listen", file.listen)
-            .ok_or_else(|| ConfigError::new("LB_LISTEN", "is not set, and the file has no `listen`"))?;
+        let listen = Setting::find(&env, "LB_LISTEN", "listen", file.listen).ok_or_else(|| {
+            ConfigError::new("LB_LISTEN", "is not set, and the configuration file has no `listen`")
+        })?;
         let operator = OperatorFiles::read(operator)?;
         let routing = Routing::parse(&operator.sources, file.settings.routing())?;
         let tables = operator.tables;
@@ -120,7 +121,7 @@
     /// Builds the scheduler and the table of names from the settings.
     ///
     /// # Errors
-    /// The settings are not valid; the error names the key.
+    /// The settings are not valid. The error names the key.
     pub fn build_scheduler(&self) -> Result<(Scheduler, Names), ConfigError> {
         let mut names = Names::default();
         let settings = self.settings.translate(&mut names);
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -11,31 +11,29 @@
 use serde::de::IgnoredAny;
 use std::path::{Path, PathBuf};
 
-/// What the operator's files have, before their tables are checked.
+/// The content of the operator's files, before the tables are checked.
 #[derive(Default)]
 pub struct OperatorFiles {
-    /// The tables of all files.
+    /// The tables of all files together.
     pub tables: OperatorTables,
-    /// The files' texts in their order, of which the routing crate reads pools, routes and expectations:
-    /// those of an earlier file come first.
+    /// The text of each file, in the order of the command line. The routing crate reads pools, routes and
+    /// expectations from them; those of an earlier file precede those of a later one.
     pub sources: Vec<Source>,
 }
 
-/// The tables that may stand in one of the files.
+/// The tables that an operator's file may contain.
 #[derive(Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OperatorTables {
-    /// The iSCSI-style front.
     pub iscsi: Option<IscsiTable>,
-    /// The access log.
     pub access_log: Option<AccessLog>,
-    /// The exchange of quota with other initiators.
+    /// The quota exchange with other initiators.
     pub fleet: Option<FleetTable>,
     /// The monitoring of sites.
     pub sites: Option<SitesTable>,
-    /// The preferred targets.
+    /// The choice of preferred targets.
     pub subset: Option<SubsetTable>,
-    // What the routing crate reads by itself.
+    // The routing crate reads these tables from the files' texts.
     #[serde(rename = "pool")]
     _pool: Option<IgnoredAny>,
     #[serde(rename = "route")]
@@ -45,10 +43,10 @@
 }
 
 impl OperatorFiles {
-    /// Reads the files in their order.
+    /// Reads the files in the given order.
     ///
     /// # Errors
-    /// A file cannot be read or parsed, or a table stands in two files.
+    /// A file cannot be read or parsed, or two files have the same table.
     pub fn read(paths: &[PathBuf]) -> Result<OperatorFiles, ConfigError> {
         let mut files = OperatorFiles::default();
         for path in paths {
@@ -60,7 +58,7 @@
     fn add(&mut self, path: &Path) -> Result<(), ConfigError> {
         let name = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|error| ConfigError::new(&name, error))?;
-        // The parser's message shows the line and names the key.
+        // The parser's message contains the line and the key.
         let tables: OperatorTables = toml::from_str(&text).map_err(|error| ConfigError::new(&name, error))?;
         self.tables.merge(tables, &name)?;
         self.sources.push(Source { name, text });
@@ -78,13 +76,16 @@
     }
 }
 
-/// Takes over a table of a later file, which no earlier file may have.
+/// Adds a table of a later file; an error if an earlier file has the same table.
 fn merge<T>(table: &mut Option<T>, later: Option<T>, file: &str, key: &str) -> Result<(), ConfigError> {
     if later.is_none() {
         return Ok(());
     }
     if table.is_some() {
-        return Err(ConfigError::new(format!("{file}: {key}"), "stands in an earlier file too"));
+        return Err(ConfigError::new(
+            format!("{file}: {key}"),
+            "the table is set in an earlier file already",
+        ));
     }
     *table = later;
     Ok(())
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -10,48 +10,42 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// The platform's JSON, before its values are checked.
+/// The platform's JSON file, before its values are checked.
 #[derive(Deserialize)]
 pub struct PlatformFile {
-    /// The initiator's name.
     pub name: Option<String>,
-    /// Where clients of the HTTP front connect.
     pub listen: Option<String>,
-    /// Discovery's address.
     pub discovery: Option<String>,
-    /// Where operators call.
     pub admin: Option<String>,
-    /// The seed of random numbers, in hex digits.
+    /// The seed of the initiator's random numbers, in hex digits.
     pub seed: Option<String>,
-    /// The endpoint list that was known before.
+    /// The endpoint list that is used until discovery answers.
     pub known: Option<EndpointPage>,
-    /// Where datagrams of other initiators arrive.
+    /// The address for datagrams of other initiators.
     pub peer_listen: Option<SocketAddr>,
-    /// One address for each initiator, in the order of their numbers.
+    /// The address of each initiator, at the index that is its number.
     #[serde(default)]
     pub peers: Vec<SocketAddr>,
-    /// Classes, plans and rules.
     pub settings: Settings,
-    /// Memory and descriptors.
     #[serde(default)]
     pub limits: Limits,
 }
 
 impl PlatformFile {
-    /// Reads the file.
+    /// Reads and parses the file.
     ///
     /// # Errors
-    /// The file cannot be read, or its JSON lacks what is needed.
+    /// The file cannot be read, is not valid JSON, or lacks a required key.
     pub fn read(path: &Path) -> Result<PlatformFile, ConfigError> {
         let text = std::fs::read_to_string(path).map_err(|error| ConfigError::new("LB_CONFIG", error))?;
         serde_json::from_str(&text).map_err(|error| ConfigError::new("LB_CONFIG", error))
     }
 
-    /// Where the peers are; none where initiators may not talk to each other, or need not, since each has the
-    /// list from an agent of its own.
+    /// The addresses for drain gossip. Absent if initiators may not send messages to each other, or don't
+    /// need to because each receives the endpoint list from an agent of its own.
     ///
     /// # Errors
-    /// This initiator's number is no index of `peers`.
+    /// This initiator's number is not an index of `peers`.
     pub fn peer_addresses(&self) -> Result<Option<PeerAddresses>, ConfigError> {
         let polled = matches!(self.settings.delivery(), Delivery::Polled { .. });
         let (Some(listen), Some(number)) = (self.peer_listen, self.settings.initiator_number()) else {
@@ -62,23 +56,24 @@
         }
         let own_index = number as usize;
         if own_index >= self.peers.len() {
-            let problem = format!("{own_index} is no place in peers, which has {}", self.peers.len());
+            let problem =
+                format!("{own_index} is not an index of peers, which has {} entries", self.peers.len());
             return Err(ConfigError::new("settings.my-number", problem));
         }
         Ok(Some(PeerAddresses { listen, all: self.peers.clone(), own_index }))
     }
 }
 
-/// A value that the environment or the file has.
+/// A value from the environment or from the platform's file.
 pub struct Setting {
-    /// The variable or the file's key, for errors.
+    /// The variable or the key that the value comes from, for errors.
     key: String,
-    /// The value.
     pub value: String,
 }
 
 impl Setting {
-    /// The variable's value, or else the file's: variables are what the process itself was started with.
+    /// Finds the value of an environment variable, or else that of the file. The variable has priority, since
+    /// it is set for this process alone.
     pub fn find(
         env: &impl Fn(&str) -> Option<String>,
         variable: &str,
@@ -91,10 +86,10 @@
         }
     }
 
-    /// As [`Setting::find`], read as an address.
+    /// Finds a value as [`Setting::find`] does, and parses it as an address.
     ///
     /// # Errors
-    /// The value is no address and port.
+    /// The value is not an IP address and port.
     pub fn find_address(
         env: &impl Fn(&str) -> Option<String>,
         variable: &str,
@@ -104,25 +99,30 @@
         Setting::find(env, variable, key, in_file).map(Setting::address).transpose()
     }
 
-    /// The value as an address.
+    /// Parses the value as an address.
     ///
     /// # Errors
-    /// The value is no address and port.
+    /// The value is not an IP address and port.
     pub fn address(self) -> Result<SocketAddr, ConfigError> {
         let Setting { key, value } = self;
-        value.parse().map_err(|error| ConfigError::new(key, format!("{value:?}: {error}")))
+        value.parse().map_err(|error| {
+            ConfigError::new(key, format!("{value:?} is not an IP address and port: {error}"))
+        })
     }
 }
 
-/// The seed that the file has, or a random one: initiators with the same seed would all choose alike.
+/// Parses the file's seed, or draws a random one. Initiators with the same seed would all make the same
+/// choices.
 ///
 /// # Errors
-/// The text is no hex number of 64 bits.
+/// The text is not a hex number of at most 64 bits.
 pub fn seed(text: Option<&str>) -> Result<u64, ConfigError> {
     match text {
         Some(seed) => {
             let parsed = u64::from_str_radix(seed, 16);
-            parsed.map_err(|error| ConfigError::new("seed", format!("{seed:?}: {error}")))
+            parsed.map_err(|error| {
+                ConfigError::new("seed", format!("{seed:?} is not a 64-bit hex number: {error}"))
+            })
         }
         None => Ok(RandomState::new().build_hasher().finish()),
     }
--- a/src/config/reload.rs
+++ b/src/config/reload.rs
@@ -1,28 +1,30 @@
-//! The part of a replaced configuration that a running program takes over.
+//! The part of a changed configuration that a running process applies.
 
 use super::{Config, ConfigError, Routing};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// How far apart files are read twice, so that one that is being written is left alone.
+/// Delay between the two reads of the files. Files that differ between the reads are still being written, and
+/// are not applied.
 const REREAD_DELAY: Duration = Duration::from_millis(50);
 
-/// What a running program takes over; everything else waits for its next start.
+/// The part of a configuration that a running process applies; everything else takes effect at its next
+/// start.
 #[derive(Clone, Debug)]
 pub struct Reload {
-    /// Discovery's address.
+    /// The address of discovery; absent if the configuration alone lists the targets.
     pub discovery: Option<SocketAddr>,
-    /// Routes and expectations.
+    /// Routes, and the expectations that they must meet.
     pub routing: Routing,
 }
 
 impl Reload {
-    /// Reads the files again; blocks for 50 ms. Their address of discovery wins over `LB_DISCOVERY`, which
-    /// holds what was in force at the start.
+    /// Reads the files again; blocks for 50 ms. The discovery address is taken from the platform's file alone,
+    /// since `LB_DISCOVERY` holds the address of the time when the process started.
     ///
     /// # Errors
-    /// As [`Config::load`]; also where one of the operator's files changes meanwhile.
+    /// Those of [`Config::load`], or one of the operator's files changed while it was read.
     pub fn load(env: impl Fn(&str) -> Option<String>, operator: &[PathBuf]) -> Result<Reload, ConfigError> {
         let texts = || operator.iter().map(|path| std::fs::read(path).ok()).collect::<Vec<_>>();
         let before = texts();
--- a/src/config/summary.rs
+++ b/src/config/summary.rs
@@ -1,4 +1,4 @@
-//! The summary of a configuration that `check` prints.
+//! The summary of a configuration, which `rowanglade check` prints.
 
 use super::Config;
 use std::fmt;
@@ -23,8 +23,8 @@
 
     fn write_fronts(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.admin {
-            None => write!(f, "\noperators' calls: off")?,
-            Some(admin) => write!(f, "\noperators' calls: {admin}")?,
+            None => write!(f, "\nadmin listener: off")?,
+            Some(admin) => write!(f, "\nadmin listener: {admin}")?,
         }
         match &self.iscsi {
             None => write!(f, "\niSCSI-style front: off"),
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! Configuration: what is told, and the key that an error names.
+//! Configuration files and variables: which values are used, and that each error names its key.
 
 use rowanglade::config::Config;
 use std::path::PathBuf;
@@ -6,7 +6,7 @@
 const EXAMPLE: &str = include_str!("../deploy/example.json");
 const OPERATOR: &str = include_str!("../deploy/operator.toml");
 
-/// Loads these texts, with these variables beside; the error's words where they cannot be used.
+/// Loads these files with these environment variables; gives the error's text if they are not valid.
 fn load(json: &str, operator: &str, variables: &[(&str, &str)]) -> Result<Config, String> {
     let unique = format!("rowanglade-{}-{:?}", std::process::id(), std::thread::current().id());
     let dir: PathBuf = std::env::temp_dir().join(unique);
@@ -24,25 +24,28 @@
 }
 
 #[test]
-fn the_files_under_deploy_can_be_used_and_variables_win() {
+fn example_files_load_and_variables_take_priority() {
     let config = load(EXAMPLE, OPERATOR, &[("LB_LISTEN", "127.0.0.1:9")]).expect("usable");
     insta::assert_snapshot!(config, @r"
     name n1  listen 127.0.0.1:9  discovery none
     classes view deposit  plans basic full
-    operators' calls: off
+    admin listener: off
     iSCSI-style front: iqn.2026-12.example.kingston:rowanglade on 127.0.0.1:3260, 1 LUNs, 1 targets
     access log: access.log
     routes: none
     ");
-    let bare = load(EXAMPLE, "", &[]).expect("usable");
-    assert!(bare.iscsi.is_none() && bare.access_log.is_none(), "without its table a part is off");
+    let without_tables = load(EXAMPLE, "", &[]).expect("usable");
+    assert!(
+        without_tables.iscsi.is_none() && without_tables.access_log.is_none(),
+        "a part without its table is turned off"
+    );
 }
 
 #[test]
-fn an_error_names_the_key() {
+fn errors_name_the_invalid_key() {
     let sites = |text: &str| load(EXAMPLE, &format!("[sites]\n{text}\n"), &[]).expect_err(text);
     for (error, key) in [
-        (sites("names = [\"kingstn\"]"), "sites.names[0]: \"kingstn\" is no zone"),
+        (sites("names = [\"kingstn\"]"), "sites.names[0]: \"kingstn\" is not a zone"),
         (sites("window_ms = 0"), "sites.window_ms"),
         (sites("part = 0.5"), "sites.part"),
         (sites("hold_ms = 70000"), "sites.longest_hold_ms"),
@@ -50,7 +53,7 @@
         (sites("hold = 1"), "hold"),
         (
             load(&EXAMPLE.replace("\"warm-within\":", "\"was-within\":"), "[sites]", &[]).expect_err("x"),
-            "sites: what returns has no ramp",
+            "sites: returning targets need a recovery ramp",
         ),
     ] {
         assert!(error.contains(key), "{error:?} does not name {key}");
@@ -80,10 +83,10 @@
 }
 
 #[test]
-fn a_subset_that_cannot_be_is_told_by_its_key() {
+fn invalid_subset_tables_are_rejected_with_their_key() {
     let subset = |text: &str| load(EXAMPLE, &format!("[subset]\n{text}\n"), &[]).expect_err(text);
-    for (error, says) in [
-        (subset("size = 0"), "subset.size: is zero"),
+    for (error, expected) in [
+        (subset("size = 0"), "subset.size: must be above zero"),
         (subset("size = 2\nspread = 0.9"), "subset.spread: 0.9"),
         (subset("size = 2\nspread = inf"), "subset.spread: inf"),
         (subset("size = -1"), "size"),
@@ -104,6 +107,6 @@
         (subset("spread = 2"), "missing field `size`"),
         (subset("size = 2\nseize = 1"), "seize"),
     ] {
-        assert!(error.to_string().contains(says), "{error}");
+        assert!(error.to_string().contains(expected), "{error}");
     }
 }
