--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -60,7 +60,7 @@
                 format!("{own_index} is not an index of peers, which has {} entries", self.peers.len());
             return Err(ConfigError::new("settings.my-number", problem));
         }
-        Ok(Some(PeerAddresses { listen, all: self.peers.clone(), own_index }))
+        Ok(Some(PeerAddresses { listen, addrs: self.peers.clone(), own_index }))
     }
 }
 
--- a/src/net/http/message/response.rs
+++ b/src/net/http/message/response.rs
@@ -1,4 +1,4 @@
-//! The final response to a client.
+//! Encodes responses to clients.
 
 use super::REJECTION_REASON;
 use crate::core::{Response, ResponseBody};
@@ -7,8 +7,8 @@
 use bytes::Bytes;
 use std::time::Duration;
 
-/// Encodes the final response to a client.
-pub fn encode(response: Response) -> HttpResponse<ResponseBody> {
+/// Encodes the final response to a client: 200 with the content, 503 if the request had no effect, or 500.
+pub fn encode_response(response: Response) -> HttpResponse<ResponseBody> {
     match response {
         Response::Served(content) => HttpResponse::with_body(StatusCode::OK, content),
         Response::Rejected { retry_after } => rejected(retry_after),
@@ -19,14 +19,14 @@
             }
             response
         }
-        Response::Failed => status(StatusCode::INTERNAL_SERVER_ERROR),
+        Response::Failed => empty_response(StatusCode::INTERNAL_SERVER_ERROR),
     }
 }
 
-/// A response with the promise that the request had no effect; a client that is to stay away for no time gets
+/// A response by which the initiator promises that the request had no effect. Without a time to wait it has
 /// no Retry-After.
 fn rejected(retry_after: Duration) -> HttpResponse<ResponseBody> {
-    let mut response = status(StatusCode::SERVICE_UNAVAILABLE);
+    let mut response = empty_response(StatusCode::SERVICE_UNAVAILABLE);
     if !retry_after.is_zero() {
         let seconds = format!("{:.3}", retry_after.as_secs_f64());
         if let Ok(value) = HeaderValue::from_str(&seconds) {
@@ -36,7 +36,7 @@
     response
 }
 
-/// A response without a body.
-pub fn status(code: StatusCode) -> HttpResponse<ResponseBody> {
+/// A response with this status and without a body.
+pub fn empty_response(code: StatusCode) -> HttpResponse<ResponseBody> {
     HttpResponse::with_body(code, Bytes::new().into())
 }
