--- a/crates/capture/src/access_log.rs
+++ b/crates/capture/src/access_log.rs
@@ -1,21 +1,22 @@
-//! Access logs in the Common Log Format and the Combined one, as web servers write them. A last field beyond
-//! the Combined Format's (or the Common one's) is read as the time that the answer took, in seconds if it has
-//! a decimal point and in microseconds if it is whole.
+//! Reads access logs in the Common and the Combined Log Format of web servers. A last field that is beyond
+//! the format is read as the time to the response: in seconds if it has a decimal point, otherwise in
+//! microseconds.
 
 use crate::entry_error::EntryError;
 use crate::recorded_request::RecordedRequest;
 use jiff::fmt::strtime;
 use std::borrow::Cow;
 
-/// Reads lines; it remembers the last time it read, since the lines of a second share theirs.
+/// Parses lines. The time parsed last is cached, since all lines of a second have the same.
 #[derive(Debug, Default)]
 pub struct Parser {
-    text: String,
-    at: i64,
+    last_time_text: String,
+    last_time_us: i64,
 }
 
-/// The next field: in quotes, in brackets, or up to a space.
-fn field<'a>(rest: &mut &'a str) -> Option<&'a str> {
+/// Removes the next field: in quotes, in brackets, or up to a space. `None` at the end of the line, or if the
+/// closing quote or bracket is missing.
+fn next_field<'a>(rest: &mut &'a str) -> Option<&'a str> {
     let text = rest.trim_start_matches(' ');
     let (open, close) = match text.as_bytes().first()? {
         b'"' => (1, b'"'),
@@ -32,7 +33,7 @@
     let end = match (end, open) {
         (Some(end), _) => end,
         (None, 0) => body.len(),
-        // A quote or a bracket without its end.
+        // The closing quote or bracket is missing.
         (None, _) => return None,
     };
     *rest = &body[(end + open).min(body.len())..];
@@ -40,27 +41,26 @@
 }
 
 impl Parser {
-    /// The request of a line; none for an empty line, a comment, and the line of a connection that never made
-    /// one.
+    /// Parses a line. `None` for an empty line, a comment, or the line of a connection that sent no request.
     ///
     /// # Errors
-    /// The line is none of these formats; the error names the field.
+    /// The line has neither of the formats. The error names the field.
     pub fn parse<'a>(&mut self, line: &'a [u8]) -> Result<Option<RecordedRequest<'a>>, EntryError> {
         let line = std::str::from_utf8(line).map_err(|_| EntryError::NotUtf8)?.trim();
         if line.is_empty() || line.starts_with('#') {
             return Ok(None);
         }
         let mut rest = line;
-        let mut next = |name: &'static str| field(&mut rest).ok_or(EntryError::Missing(name));
+        let mut next = |name: &'static str| next_field(&mut rest).ok_or(EntryError::Missing(name));
         let invalid = |field, value: &str| EntryError::Invalid { field, value: value.to_string() };
         let (host, _identity, _user) = (next("host")?, next("identity")?, next("user")?);
         let time = next("time")?;
-        if time != self.text || self.text.is_empty() {
-            self.at = strtime::parse("%d/%b/%Y:%H:%M:%S %z", time)
+        if time != self.last_time_text || self.last_time_text.is_empty() {
+            self.last_time_us = strtime::parse("%d/%b/%Y:%H:%M:%S %z", time)
                 .and_then(|t| t.to_timestamp())
                 .map_err(|source| EntryError::Time { value: time.to_string(), source })?
                 .as_microsecond();
-            self.text = time.to_string();
+            self.last_time_text = time.to_string();
         }
         let request = next("request")?;
         if request == "-" {
@@ -86,7 +86,7 @@
             size => size.parse().map_err(|_| invalid("size", size))?,
         };
         Ok(Some(RecordedRequest {
-            at: self.at,
+            at: self.last_time_us,
             whole_second: true,
             method: Cow::Borrowed(method),
             path: Cow::Borrowed(path),
--- a/crates/capture/src/har.rs
+++ b/crates/capture/src/har.rs
@@ -1,4 +1,4 @@
-//! HTTP Archive files, version 1.2, entry by entry: only the entry at hand is held.
+//! Reads HTTP Archive (HAR) files, version 1.2, entry by entry; only the current entry is stored in memory.
 
 use crate::entry_error::EntryError;
 use crate::recorded_request::RecordedRequest;
@@ -14,7 +14,7 @@
 struct Entry<'a> {
     #[serde(borrow)]
     started_date_time: Cow<'a, str>,
-    /// Milliseconds; negative where it is not known.
+    /// Milliseconds; negative if unknown.
     time: Option<f64>,
     #[serde(borrow)]
     request: Request<'a>,
@@ -54,35 +54,36 @@
     size: Option<i64>,
 }
 
-/// Where an entry goes: its number, from 1, and its text. False: no more is wanted.
+/// Receives an entry's number, counted from 1, and its text. Returns false to end the read.
 pub type Sink<'s> = dyn FnMut(u64, &str) -> bool + 's;
 
-/// Hands the text of every entry of `log.entries` on.
+/// Passes the text of each entry of `log.entries` to `sink`.
 ///
 /// # Errors
-/// What is wrong with the file around its entries: it is no JSON from there on, or has no `log.entries`.
-/// Entries before that place have been handed on.
+/// The file is not valid JSON, or has no `log.entries`. Entries before the error have been passed to the
+/// sink.
 pub fn entries(from: impl Read, sink: &mut Sink<'_>) -> Result<(), serde_json::Error> {
     let (mut stopped, mut found) = (false, false);
     let mut json = serde_json::Deserializer::from_reader(from);
-    let within = Within { path: &["log", "entries"], sink, stopped: &mut stopped, found: &mut found };
-    let end = within.deserialize(&mut json).and_then(|()| json.end());
+    let visitor =
+        EntriesVisitor { path: &["log", "entries"], sink, stopped: &mut stopped, found: &mut found };
+    let end = visitor.deserialize(&mut json).and_then(|()| json.end());
     match end {
         _ if stopped => Ok(()),
-        Ok(()) if !found => Err(serde::de::Error::custom("has no `log.entries`")),
+        Ok(()) if !found => Err(serde::de::Error::custom("the file has no `log.entries`")),
         end => end,
     }
 }
 
-/// The value at the end of a path of keys, which is a list of entries.
-struct Within<'a, 's> {
+/// Visits the value at the end of a path of keys, a list of entries.
+struct EntriesVisitor<'a, 's> {
     path: &'a [&'a str],
     sink: &'a mut Sink<'s>,
     stopped: &'a mut bool,
     found: &'a mut bool,
 }
 
-impl<'de> DeserializeSeed<'de> for Within<'_, '_> {
+impl<'de> DeserializeSeed<'de> for EntriesVisitor<'_, '_> {
     type Value = ();
 
     fn deserialize<D: Deserializer<'de>>(self, json: D) -> Result<(), D::Error> {
@@ -90,7 +91,7 @@
     }
 }
 
-impl<'de> Visitor<'de> for Within<'_, '_> {
+impl<'de> Visitor<'de> for EntriesVisitor<'_, '_> {
     type Value = ();
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -101,12 +102,16 @@
     }
 
     fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<(), A::Error> {
-        let Some((key, deeper)) = self.path.split_first() else { return Ok(()) };
+        let Some((key, remaining_path)) = self.path.split_first() else { return Ok(()) };
         while let Some(name) = map.next_key::<String>()? {
             if name == *key {
-                let within =
-                    Within { path: deeper, sink: self.sink, stopped: self.stopped, found: self.found };
-                map.next_value_seed(within)?;
+                let visitor = EntriesVisitor {
+                    path: remaining_path,
+                    sink: self.sink,
+                    stopped: self.stopped,
+                    found: self.found,
+                };
+                map.next_value_seed(visitor)?;
             } else {
                 map.next_value::<IgnoredAny>()?;
             }
@@ -128,10 +133,11 @@
     }
 }
 
-/// The request of an entry; none for one that never went to a server (`data:` and the like).
+/// Converts an entry to a recorded request; `None` for URLs that are not requested from a server (`data:` and
+/// the like).
 ///
 /// # Errors
-/// The entry is none of HAR 1.2; the error names the key.
+/// The entry does not conform to HAR 1.2. The error names the key.
 pub fn parse(text: &str) -> Result<Option<RecordedRequest<'_>>, EntryError> {
     let entry: Entry = serde_json::from_str(text)?;
     let at: jiff::Timestamp = entry.started_date_time.parse().map_err(EntryError::StartedDateTime)?;
@@ -143,7 +149,7 @@
     if uri.scheme().is_none() {
         return Err(EntryError::RelativeUrl(url.to_string()));
     }
-    // -1 stands for what is not known.
+    // HAR uses -1 for unknown sizes.
     let size = |s: Option<i64>| s.and_then(|s| u64::try_from(s).ok());
     let received = size(entry.response.body_size).or(entry.response.content.and_then(|c| size(c.size)));
     let key = entry.request.headers.into_iter().find(|h| h.name.eq_ignore_ascii_case("idempotency-key"));
--- a/crates/capture/src/lib.rs
+++ b/crates/capture/src/lib.rs
@@ -1,10 +1,10 @@
-//! Recorded traffic as a source of load.
+//! Recorded traffic as a source of load for replays.
 //!
-//! What a member's viewer or a server wrote down becomes requests that can be sent again: [`read`] streams
-//! the entries of a HAR file or of an access log, a [`mapping`] says which request of the store each one
-//! stands for, [`order`] puts them in the order in which they were made, and a [`trace`] keeps them.
-//! [`import`] is all of it in one call. Nothing here sends anything, and nothing holds a whole file: a log of
-//! any length is read in the memory of one line and of the window within which lines may be out of order.
+//! Requests that a client or a server recorded are converted into requests that can be sent again: [`read`]
+//! streams the entries of a HAR file or of an access log, a [`mapping`] determines which request of the store
+//! each entry stands for, [`order`] sorts them by the time at which they were made, and a [`trace`] stores
+//! them. [`import`] runs all of these steps. The crate sends no requests, and never loads a whole file:
+//! memory is bounded by one entry and by the window within which entries may be out of order.
 #![forbid(unsafe_code)]
 
 pub mod access_log;
--- a/crates/capture/src/mapping/compile.rs
+++ b/crates/capture/src/mapping/compile.rs
@@ -1,4 +1,4 @@
-//! Checks of the rules that a mapping file lists.
+//! Checks the rules of a mapping file.
 
 use super::error::{MappingError, Source};
 use super::format::{Defaults, Methods, RuleTable, ShardValue, Units};
@@ -10,10 +10,10 @@
 use std::ops::RangeInclusive;
 use toml::Spanned;
 
-/// The most units that a request can have.
-const MOST_UNITS: f64 = 1e6;
+/// The largest valid size of a request, in units.
+const MAX_UNITS: f64 = 1e6;
 
-/// What rules refer to.
+/// The parts of a mapping file that its rules refer to.
 pub struct Context<'a> {
     pub source: &'a Source<'a>,
     pub classes: &'a [ClassTerms],
@@ -25,19 +25,20 @@
 impl Context<'_> {
     /// Checks the `rule` tables.
     ///
-    /// # Errors A pattern cannot be compiled, a key is missing or out of range, or a rule refers to a class,
-    /// plan, network or group that does not exist.
+    /// # Errors
+    /// A pattern cannot be compiled, a key is missing or out of range, or a rule refers to a class, plan,
+    /// network or group that does not exist.
     pub fn rules(&self, tables: Vec<RuleTable>) -> Result<Vec<Rule>, MappingError> {
-        let compile = |(place, table)| RuleCompiler { context: self, place }.compile(table);
+        let compile = |(index, table)| RuleCompiler { context: self, index }.compile(table);
         tables.into_iter().enumerate().map(compile).collect()
     }
 }
 
-/// Checks one rule.
+/// Checks a single rule.
 struct RuleCompiler<'a> {
     context: &'a Context<'a>,
-    /// The rule's place in the file.
-    place: usize,
+    /// The rule's index in the file.
+    index: usize,
 }
 
 impl RuleCompiler<'_> {
@@ -48,7 +49,7 @@
         let bytes = self.bytes(&table)?;
         let target = if table.ignore { None } else { Some(self.target(&table, path.as_ref())?) };
         Ok(Rule {
-            name: table.name.unwrap_or_else(|| format!("rule[{}]", self.place)),
+            name: table.name.unwrap_or_else(|| format!("rule[{}]", self.index)),
             methods: match table.method {
                 None => Vec::new(),
                 Some(Methods::One(method)) => vec![method],
@@ -63,14 +64,14 @@
     }
 
     fn key(&self, key: &str) -> String {
-        format!("rule[{}].{key}", self.place)
+        format!("rule[{}].{key}", self.index)
     }
 
     fn error_at<T>(&self, value: &Spanned<T>, key: &str, problem: impl Display) -> MappingError {
         self.context.source.error_at(value, self.key(key), problem)
     }
 
-    /// An error about a key that the rule lacks; the line is that of its path, where it has one.
+    /// Builds an error about a key that the rule lacks, with the line of the rule's path if it has one.
     fn error_in_rule(&self, table: &RuleTable, key: &str, problem: impl Display) -> MappingError {
         self.context.source.error(table.path.as_ref(), self.key(key), problem)
     }
@@ -87,7 +88,7 @@
     }
 
     fn network(&self, name: &Spanned<String>) -> Result<NetworkId, MappingError> {
-        let unknown = || format!("{:?} is not in [networks]", name.get_ref());
+        let unknown = || format!("{:?} is not a name in [networks]", name.get_ref());
         let found = self.context.networks.find(name.get_ref());
         found.ok_or_else(|| self.error_at(name, "network", unknown()))
     }
@@ -95,7 +96,7 @@
     fn bytes(&self, table: &RuleTable) -> Result<RangeInclusive<u64>, MappingError> {
         let bytes = table.least_bytes.unwrap_or(0)..=table.most_bytes.unwrap_or(u64::MAX);
         if bytes.is_empty() {
-            return Err(self.error_in_rule(table, "most_bytes", "is under least_bytes"));
+            return Err(self.error_in_rule(table, "most_bytes", "must not be below least_bytes"));
         }
         Ok(bytes)
     }
@@ -124,22 +125,26 @@
     fn class(&self, table: &RuleTable, path: Option<&Regex>) -> Result<String, MappingError> {
         let class = self.required_template(table, table.class.as_ref(), "class", path)?;
         if !class.contains('$') && !self.context.classes.iter().any(|known| known.name == class) {
-            let problem = format!("{class:?} is no [[class]]");
+            let problem = format!("{class:?} is not the name of a [[class]]");
             return Err(self.context.source.error(table.class.as_ref(), self.key("class"), problem));
         }
         Ok(class)
     }
 
-    /// The place of the rule's plan; the only plan there is need not be named.
+    /// The index of the rule's plan. If the file has a single plan, rules need not name it.
     fn plan(&self, table: &RuleTable) -> Result<u16, MappingError> {
         let plans = self.context.plans;
         match table.plan.as_ref().or(self.context.defaults.plan.as_ref()) {
             None if plans.len() == 1 => Ok(0),
-            None => Err(self.error_in_rule(table, "plan", "is missing")),
+            None => Err(self.error_in_rule(
+                table,
+                "plan",
+                "is missing; it is required if the file has several plans",
+            )),
             Some(name) => {
-                let place = plans.iter().position(|plan| plan.name == *name.get_ref());
-                let unknown = || format!("{:?} is no [[plan]]", name.get_ref());
-                place.map(|place| place as u16).ok_or_else(|| self.error_at(name, "plan", unknown()))
+                let index = plans.iter().position(|plan| plan.name == *name.get_ref());
+                let unknown = || format!("{:?} is not the name of a [[plan]]", name.get_ref());
+                index.map(|index| index as u16).ok_or_else(|| self.error_at(name, "plan", unknown()))
             }
         }
     }
@@ -147,8 +152,12 @@
     fn units(&self, units: Option<&Spanned<Units>>) -> Result<Units, MappingError> {
         let Some(units) = units else { return Ok(Units::Fixed(1.0)) };
         let (least, most) = units.get_ref().bounds();
-        if !(least > 0.0 && least <= most && most <= MOST_UNITS) {
-            return Err(self.error_at(units, "units", "is not a size above zero"));
+        if !(least > 0.0 && least <= most && most <= MAX_UNITS) {
+            return Err(self.error_at(
+                units,
+                "units",
+                format!("sizes from {least} to {most} are not a range above 0 and up to {MAX_UNITS}"),
+            ));
         }
         Ok(*units.get_ref())
     }
@@ -159,13 +168,13 @@
             ShardValue::At(shard) => Ok(ShardRule::At(*shard)),
             ShardValue::Word(word) if word == "new" => Ok(ShardRule::New),
             ShardValue::Of { of } if *of > 0 => Ok(ShardRule::ByVolume(*of)),
-            _ => Err(self.error_at(shard, "shard", "is none of N, \"new\", { of = N }")),
+            _ => Err(self.error_at(shard, "shard", "expected N, \"new\" or { of = N } with N above zero")),
         }
     }
 
     fn above_zero(&self, value: Option<&Spanned<u32>>, key: &str) -> Result<Option<u32>, MappingError> {
         match value {
-            Some(value) if *value.get_ref() == 0 => Err(self.error_at(value, key, "is zero")),
+            Some(value) if *value.get_ref() == 0 => Err(self.error_at(value, key, "must be above zero")),
             value => Ok(value.map(|value| *value.get_ref())),
         }
     }
@@ -179,11 +188,15 @@
     ) -> Result<String, MappingError> {
         match text {
             Some(text) => self.template(text, key, path),
-            None => Err(self.error_in_rule(table, key, "is missing (or `ignore = true`)")),
+            None => Err(self.error_in_rule(
+                table,
+                key,
+                "is missing; it is required unless the rule has `ignore = true`",
+            )),
         }
     }
 
-    /// A text in which groups of the path's pattern may be named.
+    /// Checks a string that may refer to groups of the path's pattern.
     fn template(
         &self,
         text: &Spanned<String>,
@@ -195,7 +208,10 @@
             let reference = reference.strip_prefix('{').unwrap_or(reference);
             let group: String = reference.chars().take_while(|c| c.is_alphanumeric() || *c == '_').collect();
             if !exists(&group) {
-                let problem = format!("{:?}: the path's pattern has no group {group:?}", text.get_ref());
+                let problem = format!(
+                    "{:?} refers to group {group:?}, which the path's pattern does not have",
+                    text.get_ref()
+                );
                 return Err(self.error_at(text, key, problem));
             }
         }
--- a/crates/capture/src/mapping/convert.rs
+++ b/crates/capture/src/mapping/convert.rs
@@ -1,4 +1,4 @@
-//! Records of the trace, made from recorded requests.
+//! Converts recorded requests to records of the trace.
 
 use super::format::Stamp;
 use super::names::NameKind;
@@ -7,14 +7,14 @@
 use crate::recorded_request::{LoggedFields, RecordedRequest};
 use crate::trace::{ClassTerms, Record, Repeat};
 
-/// A rule gave a class that the mapping does not have.
+/// The class that a rule's template results in, which the mapping does not have.
 pub(super) struct UnknownClass(pub String);
 
 impl Mapping {
-    /// The record of a request that a rule matched.
+    /// Converts a request that a rule matched.
     ///
     /// # Errors
-    /// The class that the rule's template gives is not in the mapping.
+    /// The mapping does not have the class that the rule's template results in.
     pub(super) fn convert_matched(
         &self,
         recorded: &RecordedRequest<'_>,
@@ -32,17 +32,17 @@
             plan: template.plan,
             volume,
             piece,
-            units: template.units.of(bytes) as f32,
-            shard: template.shard.of(volume),
+            units: template.units.for_bytes(bytes) as f32,
+            shard: template.shard.for_volume(volume),
             hosts: template.hosts,
             deadline_ms: template.deadline_ms.unwrap_or(terms.deadline_ms),
             bytes: saturate(bytes),
             key: is_keyed(terms).then(|| {
                 let template = template.idempotency_key.as_deref();
-                let recorded =
+                let recorded_key =
                     template.map(|key| groups.expand(key)).or(recorded.key.as_deref().map(String::from));
-                // Without a recorded key, two writes of one piece count as one write and its repeat.
-                let name = recorded.unwrap_or_else(|| format!("{volume:016x}/{piece:016x}"));
+                // Without a recorded key, a second write of an object counts as a repeat of the first.
+                let name = recorded_key.unwrap_or_else(|| format!("{volume:016x}/{piece:016x}"));
                 self.names.number(NameKind::IdempotencyKey, &name)
             }),
             status: recorded.status,
@@ -51,8 +51,7 @@
         Ok(Mapped::Request(self.start(recorded), record))
     }
 
-    /// The record of a request that the daemon logged: it needs no rule, only a class and a plan of the
-    /// mapping.
+    /// Converts a request of the daemon's own log. It needs no rule, only a class and a plan of the mapping.
     pub(super) fn convert_logged(&self, recorded: &RecordedRequest<'_>, logged: &LoggedFields<'_>) -> Mapped {
         let (Some((class, terms)), Some(plan)) =
             (self.class(&logged.class), self.plan_or_first(logged.plan.as_deref()))
@@ -65,8 +64,8 @@
             at: 0,
             class,
             plan,
-            volume: self.names.hide(NameKind::Volume, logged.volume),
-            piece: self.names.hide(NameKind::Piece, logged.piece),
+            volume: self.names.anonymise(NameKind::Volume, logged.volume),
+            piece: self.names.anonymise(NameKind::Piece, logged.piece),
             units: logged.units as f32,
             shard: logged.shard,
             hosts: logged.hosts.max(1),
@@ -79,7 +78,7 @@
         Mapped::Request(recorded.at, record)
     }
 
-    /// When the request was made, in microseconds of Unix time.
+    /// The time at which the request was made, in microseconds of Unix time.
     fn start(&self, recorded: &RecordedRequest<'_>) -> i64 {
         match self.stamp {
             Stamp::Start => recorded.at,
@@ -87,16 +86,16 @@
         }
     }
 
-    /// The place and the terms of the class of this name.
+    /// Finds a class by name; returns its index and its terms.
     fn class(&self, name: &str) -> Option<(u16, &ClassTerms)> {
-        let place = self.classes.iter().position(|class| class.name == name)?;
-        Some((place as u16, &self.classes[place]))
+        let index = self.classes.iter().position(|class| class.name == name)?;
+        Some((index as u16, &self.classes[index]))
     }
 
-    /// The place of the plan of this name; the first where the log names none.
+    /// Finds the index of a plan by name; the first plan if the log has none.
     fn plan_or_first(&self, name: Option<&str>) -> Option<u16> {
         let Some(name) = name else { return Some(0) };
-        self.plans.iter().position(|plan| plan.name == name).map(|place| place as u16)
+        self.plans.iter().position(|plan| plan.name == name).map(|index| index as u16)
     }
 }
 
--- a/crates/capture/src/mapping/error.rs
+++ b/crates/capture/src/mapping/error.rs
@@ -1,46 +1,47 @@
-//! Errors of mapping files, with the place they stand in.
+//! Errors of mapping files, with the location of the invalid value.
 
 use regex::Regex;
 use std::fmt::Display;
 use toml::Spanned;
 
-/// What is wrong with a mapping file, and where.
+/// Why a mapping file is not valid.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{file}: {place}{problem}")]
+#[error("{file}: {location}{problem}")]
 pub struct MappingError {
-    /// The file's path, or what the caller of [`Mapping::parse`](super::Mapping::parse) named it.
+    /// The file's path, or the name that was passed to [`Mapping::parse`](super::Mapping::parse).
     pub file: String,
-    /// `line 12: rule[2].path: `, as far as it is known; lines count from 1.
-    pub place: String,
-    /// What is wrong there.
+    /// Line and key as a prefix of the problem, such as `line 12: rule[2].path: `. Lines are counted from 1;
+    /// unknown parts are left out.
+    pub location: String,
+    /// Why the value is not valid.
     pub problem: String,
 }
 
 impl MappingError {
-    /// An error about a whole file.
+    /// Builds an error about a file as a whole.
     pub(super) fn of_file(file: &str, problem: impl Display) -> MappingError {
-        MappingError { file: file.to_string(), place: String::new(), problem: problem.to_string() }
+        MappingError { file: file.to_string(), location: String::new(), problem: problem.to_string() }
     }
 }
 
-/// The text of a mapping file, which turns the span of a value into the line that errors name.
+/// The text of a mapping file, in which the spans of values are converted to line numbers for errors.
 pub(super) struct Source<'a> {
     pub file: &'a str,
     pub text: &'a str,
 }
 
 impl Source<'_> {
-    /// An error at a value that the file has.
+    /// Builds an error about a value in the file.
     pub fn error_at<T>(&self, value: &Spanned<T>, key: impl Display, problem: impl Display) -> MappingError {
         self.error(Some(value), key, problem)
     }
 
-    /// An error about a key that the file lacks.
+    /// Builds an error about a key that the file lacks.
     pub fn error_without_line(&self, key: impl Display, problem: impl Display) -> MappingError {
         self.error(None::<&Spanned<()>>, key, problem)
     }
 
-    /// An error at a value, or without a line where the file does not have it.
+    /// Builds an error about a value, without a line if the file lacks it.
     pub fn error<T>(
         &self,
         value: Option<&Spanned<T>>,
@@ -50,7 +51,7 @@
         let line = value.map_or(String::new(), |value| format!("line {}: ", self.line(value)));
         MappingError {
             file: self.file.to_string(),
-            place: format!("{line}{key}: "),
+            location: format!("{line}{key}: "),
             problem: problem.to_string(),
         }
     }
@@ -59,7 +60,7 @@
         self.text[..value.span().start].matches('\n').count() + 1
     }
 
-    /// Compiles a pattern; the error names its key and gives the last line of the parser's message.
+    /// Compiles a pattern. The error has the key and the last line of the parser's message.
     pub fn regex(&self, pattern: &Spanned<String>, key: impl Display) -> Result<Regex, MappingError> {
         Regex::new(pattern.get_ref()).map_err(|error| {
             let message = error.to_string();
--- a/crates/capture/src/mapping/format.rs
+++ b/crates/capture/src/mapping/format.rs
@@ -1,4 +1,4 @@
-//! The mapping file's TOML, as it is written; nothing here is checked beyond its types.
+//! The types that a mapping file's TOML is deserialized into, before values are checked.
 
 use crate::trace::Repeat;
 use serde::Deserialize;
@@ -8,7 +8,7 @@
 /// The version of the format that this program reads.
 pub const VERSION: u32 = 1;
 
-/// A whole mapping file.
+/// A mapping file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct File {
@@ -20,7 +20,7 @@
     pub class: Vec<ClassTable>,
     #[serde(default)]
     pub plan: Vec<PlanTable>,
-    /// Networks by their name, in CIDR notation or as single addresses.
+    /// Networks by name, in CIDR notation or as single addresses.
     #[serde(default)]
     pub networks: BTreeMap<String, Vec<Spanned<String>>>,
     #[serde(default)]
@@ -29,7 +29,7 @@
     pub rule: Vec<RuleTable>,
 }
 
-/// Which moment of a request its recorded time is.
+/// Which moment of a request its recorded time refers to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Stamp {
@@ -38,13 +38,13 @@
     End,
 }
 
-/// How recorded times are read.
+/// How recorded times are interpreted.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TimeTable {
     #[serde(default)]
     pub stamp: Stamp,
-    /// Whether the requests of one second are spread over it, where a source's times are whole seconds.
+    /// Whether requests of a second are spread over it if the source records whole seconds only.
     #[serde(default = "default_spread_seconds")]
     pub spread_seconds: bool,
 }
@@ -59,7 +59,7 @@
     true
 }
 
-/// The key under which names are hashed: itself as 64 hex digits, or the file that has it.
+/// The key for keyed hashes of names, either as 64 hex digits or as the path of a file with them.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AnonymiseTable {
@@ -67,7 +67,7 @@
     pub key_file: Option<Spanned<String>>,
 }
 
-/// A class of requests.
+/// A request class.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassTable {
@@ -84,7 +84,7 @@
     Repeat::Safe
 }
 
-/// A plan of volumes; its rates are in units per second.
+/// A QoS plan; its rates are in units per second.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlanTable {
@@ -93,7 +93,7 @@
     pub limit: Option<f64>,
 }
 
-/// A request's size in units: fixed, or from the bytes that it moved.
+/// A request's size in units: fixed, or calculated from the bytes that it transferred.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(untagged, deny_unknown_fields)]
 pub enum Units {
@@ -102,7 +102,7 @@
 }
 
 impl Units {
-    /// The least and the most units that a request can have.
+    /// The smallest and the largest size that a request can have.
     pub fn bounds(self) -> (f64, f64) {
         match self {
             Units::Fixed(units) => (units, units),
@@ -110,8 +110,8 @@
         }
     }
 
-    /// The units of a request that moved so many bytes.
-    pub fn of(self, bytes: u64) -> f64 {
+    /// The size of a request that transferred this many bytes.
+    pub fn for_bytes(self, bytes: u64) -> f64 {
         match self {
             Units::Fixed(units) => units,
             Units::ByBytes { per_bytes, least, most } => {
@@ -121,7 +121,7 @@
     }
 }
 
-/// The shard that holds a request's object, as written.
+/// The shard of a request's object, as it is written.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(untagged, deny_unknown_fields)]
 pub enum ShardValue {
@@ -134,7 +134,7 @@
     },
 }
 
-/// Values for rules that do not have them.
+/// Values for rules that don't set their own.
 #[derive(Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Defaults {
@@ -144,7 +144,7 @@
     pub hosts: Option<Spanned<u32>>,
 }
 
-/// One method or several.
+/// One HTTP method or several.
 #[derive(Deserialize)]
 #[serde(untagged)]
 pub enum Methods {
@@ -152,7 +152,7 @@
     Several(Vec<String>),
 }
 
-/// A rule: which recorded requests it matches, and what they stand for.
+/// A rule: which recorded requests it matches, and which store request they are converted to.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RuleTable {
--- a/crates/capture/src/mapping/names.rs
+++ b/crates/capture/src/mapping/names.rs
@@ -1,12 +1,12 @@
-//! Numbers for the names of volumes, pieces and idempotency keys, hashed under a secret key where a file has
-//! one.
+//! Converts the names of volumes, objects and idempotency keys to numbers, by a keyed hash if the mapping has
+//! a secret key.
 
 use super::error::{MappingError, Source};
 use super::format::AnonymiseTable;
 use std::path::Path;
 use toml::Spanned;
 
-/// What a name is the name of.
+/// The kind of a name, which is part of a keyed hash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NameKind {
     Volume,
@@ -15,7 +15,7 @@
 }
 
 impl NameKind {
-    /// What goes into a keyed hash. Another text gives other numbers for the same names.
+    /// The text that is added to a keyed hash. A change of it changes the numbers of all anonymised names.
     fn domain(self) -> &'static str {
         match self {
             NameKind::Volume => "volume",
@@ -25,18 +25,19 @@
     }
 }
 
-/// Turns names into numbers.
+/// Converts names to numbers.
 #[derive(Debug)]
 pub struct Names {
-    /// The secret key; none where names are not anonymised.
+    /// The secret key; absent if names are not anonymised.
     key: Option<[u8; 32]>,
 }
 
 impl Names {
-    /// Reads the `anonymise` table; a key file is looked for in `folder`.
+    /// Reads the `anonymise` table; a relative path of a key file refers to `folder`.
     ///
-    /// # Errors The table has neither a key nor a key file, or both; the file cannot be read; the key is not
-    /// 64 hex digits. No error shows the key.
+    /// # Errors
+    /// The table has neither a key nor a key file, or both; the file cannot be read; or the key is not 64 hex
+    /// digits. No error contains the key.
     pub fn read(
         source: &Source<'_>,
         table: Option<AnonymiseTable>,
@@ -46,25 +47,26 @@
         Ok(Names { key })
     }
 
-    /// Whether names are hashed under a secret key.
+    /// Whether names are hashed with a secret key.
     pub fn anonymises(&self) -> bool {
         self.key.is_some()
     }
 
-    /// A name's number: the value of 16 hex digits, or else a hash; always a hash where there is a key.
+    /// The number of a name: the value of 16 hex digits, otherwise a hash. With a secret key, it is always a
+    /// keyed hash.
     pub fn number(&self, kind: NameKind, name: &str) -> u64 {
         let is_number = name.len() == 16 && name.bytes().all(|b| b.is_ascii_hexdigit());
         let hash = match &self.key {
             None if is_number => return u64::from_str_radix(name, 16).unwrap_or(0),
             None => blake3::hash(name.as_bytes()),
-            // With the kind, so that a volume's hash says nothing about a piece of the same name.
+            // With the kind, so that the hash of a volume does not reveal an object of the same name.
             Some(key) => blake3::keyed_hash(key, format!("{}\0{name}", kind.domain()).as_bytes()),
         };
         u64::from_le_bytes(*hash.as_bytes().first_chunk().unwrap_or(&[0; 8]))
     }
 
-    /// The number that stands for a number which the daemon logged: itself, unless names are anonymised.
-    pub fn hide(&self, kind: NameKind, value: u64) -> u64 {
+    /// The number for a number in the daemon's own log: the same, or its keyed hash if names are anonymised.
+    pub fn anonymise(&self, kind: NameKind, value: u64) -> u64 {
         match self.key {
             Some(_) => self.number(kind, &format!("{value:016x}")),
             None => value,
@@ -82,19 +84,21 @@
             })?;
             parse_key(source, &file, "anonymise.key_file", &text)
         }
-        (Some(key), Some(_)) => Err(source.error_at(&key, "anonymise.key", "stands beside key_file")),
-        (None, None) => Err(source.error_without_line("anonymise.key", "is missing")),
+        (Some(key), Some(_)) => {
+            Err(source.error_at(&key, "anonymise.key", "must not be set together with key_file"))
+        }
+        (None, None) => Err(source.error_without_line("anonymise.key", "is missing; set key or key_file")),
     }
 }
 
 fn parse_key(
     source: &Source<'_>,
-    place: &Spanned<String>,
+    value: &Spanned<String>,
     key: &str,
     text: &str,
 ) -> Result<[u8; 32], MappingError> {
     let hash = blake3::Hash::from_hex(text.trim())
-        // The key itself is secret and stays out of the message.
-        .map_err(|_| source.error_at(place, key, "is not 64 hex digits"))?;
+        // The key is secret, so that the error leaves it out.
+        .map_err(|_| source.error_at(value, key, "must be 64 hex digits"))?;
     Ok(*hash.as_bytes())
 }
--- a/crates/capture/src/mapping/rule.rs
+++ b/crates/capture/src/mapping/rule.rs
@@ -1,4 +1,4 @@
-//! Checked rules, and how they match recorded requests.
+//! Checked rules, and the matching of recorded requests.
 
 use super::format::Units;
 use super::networks::NetworkId;
@@ -6,7 +6,7 @@
 use regex::{Captures, Regex};
 use std::ops::RangeInclusive;
 
-/// A rule of a mapping file, checked.
+/// A checked rule of a mapping file.
 #[derive(Debug)]
 pub struct Rule {
     pub name: String,
@@ -16,17 +16,18 @@
     /// Patterns for the values of query parameters, by name; all must match.
     pub query: Vec<(String, Regex)>,
     pub network: Option<NetworkId>,
-    /// How many bytes a request may have moved.
+    /// How many bytes a request may have transferred.
     pub bytes: RangeInclusive<u64>,
-    /// What matching requests stand for; none leaves them out.
+    /// Absent: matching requests are left out of the trace.
     pub target: Option<RequestTemplate>,
 }
 
-/// The store request that a rule's recorded requests stand for. Texts may name groups of the path's pattern.
+/// The store request that matching requests are converted to. Strings may refer to groups of the path's
+/// pattern.
 #[derive(Debug)]
 pub struct RequestTemplate {
     pub class: String,
-    /// The plan's place in the file.
+    /// The index of the plan in the file.
     pub plan: u16,
     pub volume: String,
     pub piece: String,
@@ -34,23 +35,23 @@
     pub units: Units,
     pub shard: ShardRule,
     pub hosts: u32,
-    /// In milliseconds; none: the class's.
+    /// In milliseconds; absent: that of the class.
     pub deadline_ms: Option<u32>,
 }
 
-/// How the shard of a request's object is found.
+/// How the shard of a request's object is determined.
 #[derive(Clone, Copy, Debug)]
 pub enum ShardRule {
     At(u32),
-    /// The object is new and has no shard yet.
+    /// The request creates a new object, which has no shard yet.
     New,
-    /// The volume's number modulo this.
+    /// The volume's number modulo this number.
     ByVolume(u32),
 }
 
 impl ShardRule {
-    /// The shard of an object of this volume; none for a new object.
-    pub fn of(self, volume: u64) -> Option<u32> {
+    /// The shard of an object of this volume; `None` for a new object.
+    pub fn for_volume(self, volume: u64) -> Option<u32> {
         match self {
             ShardRule::At(shard) => Some(shard),
             ShardRule::New => None,
@@ -59,11 +60,11 @@
     }
 }
 
-/// A rule's match: the groups of its path's pattern, where it has one.
+/// A rule's match: the groups of the path's pattern, if the rule has one.
 pub struct Match<'o>(Option<Captures<'o>>);
 
 impl Match<'_> {
-    /// Replaces the groups that a template names.
+    /// Replaces the references to groups in a template.
     pub fn expand(&self, template: &str) -> String {
         match &self.0 {
             Some(captures) if template.contains('$') => {
@@ -77,7 +78,7 @@
 }
 
 impl Rule {
-    /// Matches a request whose client is in this network; none where the rule does not apply to it.
+    /// Matches a request whose client is in this network; `None` if the rule doesn't apply to it.
     pub fn matches<'o>(
         &self,
         recorded: &'o RecordedRequest<'_>,
--- a/crates/capture/src/mapping/terms.rs
+++ b/crates/capture/src/mapping/terms.rs
@@ -1,4 +1,4 @@
-//! Checks of the classes and plans that a mapping file lists.
+//! Checks the classes and plans of a mapping file.
 
 use super::error::{MappingError, Source};
 use super::format::{ClassTable, PlanTable};
@@ -7,22 +7,23 @@
 /// Checks the `class` tables.
 ///
 /// # Errors
-/// A name stands twice or does not fit into a path, or a deadline is zero or under its aim.
+/// A name is listed twice or cannot be part of a URL path, or a deadline is zero or below the latency
+/// objective.
 pub fn classes(source: &Source<'_>, tables: Vec<ClassTable>) -> Result<Vec<ClassTerms>, MappingError> {
     let mut classes: Vec<ClassTerms> = Vec::new();
-    for (place, table) in tables.into_iter().enumerate() {
+    for (index, table) in tables.into_iter().enumerate() {
         let name = table.name.get_ref();
         let name_error =
-            |problem: &str| Err(source.error_at(&table.name, format!("class[{place}].name"), problem));
+            |problem: &str| Err(source.error_at(&table.name, format!("class[{index}].name"), problem));
         if classes.iter().any(|known| known.name == *name) {
-            return name_error("stands there twice");
+            return name_error("is already used by an earlier class");
         }
         if name.is_empty() || name.contains(['/', '?', '#', ' ']) {
-            return name_error("does not fit into a path");
+            return name_error("must not be empty or contain '/', '?', '#' or a space");
         }
         if *table.deadline_ms.get_ref() < table.aim_ms.max(1) {
-            let key = format!("class[{place}].deadline_ms");
-            return Err(source.error_at(&table.deadline_ms, key, "is under aim_ms, or zero"));
+            let key = format!("class[{index}].deadline_ms");
+            return Err(source.error_at(&table.deadline_ms, key, "must be above zero and not below aim_ms"));
         }
         classes.push(ClassTerms {
             name: table.name.into_inner(),
@@ -38,21 +39,21 @@
 /// Checks the `plan` tables.
 ///
 /// # Errors
-/// A name stands twice, or a rate or limit is not a number above zero.
+/// A name is listed twice, or a rate or limit is not a number above zero.
 pub fn plans(source: &Source<'_>, tables: Vec<PlanTable>) -> Result<Vec<PlanTerms>, MappingError> {
     let mut plans: Vec<PlanTerms> = Vec::new();
-    for (place, table) in tables.into_iter().enumerate() {
+    for (index, table) in tables.into_iter().enumerate() {
         let error = |key: &str, problem: &str| {
-            Err(source.error_at(&table.name, format!("plan[{place}].{key}"), problem))
+            Err(source.error_at(&table.name, format!("plan[{index}].{key}"), problem))
         };
         if plans.iter().any(|known| known.name == *table.name.get_ref()) {
-            return error("name", "stands there twice");
+            return error("name", "is already used by an earlier plan");
         }
         if !is_rate(table.rate) {
-            return error("rate", "is not above zero");
+            return error("rate", "must be a finite number above zero");
         }
         if table.limit.is_some_and(|limit| !is_rate(limit)) {
-            return error("limit", "is not above zero");
+            return error("limit", "must be a finite number above zero");
         }
         plans.push(PlanTerms { name: table.name.into_inner(), rate: table.rate, limit: table.limit });
     }
--- a/crates/capture/src/order.rs
+++ b/crates/capture/src/order.rs
@@ -1,106 +1,111 @@
-//! The order in which requests were made, out of the one in which they were written down.
+//! Sorts recorded requests by the time at which they were made.
 //!
-//! Servers log a request when it ends, browsers when they like. Whatever comes within a window of the newest
-//! time seen is put in order; what comes later than that is let through at the earliest time that is still
-//! open, and counted, so that nothing is lost.
+//! Servers log a request when it ends, and browsers write entries in no particular order. Items that arrive
+//! within a window of the newest time seen so far are sorted. An item that arrives later is released with the
+//! time of the item released last, and is counted, so that no item is lost.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Puts items in order of their times, in microseconds. Items of one time keep the order they came in.
+/// A buffer that releases items in order of their times, in microseconds. Items of the same time keep the
+/// order of their arrival.
 #[derive(Debug)]
 pub struct ReorderBuffer<T> {
     window: i64,
-    most: usize,
-    held: BinaryHeap<Reverse<Held<T>>>,
-    newest: i64,
-    /// The time of the last item let go.
-    gone: i64,
+    capacity: usize,
+    heap: BinaryHeap<Reverse<Entry<T>>>,
+    newest_at: i64,
+    /// The time of the item that was released last.
+    last_released: i64,
     arrived: u64,
     late: u64,
-    latest_by: i64,
+    max_lateness: i64,
     released_early: u64,
 }
 
 #[derive(Debug)]
-struct Held<T> {
+struct Entry<T> {
     at: i64,
     arrived: u64,
     item: T,
 }
 
-impl<T> PartialEq for Held<T> {
-    fn eq(&self, other: &Held<T>) -> bool {
+impl<T> PartialEq for Entry<T> {
+    fn eq(&self, other: &Entry<T>) -> bool {
         (self.at, self.arrived) == (other.at, other.arrived)
     }
 }
-impl<T> Eq for Held<T> {}
-impl<T> PartialOrd for Held<T> {
-    fn partial_cmp(&self, other: &Held<T>) -> Option<std::cmp::Ordering> {
+impl<T> Eq for Entry<T> {}
+impl<T> PartialOrd for Entry<T> {
+    fn partial_cmp(&self, other: &Entry<T>) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
-impl<T> Ord for Held<T> {
-    fn cmp(&self, other: &Held<T>) -> std::cmp::Ordering {
+impl<T> Ord for Entry<T> {
+    fn cmp(&self, other: &Entry<T>) -> std::cmp::Ordering {
         (self.at, self.arrived).cmp(&(other.at, other.arrived))
     }
 }
 
 impl<T> ReorderBuffer<T> {
-    /// Holds items back for `window` microseconds of their own time, and at most `most` of them.
-    pub fn new(window: i64, most: usize) -> ReorderBuffer<T> {
+    /// Creates a buffer that delays items until a time more than `window` microseconds after theirs was seen,
+    /// and stores at most `capacity` of them.
+    pub fn new(window: i64, capacity: usize) -> ReorderBuffer<T> {
         ReorderBuffer {
             window: window.max(0),
-            most: most.max(1),
-            held: BinaryHeap::new(),
-            newest: i64::MIN,
-            gone: i64::MIN,
+            capacity: capacity.max(1),
+            heap: BinaryHeap::new(),
+            newest_at: i64::MIN,
+            last_released: i64::MIN,
             arrived: 0,
             late: 0,
-            latest_by: 0,
+            max_lateness: 0,
             released_early: 0,
         }
     }
 
-    /// Takes an item.
+    /// Adds an item.
     pub fn push(&mut self, at: i64, item: T) {
-        self.newest = self.newest.max(at);
-        if at < self.gone {
+        self.newest_at = self.newest_at.max(at);
+        if at < self.last_released {
             self.late += 1;
-            self.latest_by = self.latest_by.max(self.gone.saturating_sub(at));
+            self.max_lateness = self.max_lateness.max(self.last_released.saturating_sub(at));
         }
         self.arrived += 1;
-        self.held.push(Reverse(Held { at: at.max(self.gone), arrived: self.arrived, item }));
+        self.heap.push(Reverse(Entry { at: at.max(self.last_released), arrived: self.arrived, item }));
     }
 
-    /// The next item whose place is settled, with its time.
+    /// Removes the next item, with its time, if no earlier item within the window can arrive, or if the
+    /// buffer is over capacity.
     pub fn pop(&mut self) -> Option<(i64, T)> {
-        let at = self.held.peek()?.0.at;
-        let settled = self.newest.saturating_sub(self.window) > at;
-        if !settled && self.held.len() <= self.most {
+        let at = self.heap.peek()?.0.at;
+        let is_settled = self.newest_at.saturating_sub(self.window) > at;
+        if !is_settled && self.heap.len() <= self.capacity {
             return None;
         }
-        self.released_early += u64::from(!settled);
-        self.let_go()
+        self.released_early += u64::from(!is_settled);
+        self.release()
     }
 
-    /// The next item, once no more will come.
+    /// Removes the next item after the last call of [`ReorderBuffer::push`].
     pub fn finish(&mut self) -> Option<(i64, T)> {
-        self.let_go()
+        self.release()
     }
 
-    fn let_go(&mut self) -> Option<(i64, T)> {
-        let Reverse(held) = self.held.pop()?;
-        self.gone = held.at;
-        Some((held.at, held.item))
+    fn release(&mut self) -> Option<(i64, T)> {
+        let Reverse(entry) = self.heap.pop()?;
+        self.last_released = entry.at;
+        Some((entry.at, entry.item))
     }
 
-    /// Items that came later than the window allows, and by how many microseconds the last of them.
+    /// The number of items that arrived after the window had passed, and the largest delay of them in
+    /// microseconds.
     pub fn late(&self) -> (u64, i64) {
-        (self.late, self.latest_by)
+        (self.late, self.max_lateness)
     }
 
-    /// Items let go before their window had passed, for want of room.
+    /// The number of items that were released before their window had passed, because the buffer was over
+    /// capacity.
     pub fn released_early(&self) -> u64 {
         self.released_early
     }
--- a/crates/capture/src/own_log.rs
+++ b/crates/capture/src/own_log.rs
@@ -1,4 +1,4 @@
-//! The daemon's own access log: a line of JSON a request, written and read through one type.
+//! The daemon's own access log: one line of JSON per request. The daemon and the import use the same type.
 
 use crate::entry_error::EntryError;
 use crate::recorded_request::{LoggedFields, RecordedRequest};
@@ -6,76 +6,76 @@
 use std::borrow::Cow;
 use std::net::IpAddr;
 
-/// The version of the lines that this program writes.
+/// The version of the lines that this program writes and reads.
 pub const VERSION: u32 = 1;
-/// What every line begins with.
+/// The first bytes of each line, by which the format is detected.
 pub const PREFIX: &str = "{\"rowanglade\":";
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum End {
-    /// It was answered with success.
+    /// The response was successful.
     Served,
-    /// It was rejected, with the promise of no effect.
+    /// The request was rejected, with the guarantee that it had no effect.
     Refused,
-    /// It failed, and may have run.
+    /// The request failed and may have run.
     Failed,
-    /// Its client went away before its answer.
+    /// The client closed its connection before the response.
     Gone,
 }
 
-/// A line. Times are microseconds of Unix time, spans say their unit.
+/// A line of the log. Names of fields with durations end in their unit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AccessLine<'a> {
-    /// The version; it stands first, so that a reader knows the file by its first bytes.
+    /// The version. It is the first field, so that the first bytes of a file identify the format.
     pub rowanglade: u32,
-    /// When it came.
+    /// Arrival time of the request, in microseconds of Unix time.
     pub at_us: i64,
-    /// The protocol that it came by.
+    /// The protocol of the front that the request arrived at.
     #[serde(borrow)]
     pub front: Cow<'a, str>,
-    /// The address of the client.
+    /// The address of the client; absent if it has none.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub client: Option<IpAddr>,
     /// The id of the request.
     #[serde(borrow)]
     pub id: Cow<'a, str>,
-    /// The request class.
+    /// The name of the request class.
     #[serde(borrow)]
     pub class: Cow<'a, str>,
-    /// The QoS plan.
+    /// The name of the QoS plan; absent if the request has none.
     #[serde(borrow, skip_serializing_if = "Option::is_none", default)]
     pub plan: Option<Cow<'a, str>>,
-    /// It is a write.
+    /// Whether the request is a write.
     pub write: bool,
-    /// 16 hex digits.
+    /// The number of the volume, as 16 hex digits.
     #[serde(borrow)]
     pub volume: Cow<'a, str>,
-    /// 16 hex digits.
+    /// The number of the object, as 16 hex digits.
     #[serde(borrow)]
     pub piece: Cow<'a, str>,
-    /// The size of the request.
+    /// The size of the request, in units.
     pub units: f64,
-    /// Absent: a new object.
+    /// The shard of the object; absent if the request creates a new object.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub shard: Option<u32>,
-    /// How many initiators its volume comes through.
+    /// How many initiators send requests for the volume.
     pub hosts: u32,
-    /// The idempotency key.
+    /// The idempotency key; absent if the request has none.
     #[serde(borrow, skip_serializing_if = "Option::is_none", default)]
     pub key: Option<Cow<'a, str>>,
-    /// How long the client would wait.
+    /// Time until the client's deadline when the request arrived.
     pub left_ms: u64,
     /// Bytes of the request's body.
     pub sent: u64,
-    /// How it ended.
+    /// How the request ended.
     pub end: End,
-    /// Bytes of the answer's body.
+    /// Bytes of the response's body.
     pub received: u64,
-    /// From its arrival to its end.
+    /// Time from the request's arrival to its end.
     pub took_us: u64,
-    /// How long a refused client was asked to wait.
+    /// The Retry-After of a rejected request; absent if it has none.
     #[serde(skip_serializing_if = "is_zero", default)]
     pub wait_ms: u64,
 }
@@ -84,10 +84,10 @@
     *value == 0
 }
 
-/// The request of a line; none for an empty one.
+/// Parses a line; `None` for an empty line.
 ///
 /// # Errors
-/// The line is not one of this version; the error names the key.
+/// The line is not valid or has another version. The error names the key.
 pub fn parse(line: &[u8]) -> Result<Option<RecordedRequest<'_>>, EntryError> {
     if line.iter().all(u8::is_ascii_whitespace) {
         return Ok(None);
--- a/crates/capture/src/trace.rs
+++ b/crates/capture/src/trace.rs
@@ -1,10 +1,14 @@
-//! The project's own trace format: requests in the order of their times, ready to be sent again.
+//! The trace format: requests in order of time, ready to be sent again.
 //!
-//! A file is the eight bytes `RWGTRACE`, a version (u16, little endian) and a sequence of frames: a tag, the
-//! length of the payload (u32), a CRC-32C over tag and payload (u32), the payload. `H` holds the [`Header`]
-//! as JSON, so that any version can show what it is; each `B` a block of [`Record`]s, postcard within zstd;
-//! `E` the counts, and nothing comes behind it. A file without its `E` was torn: what it holds up to there is
-//! whole.
+//! A file begins with the eight bytes `RWGTRACE` and a version (u16, little endian). A sequence of frames
+//! follows, each with a tag, the length of the payload (u32), a CRC-32C over tag and payload (u32), and the
+//! payload:
+//!
+//! - `H`: the [`Header`] as JSON, so that programs of any version can show it.
+//! - `B`: a block of [`Record`]s, encoded with postcard and compressed with zstd.
+//! - `E`: the numbers of records and blocks, as JSON. This is the last frame.
+//!
+//! A file without an `E` frame was truncated; the records of its complete blocks are valid.
 
 use serde::{Deserialize, Serialize};
 use std::fs::File;
@@ -15,102 +19,102 @@
 const MAGIC: &[u8; 8] = b"RWGTRACE";
 /// The version that this program writes, and the only one that it reads.
 pub const VERSION: u16 = 1;
-const LEVEL: i32 = 3;
-/// Records of a block.
-const BLOCK: usize = 4_096;
-/// The longest payload of a frame, in bytes, compressed and plain.
-const LONGEST: usize = 16 << 20;
+const ZSTD_LEVEL: i32 = 3;
+const RECORDS_PER_BLOCK: usize = 4_096;
+/// The longest payload of a frame, in bytes, both compressed and decompressed.
+const MAX_PAYLOAD_BYTES: usize = 16 << 20;
 
-/// What may happen to a request that may have run.
+/// Whether a request may be sent again after an attempt that may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Repeat {
-    /// It may run again.
+    /// The request is idempotent: it may run any number of times.
     Safe,
-    /// It carries a key, and a repeat of it is dropped for `span_ms` after the first send.
+    /// The request has an idempotency key. A repeat is dropped for `span_ms` after the first send.
     Keyed {
-        /// The deduplication window.
+        /// The deduplication window, in milliseconds.
         span_ms: u32,
     },
-    /// It must never run twice.
+    /// The request must not run twice.
     Once,
 }
 
-/// A class of requests.
+/// A request class, as far as a replay and its report need it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClassTerms {
-    /// Its name.
+    /// The name, unique in the trace.
     pub name: String,
-    /// Its requests are writes.
+    /// Whether requests of the class are writes.
     pub write: bool,
-    /// Whether a request of it may be sent again.
+    /// Whether requests of the class may be sent again.
     pub repeat: Repeat,
-    /// An answer within this time is in time.
+    /// The latency objective, in milliseconds.
     pub aim_ms: u32,
-    /// The longest that a client waits, over all its tries.
+    /// How long a client waits for a response, in milliseconds, over all its attempts.
     pub deadline_ms: u32,
 }
 
-/// A plan, as far as a report needs it.
+/// A QoS plan, as far as a report needs it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PlanTerms {
-    /// Its name.
+    /// The name, unique in the trace.
     pub name: String,
-    /// Units a second that a volume is sized for.
+    /// The rate that a volume is provisioned for, in units per second.
     pub rate: f64,
-    /// Units a second that no volume may pass.
+    /// The highest rate of a volume, in units per second; absent if unlimited.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub limit: Option<f64>,
 }
 
-/// What the requests of a trace have in common.
+/// What all requests of a trace have in common.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Header {
-    /// The first request's time, in microseconds of Unix time.
+    /// The time of the first request, in microseconds of Unix time.
     pub base_us: i64,
-    /// What it was made of.
+    /// The files that the trace was imported from.
     pub sources: Vec<String>,
-    /// The request classes; records name them by place.
+    /// The request classes; records refer to them by index.
     pub classes: Vec<ClassTerms>,
-    /// The QoS plans; records name them by place.
+    /// The QoS plans; records refer to them by index.
     pub plans: Vec<PlanTerms>,
-    /// Volumes, pieces and keys are not what the source had.
+    /// Whether the numbers of volumes, objects and keys are keyed hashes of those in the source.
     pub anonymised: bool,
 }
 
-/// A request.
+/// A recorded request of the store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// Microseconds since the header's base.
+    /// Time since [`Header::base_us`], in microseconds.
     pub at: u64,
-    /// Its place in [`Header::classes`].
+    /// The index of the request class in [`Header::classes`].
     pub class: u16,
-    /// Its place in [`Header::plans`].
+    /// The index of the QoS plan in [`Header::plans`].
     pub plan: u16,
-    /// The volume.
+    /// The number of the volume.
     pub volume: u64,
-    /// The object.
+    /// The number of the object.
     pub piece: u64,
-    /// The size of the request.
+    /// The size of the request, in units.
     pub units: f32,
-    /// Absent: a new object.
+    /// The shard of the object; absent if the request creates a new object.
     pub shard: Option<u32>,
-    /// Through how many initiators the volume's requests come.
+    /// How many initiators send requests for the volume.
     pub hosts: u32,
-    /// How long its client waits, over all tries.
+    /// How long the client waits for a response, in milliseconds, over all its attempts.
     pub deadline_ms: u32,
-    /// Bytes that a write carries, or that a read's answer had.
+    /// Bytes of the body of a write's request or of a read's response.
     pub bytes: u32,
-    /// By which a repeat is known.
+    /// The number of the idempotency key; absent if the request has none.
     pub key: Option<u64>,
-    /// The answer that the source recorded, as HTTP has it; 0: none.
+    /// The HTTP status of the recorded response; 0 if there was none.
     pub status: u16,
-    /// How long that answer took, in microseconds.
+    /// Time from the request to the recorded response, in microseconds; absent if the source doesn't record
+    /// it.
     pub took: Option<u64>,
 }
 
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
-struct End {
+struct Totals {
     records: u64,
     blocks: u64,
 }
@@ -121,63 +125,70 @@
     /// The file cannot be read or written.
     #[error("{file}: {error}")]
     Io {
-        /// The file.
+        /// The path of the file.
         file: String,
-        /// The system's error.
+        /// The error of the operating system.
         error: io::Error,
     },
-    /// The file does not begin as a trace does.
-    #[error("{file}: is no trace; `rowanglade capture import` makes one of a HAR file or an access log")]
+    /// The file does not begin with the magic bytes of a trace.
+    #[error(
+        "{file}: not a trace; create one from a HAR file or an access log with `rowanglade capture import`"
+    )]
     NotATrace {
-        /// The file.
+        /// The path of the file.
         file: String,
     },
-    /// The trace has another version.
-    #[error("{file}: is a trace of version {found}; this program reads version {VERSION}: import it anew")]
+    /// The trace has a version that is not supported.
+    #[error(
+        "{file}: trace version {found} is not supported, expected {VERSION}; import the recorded files again"
+    )]
     UnsupportedVersion {
-        /// The file.
+        /// The path of the file.
         file: String,
-        /// Its version.
+        /// The version of the trace.
         found: u16,
     },
-    /// The trace ends within a record, or without its end.
-    #[error("{file}: is torn at byte {at}, behind {records} whole records: it was not written to its end")]
+    /// The trace ends within a frame, or without its end frame.
+    #[error(
+        "{file}: trace is truncated in the frame at byte {offset}, after {records} complete records; it was not written to its end"
+    )]
     Truncated {
-        /// The file.
+        /// The path of the file.
         file: String,
-        /// The byte where it ends.
-        at: u64,
-        /// Whole records before.
+        /// The position of the incomplete frame, in bytes.
+        offset: u64,
+        /// Records before that position.
         records: u64,
     },
-    /// A record cannot be decoded.
-    #[error("{file}: is damaged at byte {at}, behind {records} whole records: {problem}")]
+    /// A frame is not valid.
+    #[error("{file}: trace is damaged at byte {offset}, after {records} complete records: {problem}")]
     Damaged {
-        /// The file.
+        /// The path of the file.
         file: String,
-        /// The byte of the damage.
-        at: u64,
-        /// Whole records before.
+        /// Position in the file, in bytes: the start of a frame that cannot be read, or the end of one whose
+        /// payload is not valid.
+        offset: u64,
+        /// Records before that position.
         records: u64,
-        /// What is wrong there.
+        /// Why the frame is not valid.
         problem: String,
     },
-    /// A record is earlier than the one before.
-    #[error("{file}: records are not in the order of their times")]
-    Order {
-        /// The file.
+    /// A record has an earlier time than the record before it.
+    #[error("{file}: records are not in order of time")]
+    OutOfOrder {
+        /// The path of the file.
         file: String,
     },
 }
 
-/// Writes a trace beside its place and moves it there when it is whole.
+/// Writes a trace to a temporary file in the same folder and renames it once it is complete.
 #[derive(Debug)]
 pub struct TraceWriter {
     path: PathBuf,
     out: BufWriter<tempfile::NamedTempFile>,
     block: Vec<Record>,
-    last: u64,
-    end: End,
+    last_at: u64,
+    totals: Totals,
 }
 
 fn checksum(tag: u8, payload: &[u8]) -> u32 {
@@ -185,6 +196,8 @@
 }
 
 impl TraceWriter {
+    /// Creates the temporary file and writes the header.
+    ///
     /// # Errors
     /// The folder cannot be written to.
     pub fn create(path: &Path, header: &Header) -> Result<TraceWriter, TraceError> {
@@ -192,68 +205,72 @@
         let mut writer = TraceWriter {
             path: path.to_path_buf(),
             out: BufWriter::new(
-                // As any new file's; the mask of the process comes off.
+                // The permissions of any newly created file, from which the umask of the process is
+                // subtracted.
                 tempfile::Builder::new()
                     .prefix(".trace-")
                     .permissions(std::fs::Permissions::from_mode(0o666))
                     .tempfile_in(folder)
                     .map_err(|error| TraceError::Io { file: path.display().to_string(), error })?,
             ),
-            block: Vec::with_capacity(BLOCK),
-            last: 0,
-            end: End { records: 0, blocks: 0 },
+            block: Vec::with_capacity(RECORDS_PER_BLOCK),
+            last_at: 0,
+            totals: Totals { records: 0, blocks: 0 },
         };
-        let json = serde_json::to_vec(header).map_err(|e| writer.io(e.into()))?;
+        let json = serde_json::to_vec(header).map_err(|e| writer.io_error(e.into()))?;
         let start = [MAGIC.as_slice(), &VERSION.to_le_bytes()].concat();
-        writer.out.write_all(&start).map_err(|e| writer.io(e))?;
-        writer.frame(b'H', &json)?;
+        writer.out.write_all(&start).map_err(|e| writer.io_error(e))?;
+        writer.write_frame(b'H', &json)?;
         Ok(writer)
     }
 
-    fn io(&self, error: io::Error) -> TraceError {
+    fn io_error(&self, error: io::Error) -> TraceError {
         TraceError::Io { file: self.path.display().to_string(), error }
     }
 
-    fn frame(&mut self, tag: u8, payload: &[u8]) -> Result<(), TraceError> {
-        let mut head = vec![tag];
-        head.extend_from_slice(&(payload.len() as u32).to_le_bytes());
-        head.extend_from_slice(&checksum(tag, payload).to_le_bytes());
-        let written = self.out.write_all(&head).and_then(|()| self.out.write_all(payload));
-        written.map_err(|e| self.io(e))
+    fn write_frame(&mut self, tag: u8, payload: &[u8]) -> Result<(), TraceError> {
+        let mut frame_header = vec![tag];
+        frame_header.extend_from_slice(&(payload.len() as u32).to_le_bytes());
+        frame_header.extend_from_slice(&checksum(tag, payload).to_le_bytes());
+        let written = self.out.write_all(&frame_header).and_then(|()| self.out.write_all(payload));
+        written.map_err(|e| self.io_error(e))
     }
 
+    /// Appends a record.
+    ///
     /// # Errors
-    /// The disk is full, or the record is earlier than the one before.
+    /// The file cannot be written, or the record is earlier than the one before.
     pub fn push(&mut self, record: Record) -> Result<(), TraceError> {
-        if record.at < self.last {
-            return Err(TraceError::Order { file: self.path.display().to_string() });
+        if record.at < self.last_at {
+            return Err(TraceError::OutOfOrder { file: self.path.display().to_string() });
         }
-        self.last = record.at;
-        self.end.records += 1;
+        self.last_at = record.at;
+        self.totals.records += 1;
         self.block.push(record);
-        if self.block.len() == BLOCK { self.flush() } else { Ok(()) }
+        if self.block.len() == RECORDS_PER_BLOCK { self.flush() } else { Ok(()) }
     }
 
     fn flush(&mut self) -> Result<(), TraceError> {
         if self.block.is_empty() {
             return Ok(());
         }
-        let plain = postcard::to_stdvec(&self.block).map_err(|e| self.io(io::Error::other(e)))?;
-        let packed = zstd::bulk::compress(&plain, LEVEL).map_err(|e| self.io(e))?;
-        self.end.blocks += 1;
+        let decompressed =
+            postcard::to_stdvec(&self.block).map_err(|e| self.io_error(io::Error::other(e)))?;
+        let compressed = zstd::bulk::compress(&decompressed, ZSTD_LEVEL).map_err(|e| self.io_error(e))?;
+        self.totals.blocks += 1;
         self.block.clear();
-        self.frame(b'B', &packed)
+        self.write_frame(b'B', &compressed)
     }
 
-    /// Ends the trace and moves it to its place; returns its records.
+    /// Writes the end frame and renames the file to its final path; returns the number of records.
     ///
     /// # Errors
-    /// The disk is full. What stood at the place still stands there.
+    /// The file cannot be written. An existing file at the path is kept then.
     pub fn finish(mut self) -> Result<u64, TraceError> {
         self.flush()?;
-        let json = serde_json::to_vec(&self.end).map_err(|e| self.io(e.into()))?;
-        self.frame(b'E', &json)?;
-        let (path, records) = (self.path, self.end.records);
+        let json = serde_json::to_vec(&self.totals).map_err(|e| self.io_error(e.into()))?;
+        self.write_frame(b'E', &json)?;
+        let (path, records) = (self.path, self.totals.records);
         let file = |error| TraceError::Io { file: path.display().to_string(), error };
         let out = self.out.into_inner().map_err(|e| file(e.into_error()))?;
         out.as_file().sync_all().map_err(file)?;
@@ -262,21 +279,24 @@
     }
 }
 
-/// Reads a trace, a block at a time.
+/// Reads a trace block by block.
 #[derive(Debug)]
 pub struct TraceReader<R> {
     name: String,
-    from: R,
+    input: R,
     header: Header,
-    at: u64,
+    offset: u64,
     block: std::vec::IntoIter<Record>,
-    read: End,
-    over: bool,
+    totals: Totals,
+    finished: bool,
 }
 
 impl TraceReader<BufReader<File>> {
+    /// Opens the file and reads the header.
+    ///
     /// # Errors
-    /// It is no trace, one of another version, or torn within its header.
+    /// The file cannot be read, is not a trace, has an unsupported version, or is truncated or damaged within
+    /// its header.
     pub fn open(path: &Path) -> Result<TraceReader<BufReader<File>>, TraceError> {
         let name = path.display().to_string();
         let file = File::open(path).map_err(|error| TraceError::Io { file: name.clone(), error })?;
@@ -285,10 +305,13 @@
 }
 
 impl<R: Read> TraceReader<R> {
-    /// Reads a stream, which errors call `name`. Errors: as [`TraceReader::open`].
-    pub fn new(name: String, mut from: R) -> Result<TraceReader<R>, TraceError> {
+    /// Reads the header of a stream, which errors refer to as `name`.
+    ///
+    /// # Errors
+    /// Those of [`TraceReader::open`].
+    pub fn new(name: String, mut input: R) -> Result<TraceReader<R>, TraceError> {
         let mut start = [0; 10];
-        match from.read_exact(&mut start) {
+        match input.read_exact(&mut start) {
             Ok(()) if start.starts_with(MAGIC) => {}
             Ok(()) => return Err(TraceError::NotATrace { file: name }),
             Err(e) if e.kind() == io::ErrorKind::UnexpectedEof => {
@@ -307,86 +330,104 @@
             plans: Vec::new(),
             anonymised: false,
         };
-        let read = End { records: 0, blocks: 0 };
-        let mut reader =
-            TraceReader { name, from, header, at: 10, block: Vec::new().into_iter(), read, over: false };
-        match reader.frame()? {
+        let totals = Totals { records: 0, blocks: 0 };
+        let mut reader = TraceReader {
+            name,
+            input,
+            header,
+            offset: 10,
+            block: Vec::new().into_iter(),
+            totals,
+            finished: false,
+        };
+        match reader.read_frame()? {
             (b'H', json) => {
                 reader.header =
                     serde_json::from_slice(&json).map_err(|e| reader.damaged(format!("header: {e}")))?;
                 Ok(reader)
             }
-            _ => Err(reader.damaged("it has no header".into())),
+            _ => Err(reader.damaged("the first frame is not a header".into())),
         }
     }
 
-    /// The trace's header.
+    /// The header, with the classes and plans that records refer to.
     pub fn header(&self) -> &Header {
         &self.header
     }
 
     fn damaged(&self, problem: String) -> TraceError {
-        TraceError::Damaged { file: self.name.clone(), at: self.at, records: self.read.records, problem }
+        TraceError::Damaged {
+            file: self.name.clone(),
+            offset: self.offset,
+            records: self.totals.records,
+            problem,
+        }
     }
 
     fn fill(&mut self, buffer: &mut [u8]) -> Result<(), TraceError> {
-        self.from.read_exact(buffer).map_err(|error| match error.kind() {
-            io::ErrorKind::UnexpectedEof => {
-                TraceError::Truncated { file: self.name.clone(), at: self.at, records: self.read.records }
-            }
+        self.input.read_exact(buffer).map_err(|error| match error.kind() {
+            io::ErrorKind::UnexpectedEof => TraceError::Truncated {
+                file: self.name.clone(),
+                offset: self.offset,
+                records: self.totals.records,
+            },
             _ => TraceError::Io { file: self.name.clone(), error },
         })
     }
 
-    fn frame(&mut self) -> Result<(u8, Vec<u8>), TraceError> {
-        let mut head = [0; 9];
-        self.fill(&mut head)?;
-        let [tag, l0, l1, l2, l3, sum @ ..] = head;
+    fn read_frame(&mut self) -> Result<(u8, Vec<u8>), TraceError> {
+        let mut frame_header = [0; 9];
+        self.fill(&mut frame_header)?;
+        let [tag, l0, l1, l2, l3, sum @ ..] = frame_header;
         let length = u32::from_le_bytes([l0, l1, l2, l3]) as usize;
-        if length > LONGEST {
-            return Err(self.damaged(format!("a frame of {length} bytes")));
+        if length > MAX_PAYLOAD_BYTES {
+            return Err(
+                self.damaged(format!("frame of {length} bytes exceeds the maximum of {MAX_PAYLOAD_BYTES}"))
+            );
         }
         let mut payload = vec![0; length];
         self.fill(&mut payload)?;
         if checksum(tag, &payload) != u32::from_le_bytes(sum) {
-            return Err(self.damaged("its checksum does not hold".into()));
+            return Err(self.damaged("checksum mismatch".into()));
         }
-        self.at += 9 + length as u64;
+        self.offset += 9 + length as u64;
         Ok((tag, payload))
     }
 
     fn next_block(&mut self) -> Result<(), TraceError> {
-        match self.frame()? {
-            (b'B', packed) => {
-                let plain =
-                    zstd::bulk::decompress(&packed, LONGEST).map_err(|e| self.damaged(e.to_string()))?;
+        match self.read_frame()? {
+            (b'B', compressed) => {
+                let decompressed = zstd::bulk::decompress(&compressed, MAX_PAYLOAD_BYTES)
+                    .map_err(|e| self.damaged(e.to_string()))?;
                 let block: Vec<Record> =
-                    postcard::from_bytes(&plain).map_err(|e| self.damaged(e.to_string()))?;
-                let known = |r: &Record| {
+                    postcard::from_bytes(&decompressed).map_err(|e| self.damaged(e.to_string()))?;
+                let has_known_terms = |r: &Record| {
                     usize::from(r.class) < self.header.classes.len()
                         && usize::from(r.plan) < self.header.plans.len()
                 };
-                if !block.iter().all(known) {
-                    return Err(self.damaged("a record of a class or plan that the header lacks".into()));
+                if !block.iter().all(has_known_terms) {
+                    return Err(
+                        self.damaged("a record refers to a class or plan that the header lacks".into())
+                    );
                 }
-                self.read.blocks += 1;
-                self.read.records += block.len() as u64;
+                self.totals.blocks += 1;
+                self.totals.records += block.len() as u64;
                 self.block = block.into_iter();
             }
             (b'E', json) => {
-                let end: End = serde_json::from_slice(&json).map_err(|e| self.damaged(e.to_string()))?;
-                if end != self.read {
-                    return Err(self.damaged(format!("it should hold {} records", end.records)));
+                let end: Totals = serde_json::from_slice(&json).map_err(|e| self.damaged(e.to_string()))?;
+                if end != self.totals {
+                    return Err(self.damaged(format!("the end frame counts {} records", end.records)));
                 }
-                self.over = true;
+                self.finished = true;
             }
-            (tag, _) => return Err(self.damaged(format!("a frame of an unknown kind, {tag}"))),
+            (tag, _) => return Err(self.damaged(format!("unknown frame tag {tag}"))),
         }
         Ok(())
     }
 }
 
-/// The records in the order of their times. After an error there are no more.
+/// Yields the records in order of time. The iterator ends after the first error.
 impl<R: Read> Iterator for TraceReader<R> {
     type Item = Result<Record, TraceError>;
 
@@ -395,11 +436,11 @@
             if let Some(record) = self.block.next() {
                 return Some(Ok(record));
             }
-            if self.over {
+            if self.finished {
                 return None;
             }
             if let Err(error) = self.next_block() {
-                self.over = true;
+                self.finished = true;
                 return Some(Err(error));
             }
         }
--- a/crates/capture/tests/compatibility.rs
+++ b/crates/capture/tests/compatibility.rs
@@ -1,6 +1,7 @@
-//! Traces, own access log lines and mapping files against recorded samples. Guards against a build that can
-//! no longer read what an earlier one stored, or writes what an earlier one cannot read. A trace's blocks are
-//! compressed: another version of zstd may write other bytes that read as the same records.
+//! Compares traces, lines of the daemon's access log and mapping files with recorded samples. Guards against a
+//! build that can no longer read files of an earlier build, or writes files that an earlier build cannot read.
+//! Blocks of a trace are compressed: another version of zstd may write different bytes that decompress to the
+//! same records.
 
 use rowanglade_capture::mapping::{Mapped, Mapping};
 use rowanglade_capture::own_log::{AccessLine, End, PREFIX, VERSION, parse};
@@ -9,7 +10,7 @@
 };
 use std::path::Path;
 
-/// Bytes in hex, with line breaks anywhere.
+/// Hex digits with line breaks at any position.
 const TRACE: &str = include_str!("samples/trace.hex");
 const LINES: &str = include_str!("samples/access.jsonl");
 const MAPPING: &str = include_str!("samples/mapping.toml");
@@ -67,7 +68,7 @@
 }
 
 #[test]
-fn a_trace_is_read_and_written_as_recorded() {
+fn trace_is_read_and_written_as_recorded() {
     let sample = unhex(TRACE);
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("t.trace");
@@ -77,10 +78,10 @@
     assert_eq!(hex(&std::fs::read(&path).expect("read")), hex(&sample));
     let reader = TraceReader::new("sample".into(), sample.as_slice()).expect("a trace");
     assert_eq!(reader.header(), &header());
-    assert_eq!(reader.map(|r| r.expect("whole")).collect::<Vec<_>>(), records());
+    assert_eq!(reader.map(|r| r.expect("a valid record")).collect::<Vec<_>>(), records());
 }
 
-/// A line with all there can be, one with the least, and one for each other end.
+/// A line with all fields, one with the required fields only, and one for each further way to end.
 fn lines() -> [AccessLine<'static>; 4] {
     let full = AccessLine {
         rowanglade: VERSION,
@@ -104,7 +105,7 @@
         took_us: 3_000,
         wait_ms: 40,
     };
-    let least = AccessLine {
+    let minimal = AccessLine {
         front: "iscsi".into(),
         client: None,
         plan: None,
@@ -114,12 +115,12 @@
         end: End::Served,
         ..full.clone()
     };
-    let ended = |end| AccessLine { end, ..least.clone() };
-    [full.clone(), least.clone(), ended(End::Failed), ended(End::Gone)]
+    let ended = |end| AccessLine { end, ..minimal.clone() };
+    [full.clone(), minimal.clone(), ended(End::Failed), ended(End::Gone)]
 }
 
 #[test]
-fn lines_of_the_own_access_log_are_as_recorded() {
+fn access_log_lines_are_read_and_written_as_recorded() {
     let written = lines().map(|line| serde_json::to_string(&line).expect("JSON"));
     assert_eq!(written.as_slice(), LINES.lines().collect::<Vec<_>>());
     for (text, line) in LINES.lines().zip(lines()) {
@@ -141,10 +142,10 @@
     assert_eq!(recorded.logged, Some(expected));
 }
 
-// Unknown keys are refused, so a key that was renamed fails here; that each has its effect is seen on a
-// request.
+// Unknown keys are rejected, so that this test fails if a key is renamed. The mapped requests show that each
+// key still has its effect.
 #[test]
-fn a_mapping_file_with_every_key_means_what_it_did() {
+fn mapping_file_with_every_key_maps_requests_as_before() {
     let mapping = Mapping::parse("sample", MAPPING, Path::new(".")).expect("usable");
     assert!(mapping.anonymises() && !mapping.spread_seconds());
     assert_eq!(mapping.classes(), &header().classes[..3]);
@@ -164,13 +165,13 @@
         logged: None,
     };
     let Mapped::Request(at, record) = mapping.map(&recorded) else { panic!("no request") };
-    assert_eq!(at, 4_999_000, "its end was recorded");
+    assert_eq!(at, 4_999_000, "the recorded time is that of the end, so the duration is subtracted");
     assert_eq!((record.class, record.plan, record.units, record.shard), (1, 1, 3.0, None));
     assert_eq!((record.hosts, record.deadline_ms, record.bytes), (6, 1_200, 150_000));
     assert!(record.key.is_some());
     recorded.path = "/up".into();
     assert_eq!(mapping.map(&recorded), Mapped::Ignored(1));
-    // The defaults are those of the last rule.
+    // The last rule sets none of these values, so that the defaults apply.
     recorded.path = "/view/v1/p1".into();
     let Mapped::Request(_, record) = mapping.map(&recorded) else { panic!("no request") };
     assert_eq!((record.class, record.plan, record.units, record.hosts), (0, 0, 1.5, 2));
--- a/crates/capture/tests/modules/access_log.rs
+++ b/crates/capture/tests/modules/access_log.rs
@@ -3,27 +3,28 @@
 use rowanglade_capture::access_log::Parser;
 use rowanglade_capture::{EntryError, RecordedRequest};
 
-fn one(line: &str) -> Result<RecordedRequest<'_>, EntryError> {
+fn parse_line(line: &str) -> Result<RecordedRequest<'_>, EntryError> {
     Parser::default().parse(line.as_bytes()).map(|o| o.expect("a request"))
 }
 
 const PUT: &str = r#"2001:db8::7 - - [25/Oct/2026:01:30:00 +0100] "PUT /deposit/1/b HTTP/1.1" 503 -"#;
 
 #[test]
-fn ipv6_escaped_quotes_and_the_time_taken_are_read() {
-    let put = one(PUT).expect("a line");
+fn ipv6_addresses_escaped_quotes_and_response_times_are_parsed() {
+    let put = parse_line(PUT).expect("a line");
     assert_eq!(put.client, Some("2001:db8::7".parse().expect("an address")));
     assert_eq!((put.took, put.status, put.received), (None, 503, 0));
     let agent = PUT.to_string() + r#" "http://x/\"q\" [y]" "viewer \"1\" \\" 0.25"#;
-    assert_eq!(one(&agent).expect("a line").took, Some(250_000));
-    assert_eq!(one(&(PUT.to_string() + " 1500")).expect("a line").took, Some(1_500));
+    assert_eq!(parse_line(&agent).expect("a line").took, Some(250_000));
+    assert_eq!(parse_line(&(PUT.to_string() + " 1500")).expect("a line").took, Some(1_500));
     let bracketed = PUT.replace("2001:db8::7", "[2001:db8::7]");
-    assert!(matches!(one(&bracketed).map(|o| o.client.is_some()), Ok(true)));
+    assert!(matches!(parse_line(&bracketed).map(|o| o.client.is_some()), Ok(true)));
 }
 
-// The clocks go back at 02:00 +0100: the same wall time comes twice, and only the offset tells the two apart.
+// When clocks go back at 02:00 +0100, the same local time occurs twice. Times that ignore the offset would be
+// out of order by an hour.
 #[test]
-fn an_offset_that_changes_keeps_the_order_of_time() {
+fn times_with_different_offsets_are_in_order() {
     let mut parser = Parser::default();
     let mut at = |offset: &str| {
         let line = PUT.replace("+0100", offset);
@@ -34,12 +35,12 @@
 }
 
 #[test]
-fn a_bad_line_names_its_field() {
-    let bad = |from: &str, to: &str| one(&PUT.replace(from, to)).expect_err("bad").to_string();
+fn errors_name_the_field_of_an_invalid_line() {
+    let bad = |from: &str, to: &str| parse_line(&PUT.replace(from, to)).expect_err("bad").to_string();
     assert!(bad("25/Oct", "32/Oct").starts_with("time: \"32/Oct"));
     assert!(bad(" 503 ", " 7 ").starts_with("status"));
-    assert!(bad(" 503 -", "").starts_with("status: is missing"));
+    assert!(bad(" 503 -", "").starts_with("status: the field is missing"));
     assert!(bad("\"PUT /deposit/1/b HTTP/1.1\"", "\"PUT\"").starts_with("request"));
-    assert!(bad("HTTP/1.1\"", "HTTP/1.1").starts_with("request: is missing"));
+    assert!(bad("HTTP/1.1\"", "HTTP/1.1").starts_with("request: the field is missing"));
     assert!(Parser::default().parse(b"caf\xe9 - -").expect_err("bad").to_string().contains("UTF-8"));
 }
--- a/crates/capture/tests/modules/har.rs
+++ b/crates/capture/tests/modules/har.rs
@@ -8,7 +8,7 @@
     "content":{"size":12}}}"#;
 
 #[test]
-fn an_entry_tells_its_key_and_what_is_unknown_stays_so() {
+fn entry_fields_are_parsed_and_unknown_values_are_absent() {
     let recorded = parse(ENTRY).expect("an entry").expect("a request");
     assert_eq!(recorded.key.as_deref(), Some("k\"1"));
     assert_eq!((recorded.sent, recorded.received, recorded.took), (300, 12, Some(12_500)));
@@ -30,8 +30,8 @@
 }
 
 #[test]
-fn entries_before_the_place_where_a_file_is_torn_are_read() {
-    let whole = format!(r#"{{"log":{{"version":"1.2","entries":[{ENTRY},7,{ENTRY}],"pages":[]}}}}"#);
+fn entries_before_a_truncation_are_read() {
+    let complete = format!(r#"{{"log":{{"version":"1.2","entries":[{ENTRY},7,{ENTRY}],"pages":[]}}}}"#);
     let count = |text: &str| {
         let mut seen = Vec::new();
         let end = entries(text.as_bytes(), &mut |n, entry| {
@@ -40,9 +40,9 @@
         });
         (seen, end.map_err(|e| e.to_string()))
     };
-    assert_eq!(count(&whole), (vec![(1, true), (2, false), (3, true)], Ok(())));
-    let (seen, end) = count(&whole[..whole.len() - 40]);
+    assert_eq!(count(&complete), (vec![(1, true), (2, false), (3, true)], Ok(())));
+    let (seen, end) = count(&complete[..complete.len() - 40]);
     assert_eq!(seen, [(1, true), (2, false)]);
-    assert!(end.expect_err("torn").contains("EOF"));
+    assert!(end.expect_err("truncated").contains("EOF"));
     assert!(count(r#"{"log":{}}"#).1.expect_err("none").contains("log.entries"));
 }
--- a/crates/capture/tests/modules/mapping.rs
+++ b/crates/capture/tests/modules/mapping.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn networks_are_told_apart_by_the_longest_prefix_and_mapped_addresses_count_as_ipv4() {
+fn longest_prefix_determines_the_network_and_mapped_addresses_are_ipv4() {
     let plan = |client| record(line(client, "GET /view/a/b", 10)).plan;
     assert_eq!([plan("10.20.3.4"), plan("10.21.3.4"), plan("::ffff:10.20.3.4")], [1, 0, 1]);
     assert_eq!([plan("2001:db8:20::9"), plan("2001:db8:21::9"), plan("unknown.example")], [1, 0, 0]);
@@ -35,18 +35,18 @@
 }
 
 #[test]
-fn sizes_volumes_and_keys_come_out_as_the_rule_says() {
+fn rule_determines_size_volume_shard_and_key() {
     let read = record(line("1.1.1.1", "GET /view/00000003b4d60021/x?size=2", 200_000));
     assert_eq!((read.class, read.volume, read.units, read.key), (0, 0x3_b4d6_0021, 4.0, None));
     assert_eq!(read.shard, Some((0x3_b4d6_0021_u64 % 4) as u32));
     let write = |piece: &str| record(line("1.1.1.1", &format!("PUT /deposit/v/{piece}"), 10));
-    assert_eq!(write("p").key, write("p").key, "a repeat of a write has its key");
+    assert_eq!(write("p").key, write("p").key, "a repeated write has the same key");
     assert_ne!(write("p").key, write("q").key);
     assert_eq!(line("1.1.1.1", "GET /favicon.ico", 1), Mapped::Ignored(0));
 }
 
 #[test]
-fn what_no_rule_knows_is_told_by_its_pattern() {
+fn unmatched_requests_are_reported_by_pattern() {
     let unmatched = |request| match line("1.1.1.1", request, 1) {
         Mapped::Unmatched(pattern) => pattern,
         other => panic!("{other:?}"),
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn names_are_hidden_under_a_key_and_agree_under_the_same_one() {
+fn anonymised_numbers_depend_on_the_key_alone() {
     let with = |key: &str| {
         let text = STANDARD.replace(
             "[[rule]]\nname = \"no load\"",
--- a/crates/capture/tests/modules/trace.rs
+++ b/crates/capture/tests/modules/trace.rs
@@ -1,4 +1,4 @@
-//! Tests of the trace format: round trips, torn and corrupted files.
+//! Tests of the trace format: round trips, truncated and corrupted files.
 
 use rowanglade_capture::{
     ClassTerms, Header, PlanTerms, Record, Repeat, TraceError, TraceReader, TraceWriter,
@@ -58,65 +58,66 @@
         Ok(reader) => reader,
         Err(error) => return (0, Some(error)),
     };
-    let mut whole = 0;
+    let mut count = 0;
     for record in &mut reader {
         match record {
-            Ok(_) => whole += 1,
-            Err(error) => return (whole, Some(error)),
+            Ok(_) => count += 1,
+            Err(error) => return (count, Some(error)),
         }
     }
-    (whole, None)
+    (count, None)
 }
 
 #[test]
-fn what_was_written_is_read() {
+fn written_records_are_read_back() {
     let bytes = written(10_000);
     let reader = TraceReader::new("t".into(), bytes.as_slice()).expect("a trace");
     assert_eq!(reader.header(), &header());
-    let records: Vec<Record> = reader.map(|r| r.expect("whole")).collect();
+    let records: Vec<Record> = reader.map(|r| r.expect("a valid record")).collect();
     assert_eq!(records, (0..10_000).map(record).collect::<Vec<_>>());
     assert!(bytes.len() < 200_000, "{}", bytes.len());
 }
 
-// A trace cut at any byte is told from a whole one, and never gives a record that was not written.
+// A trace that is truncated at any byte must give an error, and no records other than those of complete
+// blocks.
 #[test]
-fn a_file_torn_anywhere_is_told() {
+fn truncation_at_any_byte_is_an_error() {
     let bytes = written(20);
     for end in 0..bytes.len() {
-        let (whole, error) = read(&bytes[..end]);
-        assert!(whole == 0 || whole == 20, "{whole} at {end}");
-        let error = error.unwrap_or_else(|| panic!("cut at {end} it was read"));
-        let told = matches!(error, TraceError::NotATrace { .. } | TraceError::Truncated { .. });
-        assert!(told, "{end}: {error}");
+        let (count, error) = read(&bytes[..end]);
+        assert!(count == 0 || count == 20, "{count} records of a trace truncated at byte {end}");
+        let error = error.unwrap_or_else(|| panic!("no error for a trace truncated at byte {end}"));
+        let is_expected = matches!(error, TraceError::NotATrace { .. } | TraceError::Truncated { .. });
+        assert!(is_expected, "truncated at byte {end}: {error}");
     }
 }
 
 #[test]
-fn a_changed_bit_is_told() {
+fn flipped_bit_is_an_error() {
     let bytes = written(20);
-    for place in 10..bytes.len() {
-        let mut spoilt = bytes.clone();
-        spoilt[place] ^= 4;
-        assert!(read(&spoilt).1.is_some(), "at {place}");
+    for offset in 10..bytes.len() {
+        let mut corrupted = bytes.clone();
+        corrupted[offset] ^= 4;
+        assert!(read(&corrupted).1.is_some(), "no error for a flipped bit at byte {offset}");
     }
 }
 
 #[test]
-fn another_version_is_named() {
+fn unsupported_versions_and_other_files_are_rejected() {
     let mut bytes = written(1);
     bytes[8] = 0;
-    let error = read(&bytes).1.expect("refused").to_string();
-    assert!(error.contains("version 0") && error.contains("import it anew"), "{error}");
-    assert!(read(b"127.0.0.1 - -").1.expect("refused").to_string().contains("is no trace"));
+    let error = read(&bytes).1.expect("an error").to_string();
+    assert!(error.contains("version 0") && error.contains("import the recorded files again"), "{error}");
+    assert!(read(b"127.0.0.1 - -").1.expect("an error").to_string().contains("not a trace"));
 }
 
 #[test]
-fn records_out_of_order_are_not_written_and_a_file_not_ended_does_not_appear() {
+fn out_of_order_records_are_rejected_and_unfinished_traces_are_removed() {
     let dir = tempfile::tempdir().expect("a folder");
     let path = dir.path().join("t.trace");
     let mut writer = TraceWriter::create(&path, &header()).expect("created");
     writer.push(record(5)).expect("written");
-    assert!(matches!(writer.push(record(4)), Err(TraceError::Order { .. })));
+    assert!(matches!(writer.push(record(4)), Err(TraceError::OutOfOrder { .. })));
     drop(writer);
     assert!(!path.exists() && std::fs::read_dir(dir.path()).expect("read").count() == 0);
 }
--- a/crates/capture/tests/sources.rs
+++ b/crates/capture/tests/sources.rs
@@ -1,4 +1,4 @@
-//! Files of recorded requests: what is read of good ones, bad ones, compressed ones and torn ones.
+//! Reading and importing files of recorded requests: valid, invalid, compressed and truncated ones.
 
 use insta::assert_snapshot;
 use rowanglade_capture::read::{self, Options, ReadError, Stats, Tolerance};
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn an_access_log_is_summed_up() {
+fn access_log_is_summarized() {
     let (summary, stats) = read(LOG.as_bytes(), 0.0);
     let stats = stats.expect("read");
     assert_eq!((stats.format, stats.skipped), (Format::AccessLog, 3));
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_har_file_is_summed_up_also_behind_a_byte_order_mark() {
+fn har_file_after_a_byte_order_mark_is_summarized() {
     let marked = [b"\xef\xbb\xbf\n ".as_slice(), HAR.as_bytes()].concat();
     let (summary, stats) = read(&marked, 0.0);
     assert_eq!(stats.expect("read").format, Format::Har);
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn bad_lines_are_counted_with_their_places_and_passed_over() {
+fn bad_lines_are_counted_with_their_location_and_skipped() {
     let long = "x".repeat(1 << 20);
     let text =
         [LOG.as_bytes(), b"10.0.0.9 caf\xe9\n", long.as_bytes(), b"\n10.0.0.1 - - [01/De\n", LOG.as_bytes()];
@@ -72,41 +72,41 @@
     assert_eq!((summary.requests(), stats.read, stats.bad), (6, 6, 3));
     let samples: Vec<String> = stats.samples.iter().map(|b| format!("{}: {}", b.place, b.reason)).collect();
     assert_snapshot!(samples.join("\n"), @r"
-    line 7: is not UTF-8
-    line 8: 1048577 bytes are too long for a line
-    line 9: time: is missing
+    line 7: not valid UTF-8
+    line 8: 1048577 bytes exceed the maximum line length of 65536
+    line 9: time: the field is missing
     ");
 }
 
 #[test]
-fn more_bad_lines_than_the_share_end_the_read() {
+fn read_fails_if_bad_lines_exceed_the_tolerance() {
     let text = "nonsense\n".repeat(100) + &LOG.repeat(300);
     assert!(read(text.as_bytes(), 0.11).1.is_ok());
     let error = read(text.as_bytes(), 0.05).1.expect_err("too many").to_string();
     assert_eq!(
         error,
-        "f: 100 of 1000 entries are bad, more than 5%; the first: line 1: identity: is missing"
+        "f: 100 of 1000 entries cannot be read, more than the tolerated 5%; the first one: line 1: identity: the field is missing"
     );
 }
 
 #[test]
-fn compressed_files_are_known_by_their_first_bytes_and_torn_ones_told() {
+fn compression_is_detected_and_truncated_files_are_reported() {
     let text = LOG.repeat(2_000);
     let mut gzip = flate2::write::GzEncoder::new(Vec::new(), flate2::Compression::default());
     gzip.write_all(text.as_bytes()).expect("written");
     let gzip = gzip.finish().expect("finished");
     let zstd = zstd::stream::encode_all(text.as_bytes(), 3).expect("packed");
-    for packed in [gzip.as_slice(), zstd.as_slice()] {
-        let (summary, stats) = read(packed, 0.0);
+    for compressed in [gzip.as_slice(), zstd.as_slice()] {
+        let (summary, stats) = read(compressed, 0.0);
         let stats = stats.expect("read");
         assert_eq!((summary.requests(), stats.truncated), (6_000, None));
-        let (summary, stats) = read(&packed[..packed.len() - 9], 0.01);
-        let torn = stats.expect("one bad entry").truncated.expect("torn");
-        assert!(torn.starts_with("line ") && summary.requests() <= 6_000, "{torn}");
+        let (summary, stats) = read(&compressed[..compressed.len() - 9], 0.01);
+        let truncated = stats.expect("one bad entry").truncated.expect("truncated");
+        assert!(truncated.starts_with("line ") && summary.requests() <= 6_000, "{truncated}");
     }
     let (summary, stats) = read(&HAR.as_bytes()[..HAR.len() - 3], 0.5);
     let stats = stats.expect("within the share");
-    assert!(summary.requests() == 2 && stats.truncated.is_some_and(|t| t.contains("behind entry 2")));
+    assert!(summary.requests() == 2 && stats.truncated.is_some_and(|t| t.contains("after entry 2")));
 }
 
 fn folder() -> PathBuf {
@@ -122,17 +122,17 @@
         std::fs::write(file, text).expect("written");
     }
     let to = dir.join("out.trace");
-    let ask =
+    let options =
         Import { files: &files, format: None, tolerance: Tolerance::default(), window: 5_000_000, to: &to };
     let mapping = Mapping::standard().expect("usable");
-    let imported = import(&mapping, &ask, &mut |_, _| {}).expect("imported");
-    let records = TraceReader::open(&to).expect("a trace").map(|r| r.expect("whole")).collect();
+    let imported = import(&mapping, &options, &mut |_, _| {}).expect("imported");
+    let records = TraceReader::open(&to).expect("a trace").map(|r| r.expect("a valid record")).collect();
     std::fs::remove_dir_all(dir).expect("removed");
     (imported, records)
 }
 
 #[test]
-fn logs_become_a_trace_in_the_order_of_time() {
+fn logs_are_imported_in_order_of_time() {
     let line = |s: u32, class: &str, piece: &str| {
         let method = if class == "deposit" { "PUT" } else { "GET" };
         format!(
@@ -144,22 +144,22 @@
     let second = line(2, "deposit", "e") + &line(21, "deposit", "e") + &line(21, "view", "/f") + "oops\n";
     let second = second + &line(22, "view", "x").repeat(20);
     let (imported, records) = imported(&folder(), &[first.as_bytes(), second.as_bytes()]);
-    // The requests of a second are spread over it; what came 18 s late is kept at the earliest time still
-    // open.
+    // The requests of a second are spread over it; a request that is 18 s late gets the earliest time that is
+    // still possible.
     let at: Vec<(u64, u16)> = records.iter().map(|r| (r.at / 1_000, r.class)).take(6).collect();
     assert_eq!(at, [(0, 0), (1_666, 0), (2_000, 2), (2_333, 1), (19_000, 0), (20_000, 1)]);
     assert_eq!(imported.late.0, 1);
     assert_snapshot!(imported.to_string().lines().filter(|l| !l.contains(".log")).map(str::trim).collect::<Vec<_>>().join("\n"), @r"
-    line 4: identity: is missing
-    no rule for 1 of GET /view/v//f
-    out of order beyond the window: 1, by 1.0 s at most
+    line 4: identity: the field is missing
+    unmatched: 1 of GET /view/v//f
+    out of order beyond the window: 1, by at most 1.0 s
     26 requests over 21.475 s: deposit 2, export 1, view 23
     ");
     assert_eq!(records[3].key, records[5].key);
 }
 
 #[test]
-fn a_burst_of_one_millisecond_keeps_its_order_and_its_classes() {
+fn requests_of_the_same_millisecond_keep_their_order_and_classes() {
     let entry = |class: &str, at: &str, piece: u32| {
         let method = if class == "deposit" { "PUT" } else { "GET" };
         format!(
@@ -168,7 +168,7 @@
         )
     };
     let burst = [("view", 1), ("deposit", 2), ("export", 3), ("view", 4)].map(|(c, p)| entry(c, "05.002", p));
-    // Entries stand in the order of their pages, not of their times.
+    // HAR entries are ordered by page, not by time.
     let text = format!("{{\"log\":{{\"entries\":[{},{}]}}}}", burst.join(","), entry("view", "04.900", 5));
     let (_, records) = imported(&folder(), &[text.as_bytes()]);
     let seen: Vec<(u64, u16)> = records.iter().map(|r| (r.at, r.class)).collect();
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn a_cut_keeps_the_requests_of_a_volume_together() {
+fn cut_by_share_keeps_all_requests_of_a_volume() {
     let dir = folder();
     let text: String = (0..2_000)
         .map(|i| {
@@ -205,7 +205,7 @@
     assert!((10..=30).contains(&volumes.len()), "{}", volumes.len());
     assert!(kept[0].at < 100_000);
     let per_volume = |v: &u64| kept.iter().filter(|r| r.volume == *v).count();
-    assert!(volumes.iter().all(|v| (36..=38).contains(&per_volume(v))), "whole volumes");
+    assert!(volumes.iter().all(|v| (36..=38).contains(&per_volume(v))), "a volume lost some of its requests");
     assert!(Cut { classes: vec!["viwe".into()], ..Cut::default() }.check(&header).is_err());
     assert!(Cut { from: Some(5), until: Some(5), ..Cut::default() }.check(&header).is_err());
 }
