--- a/tests/network/admin.rs
+++ b/tests/network/admin.rs
@@ -1,6 +1,6 @@
 //! Operators' calls, against the sockets of the program.
 
-use crate::site::*;
+use crate::harness::*;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 use tokio::io::AsyncWriteExt;
--- a/tests/network/bodies.rs
+++ b/tests/network/bodies.rs
@@ -1,6 +1,6 @@
 //! Bodies that are longer than what is held of one: they pass through in both directions.
 
-use crate::site::*;
+use crate::harness::*;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
--- a/tests/network/deployments.rs
+++ b/tests/network/deployments.rs
@@ -1,8 +1,8 @@
 //! The same stories on the settings of every deployment in `deploy/sites/`: other classes, effects, plans,
 //! deadlines, limits, zones and ways to learn of the list. Nothing in the program is fitted to one of them.
 
-use crate::late::{next_seen, seen_after};
-use crate::site::*;
+use crate::harness::*;
+use crate::late_connections::{next_seen, seen_after};
 use serde_json::{Value, json};
 use std::path::PathBuf;
 use std::time::Duration;
@@ -196,7 +196,7 @@
             let classes = deployment.classes();
             let longest = classes.iter().map(|c| c.deadline).max().expect("a class");
             let mut client = tokio::net::TcpStream::connect(node.http).await.expect("connected");
-            crate::late::sent(&mut client, &deployment.request(&classes[0], "z1")).await;
+            crate::late_connections::sent(&mut client, &deployment.request(&classes[0], "z1")).await;
             tokio::time::sleep(Duration::from_millis(20)).await;
             let told = std::time::Instant::now();
             node.end.send(()).expect("it runs");
--- a/tests/network/discovery.rs
+++ b/tests/network/discovery.rs
@@ -1,8 +1,8 @@
 //! Real processes of a large fleet before one discovery that serves their calls one after another, is in
 //! trouble for some seconds, and comes back just as a target begins to leave.
 
+use crate::harness::{ok, peer, request, send_request, story};
 use crate::processes::told;
-use crate::site::{ok, peer, request, send_request, story};
 use rowanglade_test_fleet::{Daemon, DaemonPlan, Discovery, DiscoveryFault, Endpoint, EndpointState};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
--- a/tests/network/peers.rs
+++ b/tests/network/drain_gossip.rs
@@ -1,7 +1,7 @@
 //! Instances that tell each other of targets that leave while discovery does not answer one of them.
 
-use crate::late::*;
-use crate::site::*;
+use crate::harness::*;
+use crate::late_connections::*;
 use rowanglade_drain_gossip::{Message, Position, Report, TargetKey};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
--- a/tests/network/upgrade.rs
+++ b/tests/network/handover.rs
@@ -1,6 +1,6 @@
 //! Handovers: between two initiators, or an initiator and a peer that does not keep to the protocol.
 
-use crate::site::*;
+use crate::harness::*;
 use rowanglade_handover::{MessageKind, VERSION};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
--- a/tests/network/http.rs
+++ b/tests/network/http.rs
@@ -1,6 +1,6 @@
 //! Tests of the platform's protocol.
 
-use crate::site::*;
+use crate::harness::*;
 use insta::assert_snapshot;
 use rowanglade::config::Reload;
 use tokio::io::AsyncWriteExt;
--- a/tests/network/iscsi.rs
+++ b/tests/network/iscsi.rs
@@ -1,10 +1,10 @@
 //! Tests of the iSCSI-style protocol: clients written here come in, and a stub target misbehaves on
 //! command.
 
-use crate::late::{Full, next_seen, patient, patient_request, seen_after, sent};
-use crate::site::{
+use crate::harness::{
     Running, endpoint_entry, ok, peer, read_message, request, send_request, start, start_with, story,
 };
+use crate::late_connections::{Full, next_seen, patient, patient_request, seen_after, sent};
 use bytes::Bytes;
 use insta::assert_snapshot;
 use rowanglade_iscsi::*;
--- a/tests/network/late.rs
+++ b/tests/network/late_connections.rs
@@ -1,6 +1,6 @@
 //! Connections that come up late, and requests that wait for them.
 
-use crate::site::*;
+use crate::harness::*;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
--- a/tests/network/lost_site.rs
+++ b/tests/network/lost_site.rs
@@ -1,7 +1,7 @@
 //! A whole site is lost and comes back, under load, with several processes of the program in front of it.
 
+use crate::harness::{header, read_message, request, story};
 use crate::processes::{boxes, program};
-use crate::site::{header, read_message, request, story};
 use rowanglade_test_fleet::{Daemon, Endpoint, EndpointState, StubSite, StubTarget, TargetFault, TargetPlan};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
--- a/tests/network/endings.rs
+++ b/tests/network/pending_connects.rs
@@ -2,8 +2,8 @@
 //! time for a repeat passes. Connections come up late where a listener's queue is full: the system tries
 //! again after a second.
 
-use crate::late::*;
-use crate::site::*;
+use crate::harness::*;
+use crate::late_connections::*;
 use std::time::{Duration, Instant};
 use tokio::net::TcpStream;
 
--- a/tests/network/processes.rs
+++ b/tests/network/processes.rs
@@ -1,7 +1,7 @@
 //! Processes of the program on the platform's protocol, with faults between them: one replaces another while
 //! signals and clients come, bodies get stuck on both sides, descriptors run out.
 
-use crate::site::{endpoint_entry, ok, peer, read_message, request, send_request, send_request_on, story};
+use crate::harness::{endpoint_entry, ok, peer, read_message, request, send_request, send_request_on, story};
 use rowanglade_test_fleet::{
     Daemon, DaemonPlan, HandoverPaths, Signal, StubSite, TargetFault, TargetPlan, standard_settings,
 };
--- a/tests/network/leaving.rs
+++ b/tests/network/queued_requests.rs
@@ -2,8 +2,8 @@
 //! meanwhile its target is announced as leaving, in every way in which that can be told, or its client
 //! leaves. Nothing of it is sent on.
 
-use crate::late::*;
-use crate::site::*;
+use crate::harness::*;
+use crate::late_connections::*;
 use rowanglade::config::Reload;
 use std::time::{Duration, Instant};
 use tokio::io::AsyncReadExt;
--- a/tests/network/fleet.rs
+++ b/tests/network/quota_exchange.rs
@@ -1,6 +1,6 @@
 //! Tests of instances that talk to each other.
 
-use crate::site::*;
+use crate::harness::*;
 use rowanglade_quota_exchange::{Message, Nonce, Peer, VolumeUnits, decode, encode};
 use tokio::net::UdpSocket;
 
--- a/tests/network/replay.rs
+++ b/tests/network/replay.rs
@@ -1,7 +1,7 @@
 //! Tests of replays: from a trace through an initiator to stub targets, and what both ends
 //! count.
 
-use crate::site::*;
+use crate::harness::*;
 use rowanglade_capture::{
     ClassTerms, Format, Header, Import, Mapping, PlanTerms, Record, Repeat, TraceReader, TraceWriter, import,
 };
--- a/tests/network/routes.rs
+++ b/tests/network/routes.rs
@@ -1,7 +1,7 @@
 //! Tests of routes: who gets a request, and what a new table changes for requests that are open.
 
+use crate::harness::*;
 use crate::processes::told;
-use crate::site::*;
 use rowanglade_routing::{RouteTable, ServiceSettings, Source, parse};
 use rowanglade_test_fleet::{Daemon, DaemonPlan, Endpoint, EndpointState, Signal, StubSite, TargetPlan};
 use std::time::Duration;
--- a/tests/network/scale.rs
+++ b/tests/network/scale.rs
@@ -1,10 +1,10 @@
 //! Real processes in a large fleet: 1,024 targets in what they remember and on discovery, and as many
 //! instances in their settings. They start while discovery is down, slow or refuses every call.
 
-use crate::processes::told;
-use crate::site::{
+use crate::harness::{
     Peer, Step, UnusedAddress, ok, peer, read_message, request, send_request, send_request_on, story,
 };
+use crate::processes::told;
 use rowanglade_test_fleet::{Daemon, DaemonPlan, Endpoint, EndpointState};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
--- a/tests/network/stopping.rs
+++ b/tests/network/shutdown.rs
@@ -1,8 +1,8 @@
 //! The program is told to end while requests are under way, half received, or come on connections that rest
 //! until it ends them. Each is answered once, or its connection ends in order with nothing of it sent on.
 
-use crate::late::{patient_request, sent};
-use crate::site::*;
+use crate::harness::*;
+use crate::late_connections::{patient_request, sent};
 use std::time::{Duration, Instant};
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
@@ -88,7 +88,7 @@
             (i, read_to_end_of(&mut stream).await)
         });
         let ended = futures_util::future::join_all(clients).await;
-        let seen = crate::late::seen_after(&mut target, Duration::from_millis(50)).await;
+        let seen = crate::late_connections::seen_after(&mut target, Duration::from_millis(50)).await;
         let (mut served, mut crossed) = (0, 0);
         for (i, end) in ended {
             let sent_on = seen.iter().filter(|line| line.contains(&format!(" m{i}."))).count();
@@ -129,7 +129,7 @@
         tokio::time::sleep(Duration::from_millis(20)).await;
         target.go.notify_one();
         let text = read_to_end_of(&mut client).await.expect("no reset");
-        let seen = crate::late::seen_after(&mut target, Duration::from_millis(50)).await;
+        let seen = crate::late_connections::seen_after(&mut target, Duration::from_millis(50)).await;
         assert_eq!(text.matches("HTTP/1.1 200").count(), 1 + seen.len(), "{text}");
         assert!(text.contains("one"), "{text}");
         drop(client);
--- a/tests/network/starting.rs
+++ b/tests/network/startup.rs
@@ -1,8 +1,8 @@
 //! The program starts while discovery is down, cut off, silent or overbooked: it serves from the list in its
 //! configuration.
 
-use crate::late::{Full, next_seen, sent};
-use crate::site::*;
+use crate::harness::*;
+use crate::late_connections::{Full, next_seen, sent};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 use tokio::net::TcpStream;
--- a/tests/network/subset.rs
+++ b/tests/network/subset.rs
@@ -1,7 +1,7 @@
 //! Many processes of the program that each choose where new objects go, and boxes and instances that go away.
 
+use crate::harness::{request, send_request_on, story};
 use crate::processes::{boxes, program};
-use crate::site::{request, send_request_on, story};
 use rowanglade_subset::{SubsetConfig, assignments};
 use rowanglade_test_fleet::{Daemon, StubSite, TargetFault, TargetPlan};
 use std::collections::BTreeSet;
--- a/tests/network/broken_answers.rs
+++ b/tests/network/truncated_responses.rs
@@ -2,8 +2,8 @@
 //! or never ending. What a client gets is whole, or it can tell that it is not; what may have run is repeated
 //! only as its class permits.
 
-use crate::late::{next_seen, sent};
-use crate::site::*;
+use crate::harness::*;
+use crate::late_connections::{next_seen, sent};
 use std::time::{Duration, Instant};
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
