--- a/tests/network/lost_site.rs
+++ b/tests/network/lost_site.rs
@@ -1,4 +1,4 @@
-//! Tests of the loss and return of a whole site, under load and with several processes before it.
+//! Tests of the loss and return of a site, under load and with several processes before it.
 
 use crate::harness::{header, read_message, request, run_test};
 use crate::processes::{start_daemon, start_stub_site};
@@ -114,7 +114,7 @@
         Load { stop, counts, clients }
     }
 
-    /// Takes the number of such responses to requests for these targets since the last call.
+    /// The number of responses with this outcome to requests for these targets since the last call.
     fn take_count(&self, targets: std::ops::Range<usize>, outcome: &str) -> usize {
         let mut counts = self.counts.borrow_mut();
         targets.filter_map(|index| counts.remove(&(index, outcome.to_string()))).sum()
--- a/tests/network/processes.rs
+++ b/tests/network/processes.rs
@@ -158,7 +158,7 @@
     });
 }
 
-// Guards against unbounded buffering. Forty bodies stall half way, each far larger than the memory limit:
+// Guards against unbounded buffering. Forty bodies stall midway, each far larger than the memory limit:
 // twenty at targets that stop sending, twenty at clients that do not read. The process stays within its
 // memory limit and serves other clients meanwhile.
 #[test]
@@ -166,7 +166,7 @@
     const LONG_BODY_BYTES: usize = 24 << 20;
     run_test(async {
         let site = start_stub_site(&[TargetPlan::default()]).await;
-        // A second target, for requests of shard 1. Its responses are long, and it stops half way through
+        // A second target, for requests of shard 1. Its responses are long, and it stops midway through
         // those to requests whose id says "stops".
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
         site.discovery.upsert(rowanglade_test_fleet::Endpoint {
