--- a/crates/lab/src/replays.rs
+++ b/crates/lab/src/replays.rs
@@ -170,7 +170,7 @@
         let due = traces::generate(&trace, traffic)?;
         let site = StubSite::start(&vec![initiators::target_plan(15, 25, 40); 2], ZONE, 3).await?;
         let daemons = initiators::start_daemons(&site, &traces::standard_header(), 1, |_| None)?;
-        let ask = Replay { most_out: 48, ..Replay::to(initiators::addresses(&daemons)) };
+        let ask = Replay { max_in_flight: 48, ..Replay::to(initiators::addresses(&daemons)) };
         let report = traces::replay_all(&trace, &ask).await?;
         let total = report.total();
         let mut out = Outcome::default();
@@ -203,7 +203,7 @@
             let lines = initiators::access_log(daemon, 0).await?;
             out.figure(format!("requests through initiator {number}"), lines.len() as f64, "");
             for (volume, _) in &lines {
-                astray += usize::from(!pick::set(ask.seed, *volume, 2, 4).contains(&number));
+                astray += usize::from(!pick::initiator_set(ask.seed, *volume, 2, 4).contains(&number));
             }
         }
         let total = report.total();
@@ -278,7 +278,7 @@
             let traffic =
                 Traffic { rate: per_second, seconds: 3.0, volumes: 200, shards: 1, hosts: 1, seed: 7 };
             let due = traces::generate(&trace, traffic)?;
-            let ask = Replay { most_out: 800, ..Replay::to(vec![sink.addr]) };
+            let ask = Replay { max_in_flight: 800, ..Replay::to(vec![sink.addr]) };
             let before = ProcessUsage::of("self").processor_seconds;
             let report = traces::replay_all(&trace, &ask).await?;
             let busy = (ProcessUsage::of("self").processor_seconds - before) / report.seconds;
--- a/crates/lab/src/subsets.rs
+++ b/crates/lab/src/subsets.rs
@@ -73,7 +73,7 @@
         for (_, target) in seen {
             let volume = target.split('/').nth(2).and_then(|v| u64::from_str_radix(v, 16).ok());
             let volume = volume.ok_or(Failure::Unexpected("a target without its volume"))?;
-            let of = pick::set(SEED, volume, 1, instances as usize);
+            let of = pick::initiator_set(SEED, volume, 1, instances as usize);
             pairs.insert((of.first().copied().unwrap_or(0), place));
         }
     }
--- a/crates/replay/src/compare.rs
+++ b/crates/replay/src/compare.rs
@@ -11,10 +11,10 @@
 use std::fmt;
 
 /// Standard errors beyond which a change of a part is no noise.
-const BEYOND: f64 = 3.0;
+const MIN_STANDARD_ERRORS: f64 = 3.0;
 /// The least change of a time that is worth a word: as a part, and in microseconds.
-const LEAST_PART: f64 = 0.05;
-const LEAST_MICROS: u64 = 500;
+const MIN_RELATIVE_CHANGE: f64 = 0.05;
+const MIN_CHANGE_US: u64 = 500;
 
 /// A figure in both.
 #[derive(Clone, Debug, Serialize)]
@@ -40,7 +40,7 @@
     pub unlike: Vec<String>,
 }
 
-fn parts(class: &Class) -> [(&'static str, u64); 6] {
+fn outcome_counts(class: &Class) -> [(&'static str, u64); 6] {
     [
         ("served", class.served),
         ("in time", class.in_time),
@@ -52,33 +52,34 @@
 }
 
 /// Whether two parts of two wholes differ by more than chance.
-fn differ(a: u64, of_a: u64, b: u64, of_b: u64) -> bool {
+fn proportions_differ(a: u64, of_a: u64, b: u64, of_b: u64) -> bool {
     if of_a == 0 || of_b == 0 {
         return false;
     }
     let (a, of_a, b, of_b) = (a as f64, of_a as f64, b as f64, of_b as f64);
     let pooled = (a + b) / (of_a + of_b);
     let error = (pooled * (1.0 - pooled) * (1.0 / of_a + 1.0 / of_b)).sqrt();
-    error > 0.0 && (a / of_a - b / of_b).abs() > BEYOND * error
+    error > 0.0 && (a / of_a - b / of_b).abs() > MIN_STANDARD_ERRORS * error
 }
 
 /// Between which times a quantile lies, in microseconds.
-fn interval(times: &LatencyHistogram, part: f64) -> (u64, u64) {
+fn quantile_interval(times: &LatencyHistogram, part: f64) -> (u64, u64) {
     let count = times.count() as f64;
-    let spread = BEYOND * (part * (1.0 - part) / count.max(1.0)).sqrt();
+    let spread = MIN_STANDARD_ERRORS * (part * (1.0 - part) / count.max(1.0)).sqrt();
     (times.at((part - spread).max(0.0)), times.at((part + spread).min(1.0)))
 }
 
-fn times_differ(before: &LatencyHistogram, after: &LatencyHistogram, part: f64) -> bool {
+fn quantiles_differ(before: &LatencyHistogram, after: &LatencyHistogram, part: f64) -> bool {
     // Fewer than five on either side of it tell nothing of a quantile.
-    let few = |times: &LatencyHistogram| (times.count() as f64) * part.min(1.0 - part) < 5.0;
-    if few(before) || few(after) {
+    let too_few = |times: &LatencyHistogram| (times.count() as f64) * part.min(1.0 - part) < 5.0;
+    if too_few(before) || too_few(after) {
         return false;
     }
     let (a, b) = (before.at(part), after.at(part));
-    let apart = a.abs_diff(b) > LEAST_MICROS.max((a as f64 * LEAST_PART) as u64);
-    let ((a_low, a_high), (b_low, b_high)) = (interval(before, part), interval(after, part));
-    apart && (a_high < b_low || b_high < a_low)
+    let large_enough = a.abs_diff(b) > MIN_CHANGE_US.max((a as f64 * MIN_RELATIVE_CHANGE) as u64);
+    let ((a_low, a_high), (b_low, b_high)) =
+        (quantile_interval(before, part), quantile_interval(after, part));
+    large_enough && (a_high < b_low || b_high < a_low)
 }
 
 /// Compares two reports.
@@ -103,8 +104,8 @@
         if a.due != b.due {
             unlike.push(format!("{name}: {} and {} requests came due", a.due, b.due));
         }
-        for ((figure, x), (_, y)) in parts(a).into_iter().zip(parts(b)) {
-            let beyond_noise = differ(x, a.due, y, b.due);
+        for ((figure, x), (_, y)) in outcome_counts(a).into_iter().zip(outcome_counts(b)) {
+            let beyond_noise = proportions_differ(x, a.due, y, b.due);
             let (before, after) = (x as f64, y as f64);
             changes.push(Change { class: name.clone(), figure, before, after, beyond_noise });
         }
@@ -114,7 +115,7 @@
                 figure,
                 before: a.latency.at(part) as f64 / 1e3,
                 after: b.latency.at(part) as f64 / 1e3,
-                beyond_noise: times_differ(&a.latency, &b.latency, part),
+                beyond_noise: quantiles_differ(&a.latency, &b.latency, part),
             });
         }
     }
--- a/crates/replay/src/drive.rs
+++ b/crates/replay/src/drive.rs
@@ -1,6 +1,6 @@
 //! Gives the planner a clock and carries out what it says.
 
-use crate::plan::{Action, End, Micros, Number, Planner};
+use crate::plan::{Action, AttemptOutcome, Micros, Planner, RequestNumber};
 use crate::recorder::Recorder;
 use crate::report::Report;
 use futures_util::future::LocalBoxFuture;
@@ -10,12 +10,12 @@
 use tokio::time::{Instant, sleep_until};
 
 /// Records are taken from the trace this far ahead of their time, and so many at most.
-const AHEAD: Micros = 2_000_000;
-const MOST_AHEAD: usize = 20_000;
+const READ_AHEAD_US: Micros = 2_000_000;
+const MAX_SCHEDULED: usize = 20_000;
 /// After a stop, tries that are out have this long.
-const LAST: Duration = Duration::from_secs(2);
+const STOP_GRACE: Duration = Duration::from_secs(2);
 /// How often progress is reported.
-const TELL: Duration = Duration::from_millis(250);
+const PROGRESS_INTERVAL: Duration = Duration::from_millis(250);
 
 /// A try, as a transport gets it.
 #[derive(Clone, Debug)]
@@ -23,7 +23,7 @@
     /// Unlike that of any other try.
     pub id: u64,
     /// It is a retry of the client.
-    pub again: bool,
+    pub is_retry: bool,
     /// The request class.
     pub class: ClassTerms,
     /// The class's place in the trace's header.
@@ -33,14 +33,14 @@
     /// The request.
     pub record: Record,
     /// When the client goes away.
-    pub until: Instant,
+    pub deadline: Instant,
 }
 
 /// What sends tries to initiators. The future may be dropped when the client has gone.
 pub trait Transport {
     /// Sends a try to an initiator, by its place, and tells how it ended. A try without an answer by its time
-    /// is [`End::Lost`]; the transport sees to that.
-    fn send(&self, initiator: usize, outgoing: Outgoing) -> LocalBoxFuture<'static, End>;
+    /// is [`AttemptOutcome::Lost`]; the transport sees to that.
+    fn send(&self, initiator: usize, outgoing: Outgoing) -> LocalBoxFuture<'static, AttemptOutcome>;
 }
 
 /// How far a replay is.
@@ -53,7 +53,7 @@
     /// Requests that were served.
     pub served: u64,
     /// Attempts in flight.
-    pub out: usize,
+    pub in_flight: usize,
 }
 
 /// Replays records until all have their last word, or `stop` resolves.
@@ -71,81 +71,83 @@
     progress: &mut dyn FnMut(Progress),
 ) -> (Report, Option<TraceError>) {
     let mut records = records.fuse();
-    let mut torn = None;
-    let mut over = false;
-    let begun = Instant::now();
-    let micros = |at: Instant| at.saturating_duration_since(begun).as_micros() as Micros;
-    let (tell, mut ends) = mpsc::unbounded_channel::<(Number, End)>();
-    let mut reported = begun;
-    let mut give_up: Option<Instant> = None;
+    let mut trace_error = None;
+    let mut trace_ended = false;
+    let started_at = Instant::now();
+    let micros = |at: Instant| at.saturating_duration_since(started_at).as_micros() as Micros;
+    let (outcome_tx, mut outcome_rx) = mpsc::unbounded_channel::<(RequestNumber, AttemptOutcome)>();
+    let mut last_progress_at = started_at;
+    let mut stop_deadline: Option<Instant> = None;
     loop {
         let now = micros(Instant::now());
-        while !over
-            && planner.scheduled() < MOST_AHEAD
-            && planner.horizon().is_none_or(|horizon| horizon < now + AHEAD)
+        while !trace_ended
+            && planner.scheduled() < MAX_SCHEDULED
+            && planner.horizon().is_none_or(|horizon| horizon < now + READ_AHEAD_US)
         {
             match records.next() {
-                Some(Ok(record)) => planner.offer(record),
+                Some(Ok(record)) => planner.push_record(record),
                 Some(Err(error)) => {
-                    torn = Some(error);
-                    over = true;
+                    trace_error = Some(error);
+                    trace_ended = true;
                 }
-                None => over = true,
+                None => trace_ended = true,
             }
         }
         while let Some(action) = planner.poll(micros(Instant::now())) {
             match action {
-                Action::Send(send) => {
+                Action::Send(attempt) => {
                     let now = micros(Instant::now());
-                    recorder.sent(&send, now, planner.out());
-                    let Some((class, plan)) = recorder.terms(&send.record) else { continue };
+                    recorder.record_attempt(&attempt, now, planner.in_flight());
+                    let Some((class, plan)) = recorder.terms(&attempt.record) else { continue };
                     let outgoing = Outgoing {
-                        id: send.id,
-                        again: send.again > 0,
+                        id: attempt.id,
+                        is_retry: attempt.retry_number > 0,
                         class,
-                        class_number: send.record.class,
+                        class_number: attempt.record.class,
                         plan,
-                        until: begun + Duration::from_micros(send.until),
-                        record: send.record,
+                        deadline: started_at + Duration::from_micros(attempt.deadline),
+                        record: attempt.record,
                     };
                     // The bound on tries out bounds this mailbox as well.
-                    let (tell, number) = (tell.clone(), send.number);
-                    let sent = transport.send(send.initiator, outgoing);
+                    let (outcome_tx, number) = (outcome_tx.clone(), attempt.number);
+                    let outcome = transport.send(attempt.initiator, outgoing);
                     tokio::task::spawn_local(async move {
-                        let _ = tell.send((number, sent.await));
+                        let _ = outcome_tx.send((number, outcome.await));
                     });
                 }
-                Action::Tell(verdict) => recorder.ended(&verdict),
+                Action::Complete(request) => recorder.record_outcome(&request),
             }
         }
-        if over && planner.idle() {
+        if trace_ended && planner.is_idle() {
             break;
         }
-        if reported.elapsed() >= TELL {
-            reported = Instant::now();
-            let (due, served) = recorder.so_far();
-            progress(Progress { elapsed: begun.elapsed(), due, served, out: planner.out() });
+        if last_progress_at.elapsed() >= PROGRESS_INTERVAL {
+            last_progress_at = Instant::now();
+            let (due, served) = recorder.progress_counts();
+            progress(Progress { elapsed: started_at.elapsed(), due, served, in_flight: planner.in_flight() });
         }
-        let wake = planner.wake().map_or(Instant::now() + TELL, |at| begun + Duration::from_micros(at));
+        let wake_at = planner
+            .next_wake()
+            .map_or(Instant::now() + PROGRESS_INTERVAL, |at| started_at + Duration::from_micros(at));
         tokio::select! {
-            Some((number, end)) = ends.recv() => {
-                planner.ended(micros(Instant::now()), number, end);
-                while let Ok((number, end)) = ends.try_recv() {
-                    planner.ended(micros(Instant::now()), number, end);
+            Some((number, outcome)) = outcome_rx.recv() => {
+                planner.attempt_ended(micros(Instant::now()), number, outcome);
+                while let Ok((number, outcome)) = outcome_rx.try_recv() {
+                    planner.attempt_ended(micros(Instant::now()), number, outcome);
                 }
             }
-            () = sleep_until(wake.min(Instant::now() + TELL)) => {}
-            _ = &mut stop, if give_up.is_none() => {
-                give_up = Some(Instant::now() + LAST);
-                over = true;
+            () = sleep_until(wake_at.min(Instant::now() + PROGRESS_INTERVAL)) => {}
+            _ = &mut stop, if stop_deadline.is_none() => {
+                stop_deadline = Some(Instant::now() + STOP_GRACE);
+                trace_ended = true;
                 planner.stop(micros(Instant::now()));
             }
         }
-        if give_up.is_some_and(|at| Instant::now() >= at) {
-            recorder.unfinished(planner.open() as u64);
+        if stop_deadline.is_some_and(|at| Instant::now() >= at) {
+            recorder.set_unfinished(planner.open_requests() as u64);
             break;
         }
     }
-    recorder.stopped(give_up.is_some());
-    (recorder.finish(begun.elapsed()), torn)
+    recorder.set_stopped(stop_deadline.is_some());
+    (recorder.finish(started_at.elapsed()), trace_error)
 }
--- a/crates/replay/src/iscsi.rs
+++ b/crates/replay/src/iscsi.rs
@@ -3,7 +3,7 @@
 //! the status qualifier, in tenths of a second.
 
 use crate::drive::{Outgoing, Transport};
-use crate::plan::End;
+use crate::plan::AttemptOutcome;
 use bytes::Bytes;
 use futures_util::future::LocalBoxFuture;
 use rowanglade_iscsi::scsi::{BLOCK_BYTES, BUSY, Command, GOOD, TASK_SET_FULL};
@@ -19,13 +19,13 @@
 use tokio::time::{Instant, timeout_at};
 
 /// How long a connection may take to come up, and a login after it.
-const CONNECT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Commands that wait for a session.
-const MAILBOX: usize = 4_096;
+const QUEUE_CAPACITY: usize = 4_096;
 /// ABORT TASK (RFC 7143, section 11.5.1).
 const ABORT_TASK: u8 = 1;
 /// The largest write, in blocks.
-const MOST_BLOCKS: u32 = 128;
+const MAX_BLOCKS: u32 = 128;
 
 /// Clients of several initiators, with one session each.
 #[derive(Clone, Debug)]
@@ -39,17 +39,17 @@
 struct Task {
     lun: u64,
     command: Command,
-    until: Instant,
-    end: oneshot::Sender<End>,
+    deadline: Instant,
+    outcome: oneshot::Sender<AttemptOutcome>,
 }
 
 impl Iscsi {
     /// Sessions to the target of this name at each address, opened when first used and again after a break.
     pub fn new(initiators: Vec<SocketAddr>, target: &str, blocks_per_unit: u32) -> Iscsi {
         let session = |(number, addr): (usize, SocketAddr)| {
-            let (tx, rx) = mpsc::channel(MAILBOX);
-            let initiator = format!("iqn.2026-12.example.kingston:replay-{number}");
-            tokio::task::spawn_local(keep_session(addr, initiator, target.to_string(), rx));
+            let (tx, rx) = mpsc::channel(QUEUE_CAPACITY);
+            let initiator_name = format!("iqn.2026-12.example.kingston:replay-{number}");
+            tokio::task::spawn_local(run_sessions(addr, initiator_name, target.to_string(), rx));
             tx
         };
         let sessions = initiators.into_iter().enumerate().map(session).collect();
@@ -58,58 +58,63 @@
 }
 
 impl Transport for Iscsi {
-    fn send(&self, initiator: usize, outgoing: Outgoing) -> LocalBoxFuture<'static, End> {
+    fn send(&self, initiator: usize, outgoing: Outgoing) -> LocalBoxFuture<'static, AttemptOutcome> {
         let blocks = (f64::from(outgoing.record.units) * f64::from(self.blocks_per_unit)).ceil();
-        let blocks = (blocks as u32).clamp(1, MOST_BLOCKS);
+        let blocks = (blocks as u32).clamp(1, MAX_BLOCKS);
         let command = Command {
             write: outgoing.class.write,
             address: outgoing.record.piece,
             blocks,
             group: outgoing.class_number as u8,
         };
-        let (end, ended) = oneshot::channel();
-        let until = outgoing.until;
-        let task = Task { lun: outgoing.record.volume, command, until, end };
+        let (outcome, outcome_rx) = oneshot::channel();
+        let deadline = outgoing.deadline;
+        let task = Task { lun: outgoing.record.volume, command, deadline, outcome };
         let session = self.sessions.get(initiator).cloned();
         Box::pin(async move {
-            let Some(session) = session else { return End::Unreachable };
+            let Some(session) = session else { return AttemptOutcome::Unreachable };
             if session.try_send(task).is_err() {
-                return End::Unreachable;
+                return AttemptOutcome::Unreachable;
             }
-            match timeout_at(until, ended).await {
-                Ok(end) => end.unwrap_or(End::Lost),
-                Err(_) => End::Lost,
+            match timeout_at(deadline, outcome_rx).await {
+                Ok(outcome) => outcome.unwrap_or(AttemptOutcome::Lost),
+                Err(_) => AttemptOutcome::Lost,
             }
         })
     }
 }
 
-async fn keep_session(addr: SocketAddr, initiator: String, target: String, mut rx: mpsc::Receiver<Task>) {
+async fn run_sessions(
+    addr: SocketAddr,
+    initiator_name: String,
+    target: String,
+    mut rx: mpsc::Receiver<Task>,
+) {
     while let Some(first) = rx.recv().await {
-        match Session::open(addr, &initiator, &target).await {
+        match Session::open(addr, &initiator_name, &target).await {
             Ok(mut session) => {
                 // What is out when the session breaks may have run: its ends, dropped, tell so. What still
                 // waits for the window was never sent.
                 let _ = session.run(first, &mut rx).await;
                 for task in session.waiting {
-                    let _ = task.end.send(End::Unreachable);
+                    let _ = task.outcome.send(AttemptOutcome::Unreachable);
                 }
             }
             Err(_) => {
-                let _ = first.end.send(End::Unreachable);
+                let _ = first.outcome.send(AttemptOutcome::Unreachable);
                 while let Ok(task) = rx.try_recv() {
-                    let _ = task.end.send(End::Unreachable);
+                    let _ = task.outcome.send(AttemptOutcome::Unreachable);
                 }
             }
         }
     }
 }
 
-struct Out {
+struct InFlightCommand {
     lun: u64,
     data: Bytes,
-    until: Instant,
-    end: Option<oneshot::Sender<End>>,
+    deadline: Instant,
+    outcome: Option<oneshot::Sender<AttemptOutcome>>,
 }
 
 struct Session {
@@ -120,14 +125,14 @@
     max_cmd_sn: u32,
     exp_stat_sn: u32,
     next_itt: u32,
-    tasks: HashMap<u32, Out>,
+    tasks: HashMap<u32, InFlightCommand>,
     waiting: VecDeque<Task>,
 }
 
 impl Session {
-    async fn open(addr: SocketAddr, initiator: &str, target: &str) -> io::Result<Session> {
-        let timeouts = Timeouts { connect: CONNECT, login: CONNECT };
-        let connection = Connection::open(addr, initiator, target, timeouts).await?;
+    async fn open(addr: SocketAddr, initiator_name: &str, target: &str) -> io::Result<Session> {
+        let timeouts = Timeouts { connect: CONNECT_TIMEOUT, login: CONNECT_TIMEOUT };
+        let connection = Connection::open(addr, initiator_name, target, timeouts).await?;
         let Connection { reader, writer: out, parameters, sequence } = connection;
         Ok(Session {
             reader,
@@ -146,18 +151,18 @@
         self.waiting.push_back(first);
         loop {
             self.send_waiting().await?;
-            let overdue = self.tasks.values().filter(|t| t.end.is_some()).map(|t| t.until).min();
-            let overdue = overdue.unwrap_or_else(|| Instant::now() + Duration::from_secs(60));
+            let next_deadline = self.tasks.values().filter(|t| t.outcome.is_some()).map(|t| t.deadline).min();
+            let next_deadline = next_deadline.unwrap_or_else(|| Instant::now() + Duration::from_secs(60));
             tokio::select! {
                 pdu = self.reader.next() => match pdu {
-                    Ok(pdu) => self.hear(pdu).await?,
+                    Ok(pdu) => self.handle_pdu(pdu).await?,
                     Err(_) => return Err(io::ErrorKind::ConnectionReset.into()),
                 },
                 task = rx.recv() => match task {
                     Some(task) => self.waiting.push_back(task),
                     None => return Ok(()),
                 },
-                () = tokio::time::sleep_until(overdue) => self.abort_overdue().await?,
+                () = tokio::time::sleep_until(next_deadline) => self.abort_expired().await?,
             }
         }
     }
@@ -167,10 +172,10 @@
         // Serial number arithmetic (RFC 1982): the window is closed where CmdSN is past MaxCmdSN.
         while self.max_cmd_sn.wrapping_sub(self.cmd_sn) < 1 << 31 {
             let Some(task) = self.waiting.pop_front() else { return Ok(()) };
-            if task.until <= Instant::now() {
+            if task.deadline <= Instant::now() {
                 continue;
             }
-            let itt = self.tag();
+            let itt = self.next_task_tag();
             let length = task.command.blocks * BLOCK_BYTES;
             let write = task.command.write;
             let body = if write { Bytes::from(vec![b'*'; length as usize]) } else { Bytes::new() };
@@ -193,14 +198,19 @@
                 data: first,
             };
             self.cmd_sn = self.cmd_sn.wrapping_add(1);
-            let out = Out { lun: task.lun, data: body, until: task.until, end: Some(task.end) };
+            let out = InFlightCommand {
+                lun: task.lun,
+                data: body,
+                deadline: task.deadline,
+                outcome: Some(task.outcome),
+            };
             self.tasks.insert(itt, out);
             self.out.write_all(&command.encode()).await?;
         }
         Ok(())
     }
 
-    fn tag(&mut self) -> u32 {
+    fn next_task_tag(&mut self) -> u32 {
         let itt = self.next_itt;
         self.next_itt = match itt.wrapping_add(1) {
             RESERVED_TAG => 1,
@@ -210,19 +220,19 @@
     }
 
     /// The client of a command has gone: the command is aborted at the target.
-    async fn abort_overdue(&mut self) -> io::Result<()> {
+    async fn abort_expired(&mut self) -> io::Result<()> {
         let now = Instant::now();
-        let late = |t: &Out| t.end.is_some() && t.until <= now;
-        let late: Vec<u32> = self.tasks.iter().filter(|(_, t)| late(t)).map(|(itt, _)| *itt).collect();
-        for referenced in late {
+        let expired = |t: &InFlightCommand| t.outcome.is_some() && t.deadline <= now;
+        let expired: Vec<u32> = self.tasks.iter().filter(|(_, t)| expired(t)).map(|(itt, _)| *itt).collect();
+        for referenced in expired {
             let lun = match self.tasks.get_mut(&referenced) {
                 Some(task) => {
-                    task.end = None;
+                    task.outcome = None;
                     task.lun
                 }
                 None => continue,
             };
-            let itt = self.tag();
+            let itt = self.next_task_tag();
             let (cmd_sn, exp_stat_sn) = (self.cmd_sn, self.exp_stat_sn);
             let request = Pdu::TaskRequest {
                 immediate: true,
@@ -238,7 +248,7 @@
         Ok(())
     }
 
-    async fn hear(&mut self, pdu: Pdu) -> io::Result<()> {
+    async fn handle_pdu(&mut self, pdu: Pdu) -> io::Result<()> {
         if let Some((seq, counts)) = pdu.sequence() {
             if seq.max_cmd_sn.wrapping_sub(self.max_cmd_sn) < 1 << 31 {
                 self.max_cmd_sn = seq.max_cmd_sn;
@@ -266,15 +276,20 @@
                 }
             }
             Pdu::ScsiResponse { response, status, qualifier, itt, .. } => {
-                let end = match (response, status) {
-                    (0, GOOD) => End::Served,
-                    (0, BUSY | TASK_SET_FULL) => End::Refused { wait: u64::from(qualifier) * 100_000 },
-                    _ => End::Failed,
+                let outcome = match (response, status) {
+                    (0, GOOD) => AttemptOutcome::Served,
+                    (0, BUSY | TASK_SET_FULL) => {
+                        AttemptOutcome::Refused { retry_after: u64::from(qualifier) * 100_000 }
+                    }
+                    _ => AttemptOutcome::Failed,
                 };
-                self.end(itt, end);
+                self.complete(itt, outcome);
             }
             Pdu::DataIn { status: Some((status, _)), itt, .. } => {
-                self.end(itt, if status == GOOD { End::Served } else { End::Failed });
+                self.complete(
+                    itt,
+                    if status == GOOD { AttemptOutcome::Served } else { AttemptOutcome::Failed },
+                );
             }
             // A ping that wants its answer (RFC 7143, section 11.19).
             Pdu::NopIn { ttt, lun, .. } if ttt != RESERVED_TAG => {
@@ -297,9 +312,9 @@
         Ok(())
     }
 
-    fn end(&mut self, itt: u32, end: End) {
-        if let Some(client) = self.tasks.remove(&itt).and_then(|t| t.end) {
-            let _ = client.send(end);
+    fn complete(&mut self, itt: u32, outcome: AttemptOutcome) {
+        if let Some(client) = self.tasks.remove(&itt).and_then(|t| t.outcome) {
+            let _ = client.send(outcome);
         }
     }
 }
--- a/crates/replay/src/lib.rs
+++ b/crates/replay/src/lib.rs
@@ -23,6 +23,6 @@
 pub use drive::{Outgoing, Transport, drive};
 pub use latency::LatencyHistogram;
 pub use page::PlotError;
-pub use plan::{End, Planner, Terms};
+pub use plan::{AttemptOutcome, Planner, PlannerConfig};
 pub use report::{Report, ReportError};
 pub use run::{Front, Replay, ReplayError, replay};
--- a/crates/replay/src/page.rs
+++ b/crates/replay/src/page.rs
@@ -4,8 +4,8 @@
 use plotters::prelude::*;
 use std::fmt::Write;
 
-const SIZE: (u32, u32) = (900, 280);
-const COLOURS: [RGBColor; 6] = [
+const PLOT_SIZE: (u32, u32) = (900, 280);
+const PLOT_COLOURS: [RGBColor; 6] = [
     RGBColor(31, 119, 180),
     RGBColor(44, 160, 44),
     RGBColor(255, 127, 14),
@@ -31,13 +31,13 @@
 ///
 /// # Errors
 /// The plotting library's.
-fn lines(title: &str, x: &str, y: &str, lines: &[Line<'_>]) -> Result<String, PlotError> {
+fn line_plot(title: &str, x: &str, y: &str, lines: &[Line<'_>]) -> Result<String, PlotError> {
     let points = || lines.iter().flat_map(|(_, points)| points);
-    let most_x = points().map(|p| p.0).fold(1e-9, f64::max);
-    let most_y = points().map(|p| p.1).fold(1e-9, f64::max) * 1.05;
+    let max_x = points().map(|p| p.0).fold(1e-9, f64::max);
+    let max_y = points().map(|p| p.1).fold(1e-9, f64::max) * 1.05;
     let mut svg = String::new();
     {
-        let root = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
+        let root = SVGBackend::with_string(&mut svg, PLOT_SIZE).into_drawing_area();
         let draw = || -> Result<(), Box<dyn std::error::Error>> {
             root.fill(&WHITE)?;
             let mut chart = ChartBuilder::on(&root)
@@ -45,9 +45,9 @@
                 .margin(8)
                 .x_label_area_size(34)
                 .y_label_area_size(56)
-                .build_cartesian_2d(0.0..most_x, 0.0..most_y)?;
+                .build_cartesian_2d(0.0..max_x, 0.0..max_y)?;
             chart.configure_mesh().x_desc(x).y_desc(y).light_line_style(WHITE).draw()?;
-            for ((name, points), colour) in lines.iter().zip(COLOURS.iter().cycle()) {
+            for ((name, points), colour) in lines.iter().zip(PLOT_COLOURS.iter().cycle()) {
                 chart
                     .draw_series(LineSeries::new(points.iter().copied(), colour.stroke_width(2)))?
                     .label(*name)
@@ -70,7 +70,7 @@
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;").replace('"', "&quot;")
 }
 
-fn over_time(report: &Report, value: impl Fn(&Second) -> f64) -> Vec<(f64, f64)> {
+fn per_second(report: &Report, value: impl Fn(&Second) -> f64) -> Vec<(f64, f64)> {
     report.timeline.iter().enumerate().map(|(i, s)| (i as f64, value(s))).collect()
 }
 
@@ -87,15 +87,15 @@
 /// # Errors
 /// A plot could not be drawn.
 pub fn page(report: &Report) -> Result<String, PlotError> {
-    let mut plots = vec![lines(
+    let mut plots = vec![line_plot(
         "Requests that came due in each second, and what became of them",
         "seconds",
         "requests",
         &[
-            ("due", over_time(report, |s| s.due as f64)),
-            ("served", over_time(report, |s| s.served as f64)),
-            ("refused", over_time(report, |s| s.refused as f64)),
-            ("failed, lost", over_time(report, |s| (s.failed + s.lost + s.unsent) as f64)),
+            ("due", per_second(report, |s| s.due as f64)),
+            ("served", per_second(report, |s| s.served as f64)),
+            ("refused", per_second(report, |s| s.refused as f64)),
+            ("failed, lost", per_second(report, |s| (s.failed + s.lost + s.unsent) as f64)),
         ],
     )?];
     let classes: Vec<Line<'_>> = report
@@ -106,16 +106,16 @@
         .collect();
     if !classes.is_empty() {
         let title = "Latency from the moment a request was due (1 nine: p90, 2: p99, 3: p99.9)";
-        plots.push(lines(title, "nines", "ms", &classes)?);
+        plots.push(line_plot(title, "nines", "ms", &classes)?);
     }
-    let drift = [("latest first try", over_time(report, |s| s.drift_us as f64 / 1e3))];
-    plots.push(lines("Sending behind the schedule", "seconds", "ms", &drift)?);
+    let drift = [("latest first try", per_second(report, |s| s.drift_us as f64 / 1e3))];
+    plots.push(line_plot("Sending behind the schedule", "seconds", "ms", &drift)?);
     if !report.volumes.is_empty() {
         let per = |value: &dyn Fn(&crate::report::Volume) -> f64| {
             report.volumes.iter().enumerate().map(|(i, v)| (i as f64, value(v))).collect::<Vec<_>>()
         };
         let seconds = report.timeline.len().max(1) as f64;
-        plots.push(lines(
+        plots.push(line_plot(
             "Units a second of the volumes that asked for most, against their plans",
             "volume, by what it asked for",
             "units a second",
--- a/crates/replay/src/pick.rs
+++ b/crates/replay/src/pick.rs
@@ -5,11 +5,11 @@
 use rand_pcg::Pcg64Mcg;
 
 /// The lead of a volume's set changes this often, in microseconds.
-const LEAD: u64 = 15_000_000;
+const PREFERRED_PERIOD_US: u64 = 15_000_000;
 /// The part of a volume's requests that goes through the lead.
-const LEAD_SHARE: f64 = 0.6;
+const PREFERRED_SHARE: f64 = 0.6;
 
-fn draw(seed: u64, a: u64, b: u64) -> Pcg64Mcg {
+fn seeded_rng(seed: u64, a: u64, b: u64) -> Pcg64Mcg {
     // The generator's own seeding spreads neighbouring numbers.
     let first: u64 = Pcg64Mcg::seed_from_u64(seed ^ a.rotate_left(17)).random();
     Pcg64Mcg::seed_from_u64(first ^ b)
@@ -17,22 +17,22 @@
 
 /// The initiators of a volume, out of `of`: the `hosts` that rank highest for it (rendezvous hashing), so
 /// that another initiator moves few volumes.
-pub fn set(seed: u64, volume: u64, hosts: u32, of: usize) -> Vec<usize> {
+pub fn initiator_set(seed: u64, volume: u64, hosts: u32, initiators: usize) -> Vec<usize> {
     let mut ranked: Vec<(u64, usize)> =
-        (0..of).map(|i| (draw(seed, volume, i as u64 + 1).random(), i)).collect();
+        (0..initiators).map(|i| (seeded_rng(seed, volume, i as u64 + 1).random(), i)).collect();
     ranked.sort_unstable_by(|a, b| b.cmp(a));
-    ranked.truncate((hosts.max(1) as usize).min(of.max(1)));
+    ranked.truncate((hosts.max(1) as usize).min(initiators.max(1)));
     ranked.into_iter().map(|(_, i)| i).collect()
 }
 
 /// The initiator of the `number`th request of a trace, due at `due` microseconds. `set` is not empty.
-pub fn pick(seed: u64, set: &[usize], volume: u64, due: u64, number: u64) -> usize {
-    let lead = (due / LEAD).wrapping_add(volume) as usize % set.len().max(1);
-    let mut chance = draw(seed, number, !volume);
-    if set.len() < 2 || chance.random_bool(LEAD_SHARE) {
-        return set.get(lead).copied().unwrap_or(0);
+pub fn pick_initiator(seed: u64, set: &[usize], volume: u64, due: u64, number: u64) -> usize {
+    let preferred = (due / PREFERRED_PERIOD_US).wrapping_add(volume) as usize % set.len().max(1);
+    let mut rng = seeded_rng(seed, number, !volume);
+    if set.len() < 2 || rng.random_bool(PREFERRED_SHARE) {
+        return set.get(preferred).copied().unwrap_or(0);
     }
-    let other = (lead + 1 + chance.random_range(0..set.len() - 1)) % set.len();
+    let other = (preferred + 1 + rng.random_range(0..set.len() - 1)) % set.len();
     set.get(other).copied().unwrap_or(0)
 }
 
--- a/crates/replay/src/plan.rs
+++ b/crates/replay/src/plan.rs
@@ -1,7 +1,7 @@
 //! What goes when: the schedule, the clients' own retries, and the bound on what is out at once.
 //!
-//! A machine without clock or sockets. It is given records in the order of their times ([`Planner::offer`]),
-//! the time, and how tries ended ([`Planner::ended`]); it gives back tries to send and final words on
+//! A machine without clock or sockets. It is given records in the order of their times ([`Planner::push_record`]),
+//! the time, and how tries ended ([`Planner::attempt_ended`]); it gives back tries to send and final words on
 //! requests ([`Planner::poll`]). Times are microseconds since the replay's beginning.
 //!
 //! Clients act as the brief describes: they try again once at most, after the wait that the answer asks for
@@ -23,7 +23,7 @@
 
 /// What a replay keeps to.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct PlannerConfig {
     /// The request classes of the trace.
     pub classes: Vec<ClassTerms>,
     /// How many times faster than recorded. Deadlines are the clients' and stay as they are.
@@ -31,7 +31,7 @@
     /// How many initiators there are.
     pub initiators: usize,
     /// Tries that may be out at once.
-    pub most_out: usize,
+    pub max_in_flight: usize,
     /// Whether clients try again.
     pub retries: bool,
     /// How long a client waits where the answer asks for no wait, in microseconds; up to as much again is
@@ -43,7 +43,7 @@
 
 /// Why terms cannot be used.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-pub enum TermsError {
+pub enum PlannerConfigError {
     /// The speed is not above zero.
     #[error("the speed is not above zero")]
     Speed,
@@ -52,18 +52,18 @@
     Initiators,
     /// No attempt may be in flight.
     #[error("no try may be out")]
-    MostOut,
+    MaxInFlight,
 }
 
 /// How a try ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum AttemptOutcome {
     /// It was answered with success.
     Served,
     /// A new try does no harm, after so long.
     Refused {
         /// What the client is asked to wait.
-        wait: Micros,
+        retry_after: Micros,
     },
     /// It failed, and may have run.
     Failed,
@@ -75,15 +75,15 @@
 
 /// Names a request of the replay: its number in the trace.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Number(pub u64);
+pub struct RequestNumber(pub u64);
 
 /// A try to be sent now.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Send {
+pub struct Attempt {
     /// The request.
-    pub number: Number,
+    pub number: RequestNumber,
     /// 0 for the first.
-    pub again: u32,
+    pub retry_number: u32,
     /// Unlike that of any other try.
     pub id: u64,
     /// The request as the trace has it.
@@ -93,9 +93,9 @@
     /// When the request was due.
     pub due: Micros,
     /// When the client goes away.
-    pub until: Micros,
+    pub deadline: Micros,
     /// It waited for a try to end, since so many were out.
-    pub held: bool,
+    pub waited_for_slot: bool,
 }
 
 /// The last word on a request.
@@ -115,89 +115,89 @@
 
 /// What became of a request.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Verdict {
+pub struct CompletedRequest {
     /// The request.
-    pub number: Number,
+    pub number: RequestNumber,
     /// The request as the trace has it.
     pub record: Record,
     /// When the request was due.
     pub due: Micros,
     /// Its final response.
-    pub word: RequestOutcome,
+    pub outcome: RequestOutcome,
     /// From the moment it was due to the last word.
-    pub took: Micros,
+    pub latency: Micros,
     /// How often it was sent.
-    pub tries: u32,
+    pub attempts: u32,
 }
 
 /// What to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt.
-    Send(Send),
+    Send(Attempt),
     /// Report how a request ended.
-    Tell(Verdict),
+    Complete(CompletedRequest),
 }
 
 #[derive(Debug)]
-struct Open {
+struct OpenRequest {
     record: Record,
     due: Micros,
     deadline: Micros,
     initiator: usize,
-    tries: u32,
-    first_sent: Option<Micros>,
+    attempts: u32,
+    first_sent_at: Option<Micros>,
     /// A try is out.
-    out: bool,
+    in_flight: bool,
 }
 
 /// The machine.
 #[derive(Debug)]
 pub struct Planner {
-    terms: Terms,
-    next: u64,
+    config: PlannerConfig,
+    next_number: u64,
     /// Requests that are due later, in the order of their times.
     schedule: VecDeque<(Micros, Record)>,
     /// Times of tries that are due later.
-    again: BinaryHeap<Reverse<(Micros, Number)>>,
+    retry_queue: BinaryHeap<Reverse<(Micros, RequestNumber)>>,
     /// Tries that are due and find no room, in the order of their dueness.
-    held: VecDeque<Number>,
-    open: HashMap<Number, Open>,
-    out: usize,
-    sets: HashMap<u64, Vec<usize>>,
-    ids: Pcg64Mcg,
-    chance: Pcg64Mcg,
+    waiting: VecDeque<RequestNumber>,
+    open_requests: HashMap<RequestNumber, OpenRequest>,
+    in_flight: usize,
+    initiator_sets: HashMap<u64, Vec<usize>>,
+    id_rng: Pcg64Mcg,
+    jitter_rng: Pcg64Mcg,
     actions: VecDeque<Action>,
     /// Deadlines of what is held.
-    deadlines: BTreeMap<(Micros, Number), ()>,
+    deadlines: BTreeMap<(Micros, RequestNumber), ()>,
     stopped: bool,
 }
 
 impl Planner {
     /// # Errors
     /// The terms cannot be used.
-    pub fn new(terms: Terms) -> Result<Planner, TermsError> {
-        if !(terms.speed > 0.0 && terms.speed.is_finite()) {
-            return Err(TermsError::Speed);
+    pub fn new(config: PlannerConfig) -> Result<Planner, PlannerConfigError> {
+        if !(config.speed > 0.0 && config.speed.is_finite()) {
+            return Err(PlannerConfigError::Speed);
         }
-        if terms.initiators == 0 {
-            return Err(TermsError::Initiators);
+        if config.initiators == 0 {
+            return Err(PlannerConfigError::Initiators);
         }
-        if terms.most_out == 0 {
-            return Err(TermsError::MostOut);
+        if config.max_in_flight == 0 {
+            return Err(PlannerConfigError::MaxInFlight);
         }
-        let seed = terms.seed;
+        let seed = config.seed;
         Ok(Planner {
-            terms,
-            next: 0,
+            config,
+            next_number: 0,
             schedule: VecDeque::new(),
-            again: BinaryHeap::new(),
-            held: VecDeque::new(),
-            open: HashMap::new(),
-            out: 0,
-            sets: HashMap::new(),
-            ids: Pcg64Mcg::seed_from_u64(seed),
-            chance: Pcg64Mcg::seed_from_u64(!seed),
+            retry_queue: BinaryHeap::new(),
+            waiting: VecDeque::new(),
+            open_requests: HashMap::new(),
+            in_flight: 0,
+            initiator_sets: HashMap::new(),
+            id_rng: Pcg64Mcg::seed_from_u64(seed),
+            jitter_rng: Pcg64Mcg::seed_from_u64(!seed),
             actions: VecDeque::new(),
             deadlines: BTreeMap::new(),
             stopped: false,
@@ -206,11 +206,11 @@
 
     /// When a record is due.
     pub fn due(&self, record: &Record) -> Micros {
-        (record.at as f64 / self.terms.speed).round() as Micros
+        (record.at as f64 / self.config.speed).round() as Micros
     }
 
     /// Takes the next record of the trace.
-    pub fn offer(&mut self, record: Record) {
+    pub fn push_record(&mut self, record: Record) {
         let due = self.due(&record);
         self.schedule.push_back((due, record));
     }
@@ -226,18 +226,18 @@
     }
 
     /// Tries that are out.
-    pub fn out(&self) -> usize {
-        self.out
+    pub fn in_flight(&self) -> usize {
+        self.in_flight
     }
 
     /// Requests that have come due and have no last word.
-    pub fn open(&self) -> usize {
-        self.open.len()
+    pub fn open_requests(&self) -> usize {
+        self.open_requests.len()
     }
 
     /// Nothing is scheduled, held, out, or to be tried again.
-    pub fn idle(&self) -> bool {
-        self.schedule.is_empty() && self.open.is_empty() && self.actions.is_empty()
+    pub fn is_idle(&self) -> bool {
+        self.schedule.is_empty() && self.open_requests.is_empty() && self.actions.is_empty()
     }
 
     /// Sends nothing more. What is scheduled is dropped; what is held or waits for another try has its last
@@ -245,21 +245,22 @@
     pub fn stop(&mut self, now: Micros) {
         self.stopped = true;
         self.schedule.clear();
-        self.again.clear();
-        self.held.clear();
-        let waiting: Vec<Number> = self.open.iter().filter(|(_, o)| !o.out).map(|(n, _)| *n).collect();
-        for number in waiting {
-            let tried = self.open.get(&number).is_some_and(|o| o.tries > 0);
-            self.tell(now, number, if tried { RequestOutcome::Refused } else { RequestOutcome::Unsent });
+        self.retry_queue.clear();
+        self.waiting.clear();
+        let unsent: Vec<RequestNumber> =
+            self.open_requests.iter().filter(|(_, o)| !o.in_flight).map(|(n, _)| *n).collect();
+        for number in unsent {
+            let tried = self.open_requests.get(&number).is_some_and(|o| o.attempts > 0);
+            self.complete(now, number, if tried { RequestOutcome::Refused } else { RequestOutcome::Unsent });
         }
     }
 
     /// When to call [`Planner::poll`] again, if nothing else happens before.
-    pub fn wake(&self) -> Option<Micros> {
+    pub fn next_wake(&self) -> Option<Micros> {
         let due = self.schedule.front().map(|(due, _)| *due);
-        let again = self.again.peek().map(|Reverse((at, _))| *at);
+        let retry = self.retry_queue.peek().map(|Reverse((at, _))| *at);
         let deadline = self.deadlines.keys().next().map(|(at, _)| *at);
-        [due, again, deadline].into_iter().flatten().min()
+        [due, retry, deadline].into_iter().flatten().min()
     }
 
     /// The next thing to do at this time; none: wait.
@@ -268,138 +269,154 @@
             && *due <= now
             && let Some((due, record)) = self.schedule.pop_front()
         {
-            self.come_due(due, record);
+            self.start_request(due, record);
         }
-        while let Some(Reverse((at, number))) = self.again.peek().copied()
+        while let Some(Reverse((at, number))) = self.retry_queue.peek().copied()
             && at <= now
         {
-            self.again.pop();
-            self.hold(number);
+            self.retry_queue.pop();
+            self.enqueue(number);
         }
         while let Some((&(at, number), ())) = self.deadlines.first_key_value()
             && at <= now
         {
             self.deadlines.remove(&(at, number));
-            let tried = self.open.get(&number).is_some_and(|o| o.tries > 0);
-            self.tell(now, number, if tried { RequestOutcome::Refused } else { RequestOutcome::Unsent });
+            let tried = self.open_requests.get(&number).is_some_and(|o| o.attempts > 0);
+            self.complete(now, number, if tried { RequestOutcome::Refused } else { RequestOutcome::Unsent });
         }
         if let Some(action) = self.actions.pop_front() {
             return Some(action);
         }
-        while self.out < self.terms.most_out
-            && let Some(number) = self.held.pop_front()
+        while self.in_flight < self.config.max_in_flight
+            && let Some(number) = self.waiting.pop_front()
         {
-            if let Some(send) = self.send(now, number) {
-                return Some(Action::Send(send));
+            if let Some(attempt) = self.start_attempt(now, number) {
+                return Some(Action::Send(attempt));
             }
         }
         None
     }
 
-    fn come_due(&mut self, due: Micros, record: Record) {
-        let number = Number(self.next);
-        self.next += 1;
-        let (seed, initiators) = (self.terms.seed, self.terms.initiators);
+    fn start_request(&mut self, due: Micros, record: Record) {
+        let number = RequestNumber(self.next_number);
+        self.next_number += 1;
+        let (seed, initiators) = (self.config.seed, self.config.initiators);
         let set = self
-            .sets
+            .initiator_sets
             .entry(record.volume)
-            .or_insert_with(|| pick::set(seed, record.volume, record.hosts, initiators));
-        let initiator = pick::pick(seed, set, record.volume, due, number.0);
+            .or_insert_with(|| pick::initiator_set(seed, record.volume, record.hosts, initiators));
+        let initiator = pick::pick_initiator(seed, set, record.volume, due, number.0);
         let deadline = due + u64::from(record.deadline_ms) * 1_000;
-        let open = Open { record, due, deadline, initiator, tries: 0, first_sent: None, out: false };
-        self.open.insert(number, open);
-        self.hold(number);
+        let open = OpenRequest {
+            record,
+            due,
+            deadline,
+            initiator,
+            attempts: 0,
+            first_sent_at: None,
+            in_flight: false,
+        };
+        self.open_requests.insert(number, open);
+        self.enqueue(number);
     }
 
     /// A try is due: it goes as soon as there is room.
-    fn hold(&mut self, number: Number) {
-        if let Some(open) = self.open.get(&number) {
+    fn enqueue(&mut self, number: RequestNumber) {
+        if let Some(open) = self.open_requests.get(&number) {
             self.deadlines.insert((open.deadline, number), ());
-            self.held.push_back(number);
+            self.waiting.push_back(number);
         }
     }
 
-    fn send(&mut self, now: Micros, number: Number) -> Option<Send> {
-        let open = self.open.get_mut(&number)?;
+    fn start_attempt(&mut self, now: Micros, number: RequestNumber) -> Option<Attempt> {
+        let open = self.open_requests.get_mut(&number)?;
         self.deadlines.remove(&(open.deadline, number));
-        let again = open.tries;
-        open.tries += 1;
-        open.out = true;
-        open.first_sent.get_or_insert(now);
-        self.out += 1;
-        Some(Send {
+        let retry_number = open.attempts;
+        open.attempts += 1;
+        open.in_flight = true;
+        open.first_sent_at.get_or_insert(now);
+        self.in_flight += 1;
+        Some(Attempt {
             number,
-            again,
-            id: self.ids.random(),
+            retry_number,
+            id: self.id_rng.random(),
             record: open.record.clone(),
             initiator: open.initiator,
             due: open.due,
-            until: open.deadline,
-            held: again == 0 && now > open.due && self.out >= self.terms.most_out,
+            deadline: open.deadline,
+            waited_for_slot: retry_number == 0
+                && now > open.due
+                && self.in_flight >= self.config.max_in_flight,
         })
     }
 
     /// A try ended.
-    pub fn ended(&mut self, now: Micros, number: Number, end: End) {
-        let Some(open) = self.open.get_mut(&number).filter(|o| o.out) else { return };
-        open.out = false;
-        self.out -= 1;
-        let word = match end {
-            End::Served => return self.tell(now, number, RequestOutcome::Served),
-            End::Refused { .. } => RequestOutcome::Refused,
-            End::Failed => RequestOutcome::Failed,
-            End::Unreachable | End::Lost => RequestOutcome::Lost,
+    pub fn attempt_ended(&mut self, now: Micros, number: RequestNumber, attempt_outcome: AttemptOutcome) {
+        let Some(open) = self.open_requests.get_mut(&number).filter(|o| o.in_flight) else { return };
+        open.in_flight = false;
+        self.in_flight -= 1;
+        let outcome = match attempt_outcome {
+            AttemptOutcome::Served => return self.complete(now, number, RequestOutcome::Served),
+            AttemptOutcome::Refused { .. } => RequestOutcome::Refused,
+            AttemptOutcome::Failed => RequestOutcome::Failed,
+            AttemptOutcome::Unreachable | AttemptOutcome::Lost => RequestOutcome::Lost,
         };
-        match self.tries_again(now, number, end) {
-            Some(at) => self.again.push(Reverse((at, number))),
-            None => self.tell(now, number, word),
+        match self.retry_time(now, number, attempt_outcome) {
+            Some(at) => self.retry_queue.push(Reverse((at, number))),
+            None => self.complete(now, number, outcome),
         }
     }
 
     /// When the client tries again, if it does.
-    fn tries_again(&mut self, now: Micros, number: Number, end: End) -> Option<Micros> {
-        let open = self.open.get(&number)?;
-        if !self.terms.retries || self.stopped || open.tries > 1 {
+    fn retry_time(
+        &mut self,
+        now: Micros,
+        number: RequestNumber,
+        attempt_outcome: AttemptOutcome,
+    ) -> Option<Micros> {
+        let open = self.open_requests.get(&number)?;
+        if !self.config.retries || self.stopped || open.attempts > 1 {
             return None;
         }
-        let advised = match end {
-            End::Refused { wait } => wait,
+        let advised_wait = match attempt_outcome {
+            AttemptOutcome::Refused { retry_after } => retry_after,
             _ => 0,
         };
         // Jitter, so that clients with the same advice do not come back at once.
-        let own = self.terms.retry_wait + self.chance.random_range(0..=self.terms.retry_wait);
-        let at = now + advised.max(own);
-        let repeat = self.terms.classes.get(usize::from(open.record.class)).map(|c| c.repeat)?;
-        let harmless = matches!(end, End::Refused { .. } | End::Unreachable);
+        let own_wait = self.config.retry_wait + self.jitter_rng.random_range(0..=self.config.retry_wait);
+        let at = now + advised_wait.max(own_wait);
+        let repeat = self.config.classes.get(usize::from(open.record.class)).map(|c| c.repeat)?;
+        let not_executed =
+            matches!(attempt_outcome, AttemptOutcome::Refused { .. } | AttemptOutcome::Unreachable);
         let permitted = match repeat {
             Repeat::Safe => true,
-            _ if harmless => true,
+            _ if not_executed => true,
             Repeat::Keyed { span_ms } => {
                 // Behind the try stand the initiator's own sends: all must be over while the key is
                 // remembered.
-                let remembered = open.first_sent.unwrap_or(now) + u64::from(span_ms) * 1_000;
+                let remembered = open.first_sent_at.unwrap_or(now) + u64::from(span_ms) * 1_000;
                 let deadline = open.deadline.min(remembered);
                 let permitted = open.record.shard.is_some() && at < deadline;
-                if permitted && let Some(open) = self.open.get_mut(&number) {
+                if permitted && let Some(open) = self.open_requests.get_mut(&number) {
                     open.deadline = deadline;
                 }
                 permitted
             }
             Repeat::Once => false,
         };
-        let deadline = self.open.get(&number)?.deadline;
+        let deadline = self.open_requests.get(&number)?.deadline;
         (permitted && at < deadline).then_some(at)
     }
 
-    fn tell(&mut self, now: Micros, number: Number, word: RequestOutcome) {
-        let Some(open) = self.open.remove(&number) else { return };
+    fn complete(&mut self, now: Micros, number: RequestNumber, outcome: RequestOutcome) {
+        let Some(open) = self.open_requests.remove(&number) else { return };
         self.deadlines.remove(&(open.deadline, number));
-        self.actions.push_back(Action::Tell(Verdict {
+        self.actions.push_back(Action::Complete(CompletedRequest {
             number,
             due: open.due,
-            word,
-            took: now.saturating_sub(open.due),
-            tries: open.tries,
+            outcome,
+            latency: now.saturating_sub(open.due),
+            attempts: open.attempts,
             record: open.record,
         }));
     }
--- a/crates/replay/src/recorder.rs
+++ b/crates/replay/src/recorder.rs
@@ -1,7 +1,7 @@
 //! Makes the report of a replay while it runs.
 
 use crate::latency::LatencyHistogram;
-use crate::plan::{Micros, RequestOutcome, Send, Verdict};
+use crate::plan::{Attempt, CompletedRequest, Micros, RequestOutcome};
 use crate::report::{Class, Report, Second, VERSION, Volume};
 use rowanglade_capture::{ClassTerms, Header, Record};
 use std::collections::{BTreeMap, HashMap};
@@ -17,13 +17,13 @@
     report: Report,
     /// In the order of the header's classes.
     classes: Vec<Class>,
-    volumes: HashMap<u64, Units>,
+    volumes: HashMap<u64, VolumeUnits>,
     due: u64,
     served: u64,
 }
 
 #[derive(Debug, Default)]
-struct Units {
+struct VolumeUnits {
     plan: u16,
     asked: f64,
     served: f64,
@@ -80,60 +80,60 @@
     }
 
     /// Requests that have their last word, and served ones among them.
-    pub fn so_far(&self) -> (u64, u64) {
+    pub fn progress_counts(&self) -> (u64, u64) {
         (self.due, self.served)
     }
 
-    fn second(&mut self, due: Micros) -> &mut Second {
-        let place = usize::try_from(due / 1_000_000).unwrap_or(usize::MAX).min(1 << 20);
-        if self.report.timeline.len() <= place {
-            self.report.timeline.resize(place + 1, Second::default());
+    fn second_mut(&mut self, due: Micros) -> &mut Second {
+        let index = usize::try_from(due / 1_000_000).unwrap_or(usize::MAX).min(1 << 20);
+        if self.report.timeline.len() <= index {
+            self.report.timeline.resize(index + 1, Second::default());
         }
-        &mut self.report.timeline[place]
+        &mut self.report.timeline[index]
     }
 
     /// A try went, beside so many others that are out, itself counted.
-    pub fn sent(&mut self, send: &Send, now: Micros, out: usize) {
-        self.report.most_out = self.report.most_out.max(out as u64);
-        if let Some(class) = self.classes.get_mut(usize::from(send.record.class)) {
+    pub fn record_attempt(&mut self, attempt: &Attempt, now: Micros, in_flight: usize) {
+        self.report.most_out = self.report.most_out.max(in_flight as u64);
+        if let Some(class) = self.classes.get_mut(usize::from(attempt.record.class)) {
             class.sent += 1;
-            class.again += u64::from(send.again > 0);
+            class.again += u64::from(attempt.retry_number > 0);
         }
-        if send.again == 0 {
-            let late = now.saturating_sub(send.due);
+        if attempt.retry_number == 0 {
+            let late = now.saturating_sub(attempt.due);
             self.report.drift.record(late);
-            self.report.held += u64::from(send.held);
-            let second = self.second(send.due);
+            self.report.held += u64::from(attempt.waited_for_slot);
+            let second = self.second_mut(attempt.due);
             second.drift_us = second.drift_us.max(late);
         }
     }
 
     /// A request has its last word.
-    pub fn ended(&mut self, verdict: &Verdict) {
-        let record = &verdict.record;
+    pub fn record_outcome(&mut self, request: &CompletedRequest) {
+        let record = &request.record;
         self.due += 1;
-        let served = verdict.word == RequestOutcome::Served;
+        let served = request.outcome == RequestOutcome::Served;
         self.served += u64::from(served);
         if let Some(class) = self.classes.get_mut(usize::from(record.class)) {
             class.due += 1;
-            match verdict.word {
+            match request.outcome {
                 RequestOutcome::Served => {
                     class.served += 1;
-                    class.in_time += u64::from(verdict.took <= u64::from(class.aim_ms) * 1_000);
-                    class.latency.record(verdict.took);
+                    class.in_time += u64::from(request.latency <= u64::from(class.aim_ms) * 1_000);
+                    class.latency.record(request.latency);
                 }
                 RequestOutcome::Refused => {
                     class.refused += 1;
-                    class.refusal.record(verdict.took);
+                    class.refusal.record(request.latency);
                 }
                 RequestOutcome::Failed => class.failed += 1,
                 RequestOutcome::Lost => class.lost += 1,
                 RequestOutcome::Unsent => class.unsent += 1,
             }
         }
-        let second = self.second(verdict.due);
+        let second = self.second_mut(request.due);
         second.due += 1;
-        match verdict.word {
+        match request.outcome {
             RequestOutcome::Served => second.served += 1,
             RequestOutcome::Refused => second.refused += 1,
             RequestOutcome::Failed => second.failed += 1,
@@ -146,17 +146,17 @@
         volume.asked += units;
         if served {
             volume.served += units;
-            *volume.per_second.entry(verdict.due / 1_000_000).or_default() += units;
+            *volume.per_second.entry(request.due / 1_000_000).or_default() += units;
         }
     }
 
     /// Requests that have no last word at the end.
-    pub fn unfinished(&mut self, requests: u64) {
+    pub fn set_unfinished(&mut self, requests: u64) {
         self.report.unfinished = requests;
     }
 
     /// Whether the replay was ended before its end.
-    pub fn stopped(&mut self, stopped: bool) {
+    pub fn set_stopped(&mut self, stopped: bool) {
         self.report.stopped = stopped;
     }
 
@@ -165,19 +165,19 @@
         let mut report = self.report;
         report.seconds = took.as_secs_f64();
         report.volumes_in_all = self.volumes.len();
-        let mut volumes: Vec<(u64, Units)> = self.volumes.into_iter().collect();
+        let mut volumes: Vec<(u64, VolumeUnits)> = self.volumes.into_iter().collect();
         volumes.sort_by(|a, b| b.1.asked.total_cmp(&a.1.asked).then(a.0.cmp(&b.0)));
         volumes.truncate(MAX_VOLUMES);
-        for (volume, units) in volumes {
-            let Some(plan) = self.header.plans.get(usize::from(units.plan)) else { continue };
+        for (volume, volume_units) in volumes {
+            let Some(plan) = self.header.plans.get(usize::from(volume_units.plan)) else { continue };
             report.volumes.push(Volume {
                 volume: format!("{volume:016x}"),
                 plan: plan.name.clone(),
                 rate: plan.rate,
                 limit: plan.limit,
-                asked: units.asked,
-                served: units.served,
-                busiest: units.per_second.values().copied().fold(0.0, f64::max),
+                asked: volume_units.asked,
+                served: volume_units.served,
+                busiest: volume_units.per_second.values().copied().fold(0.0, f64::max),
             });
         }
         for (terms, class) in self.header.classes.iter().zip(self.classes) {
--- a/crates/replay/src/run.rs
+++ b/crates/replay/src/run.rs
@@ -3,7 +3,7 @@
 use crate::drive::{Progress, drive};
 use crate::http::Http;
 use crate::iscsi::Iscsi;
-use crate::plan::{Planner, Terms, TermsError};
+use crate::plan::{Planner, PlannerConfig, PlannerConfigError};
 use crate::recorder::{Recorder, Subject};
 use crate::report::Report;
 use rowanglade_capture::{TraceError, TraceReader};
@@ -39,11 +39,11 @@
     /// Clients retry as their class permits.
     pub retries: bool,
     /// Tries that may be out at once; over HTTP each takes a descriptor.
-    pub most_out: usize,
+    pub max_in_flight: usize,
     /// What the random numbers follow from.
     pub seed: u64,
     /// How long initiators may take until they can serve.
-    pub patience: Duration,
+    pub ready_timeout: Duration,
 }
 
 impl Replay {
@@ -54,9 +54,9 @@
             to,
             speed: 1.0,
             retries: true,
-            most_out: 512,
+            max_in_flight: 512,
             seed: 1,
-            patience: Duration::from_secs(10),
+            ready_timeout: Duration::from_secs(10),
         }
     }
 }
@@ -73,7 +73,7 @@
     Trace(#[from] TraceError),
     /// The terms are unusable.
     #[error(transparent)]
-    Terms(#[from] TermsError),
+    Planner(#[from] PlannerConfigError),
     /// An initiator does not get ready in time.
     #[error("{0} does not answer `GET /up` with 200 within {1:?}")]
     NotReady(SocketAddr, Duration),
@@ -86,45 +86,45 @@
 /// not serve.
 pub async fn replay(
     trace: &Path,
-    ask: &Replay,
+    options: &Replay,
     stop: oneshot::Receiver<()>,
     progress: &mut dyn FnMut(Progress),
 ) -> Result<(Report, Option<TraceError>), ReplayError> {
     let records = TraceReader::open(trace)?;
     let header = records.header().clone();
-    let planner = Planner::new(Terms {
+    let planner = Planner::new(PlannerConfig {
         classes: header.classes.clone(),
-        speed: ask.speed,
-        initiators: ask.to.len(),
-        most_out: ask.most_out,
-        retries: ask.retries,
+        speed: options.speed,
+        initiators: options.to.len(),
+        max_in_flight: options.max_in_flight,
+        retries: options.retries,
         retry_wait: RETRY_WAIT,
-        seed: ask.seed,
+        seed: options.seed,
     })?;
     let subject = Subject {
         trace: trace.file_name().unwrap_or_default().to_string_lossy().into_owned(),
-        front: match &ask.front {
+        front: match &options.front {
             Front::Http => "http".into(),
             Front::Iscsi { .. } => "iscsi".into(),
         },
-        initiators: ask.to.len(),
-        speed: ask.speed,
-        seed: ask.seed,
+        initiators: options.to.len(),
+        speed: options.speed,
+        seed: options.seed,
     };
     let recorder = Recorder::new(header, subject);
-    match &ask.front {
+    match &options.front {
         Front::Http => {
-            let http = Http::new(ask.to.clone(), ask.most_out);
-            let until = Instant::now() + ask.patience;
-            for (number, addr) in ask.to.iter().enumerate() {
-                if !http.ready(number, until).await {
-                    return Err(ReplayError::NotReady(*addr, ask.patience));
+            let http = Http::new(options.to.clone(), options.max_in_flight);
+            let until = Instant::now() + options.ready_timeout;
+            for (number, addr) in options.to.iter().enumerate() {
+                if !http.wait_until_ready(number, until).await {
+                    return Err(ReplayError::NotReady(*addr, options.ready_timeout));
                 }
             }
             Ok(drive(records, planner, &http, recorder, stop, progress).await)
         }
         Front::Iscsi { target, blocks_per_unit } => {
-            let sessions = Iscsi::new(ask.to.clone(), target, *blocks_per_unit);
+            let sessions = Iscsi::new(options.to.clone(), target, *blocks_per_unit);
             Ok(drive(records, planner, &sessions, recorder, stop, progress).await)
         }
     }
--- a/src/cli/capture/import.rs
+++ b/src/cli/capture/import.rs
@@ -43,9 +43,9 @@
     }
     let mapping = map.map_or_else(Mapping::standard, |path| Mapping::load(&path)).map_err(Failure::usage)?;
     let window = (window_seconds * 1e6) as i64;
-    let ask = Import { files: &files, format, tolerance, window, to: &out };
+    let options = Import { files: &files, format, tolerance, window, to: &out };
     let mut line = progress::Line::new();
-    let result = import(&mapping, &ask, &mut |place, p| {
+    let result = import(&mapping, &options, &mut |place, p| {
         line.show(|| format!("{}: {:.0}%  {} entries", files[place].display(), percent(p), p.entries));
     });
     drop(line);
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -155,8 +155,8 @@
     let operator = operator_files(parser)?;
     let config = Config::load(variable, &operator).map_err(Failure::usage)?;
     println!("{config}");
-    let known = config.cached_list.as_ref().map(|known| known.routable_targets()).unwrap_or_default();
-    let RouteEvaluation { decision, lines, .. } = config.routing.evaluate(&known);
+    let targets = config.cached_list.as_ref().map(|list| list.routable_targets()).unwrap_or_default();
+    let RouteEvaluation { decision, lines, .. } = config.routing.evaluate(&targets);
     lines.iter().for_each(|line| println!("{line}"));
     if !config.routing.rules.expectations.is_empty() {
         println!("{decision}");
--- a/src/cli/replay.rs
+++ b/src/cli/replay.rs
@@ -65,15 +65,15 @@
     let mut outputs = Outputs::default();
     let mut target = None;
     let mut blocks_per_unit = DEFAULT_BLOCKS_PER_UNIT;
-    let mut ask = Replay::to(Vec::new());
+    let mut options = Replay::to(Vec::new());
     while let Some(arg) = parser.next()? {
         match arg {
             Value(word) if trace.is_none() && word == "compare" => return run_compare(parser),
             Long("to") => to.extend(parse_addresses(&parser.value()?.string()?)?),
-            Long("speed") => ask.speed = parser.value()?.parse()?,
-            Long("no-retries") => ask.retries = false,
-            Long("most") => ask.most_out = parser.value()?.parse()?,
-            Long("seed") => ask.seed = parser.value()?.parse()?,
+            Long("speed") => options.speed = parser.value()?.parse()?,
+            Long("no-retries") => options.retries = false,
+            Long("most") => options.max_in_flight = parser.value()?.parse()?,
+            Long("seed") => options.seed = parser.value()?.parse()?,
             Long("iscsi") => target = Some(parser.value()?.string()?),
             Long("blocks-per-unit") => blocks_per_unit = parser.value()?.parse()?,
             Long("json") => outputs.json = Some(PathBuf::from(parser.value()?)),
@@ -90,11 +90,11 @@
     if to.is_empty() {
         return Err(Failure::usage("replay needs --to ADDR"));
     }
-    ask.to = to;
+    options.to = to;
     if let Some(target) = target {
-        ask.front = Front::Iscsi { target, blocks_per_unit };
+        options.front = Front::Iscsi { target, blocks_per_unit };
     }
-    let report = actix_rt::System::new().block_on(replay_shown(&trace, &ask))?;
+    let report = actix_rt::System::new().block_on(replay_with_progress(&trace, &options))?;
     print!("{report}");
     outputs.write(&report)
 }
@@ -109,7 +109,7 @@
 }
 
 /// Replays, shows the progress, and ends it at Ctrl-C.
-pub(super) async fn replay_shown(trace: &Path, ask: &Replay) -> Result<Report, Failure> {
+pub(super) async fn replay_with_progress(trace: &Path, options: &Replay) -> Result<Report, Failure> {
     let (stop, stopped) = oneshot::channel();
     let mut interrupt = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::interrupt())
         .map_err(Failure::running)?;
@@ -121,16 +121,18 @@
         std::process::exit(130);
     });
     let mut line = progress::Line::new();
-    let result = replay(trace, ask, stopped, &mut |p| {
+    let result = replay(trace, options, stopped, &mut |p| {
         let seconds = p.elapsed.as_secs_f64();
-        line.show(|| format!("{seconds:.1} s  {} ended, {} served, {} out", p.due, p.served, p.out));
+        line.show(|| {
+            format!("{seconds:.1} s  {} ended, {} served, {} in flight", p.due, p.served, p.in_flight)
+        });
     })
     .await;
     drop(line);
     watch.abort();
-    let (report, torn) = result.map_err(Failure::usage)?;
-    if let Some(torn) = torn {
-        eprintln!("rowanglade: {torn}");
+    let (report, trace_error) = result.map_err(Failure::usage)?;
+    if let Some(trace_error) = trace_error {
+        eprintln!("rowanglade: {trace_error}");
     }
     Ok(report)
 }
--- a/src/cli/try_out.rs
+++ b/src/cli/try_out.rs
@@ -1,7 +1,7 @@
 //! `rowanglade try`: the sample capture replayed to an initiator and stub targets on loopback.
 
 use super::Failure;
-use super::replay::{Outputs, replay_shown};
+use super::replay::{Outputs, replay_with_progress};
 use lexopt::prelude::*;
 use rowanglade_capture::{Import, Mapping, TraceReader, import};
 use rowanglade_replay::{Replay, Report};
@@ -47,7 +47,7 @@
     let site = start_targets().await?;
     let daemon = start_daemon(&trace, &site)?;
     eprintln!("one initiator on {}, {TARGETS} stand-in boxes; replaying", daemon.http);
-    let report = replay_shown(&trace, &Replay::to(vec![daemon.http])).await;
+    let report = replay_with_progress(&trace, &Replay::to(vec![daemon.http])).await;
     if report.is_err() {
         eprintln!("the initiator's log:\n{}", daemon.log().join("\n"));
     }
--- a/tests/network/replay.rs
+++ b/tests/network/replay.rs
@@ -128,7 +128,7 @@
         let site = site().await;
         let node = start(&[], Some(site.discovery.addr()), None).await;
         let path = trace("burst", (0..200).map(|_| record(0, 0, None)).collect());
-        let ask = Replay { most_out: 4, retries: false, ..Replay::to(vec![node.http]) };
+        let ask = Replay { max_in_flight: 4, retries: false, ..Replay::to(vec![node.http]) };
         let report = run(&path, &ask).await;
         std::fs::remove_file(&path).expect("removed");
         let view = &report.classes["view"];
@@ -206,10 +206,10 @@
         records.push(record(60_000, 0, None));
         let path = trace("stop", records);
         let (stop, stopped) = oneshot::channel();
-        let ask = Replay { most_out: 6, ..Replay::to(vec![node.http]) };
+        let ask = Replay { max_in_flight: 6, ..Replay::to(vec![node.http]) };
         let mut stop = Some(stop);
         let end = &mut |p: rowanglade_replay::drive::Progress| {
-            if p.out == 6 {
+            if p.in_flight == 6 {
                 stop.take().map(|s| s.send(()));
             }
         };
