--- a/tests/network/replay.rs
+++ b/tests/network/replay.rs
@@ -139,7 +139,7 @@
         let site = start_stub_site().await;
         let initiator = start_initiator(&[], Some(site.discovery.addr()), None).await;
         let path = write_trace("burst", (0..200).map(|_| record(0, 0, None)).collect());
-        let settings = Replay { most_out: 4, retries: false, ..Replay::to(vec![initiator.http]) };
+        let settings = Replay { max_in_flight: 4, retries: false, ..Replay::to(vec![initiator.http]) };
         let report = run_replay(&path, &settings).await;
         std::fs::remove_file(&path).expect("removed");
         let view = &report.classes["view"];
@@ -217,10 +217,10 @@
         records.push(record(60_000, 0, None));
         let path = write_trace("stop", records);
         let (stop_sender, stopped) = oneshot::channel();
-        let settings = Replay { most_out: 6, ..Replay::to(vec![initiator.http]) };
+        let settings = Replay { max_in_flight: 6, ..Replay::to(vec![initiator.http]) };
         let mut stop_sender = Some(stop_sender);
         let on_progress = &mut |p: rowanglade_replay::drive::Progress| {
-            if p.out == 6 {
+            if p.in_flight == 6 {
                 stop_sender.take().map(|s| s.send(()));
             }
         };
