--- a/crates/checker/src/drains.rs
+++ b/crates/checker/src/drains.rs
@@ -36,7 +36,7 @@
     changes: HashMap<&'a str, Vec<&'a EndpointChange>>,
     /// In the order of their times.
     deliveries: HashMap<ProcessId, Vec<&'a Delivery>>,
-    starts: HashMap<ProcessId, Micros>,
+    process_starts: HashMap<ProcessId, Micros>,
     outages: &'a [Interval],
     discovery_propagation: Micros,
 }
@@ -56,7 +56,7 @@
         EndpointKnowledge {
             changes,
             deliveries,
-            starts: history.starts.iter().copied().collect(),
+            process_starts: history.process_starts.iter().copied().collect(),
             outages: &history.outages,
             discovery_propagation: rules.discovery_propagation,
         }
@@ -87,7 +87,7 @@
     fn known_at(&self, process: ProcessId, change: &EndpointChange) -> Micros {
         let deliveries = self.deliveries.get(&process).map_or(&[][..], Vec::as_slice);
         let written = deliveries.iter().filter(|d| d.version >= change.version).map(|d| d.at).min();
-        let started = self.starts.get(&process).copied().unwrap_or(0).max(change.at);
+        let started = self.process_starts.get(&process).copied().unwrap_or(0).max(change.at);
         let latest = self.reachable_from(started) + self.discovery_propagation;
         written.map_or(latest, |at| at.min(latest))
     }
--- a/crates/checker/src/history.rs
+++ b/crates/checker/src/history.rs
@@ -203,14 +203,14 @@
     /// When discovery could not be reached.
     pub outages: Vec<Interval>,
     /// When each process started; one that is not here was there from the beginning.
-    pub starts: Vec<(ProcessId, Micros)>,
+    pub process_starts: Vec<(ProcessId, Micros)>,
     /// The processes that the test ended.
-    pub ends: Vec<ProcessEnd>,
+    pub process_ends: Vec<ProcessEnd>,
     /// Times in which the rig itself stood still, so that what it recorded then is late by as much.
     pub stalls: Vec<Interval>,
     /// Processes whose descriptors idle clients fill, and since when: new connections may be closed unread
     /// then.
-    pub crowds: Vec<(ProcessId, Micros)>,
+    pub descriptor_exhaustions: Vec<(ProcessId, Micros)>,
 }
 
 impl History {
--- a/crates/checker/src/requests.rs
+++ b/crates/checker/src/requests.rs
@@ -16,7 +16,9 @@
     }
     let mut breaches = Vec::new();
     for request in &history.requests {
-        if ended_by_kill(request, &history.ends, rules) || closed_in_crowd(request, &history.crowds) {
+        if ended_by_kill(request, &history.process_ends, rules)
+            || closed_for_descriptors(request, &history.descriptor_exhaustions)
+        {
             continue;
         }
         let mut own = attempts.remove(request.id.as_str()).unwrap_or_default();
@@ -43,9 +45,10 @@
 }
 
 /// Whether a request was the first on a connection that was closed while idle clients filled the descriptors.
-fn closed_in_crowd(request: &Request, crowds: &[(ProcessId, Micros)]) -> bool {
+fn closed_for_descriptors(request: &Request, exhaustions: &[(ProcessId, Micros)]) -> bool {
     let closed = matches!(request.outcome, ClientOutcome::Closed { first: true, .. });
-    closed && crowds.iter().any(|(process, since)| *process == request.process && *since <= request.sent_at)
+    closed
+        && exhaustions.iter().any(|(process, since)| *process == request.process && *since <= request.sent_at)
 }
 
 /// A request with its attempts, and what it is checked against.
--- a/crates/checker/tests/planted.rs
+++ b/crates/checker/tests/planted.rs
@@ -161,7 +161,7 @@
     );
     history.changes = vec![change(2, 10 * SECOND, TargetState::Draining)];
     assert_eq!(found(&history), [BreachKind::SentToDraining]);
-    history.starts = vec![(ProcessId(0), 12 * SECOND)];
+    history.process_starts = vec![(ProcessId(0), 12 * SECOND)];
     assert_eq!(found(&history), []);
 }
 
@@ -199,7 +199,7 @@
             request("a", Idempotency::NonIdempotent, ClientOutcome::Closed { at: 2 * SECOND, first: true }),
             Vec::new(),
         );
-        history.ends = vec![ProcessEnd { process: ProcessId(0), terminated_at, killed_at }];
+        history.process_ends = vec![ProcessEnd { process: ProcessId(0), terminated_at, killed_at }];
         found(&history)
     };
     let kill = Some(2 * SECOND);
@@ -219,8 +219,11 @@
 fn only_new_connections_may_be_closed_unread_in_a_crowd() {
     let shut = |first, since| {
         let end = ClientOutcome::Closed { at: 2 * SECOND, first };
-        let crowds = vec![(ProcessId(0), since)];
-        found(&History { crowds, ..one(request("a", Idempotency::NonIdempotent, end), Vec::new()) })
+        let descriptor_exhaustions = vec![(ProcessId(0), since)];
+        found(&History {
+            descriptor_exhaustions,
+            ..one(request("a", Idempotency::NonIdempotent, end), Vec::new())
+        })
     };
     assert_eq!(shut(true, SECOND), []);
     assert_eq!(shut(false, SECOND), [BreachKind::ClosedWithoutResponse]);
--- a/crates/fault-shim/src/counts_file.rs
+++ b/crates/fault-shim/src/counts_file.rs
@@ -4,7 +4,7 @@
 //! held up for longer than 0.15 s between two calls, it reads requests late and tells targets too much time, a
 //! breach that the rig itself has caused.
 
-use crate::COUNTS;
+use crate::COUNTS_VARIABLE;
 use std::collections::BTreeMap;
 use std::ffi::CString;
 use std::fmt::Write;
@@ -17,7 +17,7 @@
 }
 
 impl CountsFile {
-    /// Starts the writing thread, if [`COUNTS`] names a file.
+    /// Starts the writing thread, if [`COUNTS_VARIABLE`] names a file.
     pub fn start() -> CountsFile {
         let Some(path) = path() else { return CountsFile { texts: None } };
         let (texts, received) = channel();
@@ -40,7 +40,7 @@
 
 /// The file of this process.
 fn path() -> Option<CString> {
-    let path = std::env::var(COUNTS).ok()?;
+    let path = std::env::var(COUNTS_VARIABLE).ok()?;
     CString::new(format!("{path}.{}", std::process::id())).ok()
 }
 
--- a/crates/fault-shim/src/lib.rs
+++ b/crates/fault-shim/src/lib.rs
@@ -1,6 +1,6 @@
 //! Makes system calls of a process under test fail, as Linux documents that they may.
 //!
-//! A test rig loads this library into the process (`LD_PRELOAD`) and names the faults in [`VARIABLE`];
+//! A test rig loads this library into the process (`LD_PRELOAD`) and names the faults in [`FAULTS_VARIABLE`];
 //! without that variable every call goes through unchanged. It is never part of the product. It stands before
 //! the C library's functions, through which the standard library, `mio` and `socket2` make their calls;
 //! `rustix` makes system calls by itself and is not reached. Spurious EAGAIN is not offered: with
@@ -9,7 +9,7 @@
 mod counts_file;
 mod plan;
 
-pub use plan::{COUNTS, Call, Fault, Plan, Rule, Unreadable, VARIABLE};
+pub use plan::{COUNTS_VARIABLE, Call, FAULTS_VARIABLE, Fault, ParsePlanError, Plan, Rule};
 
 use counts_file::CountsFile;
 use libc::{c_int, c_void, size_t, sockaddr, socklen_t, ssize_t};
@@ -57,7 +57,7 @@
 fn injector() -> Option<&'static Injector> {
     static INJECTOR: OnceLock<Option<Injector>> = OnceLock::new();
     let made = INJECTOR.get_or_init(|| {
-        let text = std::env::var(VARIABLE).ok()?;
+        let text = std::env::var(FAULTS_VARIABLE).ok()?;
         let plan: Plan = match text.parse() {
             Ok(plan) => plan,
             Err(error) => {
--- a/crates/fault-shim/src/plan.rs
+++ b/crates/fault-shim/src/plan.rs
@@ -9,10 +9,10 @@
 use std::time::Duration;
 
 /// The variable that holds the plan.
-pub const VARIABLE: &str = "ROWANGLADE_FAULTS";
+pub const FAULTS_VARIABLE: &str = "ROWANGLADE_FAULTS";
 /// The variable with the path of the file that counts of injected faults go to; the process's number is added
 /// to it.
-pub const COUNTS: &str = "ROWANGLADE_FAULT_COUNTS";
+pub const COUNTS_VARIABLE: &str = "ROWANGLADE_FAULT_COUNTS";
 
 /// A call that can fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -96,15 +96,15 @@
 
 /// A part of a plan that cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Unreadable(pub String);
+pub struct ParsePlanError(pub String);
 
-impl fmt::Display for Unreadable {
+impl fmt::Display for ParsePlanError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{VARIABLE}: {:?} is no fault", self.0)
+        write!(f, "{FAULTS_VARIABLE}: {:?} is no fault", self.0)
     }
 }
 
-impl std::error::Error for Unreadable {}
+impl std::error::Error for ParsePlanError {}
 
 /// The errors that plans name.
 const ERRNOS: [(&str, i32); 16] = [
@@ -127,14 +127,14 @@
 ];
 
 impl FromStr for Plan {
-    type Err = Unreadable;
+    type Err = ParsePlanError;
 
-    fn from_str(text: &str) -> Result<Plan, Unreadable> {
+    fn from_str(text: &str) -> Result<Plan, ParsePlanError> {
         let mut plan = Plan::default();
         for part in text.split(';').map(str::trim).filter(|part| !part.is_empty()) {
             match part.strip_prefix("seed=") {
-                Some(seed) => plan.seed = seed.parse().map_err(|_| Unreadable(part.to_string()))?,
-                None => plan.rules.push(rule(part).ok_or_else(|| Unreadable(part.to_string()))?),
+                Some(seed) => plan.seed = seed.parse().map_err(|_| ParsePlanError(part.to_string()))?,
+                None => plan.rules.push(rule(part).ok_or_else(|| ParsePlanError(part.to_string()))?),
             }
         }
         Ok(plan)
--- a/crates/fault-shim/tests/counts_file.rs
+++ b/crates/fault-shim/tests/counts_file.rs
@@ -1,6 +1,6 @@
 //! The counts of injected faults are written beside the process under test, which never waits for their file.
 
-use rowanglade_fault_shim::{COUNTS, VARIABLE};
+use rowanglade_fault_shim::{COUNTS_VARIABLE, FAULTS_VARIABLE};
 use std::path::PathBuf;
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant, SystemTime};
@@ -51,8 +51,8 @@
         .args(["--exact", "the_process_under_test_reads_the_wall_clock"])
         .env("SHIM", library())
         .env("COUNTS_BASE", &counts)
-        .env(COUNTS, &counts)
-        .env(VARIABLE, "clock:step=3600000:1")
+        .env(COUNTS_VARIABLE, &counts)
+        .env(FAULTS_VARIABLE, "clock:step=3600000:1")
         .env(UNDER_TEST, now.as_millis().to_string())
         .stdout(Stdio::null())
         .spawn()
--- a/crates/lab/src/soak/play.rs
+++ b/crates/lab/src/soak/play.rs
@@ -6,7 +6,7 @@
 use crate::initiators::ZONE;
 use crate::traces::standard_header;
 use rowanglade_checker::{Breach, Rules, check};
-use rowanglade_fault_shim::{COUNTS, VARIABLE};
+use rowanglade_fault_shim::{COUNTS_VARIABLE, FAULTS_VARIABLE};
 use rowanglade_test_fleet::{
     DaemonPlan, DiscoveryFault, Fleet, FleetPlan, LoadPlan, RequestCounts, Signal, TargetFault, TargetPlan,
     settings, usual_classes,
@@ -43,8 +43,8 @@
     let faults = format!("seed={};{}", plan.seed, plan.calls.join(";"));
     let env = vec![
         ("LD_PRELOAD".to_string(), library),
-        (VARIABLE.to_string(), faults),
-        (COUNTS.to_string(), counts.display().to_string()),
+        (FAULTS_VARIABLE.to_string(), faults),
+        (COUNTS_VARIABLE.to_string(), counts.display().to_string()),
     ];
     Ok(FleetPlan {
         daemon: DaemonPlan {
--- a/crates/test-fleet/src/recorder.rs
+++ b/crates/test-fleet/src/recorder.rs
@@ -64,7 +64,7 @@
     pub fn process(&self) -> ProcessId {
         let process = ProcessId(self.next_process.get());
         self.next_process.set(process.0 + 1);
-        self.history.borrow_mut().starts.push((process, self.now()));
+        self.history.borrow_mut().process_starts.push((process, self.now()));
         process
     }
 
@@ -86,7 +86,7 @@
 
     /// The test has ended a process.
     pub fn end(&self, end: ProcessEnd) {
-        self.history.borrow_mut().ends.push(end);
+        self.history.borrow_mut().process_ends.push(end);
     }
 
     /// Notes until the record is dropped when this thread stood still: what was recorded just then is late.
@@ -107,7 +107,7 @@
     /// From now on idle clients fill a process's descriptors.
     pub fn crowd(&self, process: ProcessId) {
         let now = self.now();
-        self.history.borrow_mut().crowds.push((process, now));
+        self.history.borrow_mut().descriptor_exhaustions.push((process, now));
     }
 
     /// Discovery could not be reached for a while.
--- a/tests/fleets/faults.rs
+++ b/tests/fleets/faults.rs
@@ -3,7 +3,7 @@
 
 use crate::many_targets::{by_kind, plan};
 use rowanglade_checker::{Rules, check};
-use rowanglade_fault_shim::{COUNTS, VARIABLE};
+use rowanglade_fault_shim::{COUNTS_VARIABLE, FAULTS_VARIABLE};
 use rowanglade_test_fleet::{Fleet, FleetPlan, RequestCounts};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -27,8 +27,8 @@
     let mut plan: FleetPlan = plan(TARGETS);
     plan.daemon.env = vec![
         ("LD_PRELOAD".to_string(), shim_library().display().to_string()),
-        (VARIABLE.to_string(), format!("seed=39;{faults}")),
-        (COUNTS.to_string(), folder.path().join("counts").display().to_string()),
+        (FAULTS_VARIABLE.to_string(), format!("seed=39;{faults}")),
+        (COUNTS_VARIABLE.to_string(), folder.path().join("counts").display().to_string()),
     ];
     let mut fleet = Fleet::start(plan).await.expect("it starts");
     for _ in 0..STEPS {
