--- a/tests/fleets/faults.rs
+++ b/tests/fleets/faults.rs
@@ -3,7 +3,7 @@
 
 use crate::many_targets::{count_by_kind, fleet_plan};
 use rowanglade_checker::{Rules, check};
-use rowanglade_fault_shim::{COUNTS, VARIABLE};
+use rowanglade_fault_shim::{COUNTS_VARIABLE, FAULTS_VARIABLE};
 use rowanglade_test_fleet::{Fleet, FleetPlan, RequestCounts};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -28,8 +28,8 @@
     let mut plan: FleetPlan = fleet_plan(TARGETS);
     plan.daemon.env = vec![
         ("LD_PRELOAD".to_string(), shim_library().display().to_string()),
-        (VARIABLE.to_string(), format!("seed=39;{faults}")),
-        (COUNTS.to_string(), folder.path().join("counts").display().to_string()),
+        (FAULTS_VARIABLE.to_string(), format!("seed=39;{faults}")),
+        (COUNTS_VARIABLE.to_string(), folder.path().join("counts").display().to_string()),
     ];
     let mut fleet = Fleet::start(plan).await.expect("the fleet starts");
     for _ in 0..STEPS {
