--- a/crates/capture/src/trace.rs
+++ b/crates/capture/src/trace.rs
@@ -254,9 +254,8 @@
         if self.block.is_empty() {
             return Ok(());
         }
-        let decompressed =
-            postcard::to_stdvec(&self.block).map_err(|e| self.io_error(io::Error::other(e)))?;
-        let compressed = zstd::bulk::compress(&decompressed, ZSTD_LEVEL).map_err(|e| self.io_error(e))?;
+        let encoded = postcard::to_stdvec(&self.block).map_err(|e| self.io_error(io::Error::other(e)))?;
+        let compressed = zstd::bulk::compress(&encoded, ZSTD_LEVEL).map_err(|e| self.io_error(e))?;
         self.totals.blocks += 1;
         self.block.clear();
         self.write_frame(b'B', &compressed)
@@ -271,10 +270,10 @@
         let json = serde_json::to_vec(&self.totals).map_err(|e| self.io_error(e.into()))?;
         self.write_frame(b'E', &json)?;
         let (path, records) = (self.path, self.totals.records);
-        let file = |error| TraceError::Io { file: path.display().to_string(), error };
-        let out = self.out.into_inner().map_err(|e| file(e.into_error()))?;
-        out.as_file().sync_all().map_err(file)?;
-        out.persist(&path).map_err(|e| file(e.error))?;
+        let io_error = |error| TraceError::Io { file: path.display().to_string(), error };
+        let out = self.out.into_inner().map_err(|e| io_error(e.into_error()))?;
+        out.as_file().sync_all().map_err(io_error)?;
+        out.persist(&path).map_err(|e| io_error(e.error))?;
         Ok(records)
     }
 }
--- a/crates/capture/tests/compatibility.rs
+++ b/crates/capture/tests/compatibility.rs
@@ -1,7 +1,7 @@
-//! Compares traces, lines of the daemon's access log and mapping files with recorded samples. Guards against a
-//! build that can no longer read files of an earlier build, or writes files that an earlier build cannot read.
-//! Blocks of a trace are compressed: another version of zstd may write different bytes that decompress to the
-//! same records.
+//! Compares traces, lines of the daemon's access log and mapping files with recorded samples. Guards against
+//! a build that can no longer read files of an earlier build, or writes files that an earlier build cannot
+//! read. Blocks of a trace are compressed: another version of zstd may write different bytes that decompress
+//! to the same records.
 
 use rowanglade_capture::mapping::{Mapped, Mapping};
 use rowanglade_capture::own_log::{AccessLine, End, PREFIX, VERSION, parse};
--- a/src/config/iscsi.rs
+++ b/src/config/iscsi.rs
@@ -19,8 +19,8 @@
     pub blocks_per_unit: u32,
     /// Timeout of the login to a target.
     pub login_timeout: Duration,
-    /// How long a session with outstanding requests may stay silent before a NOP-Out is sent to it. After the
-    /// same time again without a response it counts as failed.
+    /// How long a session with outstanding requests may stay silent before a NOP-Out is sent to it. A session
+    /// that stays silent for the same time again counts as failed.
     pub silence_timeout: Duration,
     /// The volumes, by LUN.
     pub luns: HashMap<u64, Lun>,
