--- a/crates/distribution/src/budget.rs
+++ b/crates/distribution/src/budget.rs
@@ -1,10 +1,10 @@
-//! How many bytes a second a relay sends.
+//! The byte budget that limits how many bytes per second a relay sends.
 
 use crate::{Millis, RelayLimits};
 
 const MILLIS_PER_SECOND: u64 = 1_000;
 
-/// A token bucket of bytes.
+/// A token bucket counted in bytes.
 #[derive(Debug)]
 pub(crate) struct ByteBudget {
     bytes_per_second: u64,
@@ -14,7 +14,7 @@
 }
 
 impl ByteBudget {
-    /// A full bucket.
+    /// Starts with a full bucket.
     pub fn new(limits: &RelayLimits) -> ByteBudget {
         ByteBudget {
             bytes_per_second: limits.bytes_per_second,
@@ -26,12 +26,13 @@
 
     pub fn refill(&mut self, now: Millis) {
         let elapsed = now.saturating_sub(self.refilled_at);
-        let earned = elapsed * self.bytes_per_second / MILLIS_PER_SECOND;
-        self.available = (self.available + earned).min(self.burst_bytes);
+        let added = elapsed * self.bytes_per_second / MILLIS_PER_SECOND;
+        self.available = (self.available + added).min(self.burst_bytes);
         self.refilled_at = now;
     }
 
-    /// Whether so many bytes may be sent now. More than the bucket holds may be sent once it is full.
+    /// Whether a response of this size may be sent now. A response larger than the bucket may be sent once
+    /// the bucket is full.
     pub fn allows(&self, bytes: usize) -> bool {
         (bytes as u64).min(self.burst_bytes) <= self.available
     }
--- a/crates/distribution/src/counters.rs
+++ b/crates/distribution/src/counters.rs
@@ -1,37 +1,38 @@
-//! Counts that show whether the distribution works.
+//! Counters of followers and relays, for monitoring the distribution.
 
-/// What was counted since the start.
+/// A follower's counts since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FollowerCounters {
     /// Deltas applied.
     pub deltas: u64,
-    /// Snapshots taken.
+    /// Snapshots accepted.
     pub snapshots: u64,
-    /// States that the instance's own check rejected.
+    /// States that the instance's validation rejected.
     pub rejected: u64,
-    /// Responses older than what is held; dropped.
+    /// Dropped responses whose version was not newer than the follower's.
     pub stale: u64,
-    /// Deltas for another version than the one held; dropped.
+    /// Dropped deltas whose base was not the follower's version.
     pub wrong_base: u64,
-    /// Deltas whose result had another digest, and relays with another state of the version held.
+    /// Deltas whose result had another digest than the source's, and relays that had a different state at the
+    /// follower's version.
     pub digest_mismatches: u64,
-    /// Snapshots that could not be decompressed; dropped.
+    /// Dropped snapshots that could not be decompressed, or whose entries did not match their digest.
     pub malformed_snapshots: u64,
-    /// Responses to no request; dropped.
+    /// Dropped responses that belong to no request in flight.
     pub unsolicited: u64,
-    /// Relays left because no response came.
+    /// Switches to the next relay because no response arrived in time.
     pub timeouts: u64,
-    /// Relays left because the connection ended.
+    /// Switches to the next relay because the connection ended.
     pub disconnects: u64,
-    /// Relays left because they had no room.
+    /// Switches to the next relay because the relay was at capacity.
     pub busy: u64,
-    /// Relays left because they were part of a loop.
+    /// Switches to the next relay because the relay was part of a loop.
     pub loops: u64,
-    /// Relays left because they were cut off from the source.
+    /// Switches to the next relay because the relay was cut off from the source.
     pub cut_off: u64,
 }
 
-/// What was counted since the start.
+/// A relay's counts since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RelayCounters {
     /// Responses with deltas.
@@ -40,8 +41,8 @@
     pub snapshots: u64,
     /// Responses without a change.
     pub unchanged: u64,
-    /// Followers rejected because there was no room.
+    /// Follower requests rejected because the relay was at capacity.
     pub busy: u64,
-    /// Responses delayed because the byte budget was spent.
+    /// Times that responses were delayed because the byte budget was spent.
     pub delayed: u64,
 }
--- a/crates/distribution/src/delta.rs
+++ b/crates/distribution/src/delta.rs
@@ -1,44 +1,44 @@
-//! What makes one version of another.
+//! The changes that lead from one version of a state to another.
 
 use crate::version::{Digest, Version};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// An entry's new value.
+/// A new value for an entry, or its removal.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct EntryChange {
     /// The entry's name.
     pub name: Arc<str>,
-    /// Its new value; none: it is removed.
+    /// Its new value; `None` removes the entry.
     pub value: Option<Arc<str>>,
 }
 
-/// What makes one version of another.
+/// The changes that lead from one version of a state to another.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Delta {
-    /// The version that it is applied to.
+    /// The version that the delta is applied to.
     pub base: Version,
-    /// The version that it makes.
+    /// The version after the delta is applied.
     pub to: Version,
     /// The digest of the state at `to`.
     pub digest: Digest,
-    /// In the order of names, each once.
+    /// Sorted by name, with at most one change per name.
     pub changes: Vec<EntryChange>,
 }
 
-/// Why a delta cannot be applied. The state stays as it was.
+/// Why a delta cannot be applied. The state stays unchanged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ApplyError {
-    /// It is made for another version.
-    #[error("it is made for another version")]
+    /// The state is not at the delta's base version.
+    #[error("delta is based on another version than the state's")]
     WrongBase,
-    /// It does not lead to a newer version.
-    #[error("it does not lead to a newer version")]
+    /// The delta's version is not newer than the state's.
+    #[error("delta does not lead to a newer version than the state's")]
     NotNewer,
-    /// A name stands twice, or out of order.
-    #[error("a name stands twice, or out of order")]
+    /// The changes are not sorted by name, or a name occurs twice.
+    #[error("delta's changes are not sorted by name, or a name occurs twice")]
     Unordered,
-    /// The digest of what it makes is another.
-    #[error("the digest of what it makes is another")]
+    /// The digest of the resulting entries is not the delta's.
+    #[error("digest of the resulting entries does not match the delta's digest")]
     DigestMismatch,
 }
--- a/crates/distribution/src/follower.rs
+++ b/crates/distribution/src/follower.rs
@@ -1,4 +1,4 @@
-//! A follower's part: which responses it takes, and which state is active.
+//! The follower: decides which responses to accept and which state is active.
 
 use crate::check::{InvalidState, StateCheck};
 use crate::counters::FollowerCounters;
@@ -9,48 +9,51 @@
 use crate::{Millis, NodeId, State, Version};
 use std::fmt;
 
-/// A response later than this past the wait of its request does not come any more.
+/// How long, in milliseconds after the requested wait, a response may take before the request times out.
 const RESPONSE_TIMEOUT: Millis = 1_500;
-/// The same for a snapshot, which a relay may delay while many are requested.
+/// The same timeout for a request of a snapshot, longer because a relay may delay snapshots while many
+/// followers request them.
 const SNAPSHOT_TIMEOUT: Millis = 5_000;
-/// A relay to which the source has not responded for this long is cut off: relays' own requests wait for a
-/// second at most ([`crate::RELAY_MAX_WAIT`]).
+/// The maximum age, in milliseconds, of the source's last response. A relay that reports a greater age is
+/// considered cut off from the source: relays' own requests wait for at most a second
+/// ([`crate::RELAY_MAX_WAIT`]).
 const MAX_SOURCE_AGE: Millis = 4_000;
-/// More relays between the source and a follower than these are a loop, or as good as one.
+/// The maximum number of nodes on the path from the source to a follower; a longer path is treated as a loop.
 const MAX_PATH_NODES: usize = 4;
 
-/// What a response has brought.
+/// The result of a response that carried a new state.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StateUpdate {
     /// The state is active from now on.
     Activated(State),
-    /// The instance cannot run with it: the last good state stays active.
+    /// The instance's validation rejected the state: the last accepted state stays active.
     Rejected {
         /// The version of the state.
         version: Version,
-        /// What is wrong with it.
+        /// Why the state was rejected.
         reason: InvalidState,
     },
 }
 
-/// When a response last came, and how old the source's was then.
+/// When the last response arrived, and the age of the source's response at that time.
 #[derive(Clone, Copy, Debug)]
 struct LastResponse {
     at: Millis,
     source_age: Millis,
 }
 
-/// The present relay is of no use now, and is to be left.
+/// The current relay is not usable now: the follower switches to the next one.
 struct RelayUnusable;
 
-/// One follower. Its driver sends what [`Follower::poll`] returns, and passes on what comes back.
+/// One follower. Its driver sends the requests that [`Follower::poll`] returns, and passes the responses to
+/// [`Follower::handle_response`].
 pub struct Follower {
     id: NodeId,
     upstreams: Upstreams,
-    /// How long its requests wait for a change.
+    /// How long its requests wait for a change, in milliseconds.
     max_wait: Millis,
     check: StateCheck,
-    /// When the request in flight times out.
+    /// When the request in flight times out. `None` if no request is in flight.
     response_due: Option<Millis>,
     needs_snapshot: bool,
     newest: Option<State>,
@@ -69,9 +72,9 @@
 }
 
 impl Follower {
-    /// A follower of these relays, from the most preferred one on, whose requests wait for a change for
-    /// `max_wait` milliseconds. `cached` is what was active before a restart, if anything: it is active until
-    /// something newer is received.
+    /// Creates a follower that prefers `upstreams` in the order given and whose requests wait up to
+    /// `max_wait` milliseconds for a change. `cached` is the state that was active before a restart, if any;
+    /// it is active until a newer one is received.
     pub fn new(
         id: NodeId,
         upstreams: Vec<NodeId>,
@@ -95,102 +98,104 @@
         }
     }
 
-    /// This node.
+    /// The id of this node.
     pub fn id(&self) -> NodeId {
         self.id
     }
 
-    /// What was counted since the start.
+    /// The counts since the start.
     pub fn counters(&self) -> FollowerCounters {
         self.counters
     }
 
-    /// The newest state, active or not.
+    /// The newest state received, whether active or rejected. `None` if there is none yet.
     pub fn newest(&self) -> Option<&State> {
         self.newest.as_ref()
     }
 
-    /// The state that the instance runs with.
+    /// The state that the instance runs with. `None` if there is none yet.
     pub fn active(&self) -> Option<&State> {
         self.active.as_ref()
     }
 
-    /// The nodes that the last response came through, the source first.
+    /// The nodes that the last response passed through, the source first.
     pub fn path(&self) -> &[NodeId] {
         &self.path
     }
 
-    /// How many milliseconds ago the source responded, by whatever path. None: never.
+    /// How many milliseconds ago the source last responded, through any path. `None` if it never did.
     pub fn source_age(&self, now: Millis) -> Option<Millis> {
         self.last_response.map(|last| last.source_age + now.saturating_sub(last.at))
     }
 
-    /// The deltas that led to the newest state, from the one before; none where a snapshot did.
+    /// The deltas that led from the previous state to the newest one; empty if a snapshot replaced it.
     pub(crate) fn last_deltas(&self) -> &[Delta] {
         &self.last_deltas
     }
 
-    /// Whether it rejects the newest state that it has.
+    /// Whether this instance rejects the newest state that it has received.
     pub fn is_rejecting(&self) -> bool {
         self.newest.as_ref().map(State::version) != self.active.as_ref().map(State::version)
     }
 
-    /// When to call [`Follower::poll`] again, unless something is received before. None: there is no relay.
+    /// When to call [`Follower::poll`] again, unless a message arrives earlier. `None` if there are no
+    /// relays.
     pub fn next_timeout(&self) -> Option<Millis> {
         let next = self.response_due.unwrap_or(self.upstreams.backoff_until());
         (!self.upstreams.is_empty()).then_some(next)
     }
 
-    /// The request to be sent now, if one is due, and to which relay. `rejecting_behind` counts the instances
-    /// behind a relay that reject the newest state that they have.
-    pub fn poll(&mut self, now: Millis, rejecting_behind: u32) -> Option<(NodeId, WatchRequest)> {
+    /// The request to send now and the relay to send it to, if a request is due. `rejecting_downstream` is
+    /// the number of instances downstream of a relay that reject the newest state that they have received.
+    pub fn poll(&mut self, now: Millis, rejecting_downstream: u32) -> Option<(NodeId, WatchRequest)> {
         self.upstreams.current()?;
         if let Some(due) = self.response_due {
             if now < due {
                 return None;
             }
             self.counters.timeouts += 1;
-            self.leave_relay(now);
+            self.switch_relay(now);
         }
         if now < self.upstreams.backoff_until() {
             return None;
         }
         self.upstreams.return_to_first_if_due(now);
         let relay = self.upstreams.current()?;
-        Some((relay, self.build_request(now, rejecting_behind)))
+        Some((relay, self.build_request(now, rejecting_downstream)))
     }
 
-    fn build_request(&mut self, now: Millis, rejecting_behind: u32) -> WatchRequest {
-        // The first response of a relay only shows that it is there.
+    fn build_request(&mut self, now: Millis, rejecting_downstream: u32) -> WatchRequest {
+        // The first request to a relay does not wait for a change: its response only confirms that the relay
+        // is usable.
         let may_wait = self.upstreams.is_settled() && !self.needs_snapshot;
         let max_wait = if may_wait { self.max_wait } else { 0 };
         let held = self.newest.as_ref().filter(|_| !self.needs_snapshot);
         let held = held.map(|state| HeldVersion { version: state.version(), digest: state.digest() });
         let timeout = if held.is_some() { RESPONSE_TIMEOUT } else { SNAPSHOT_TIMEOUT };
         self.response_due = Some(now + max_wait + timeout);
-        let rejecting = rejecting_behind + u32::from(self.is_rejecting());
+        let rejecting = rejecting_downstream + u32::from(self.is_rejecting());
         WatchRequest { held, max_wait, rejecting }
     }
 
-    /// Whether the response to the request in flight is to come from this node.
+    /// Whether a request to this node is in flight.
     fn awaits(&self, from: NodeId) -> bool {
         self.response_due.is_some() && self.upstreams.current() == Some(from)
     }
 
-    /// The present relay cannot be reached, or its connection has ended.
+    /// The connection to `from` failed or ended. Ignored unless a request to that node is in flight.
     pub fn handle_disconnect(&mut self, now: Millis, from: NodeId) {
         if self.awaits(from) {
             self.counters.disconnects += 1;
-            self.leave_relay(now);
+            self.switch_relay(now);
         }
     }
 
-    fn leave_relay(&mut self, now: Millis) {
+    fn switch_relay(&mut self, now: Millis) {
         self.response_due = None;
-        self.upstreams.leave_current(now);
+        self.upstreams.switch_to_next(now);
     }
 
-    /// A response was received.
+    /// Processes a response. Returns the update if it carried a new state.
     pub fn handle_response(
         &mut self,
         now: Millis,
@@ -205,19 +210,19 @@
         let WatchResponse { path, age, body } = response;
         if path.contains(&self.id) || path.len() > MAX_PATH_NODES {
             self.counters.loops += 1;
-            self.leave_relay(now);
+            self.switch_relay(now);
             return None;
         }
         let Ok(update) = self.handle_body(body) else {
-            self.leave_relay(now);
+            self.switch_relay(now);
             return None;
         };
         self.path = path;
         self.last_response = Some(LastResponse { at: now, source_age: age });
         if age > MAX_SOURCE_AGE {
-            // What it has may be the newest there is, but it would not learn of newer.
+            // The relay's state may be the newest one, but the relay would not receive later changes.
             self.counters.cut_off += 1;
-            self.leave_relay(now);
+            self.switch_relay(now);
         } else {
             self.upstreams.record_success(now);
         }
@@ -246,7 +251,7 @@
         }
     }
 
-    /// Applies all of them or none. States between are not checked, since no instance is to run with them.
+    /// Applies all deltas or none. Intermediate states are not validated, since no instance runs with them.
     fn handle_deltas(&mut self, deltas: Vec<Delta>) -> Result<Option<StateUpdate>, RelayUnusable> {
         let Some(newest) = &self.newest else {
             self.counters.wrong_base += 1;
@@ -289,13 +294,14 @@
         Ok(self.accept_state(state))
     }
 
-    /// A snapshot of the version held repairs what is held, if it was requested for that.
+    /// A snapshot of the current version is accepted only if it was requested, to replace a state with a
+    /// mismatched digest.
     fn wants_snapshot_of(&self, version: Version) -> bool {
         let Some(newest) = &self.newest else { return true };
         version > newest.version() || (self.needs_snapshot && version == newest.version())
     }
 
-    /// Keeps a state as the newest, and activates it if the instance can run with it.
+    /// Stores a state as the newest, and activates it if the instance's validation accepts it.
     fn accept_state(&mut self, state: State) -> StateUpdate {
         self.needs_snapshot = false;
         self.newest = Some(state.clone());
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -1,25 +1,27 @@
-//! How one state, an endpoint list or a configuration, reaches every instance of a large fleet: a source,
-//! relays between, and followers. Messages and times come in, messages and updates go out; there are no sockets
-//! and no clock here.
+//! Distributes one state, an endpoint list or a configuration, to every instance of a large fleet: from a
+//! source, through relays, to followers. The crate is sans-I/O: the caller passes in messages and times and
+//! sends the returned messages; there are no sockets and no clock here.
 //!
-//! A [`Follower`] watches one relay at a time: it says which version it has, and the response comes at once
-//! where the relay has a newer one, and else with the next change or when the watch ends. A [`Relay`] is a
-//! follower of the source, or of another relay, with a bounded number of followers of its own.
+//! A [`Follower`] watches one relay at a time. Its request names the version that it has. The relay responds
+//! at once if it has a newer one, and otherwise with the next change or when the watch times out. A [`Relay`]
+//! is itself a follower of the source or of another relay, and serves a bounded number of followers.
 //!
-//! Messages go on connections that the driver keeps: a response comes on the connection that its request went
-//! out by, and none outlives either end's restart. One that comes all the same does no harm, but may have a
-//! snapshot requested twice.
+//! Messages are sent on connections that the driver keeps. A response is sent on the connection that its
+//! request arrived on, and is never delivered after either end has restarted. A response that is delivered
+//! nevertheless does no harm, but may cause a snapshot to be requested twice.
 //!
-//! **What holds.**
-//! - Newer wins, stale never replaces newer: a follower takes a state of a greater version only, whatever path
-//!   it came by.
-//! - A delta is applied only to the version that it is made for, and only if the result has the source's
-//!   digest; otherwise nothing is changed, and a snapshot is requested.
-//! - What is active is the newest state that the instance's own check has accepted: a rejected one is kept, so
-//!   that deltas go on, and counted up to the source, but the last good one stays active.
-//! - No two clocks are compared: versions come from the source, and ages are sums of spans that each node
-//!   measured itself.
-//! - A relay that is silent, behind, cut off from the source, full or part of a loop is left for the next one.
+//! **Invariants**
+//! - Newer wins, stale never replaces newer: a follower accepts a state of a greater version only, whatever
+//!   path it arrived by.
+//! - A delta is applied only to its base version, and only if the result has the source's digest; otherwise
+//!   the state stays unchanged and a snapshot is requested.
+//! - The active state is the newest one that the instance's validation has accepted. A rejected state is kept
+//!   as the base of later deltas and reported up to the source as a count, but the last accepted state stays
+//!   active.
+//! - Clocks of different nodes are never compared: versions come from the source, and ages are sums of time
+//!   spans that each node measured itself.
+//! - A follower switches to the next relay if its relay is silent, behind, cut off from the source, at
+//!   capacity or part of a loop.
 
 #![forbid(unsafe_code)]
 
@@ -52,9 +54,9 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A point in time or a span, in milliseconds of the caller's monotonic clock.
+/// A point in time or a time span, in milliseconds of the caller's monotonic clock.
 pub type Millis = u64;
 
-/// The source, a relay or an instance.
+/// The id of the source, a relay or an instance, unique in the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct NodeId(pub u32);
--- a/crates/distribution/src/message.rs
+++ b/crates/distribution/src/message.rs
@@ -1,6 +1,7 @@
-//! What passes between instances, relays and the source.
+//! Messages between instances, relays and the source.
 //!
-//! Postcard writes fields and variants by their order and not by their names: the order is the wire's.
+//! Postcard encodes fields and variants by their order and not by their names: reordering them breaks the
+//! wire format.
 
 use crate::delta::Delta;
 use crate::snapshot::Snapshot;
@@ -8,63 +9,66 @@
 use crate::{Millis, NodeId};
 use serde::{Deserialize, Serialize};
 
-/// What a follower has.
+/// The version of a follower's newest state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct HeldVersion {
-    /// The version of its newest state.
+    /// The version of that state.
     pub version: Version,
-    /// The digest of that state.
+    /// The digest of that state's entries.
     pub digest: Digest,
 }
 
-/// Asks for what is newer.
+/// Requests any state newer than the follower's.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct WatchRequest {
-    /// None: nothing is held, or not to be built on. A snapshot is requested.
+    /// The follower's newest state. `None` requests a snapshot: the follower has no state, or its state
+    /// cannot serve as the base of a delta.
     pub held: Option<HeldVersion>,
-    /// How long the response may wait for a change, in milliseconds.
+    /// How long the relay may delay its response until a change occurs, in milliseconds.
     #[serde(rename = "hold")]
     pub max_wait: Millis,
-    /// Instances at or behind the sender that reject the newest version that they have.
+    /// The number of instances, at the sender or downstream of it, that reject the newest state that they
+    /// have received.
     #[serde(rename = "refusing")]
     pub rejecting: u32,
 }
 
-/// What a relay has for a follower.
+/// A relay's response to a follower.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ResponseBody {
-    /// Nothing is newer.
+    /// The relay has no newer state.
     #[serde(rename = "Same")]
     Unchanged,
-    /// From older to newer, each the base of the next: whoever passes them on can serve followers at any of
-    /// them.
+    /// From older to newer, each the base of the next. A relay that receives them can serve followers at any
+    /// of these versions.
     Deltas(Vec<Delta>),
-    /// The whole state.
+    /// The complete state.
     Snapshot(Snapshot),
-    /// The relay's state at that version is another: a snapshot must be requested.
+    /// The relay has a different state at the follower's version: the follower must request a snapshot.
     #[serde(rename = "Differs")]
     DigestMismatch,
-    /// The relay has nothing newer, and is itself behind.
+    /// The relay's state is older than the follower's.
     #[serde(rename = "Older")]
     Behind,
-    /// The relay has nothing yet.
+    /// The relay has not received a state yet.
     Empty,
-    /// It has as many followers as it may.
+    /// The relay already has its maximum number of followers.
     Busy,
 }
 
 /// The response to a [`WatchRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct WatchResponse {
-    /// The nodes that it came through, the source first.
+    /// The nodes that the state passed through, the source first.
     pub path: Vec<NodeId>,
-    /// How long ago the source responded, in milliseconds: a span, so that no two clocks are compared.
+    /// How long ago the source last responded, in milliseconds. A time span, so that clocks of different
+    /// nodes are never compared.
     pub age: Millis,
-    /// What the relay has.
+    /// The result of the request.
     pub body: ResponseBody,
 }
 
-/// What passes between two nodes.
+/// A message between two nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
     /// From a follower to a relay or the source.
--- a/crates/distribution/src/relay.rs
+++ b/crates/distribution/src/relay.rs
@@ -1,5 +1,5 @@
-//! A relay's part: a bounded number of followers, which it sends changes as fast as its byte budget lets it.
-//! The source is a relay that follows nobody.
+//! The relay: serves a bounded number of followers and sends them changes within its byte budget. The source
+//! is a relay without an upstream.
 
 use crate::budget::ByteBudget;
 use crate::counters::RelayCounters;
@@ -12,50 +12,54 @@
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
-/// How long a relay's own requests wait for a change: the ages that it reports grow no older than that.
+/// How long a relay's own requests wait for a change, in milliseconds. It bounds how old the source ages grow
+/// that the relay reports to its followers.
 pub const RELAY_MAX_WAIT: Millis = 1_000;
-/// A follower's request waits for this long at most, whatever it asks for.
+/// The maximum time in milliseconds that a follower's request waits for a change, whatever the request asks
+/// for.
 const MAX_WAIT: Millis = 10_000;
-/// How soon to try again where the byte budget delays a response.
+/// How long to wait, in milliseconds, before a response delayed by the byte budget is tried again.
 const DELAYED_RETRY_INTERVAL: Millis = 20;
-/// A follower that rejects its newest state stops counting once it has sent no request for so long: it may have
-/// gone to another relay.
+/// How long, in milliseconds, a follower's rejections count after its last request: the follower may have
+/// switched to another relay.
 const REJECTION_TIMEOUT: Millis = 15_000;
-/// Bytes of a response beside its content, nearly.
+/// Approximate encoded bytes of a response in addition to its content.
 const RESPONSE_OVERHEAD_BYTES: usize = 96;
-/// The text of a state is over so many times the bytes of its snapshot; a guess until there is one.
+/// Estimated ratio of a state's text to its snapshot in bytes, used until the snapshot has been compressed.
+/// The actual ratio is higher.
 const ASSUMED_COMPRESSION_RATIO: usize = 3;
-/// The age of a source that has never responded: far beyond any bound, and safe to add spans to.
+/// The age reported if the source has never responded: far beyond any limit, and small enough to add time
+/// spans to without overflow.
 const UNKNOWN_AGE: Millis = Millis::MAX / 2;
 
-/// A response to be sent.
+/// A response to send.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outgoing {
-    /// The follower.
+    /// The follower to send the response to.
     pub to: NodeId,
-    /// What is sent.
+    /// The response itself.
     pub response: WatchResponse,
 }
 
-/// What a relay may spend on its followers.
+/// The limits on what a relay spends on its followers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RelayLimits {
-    /// Followers at once.
+    /// Requests of different followers that may be pending at the same time.
     pub max_followers: usize,
-    /// Bytes a second in the long run.
+    /// Bytes per second on average.
     pub bytes_per_second: u64,
-    /// Bytes at once.
+    /// Bytes that may be sent at once.
     pub burst_bytes: u64,
 }
 
-/// A request that waits for its response.
+/// A follower's request that has not been answered yet.
 #[derive(Debug)]
 struct PendingRequest {
     request: WatchRequest,
     answer_by: Millis,
 }
 
-/// Instances at or behind a follower that reject their newest state.
+/// The number of instances, at a follower or downstream of it, that reject their newest state.
 #[derive(Debug)]
 struct Rejections {
     instances: u32,
@@ -68,14 +72,14 @@
     Relay(Box<Follower>),
 }
 
-/// How a request is answered.
+/// The kind of response to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Reply {
     Unchanged,
     Behind,
     Empty,
     DigestMismatch,
-    /// All deltas from an index of the history on.
+    /// All deltas from this index of the history on.
     DeltasSince(usize),
     Snapshot,
 }
@@ -87,7 +91,7 @@
     max_followers: usize,
     role: Role,
     history: DeltaHistory,
-    /// Of the present state, made when first requested.
+    /// The snapshot of the current state, compressed when first requested.
     snapshot: Option<Snapshot>,
     pending: BTreeMap<NodeId, PendingRequest>,
     rejections: BTreeMap<NodeId, Rejections>,
@@ -96,15 +100,15 @@
 }
 
 impl Relay {
-    /// The source, from a state that it kept, or an empty one of a new epoch.
+    /// Creates the source from a state that it stored, or from an empty one of a new epoch.
     pub fn source(id: NodeId, limits: RelayLimits, state: State) -> Relay {
         Relay::with_role(id, limits, Role::Source(state))
     }
 
-    /// A relay that follows these, from the most preferred one on. `cached` is what it kept of its last life, if
-    /// anything.
+    /// Creates a relay that prefers `upstreams` in the order given. `cached` is the state that it stored
+    /// before a restart, if any.
     pub fn new(id: NodeId, limits: RelayLimits, upstreams: Vec<NodeId>, cached: Option<State>) -> Relay {
-        // A relay passes on what it receives: whether an instance can run with it is for each instance to say.
+        // A relay forwards every state that it receives: each instance validates the states itself.
         let accept_all = Box::new(|_: &State| Ok(()));
         let follower = Follower::new(id, upstreams, RELAY_MAX_WAIT, accept_all, cached);
         Relay::with_role(id, limits, Role::Relay(Box::new(follower)))
@@ -124,7 +128,7 @@
         }
     }
 
-    /// Its state; none at a relay that has received nothing.
+    /// The newest state. `None` at a relay that has not received one yet.
     pub fn state(&self) -> Option<&State> {
         match &self.role {
             Role::Source(state) => Some(state),
@@ -132,7 +136,7 @@
         }
     }
 
-    /// Its part as a follower; none at the source.
+    /// The relay's own follower. `None` at the source.
     pub fn follower(&self) -> Option<&Follower> {
         match &self.role {
             Role::Source(_) => None,
@@ -140,18 +144,19 @@
         }
     }
 
-    /// What was counted since the start.
+    /// The counts since the start.
     pub fn counters(&self) -> RelayCounters {
         self.counters
     }
 
-    /// How many instances at or behind its followers reject the newest state that they have.
+    /// The number of instances, at its followers or downstream of them, that reject the newest state that
+    /// they have received.
     pub fn rejecting(&self, now: Millis) -> u32 {
         let current = self.rejections.values().filter(|rejections| rejections.expires_at > now);
         current.map(|rejections| rejections.instances).sum()
     }
 
-    /// The source's next version. None at a relay, which makes no versions.
+    /// Publishes these changes as the source's next version. `None` at a relay, which creates no versions.
     pub fn publish(&mut self, changes: Vec<EntryChange>) -> Option<Version> {
         let Role::Source(state) = &mut self.role else { return None };
         let version = Version { number: state.version().number + 1, ..state.version() };
@@ -161,13 +166,13 @@
         Some(version)
     }
 
-    /// The state is new; without deltas it is not known what led to it.
+    /// Records that the state changed. `deltas` is empty if a snapshot replaced it.
     fn record_deltas(&mut self, deltas: Vec<Delta>) {
         self.snapshot = None;
         self.history.extend(deltas);
     }
 
-    /// A relay's own request to be sent now, if one is due, and to which node.
+    /// The relay's own request to send now and the node to send it to, if a request is due.
     pub fn poll_upstream(&mut self, now: Millis) -> Option<(NodeId, WatchRequest)> {
         self.rejections.retain(|_, rejections| rejections.expires_at > now);
         let rejecting = self.rejecting(now);
@@ -177,7 +182,7 @@
         }
     }
 
-    /// The response to a relay's own request was received.
+    /// Processes the response to the relay's own request.
     pub fn handle_response(&mut self, now: Millis, from: NodeId, response: WatchResponse) {
         let Role::Relay(follower) = &mut self.role else { return };
         if let Some(StateUpdate::Activated(_)) = follower.handle_response(now, from, response) {
@@ -186,7 +191,7 @@
         }
     }
 
-    /// The node that it follows cannot be reached, or a follower's connection has ended.
+    /// The connection to `peer`, an upstream or a follower, failed or ended.
     pub fn handle_disconnect(&mut self, now: Millis, peer: NodeId) {
         self.pending.remove(&peer);
         self.rejections.remove(&peer);
@@ -195,7 +200,8 @@
         }
     }
 
-    /// A follower's request was received. [`Relay::poll`] answers it, unless it is rejected at once.
+    /// Processes a follower's request. [`Relay::poll`] returns the response, unless the request is rejected
+    /// at once.
     pub fn handle_request(&mut self, now: Millis, from: NodeId, request: WatchRequest) -> Option<Outgoing> {
         let is_full = self.pending.len() >= self.max_followers;
         if is_full && !self.pending.contains_key(&from) {
@@ -216,7 +222,7 @@
         }
     }
 
-    /// When to call [`Relay::poll`] and [`Relay::poll_upstream`] again, unless something is received before.
+    /// When to call [`Relay::poll`] and [`Relay::poll_upstream`] again, unless a message arrives earlier.
     pub fn next_timeout(&self, now: Millis) -> Option<Millis> {
         let answer_at = |pending: &PendingRequest| match self.reply_to(&pending.request) {
             Reply::Unchanged => pending.answer_by,
@@ -227,8 +233,8 @@
         next_answer.into_iter().chain(next_request).min()
     }
 
-    /// Responses to be sent now: the smallest first, so that changes go before snapshots, and as many as the
-    /// byte budget lets through.
+    /// The responses to send now, as many as the byte budget allows. Smaller responses come first, so that
+    /// changes are sent before snapshots.
     pub fn poll(&mut self, now: Millis) -> Vec<Outgoing> {
         self.budget.refill(now);
         let mut responses = Vec::new();
@@ -245,13 +251,13 @@
         responses
     }
 
-    /// The replies that do not wait any more, with their sizes in bytes; the smallest first.
+    /// The replies that are due now, with their approximate sizes in bytes, the smallest first.
     fn due_replies(&self, now: Millis) -> Vec<(usize, NodeId, Reply)> {
         let mut due = Vec::new();
         for (follower, pending) in &self.pending {
             let reply = self.reply_to(&pending.request);
             if reply != Reply::Unchanged || pending.answer_by <= now {
-                due.push((self.size_of(&reply), *follower, reply));
+                due.push((self.estimate_size(&reply), *follower, reply));
             }
         }
         due.sort_by_key(|(size, follower, _)| (*size, *follower));
@@ -269,7 +275,7 @@
         Outgoing { to, response: WatchResponse { path, age, body } }
     }
 
-    /// How a request would be answered now.
+    /// The reply to a request as of now.
     fn reply_to(&self, request: &WatchRequest) -> Reply {
         let Some(state) = self.state() else { return Reply::Empty };
         let Some(held) = request.held else { return Reply::Snapshot };
@@ -283,8 +289,8 @@
         }
     }
 
-    /// The bytes of a reply, nearly.
-    fn size_of(&self, reply: &Reply) -> usize {
+    /// The approximate encoded size of a reply in bytes.
+    fn estimate_size(&self, reply: &Reply) -> usize {
         let content = match reply {
             Reply::DeltasSince(first) => self.history.bytes_since(*first),
             Reply::Snapshot => match &self.snapshot {
@@ -301,7 +307,7 @@
         state.entries().map(|(name, value)| name.len() + value.len()).sum()
     }
 
-    /// The content of a reply; none where a snapshot could not be made.
+    /// Builds the content of a reply. `None` if the snapshot could not be compressed.
     fn build_body(&mut self, reply: Reply) -> Option<ResponseBody> {
         match reply {
             Reply::Unchanged => {
--- a/crates/distribution/src/snapshot.rs
+++ b/crates/distribution/src/snapshot.rs
@@ -1,17 +1,17 @@
-//! A whole state, compressed for its way.
+//! A complete state, compressed for sending.
 
 use crate::state::State;
 use crate::version::{Digest, Version};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// The most bytes of a decompressed state: far above the lists of any fleet. A forged snapshot must not fill
-/// memory.
+/// The maximum size of a decompressed state in bytes, far above the size of any fleet's endpoint list. Keeps
+/// a forged snapshot from exhausting memory.
 const MAX_DECOMPRESSED_BYTES: usize = 64 << 20;
-/// The level of zstd's own default: a relay compresses each version once.
+/// zstd's own default level; a relay compresses each version only once.
 const COMPRESSION_LEVEL: i32 = 3;
 
-/// A whole state, compressed.
+/// A complete state, compressed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Snapshot {
     /// The state's version.
@@ -22,14 +22,15 @@
     compressed: Arc<[u8]>,
 }
 
-/// Why a snapshot cannot be made, or not be used.
+/// Why a snapshot cannot be created or decompressed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SnapshotError {
-    /// It is torn, too long, or no state.
-    #[error("its content cannot be read")]
+    /// The state could not be serialized or compressed; or the snapshot is truncated, too large or not a
+    /// valid state.
+    #[error("snapshot content could not be encoded or decoded")]
     Malformed,
-    /// Its entries do not have its digest.
-    #[error("its entries do not have its digest")]
+    /// The decompressed entries do not match the snapshot's digest.
+    #[error("snapshot entries do not match the snapshot's digest")]
     DigestMismatch,
 }
 
@@ -37,7 +38,7 @@
     /// Compresses a state.
     ///
     /// # Errors
-    /// The state cannot be written, which only a lack of memory causes.
+    /// The state could not be serialized or compressed; only running out of memory causes this.
     pub fn compress(state: &State) -> Result<Snapshot, SnapshotError> {
         let entries: Vec<(&Arc<str>, &Arc<str>)> = state.entries().collect();
         let bytes = postcard::to_stdvec(&entries).map_err(|_| SnapshotError::Malformed)?;
@@ -46,10 +47,11 @@
         Ok(Snapshot { version: state.version(), digest: state.digest(), compressed: compressed.into() })
     }
 
-    /// The state.
+    /// Decompresses the state.
     ///
     /// # Errors
-    /// It is torn, too long, or its entries do not have its digest. Nothing of it is to be used.
+    /// The snapshot is truncated, too large or malformed, or its entries do not match its digest. The
+    /// snapshot must then be dropped.
     pub fn decompress(&self) -> Result<State, SnapshotError> {
         let bytes = zstd::bulk::decompress(&self.compressed, MAX_DECOMPRESSED_BYTES)
             .map_err(|_| SnapshotError::Malformed)?;
@@ -62,7 +64,7 @@
         Ok(state)
     }
 
-    /// Its bytes on a wire, nearly.
+    /// The approximate encoded size in bytes.
     pub fn size(&self) -> usize {
         self.compressed.len()
     }
--- a/crates/distribution/src/state.rs
+++ b/crates/distribution/src/state.rs
@@ -1,11 +1,11 @@
-//! What is distributed: named entries at a version, with a digest of all of them.
+//! The distributed state: named entries at a version, with a digest over all entries.
 
 use crate::delta::{ApplyError, Delta, EntryChange};
 use crate::version::{Digest, Version};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// All entries at a version. A clone shares them.
+/// All entries at a version. Clones share the entries.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct State {
     version: Version,
@@ -14,12 +14,12 @@
 }
 
 impl State {
-    /// Without entries.
+    /// A state without entries.
     pub fn empty(version: Version) -> State {
         State { version, digest: Digest::default(), entries: Arc::default() }
     }
 
-    /// Of entries, with the digest that they have. Of several entries of one name the last holds.
+    /// A state of these entries, with their digest. If a name occurs more than once, the last value applies.
     pub fn new(version: Version, entries: impl IntoIterator<Item = (Arc<str>, Arc<str>)>) -> State {
         let entries: BTreeMap<Arc<str>, Arc<str>> = entries.into_iter().collect();
         let no_entries = Digest::default();
@@ -27,22 +27,22 @@
         State { version, digest, entries: Arc::new(entries) }
     }
 
-    /// Its version.
+    /// The version that the source assigned.
     pub fn version(&self) -> Version {
         self.version
     }
 
-    /// The digest of its entries.
+    /// The digest over all entries.
     pub fn digest(&self) -> Digest {
         self.digest
     }
 
-    /// The value of an entry.
+    /// The value of an entry. `None` if there is no entry of that name.
     pub fn get(&self, name: &str) -> Option<&str> {
         self.entries.get(name).map(|value| &**value)
     }
 
-    /// The entries' names and values, in the order of names.
+    /// The entries' names and values, sorted by name.
     pub fn entries(&self) -> impl Iterator<Item = (&Arc<str>, &Arc<str>)> {
         self.entries.iter()
     }
@@ -57,10 +57,10 @@
         self.entries.is_empty()
     }
 
-    /// The delta that makes these changes, to a version that is newer. Of several changes of one name the last
-    /// holds.
+    /// The delta from this state to version `to` with these changes. If a name occurs more than once, the
+    /// last change applies.
     pub fn delta(&self, to: Version, mut changes: Vec<EntryChange>) -> Delta {
-        // The sort is stable: changes of one name stay in their order.
+        // The sort is stable: changes of the same name keep their order.
         changes.sort_by(|a, b| a.name.cmp(&b.name));
         changes.reverse();
         changes.dedup_by(|earlier, last| earlier.name == last.name);
@@ -81,11 +81,11 @@
         digest
     }
 
-    /// The state that a delta makes of this one.
+    /// Applies a delta and returns the resulting state.
     ///
     /// # Errors
-    /// The delta is made for another version, leads to none that is newer, or its digest is not that of what it
-    /// makes.
+    /// The delta's base is not this state's version, its version is not newer, its changes are unsorted, or
+    /// the result does not match its digest.
     pub fn apply(&self, delta: &Delta) -> Result<State, ApplyError> {
         if delta.base != self.version {
             return Err(ApplyError::WrongBase);
@@ -99,7 +99,7 @@
         if self.digest_after(&delta.changes) != delta.digest {
             return Err(ApplyError::DigestMismatch);
         }
-        // The copy shares names and values.
+        // The copied map shares the names and values.
         let mut entries = BTreeMap::clone(&self.entries);
         for EntryChange { name, value } in &delta.changes {
             match value {
--- a/crates/distribution/src/topology.rs
+++ b/crates/distribution/src/topology.rs
@@ -1,4 +1,4 @@
-//! Which relays an instance follows, from what an operator has written.
+//! The relays of a fleet as configured by an operator, and which of them an instance follows.
 
 use crate::NodeId;
 use serde::Deserialize;
@@ -7,11 +7,11 @@
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Where a relay or an instance is.
+/// The address, region and zone of a relay or an instance.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodeLocation {
-    /// The address that others reach it at.
+    /// The address at which other nodes reach the node.
     pub addr: SocketAddr,
     /// Its region.
     pub region: String,
@@ -29,67 +29,67 @@
     pub zones: Vec<String>,
 }
 
-/// The relays, as an operator's file lists them.
+/// The regions and relays as listed in an operator's file.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Topology {
-    /// All regions.
+    /// All regions of the fleet.
     #[serde(rename = "region")]
     pub regions: Vec<Region>,
-    /// All relays.
+    /// All relays of the fleet.
     #[serde(rename = "relay")]
     pub relays: Vec<NodeLocation>,
-    /// Followers that a relay takes.
+    /// The maximum number of followers of a relay.
     pub fan_out: usize,
 }
 
-/// What is wrong with a topology; the text begins with the operator's key.
+/// Why a topology is invalid; the message begins with the operator's key.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TopologyError {
-    /// Relays would take no followers.
-    #[error("{}: is zero", self.key())]
+    /// Relays would accept no followers.
+    #[error("{}: must be at least 1, found 0", self.key())]
     ZeroFanOut,
-    /// There are no relays.
-    #[error("{}: names nobody", self.key())]
+    /// No relay is listed.
+    #[error("{}: must list at least one relay", self.key())]
     NoRelays,
-    /// A node is in a region that the file does not name.
-    #[error("{}: {region:?} is no region of the file", self.key())]
+    /// A node's region is not listed in the file.
+    #[error("{}: {region:?} is not a region listed in the file", self.key())]
     UnknownRegion {
-        /// The node's key.
+        /// The operator's key of the node.
         node: String,
-        /// The region.
+        /// The region that is not listed.
         region: String,
     },
-    /// A node is in a zone that its region does not have.
-    #[error("{}: {zone:?} is no zone of {region:?}", self.key())]
+    /// A node's zone is not listed for its region.
+    #[error("{}: {zone:?} is not a zone of region {region:?}", self.key())]
     UnknownZone {
-        /// The node's key.
+        /// The operator's key of the node.
         node: String,
-        /// The zone.
+        /// The zone that is not listed.
         zone: String,
-        /// The region.
+        /// The node's region.
         region: String,
     },
-    /// Two relays have one address.
-    #[error("{}: {addr} is there twice", self.key())]
+    /// Two relays have the same address.
+    #[error("{}: {addr} is already the address of another relay", self.key())]
     DuplicateRelay {
-        /// The key of the second.
+        /// The operator's key of the second relay.
         node: String,
-        /// The address.
+        /// The address of both relays.
         addr: SocketAddr,
     },
     /// A relay has the address of the instance that reads the file.
-    #[error("{}: {addr} is this instance's own", self.key())]
+    #[error("{}: {addr} is this instance's own address", self.key())]
     OwnAddress {
-        /// The relay's key.
+        /// The operator's key of the relay.
         node: String,
-        /// The address.
+        /// The address of both the relay and the instance.
         addr: SocketAddr,
     },
 }
 
 impl TopologyError {
-    /// The operator's key that is at fault.
+    /// The operator's key of the invalid value.
     pub fn key(&self) -> String {
         match self {
             TopologyError::ZeroFanOut => "distribution.fan_out".to_string(),
@@ -104,10 +104,10 @@
 }
 
 impl Topology {
-    /// Checks what is written, for a node at `own`; a relay also gives its index in the list.
+    /// Validates the topology for the node at `own`. A relay passes its own index in the list.
     ///
     /// # Errors
-    /// The first thing that is wrong, with its key.
+    /// The first invalid value, with its key.
     pub fn check(&self, own: &NodeLocation, own_relay_index: Option<usize>) -> Result<(), TopologyError> {
         if self.fan_out == 0 {
             return Err(TopologyError::ZeroFanOut);
@@ -142,8 +142,9 @@
         Ok(())
     }
 
-    /// The relays that an instance follows, by their indices, the most preferred first: those of its own region
-    /// come first, spread evenly over all instances by a hash of both.
+    /// The indices of all relays, in the order in which an instance prefers them: relays of its own region
+    /// first, then the rest. A hash of instance and relay orders them within both groups, which spreads the
+    /// instances evenly.
     pub fn preferred_relays(&self, instance: NodeId, region: &str) -> Vec<usize> {
         let mut indices: Vec<usize> = (0..self.relays.len()).collect();
         indices.sort_by_key(|index| {
--- a/crates/distribution/src/upstreams.rs
+++ b/crates/distribution/src/upstreams.rs
@@ -1,33 +1,34 @@
-//! Which relay a follower watches: the most preferred one that is of use, with a backoff once all have failed.
+//! Selects the relay that a follower watches: the most preferred usable one, with a backoff once all relays
+//! have failed.
 
 use crate::{Millis, NodeId};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The wait before the next relay is tried once all have failed, doubled with each further round up to
-/// [`MAX_BACKOFF`], and jittered.
+/// The backoff, in milliseconds, after all relays have failed once. It doubles with each further round of
+/// failures up to [`MAX_BACKOFF`], and is jittered.
 const MIN_BACKOFF: Millis = 250;
-/// The longest wait: a relay that is back is found within seconds.
+/// The maximum backoff in milliseconds: a recovered relay is found within seconds.
 const MAX_BACKOFF: Millis = 2_000;
-/// The backoff doubles this often at most; by then [`MAX_BACKOFF`] is reached.
+/// The maximum number of times the backoff doubles; [`MAX_BACKOFF`] is reached before.
 const MAX_DOUBLINGS: usize = 8;
-/// A follower that has left its first relay tries it again after about this long, so that followers spread
-/// evenly again after a fault.
+/// How long, in milliseconds before jitter, after leaving its first relay a follower tries that relay again,
+/// so that followers are spread evenly again after a fault.
 const RETURN_TO_FIRST_AFTER: Millis = 30_000;
 
-/// The relays that a follower may watch.
+/// The relays that a follower may watch, and which of them it watches now.
 #[derive(Clone, Debug)]
 pub(crate) struct Upstreams {
     own_id: NodeId,
-    /// From the most preferred one on.
+    /// Sorted by preference, the most preferred first.
     relays: Vec<NodeId>,
     current: usize,
-    /// The present relay has responded.
+    /// The current relay has responded.
     settled: bool,
-    /// Relays left one after another.
+    /// Failures since the last successful response.
     consecutive_failures: u32,
-    /// Not before this time the next request is sent.
+    /// No request is sent before this time.
     backoff_until: Millis,
-    /// When the first relay is tried again.
+    /// When to try the first relay again.
     return_at: Option<Millis>,
 }
 
@@ -48,12 +49,12 @@
         self.relays.is_empty()
     }
 
-    /// The relay that is watched. None: there is none to watch.
+    /// The relay to watch. `None` if there are no relays.
     pub fn current(&self) -> Option<NodeId> {
         self.relays.get(self.current).copied()
     }
 
-    /// Whether the present relay has responded.
+    /// Whether the current relay has responded.
     pub fn is_settled(&self) -> bool {
         self.settled
     }
@@ -62,7 +63,7 @@
         self.backoff_until
     }
 
-    /// Turns back to the first relay once that is due.
+    /// Switches back to the first relay if that is due.
     pub fn return_to_first_if_due(&mut self, now: Millis) {
         if self.return_at.is_some_and(|at| now >= at) {
             self.current = 0;
@@ -71,15 +72,16 @@
         }
     }
 
-    /// The present relay is of use.
+    /// Records a usable response from the current relay.
     pub fn record_success(&mut self, now: Millis) {
         self.settled = true;
         self.consecutive_failures = 0;
         self.backoff_until = now;
     }
 
-    /// Turns to the next relay: at once, unless all have failed. There must be one.
-    pub fn leave_current(&mut self, now: Millis) {
+    /// Switches to the next relay. A backoff applies only after all relays have failed. The list of relays
+    /// must not be empty.
+    pub fn switch_to_next(&mut self, now: Millis) {
         self.settled = false;
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
         self.current = (self.current + 1) % self.relays.len();
@@ -99,7 +101,8 @@
         self.jittered(now, backoff)
     }
 
-    /// From half to one and a half of a span: unlike for any two followers and times, the same for the same.
+    /// Jitters a time span to between 0.5 and 1.5 times its length. The result is a hash of the follower's id
+    /// and the time: followers get different values, and the same inputs always give the same value.
     fn jittered(&self, now: Millis, span: Millis) -> Millis {
         let mut seed = [0; 12];
         seed[..4].copy_from_slice(&self.own_id.0.to_le_bytes());
--- a/crates/distribution/tests/compatibility.rs
+++ b/crates/distribution/tests/compatibility.rs
@@ -1,14 +1,14 @@
-//! Messages and the operator's file against recorded samples. Guards against instances and relays of
-//! different builds that misread each other: postcard writes fields and variants by their order, which a
-//! round trip within one build does not show. Whole states are compressed: another version of zstd may write
-//! other bytes that read as the same entries.
+//! Compares messages and the operator's file with recorded samples. Guards against instances and relays of
+//! different builds misreading each other: postcard encodes fields and variants by their order, and a change
+//! of that order does not show in a round trip within one build. Snapshots are compressed: another version of
+//! zstd may produce other bytes that decode to the same entries.
 
 use rowanglade_distribution::{
     Delta, Digest, EntryChange, HeldVersion, Message, NodeId, NodeLocation, Region, ResponseBody, Snapshot,
     State, Topology, Version, WatchRequest, WatchResponse, decode, encode,
 };
 
-/// A name and the bytes of its message in hex.
+/// One line per message: its name and its bytes in hexadecimal.
 const MESSAGES: &str = include_str!("samples/messages.txt");
 const TOPOLOGY: &str = include_str!("samples/topology.toml");
 
@@ -19,8 +19,8 @@
 
 fn messages() -> Vec<(&'static str, Message)> {
     let held = HeldVersion { version: Version { epoch: 1, number: 2 }, digest: Digest(3) };
-    let watch = |held| Message::Request(WatchRequest { held, max_wait: 1_000, rejecting: 5 });
-    let answer =
+    let request = |held| Message::Request(WatchRequest { held, max_wait: 1_000, rejecting: 5 });
+    let response =
         |body| Message::Response(WatchResponse { path: vec![NodeId(6), NodeId(700)], age: 800, body });
     let (base, to) = (Version { epoch: 1, number: 2 }, Version { epoch: 1, number: 3 });
     let changes = vec![
@@ -29,15 +29,15 @@
     ];
     let delta = Delta { base, to, digest: Digest(u128::MAX - 1), changes };
     vec![
-        ("watch", watch(Some(held))),
-        ("watch-without", watch(None)),
-        ("same", answer(ResponseBody::Unchanged)),
-        ("deltas", answer(ResponseBody::Deltas(vec![delta]))),
-        ("snapshot", answer(ResponseBody::Snapshot(Snapshot::compress(&state()).expect("packed")))),
-        ("differs", answer(ResponseBody::DigestMismatch)),
-        ("older", answer(ResponseBody::Behind)),
-        ("empty", answer(ResponseBody::Empty)),
-        ("busy", answer(ResponseBody::Busy)),
+        ("watch", request(Some(held))),
+        ("watch-without", request(None)),
+        ("same", response(ResponseBody::Unchanged)),
+        ("deltas", response(ResponseBody::Deltas(vec![delta]))),
+        ("snapshot", response(ResponseBody::Snapshot(Snapshot::compress(&state()).expect("packed")))),
+        ("differs", response(ResponseBody::DigestMismatch)),
+        ("older", response(ResponseBody::Behind)),
+        ("empty", response(ResponseBody::Empty)),
+        ("busy", response(ResponseBody::Busy)),
     ]
 }
 
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn messages_are_as_recorded() {
+fn messages_match_the_recorded_samples() {
     let written = |(name, m)| format!("{name} {}", hex(&encode(&[7; 32], NodeId(9), &m).expect("encoded")));
     let written: Vec<String> = messages().into_iter().map(written).collect();
     assert_eq!(written, MESSAGES.lines().collect::<Vec<_>>());
