--- a/crates/test-fleet/src/client_load.rs
+++ b/crates/test-fleet/src/client_load.rs
@@ -1,5 +1,5 @@
-//! Clients that send requests at random times, whether or not earlier ones have ended (an open loop), and
-//! record how each ended.
+//! Simulated clients that send requests at random times, whether or not earlier ones have ended (an open
+//! loop), and record the outcome of each request.
 
 use crate::load_plan::{ClassPlan, LoadPlan, RequestCounts};
 use crate::recorder::Recorder;
@@ -16,11 +16,11 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep_until, timeout, timeout_at};
 
-/// A client that has no response this long after its time stops waiting.
+/// How long after its deadline a client waits for a response before it times out.
 const TIMEOUT_MARGIN: Duration = Duration::from_millis(505);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The clients of one initiator, whose process may change.
+/// The clients of one initiator. The process that serves as this initiator may be replaced.
 pub struct ClientLoad {
     plan: LoadPlan,
     recorder: Rc<Recorder>,
@@ -30,12 +30,13 @@
     counts: Cell<RequestCounts>,
     in_flight: Cell<u64>,
     stopped: Cell<bool>,
-    /// New connections are made.
+    /// Whether clients may open new connections.
     connecting: Cell<bool>,
 }
 
 impl ClientLoad {
-    /// Begins to send requests, until [`ClientLoad::stop`]. `name` begins the ids of its requests.
+    /// Starts to send requests, until [`ClientLoad::stop`] is called. The ids of the requests begin with
+    /// `name`.
     pub fn start(
         plan: LoadPlan,
         name: &str,
@@ -59,31 +60,31 @@
         load
     }
 
-    /// Later requests go to another process. Connections to the one before stay in use for as long as they
-    /// are open.
+    /// Sends later requests to another process. Open connections to the previous process stay in use until
+    /// they are closed.
     pub fn switch_to(&self, process: ProcessId, addr: SocketAddr) {
         self.process.set((process, addr));
         self.connecting.set(true);
     }
 
-    /// Clients keep the connections that they have and make no new ones, until [`ClientLoad::switch_to`].
+    /// Clients keep their open connections and open no new ones, until [`ClientLoad::switch_to`] is called.
     pub fn stop_connecting(&self) {
         self.connecting.set(false);
     }
 
-    /// No more requests are sent; those in flight go on.
+    /// Stops sending requests; requests in flight continue.
     pub fn stop(&self) {
         self.stopped.set(true);
     }
 
-    /// Resolves once no request is in flight.
+    /// Resolves when no request is in flight.
     pub async fn settled(&self) {
         while self.in_flight.get() > 0 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     }
 
-    /// What became of the requests that have ended so far.
+    /// The outcomes of the requests that have ended so far.
     pub fn counts(&self) -> RequestCounts {
         self.counts.get()
     }
@@ -142,11 +143,11 @@
     async fn run_request(self: Rc<Self>, request: PlannedRequest) {
         self.in_flight.set(self.in_flight.get() + 1);
         let Exchange { process, sent_at, outcome } = self.send(&request).await;
-        self.recorder.request(Request {
+        self.recorder.record_request(Request {
             id: request.id,
             process,
             idempotency: request.idempotency,
-            sent_at: self.recorder.at(sent_at),
+            sent_at: self.recorder.micros_at(sent_at),
             wait: request.wait.as_micros() as Micros,
             outcome,
         });
@@ -168,8 +169,8 @@
 
     /// Sends a request on an idle connection or a new one.
     async fn send(&self, request: &PlannedRequest) -> Exchange {
-        // The last used first. One that the initiator closed meanwhile has not read the request, which is
-        // sent once more on a new connection.
+        // Uses the most recently used idle connection first. If the initiator closed it before reading the
+        // request, the request is sent again on another connection.
         loop {
             let Some((process, stream)) = self.idle.borrow_mut().pop() else { break };
             if let Some(exchange) = self.exchange(process, stream, request, false).await {
@@ -186,8 +187,8 @@
         self.exchange(process, stream, request, true).await.unwrap_or(not_accepted)
     }
 
-    /// One request on a connection, `first`: the first on it. None: it may be sent on another connection,
-    /// since it was not read on this one.
+    /// Sends one request on a connection; `first` if it is the first on that connection. Returns `None` if
+    /// the request may be sent on another connection, since it was not read on this one.
     async fn exchange(
         &self,
         process: ProcessId,
@@ -195,7 +196,7 @@
         request: &PlannedRequest,
         first: bool,
     ) -> Option<Exchange> {
-        // Without it the last bytes of a request may wait for an acknowledgement.
+        // Disables Nagle's algorithm: otherwise the last bytes of a request may wait for an acknowledgement.
         let _ = stream.set_nodelay(true);
         if stream.write_all(request.text.as_bytes()).await.is_err() {
             return None;
@@ -222,8 +223,8 @@
     }
 }
 
-/// The status of the response to a GET of a path.
-pub(crate) async fn status_of(addr: SocketAddr, path: &str) -> io::Result<u16> {
+/// Sends a GET for a path and returns the response's status.
+pub(crate) async fn get_status(addr: SocketAddr, path: &str) -> io::Result<u16> {
     let response = async {
         let mut stream = TcpStream::connect(addr).await?;
         let text = format!("GET {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
@@ -233,21 +234,21 @@
     timeout(CONNECT_TIMEOUT, response).await?
 }
 
-/// A request that is to be sent.
+/// A request to send.
 struct PlannedRequest {
     id: String,
     idempotency: Idempotency,
     wait: Duration,
-    /// The client disconnects this long after it sent the request; none: it waits to the end.
+    /// How long after sending the request the client disconnects. `None` if it waits for the response.
     disconnects_after: Option<Duration>,
-    /// The bytes of it.
+    /// The encoded request: head and body.
     text: String,
 }
 
-/// A request that has ended.
+/// The result of sending one request.
 struct Exchange {
     process: ProcessId,
-    /// When its last byte was written.
+    /// When the last byte of the request was written.
     sent_at: Instant,
     outcome: ClientOutcome,
 }
--- a/crates/test-fleet/src/daemon.rs
+++ b/crates/test-fleet/src/daemon.rs
@@ -1,4 +1,5 @@
-//! A real daemon as a process of its own, on ports of its own choice, with a configuration made for it.
+//! Starts the real daemon as a child process, with a generated configuration and ports that the kernel
+//! assigns.
 
 use crate::daemon_log::{DaemonLog, ListenAddresses};
 use crate::daemon_plan::DaemonPlan;
@@ -13,20 +14,20 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-/// A daemon that does not serve within this time does not serve.
+/// How long a daemon may take until it logs that it serves.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
-/// Variables of this process's environment that a daemon would take for its own.
-const OWN_VARIABLES: [&str; 5] = ["LB_NAME", "LB_LISTEN", "LB_DISCOVERY", "LB_ADMIN", "LOG"];
+/// Environment variables that the daemon reads; those of this process must not reach it.
+const DAEMON_VARIABLES: [&str; 5] = ["LB_NAME", "LB_LISTEN", "LB_DISCOVERY", "LB_ADMIN", "LOG"];
 
-/// A daemon that runs. Dropped, it is killed, and its folder removed.
+/// A running daemon. When dropped, the process is killed and its working folder removed.
 #[derive(Debug)]
 pub struct Daemon {
     child: Child,
-    /// Where clients connect.
+    /// The address of the HTTP front.
     pub http: SocketAddr,
-    /// Where sessions connect, if that front is on.
+    /// The address of the iSCSI front, if it is enabled.
     pub iscsi: Option<SocketAddr>,
-    /// Where operators connect, if anywhere.
+    /// The address of the admin interface, if it is enabled.
     pub admin: Option<SocketAddr>,
     folder: tempfile::TempDir,
     log: DaemonLog,
@@ -36,15 +37,17 @@
     /// Starts a daemon and waits until it listens.
     ///
     /// # Errors
-    /// It cannot be started, or ends before it listens: the error holds its log.
+    /// The process cannot be started, or ends or times out before it listens; in the latter case the error
+    /// contains its log.
     pub fn start(plan: &DaemonPlan) -> io::Result<Daemon> {
         Daemon::start_with(plan, |_| {})
     }
 
-    /// The same, with its configuration changed beyond what [`DaemonPlan`] has.
+    /// Like [`Daemon::start`], with changes to the configuration that [`DaemonPlan`] does not cover.
     ///
     /// # Errors
-    /// It cannot be started, or ends before it listens: the error holds its log.
+    /// The process cannot be started, or ends or times out before it listens; in the latter case the error
+    /// contains its log.
     pub fn start_with(plan: &DaemonPlan, change: impl FnOnce(&mut Value)) -> io::Result<Daemon> {
         let folder = tempfile::Builder::new().prefix("rowanglade-").tempdir()?;
         let mut configuration = configuration(plan);
@@ -60,40 +63,42 @@
                 let _ = child.kill();
                 let _ = child.wait();
                 let lines = log.lines().join("\n");
-                Err(io::Error::other(format!("the daemon does not serve:\n{lines}")))
+                Err(io::Error::other(format!(
+                    "daemon did not start serving within {START_TIMEOUT:?}, or ended before; its log:\n{lines}"
+                )))
             }
         }
     }
 
-    /// The folder that it runs in.
+    /// The working folder of the process.
     pub fn folder(&self) -> &Path {
         self.folder.path()
     }
 
-    /// The last lines of its log.
+    /// The last lines of the daemon's log.
     pub fn log(&self) -> Vec<String> {
         self.log.lines()
     }
 
-    /// Its number as a process.
+    /// The process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// What it has used so far.
+    /// The memory, processor time and descriptors that the process has used so far.
     pub fn usage(&self) -> ProcessUsage {
         ProcessUsage::of(&self.pid().to_string())
     }
 
-    /// Whether it has ended.
+    /// Whether the process has ended.
     pub fn ended(&mut self) -> bool {
         !matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Sends it a signal.
+    /// Sends a signal to the process.
     ///
     /// # Errors
-    /// It has ended.
+    /// The process has ended.
     pub fn signal(&self, signal: Signal) -> io::Result<()> {
         let pid = i32::try_from(self.pid()).map_err(io::Error::other)?;
         kill(Pid::from_raw(pid), signal).map_err(io::Error::from)
@@ -113,7 +118,7 @@
         "name": plan.name,
         "listen": listen.map_or("127.0.0.1:0".to_string(), |addr| addr.to_string()),
         "discovery": plan.discovery.to_string(),
-        "seed": format!("{:016x}", seed(&plan.name)),
+        "seed": format!("{:016x}", seed_of_name(&plan.name)),
         "limits": {"memory_mb": plan.memory_mb, "sockets": plan.sockets},
         "settings": plan.settings,
     });
@@ -123,15 +128,15 @@
     configuration
 }
 
-/// The seed of a daemon's random numbers: the same for the same name, and another for every other, as on the
-/// platform.
-fn seed(name: &str) -> u64 {
+/// The seed of a daemon's random numbers, derived from its name as on the platform: the same name always has
+/// the same seed, and different names have different seeds.
+fn seed_of_name(name: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     name.hash(&mut hasher);
     hasher.finish()
 }
 
-/// Writes the daemon's files to its folder, and returns the command that starts it there.
+/// Writes the daemon's files to its working folder, and returns the command that starts the daemon there.
 fn command(plan: &DaemonPlan, folder: &Path, configuration: &Value) -> io::Result<Command> {
     let configuration_path = folder.join("config.json");
     std::fs::write(&configuration_path, configuration.to_string())?;
@@ -142,7 +147,7 @@
         std::fs::write(&operator_path, operator)?;
         command.arg("--operator").arg(operator_path);
     }
-    OWN_VARIABLES.iter().for_each(|name| {
+    DAEMON_VARIABLES.iter().for_each(|name| {
         command.env_remove(name);
     });
     if let Some(handover) = &plan.handover {
--- a/crates/test-fleet/src/daemon_log.rs
+++ b/crates/test-fleet/src/daemon_log.rs
@@ -1,14 +1,14 @@
-//! The log of a daemon, read as it comes.
+//! Reads the log of a running daemon.
 
 use std::collections::VecDeque;
 use std::io::{BufRead, BufReader, Read};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError, mpsc};
 
-/// Lines that are kept.
+/// The maximum number of lines kept; older ones are dropped.
 const MAX_LINES: usize = 200;
 
-/// Where a daemon says that it listens.
+/// The addresses that a daemon logs when it starts to serve; `None` for a disabled listener.
 #[derive(Clone, Copy, Debug)]
 pub struct ListenAddresses {
     pub http: Option<SocketAddr>,
@@ -21,14 +21,15 @@
 pub struct DaemonLog(Arc<Mutex<VecDeque<String>>>);
 
 impl DaemonLog {
-    /// Reads a log to its end on a thread of its own. What the receiver gets is where the daemon listens.
+    /// Reads the log on a separate thread until the stream ends. The receiver gets the daemon's addresses
+    /// once it logs that it serves.
     pub fn follow(&self, source: impl Read + Send + 'static) -> mpsc::Receiver<ListenAddresses> {
         let (sender, addresses) = mpsc::channel();
         let log = self.clone();
         std::thread::spawn(move || {
             for line in BufReader::new(source).lines().map_while(Result::ok) {
                 if line.contains("serving") {
-                    // Nobody waits for it any more where the start took too long.
+                    // The receiver is gone if the start has timed out.
                     let _ = sender.send(listen_addresses(&line));
                 }
                 log.push(line);
@@ -38,7 +39,7 @@
     }
 
     fn push(&self, line: String) {
-        // A thread that panicked while it held the lock left whole lines.
+        // A poisoned lock is safe to use: lines are pushed as a whole.
         let mut lines = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         if lines.len() == MAX_LINES {
             lines.pop_front();
@@ -46,7 +47,7 @@
         lines.push_back(line);
     }
 
-    /// The last lines.
+    /// The last lines of the log, oldest first.
     pub fn lines(&self) -> Vec<String> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).iter().cloned().collect()
     }
@@ -57,7 +58,7 @@
     ListenAddresses { http: addr("listen="), iscsi: addr("iscsi="), admin: addr("admin=") }
 }
 
-/// The value of `key=` in a line of the log.
+/// The value of `key` (with its `=`) in a log line. `None` if the line does not contain the key.
 fn logged_value<'a>(line: &'a str, key: &str) -> Option<&'a str> {
     let from = line.find(key)? + key.len();
     line[from..].split(' ').next().map(|value| value.trim_matches('"'))
--- a/crates/test-fleet/src/daemon_plan.rs
+++ b/crates/test-fleet/src/daemon_plan.rs
@@ -1,39 +1,39 @@
-//! What a daemon is started with.
+//! The parameters of a daemon process.
 
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// What a daemon is started with.
+/// The parameters of a daemon process.
 #[derive(Clone, Debug)]
 pub struct DaemonPlan {
-    /// The initiator's name; its random numbers follow from it.
+    /// The initiator's name; its random seed is derived from it.
     pub name: String,
-    /// The program.
+    /// The path of the daemon's executable.
     pub program: PathBuf,
-    /// What comes before `serve` on the command line.
+    /// Command line arguments before `serve`.
     pub args: Vec<String>,
-    /// What the platform tells it.
+    /// The settings that the platform provides.
     pub settings: Value,
-    /// Where discovery listens.
+    /// The address of the discovery service.
     pub discovery: SocketAddr,
-    /// Descriptors that it may hold.
+    /// The maximum number of open descriptors (`limits.sockets`).
     pub sockets: usize,
-    /// Memory that it may use, in MiB.
+    /// The memory limit in MiB.
     pub memory_mb: usize,
-    /// The text of an operator's file, if there is one.
+    /// The text of the operator's file, if there is one.
     pub operator: Option<String>,
-    /// Where it meets its predecessor or successor; it then listens for admin commands too.
+    /// For a handover between predecessor and successor; also enables the admin interface.
     pub handover: Option<HandoverPaths>,
-    /// Further variables of its environment.
+    /// Additional environment variables.
     pub env: Vec<(String, String)>,
 }
 
-/// Where the processes of one handover meet.
+/// What the processes of one handover share.
 #[derive(Clone, Debug)]
 pub struct HandoverPaths {
-    /// The `$TMPDIR` of both.
+    /// The `$TMPDIR` of both processes.
     pub folder: PathBuf,
-    /// Where the predecessor listens; none for the first process.
+    /// The listen address of the predecessor's HTTP front. `None` for the first process.
     pub listen: Option<SocketAddr>,
 }
--- a/crates/test-fleet/src/deduplication.rs
+++ b/crates/test-fleet/src/deduplication.rs
@@ -1,4 +1,4 @@
-//! A deduplication scope's memory of keyed writes: a repeat within the window is suppressed, a later one runs.
+//! Deduplication of keyed writes: a repeat within the window is suppressed, a later one is executed.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -6,16 +6,16 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What a keyed write did.
+/// The result of a keyed write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyedWrite {
-    /// It ran.
+    /// The write was executed.
     Executed,
-    /// Its key was known, and it did not run.
+    /// The key was executed within the window, and the write was suppressed.
     Suppressed,
 }
 
-/// How often a key ran, and when last.
+/// How often a key was executed, and when last.
 #[derive(Clone, Copy, Debug)]
 struct KeyExecutions {
     last_at: Instant,
@@ -23,22 +23,22 @@
 }
 
 #[derive(Debug, Default)]
-struct Memory {
+struct KeyMemory {
     window: Duration,
     executions: HashMap<String, KeyExecutions>,
 }
 
-/// The memory that the targets of a rack share.
+/// A deduplication scope, as shared by the targets of a rack. Clones share the memory.
 #[derive(Clone, Debug, Default)]
-pub struct DeduplicationScope(Rc<RefCell<Memory>>);
+pub struct DeduplicationScope(Rc<RefCell<KeyMemory>>);
 
 impl DeduplicationScope {
-    /// A scope that suppresses repeats for `window` after each execution.
+    /// Creates a scope that suppresses repeats for `window` after each execution.
     pub fn new(window: Duration) -> DeduplicationScope {
-        DeduplicationScope(Rc::new(RefCell::new(Memory { window, executions: HashMap::new() })))
+        DeduplicationScope(Rc::new(RefCell::new(KeyMemory { window, executions: HashMap::new() })))
     }
 
-    /// A keyed write comes to be run.
+    /// Executes a keyed write, or suppresses it as a repeat.
     pub fn execute(&self, key: &str, now: Instant) -> KeyedWrite {
         let mut memory = self.0.borrow_mut();
         let window = memory.window;
@@ -52,7 +52,7 @@
         KeyedWrite::Executed
     }
 
-    /// How many keys ran, and how many of them more than once.
+    /// The number of keys that were executed, and how many of them were executed more than once.
     pub fn executed_keys(&self) -> (u64, u64) {
         let memory = self.0.borrow();
         let repeated = memory.executions.values().filter(|executions| executions.count > 1).count();
--- a/crates/test-fleet/src/discovery.rs
+++ b/crates/test-fleet/src/discovery.rs
@@ -1,4 +1,5 @@
-//! Discovery: the endpoint list as snapshots and as watches on its changes, late or faulty on command.
+//! A stub discovery service: serves the endpoint list as snapshots and as watches for changes, with delays
+//! and faults on command.
 
 use crate::endpoint::{Endpoint, EndpointState};
 use crate::http::{Connection, Request, Response};
@@ -15,61 +16,62 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep};
 
-/// A connection that is closed this soon after a response broke while the response was read.
-const BROKEN_WITHIN: Duration = Duration::from_millis(100);
+/// A connection that is closed within this time after a response is taken as broken while the response was
+/// read.
+const BROKEN_RESPONSE_WINDOW: Duration = Duration::from_millis(100);
 
-/// How the service misbehaves.
+/// A fault of the discovery service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryFault {
-    /// It does not.
+    /// No fault.
     None,
-    /// Every request is refused at once, and so are watches that wait.
+    /// Every request is rejected at once, including pending watches.
     Refusing,
-    /// Every connection is reset.
+    /// Every connection is reset on its next request.
     Resetting,
-    /// Every request hangs for so long and is refused then.
+    /// Every request is rejected after this time.
     Hanging(Duration),
-    /// No request is answered, also not after the fault.
+    /// Requests received during the fault are never answered, also not after the fault has ended.
     Silent,
 }
 
-/// The service. Versions begin at 1 and grow with every change.
+/// A stub discovery service. The version of its list starts at 1 and grows with every change.
 pub struct Discovery {
     addr: SocketAddr,
     zone: String,
-    /// By the name of the target.
+    /// Keyed by the target's name.
     entries: RefCell<BTreeMap<String, ListEntry>>,
     version: watch::Sender<u64>,
     fault: watch::Sender<DiscoveryFault>,
-    /// Polls are served one after another, in this time each.
+    /// The time to serve one poll; polls are served one after another.
     service_time: Cell<Duration>,
     queue: tokio::sync::Mutex<()>,
     response_delay: Cell<Duration>,
     responses: Cell<u64>,
     list_bytes: Cell<u64>,
-    /// Where changes, outages and what is written to which process are recorded.
+    /// Records list changes, outages and the versions delivered to each process, if set.
     recorder: Option<Rc<Recorder>>,
-    /// Since when no request is answered.
-    out_since: Cell<Option<Micros>>,
+    /// When the present outage began. `None` if there is no outage.
+    outage_started_at: Cell<Option<Micros>>,
 }
 
-/// An endpoint as the list has it.
+/// An endpoint in the list.
 struct ListEntry {
-    /// The version that changed it last.
+    /// The version of the list in which the endpoint last changed.
     version: u64,
     endpoint: Endpoint,
-    /// As it is sent.
+    /// The endpoint as serialized for responses.
     json: String,
 }
 
-/// A response, with the version of the list that it tells, if any.
+/// A response, with the version of the list that it contains, if any.
 struct VersionedResponse {
     response: Response,
     version: Option<u64>,
 }
 
 impl VersionedResponse {
-    /// A response that tells nothing of the list.
+    /// A response without list content.
     fn status(status: u16) -> VersionedResponse {
         VersionedResponse { response: Response::new(status), version: None }
     }
@@ -79,15 +81,15 @@
     /// Starts a service with an empty list.
     ///
     /// # Errors
-    /// No socket can be bound.
+    /// The socket cannot be bound.
     pub async fn start(zone: &str) -> io::Result<Rc<Discovery>> {
         Discovery::start_recorded(zone, None).await
     }
 
-    /// The same, with a record of which version it writes to whom.
+    /// Like [`Discovery::start`], and records changes, outages and deliveries if a recorder is given.
     ///
     /// # Errors
-    /// No socket can be bound.
+    /// The socket cannot be bound.
     pub async fn start_recorded(zone: &str, recorder: Option<Rc<Recorder>>) -> io::Result<Rc<Discovery>> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let discovery = Rc::new(Discovery {
@@ -102,7 +104,7 @@
             responses: Cell::new(0),
             list_bytes: Cell::new(0),
             recorder,
-            out_since: Cell::new(None),
+            outage_started_at: Cell::new(None),
         });
         tokio::task::spawn_local(Rc::clone(&discovery).accept(listener, None));
         Ok(discovery)
@@ -128,7 +130,8 @@
                 return;
             }
             let Some(VersionedResponse { response, version }) = self.handle(&request).await else {
-                // Without this the connection would be closed in order. One that is gone needs no reset.
+                // Makes dropping the connection reset it, instead of closing it in order. Fails only if the
+                // connection has ended already.
                 let _ = connection.stream.set_zero_linger();
                 return;
             };
@@ -136,30 +139,31 @@
                 return;
             }
             let written_at = self.recorder.as_ref().map(|recorder| recorder.now());
-            let soon = tokio::time::timeout(BROKEN_WITHIN, connection.read_head()).await;
-            // Who drops its connection on a response has not got it whole: that request has failed.
-            let broken = matches!(soon, Ok(Ok(None) | Err(_)));
+            let next_head = tokio::time::timeout(BROKEN_RESPONSE_WINDOW, connection.read_head()).await;
+            // A client that closes its connection right after a response has not received it completely: that
+            // request has failed, and the version was not delivered.
+            let broken = matches!(next_head, Ok(Ok(None) | Err(_)));
             if let (Some(recorder), Some(at), Some(process), Some(version)) =
                 (&self.recorder, written_at, process, version.filter(|_| !broken))
             {
-                recorder.delivery(process, version, at);
+                recorder.record_delivery(process, version, at);
             }
-            next = match soon {
+            next = match next_head {
                 Ok(next) => next,
                 Err(_) => connection.read_head().await,
             };
         }
     }
 
-    /// Where it listens for everybody.
+    /// The address for clients whose deliveries are not recorded.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// An address for one process: what is written there is recorded as delivered to it.
+    /// Opens an address for one process: versions sent there are recorded as delivered to this process.
     ///
     /// # Errors
-    /// No socket can be bound.
+    /// The socket cannot be bound.
     pub async fn addr_for(self: &Rc<Self>, process: ProcessId) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let addr = listener.local_addr()?;
@@ -167,60 +171,60 @@
         Ok(addr)
     }
 
-    /// Polls and watches answered so far.
+    /// The number of polls and watches answered so far.
     pub fn responses(&self) -> u64 {
         self.responses.get()
     }
 
-    /// Bytes of the snapshots and deltas in these responses.
+    /// The total size of the snapshots and deltas in these responses, in bytes.
     pub fn list_bytes(&self) -> u64 {
         self.list_bytes.get()
     }
 
-    /// Has requests refused, or no longer.
+    /// Starts or stops rejecting all requests.
     pub fn set_refusing(&self, refusing: bool) {
         self.inject(if refusing { DiscoveryFault::Refusing } else { DiscoveryFault::None });
     }
 
-    /// Has it misbehave from now on; watches that wait meet the fault at once.
+    /// Injects a fault, or ends it with [`DiscoveryFault::None`]. Pending watches are affected at once.
     pub fn inject(&self, fault: DiscoveryFault) {
         if let Some(recorder) = &self.recorder {
-            match (self.out_since.get(), fault) {
+            match (self.outage_started_at.get(), fault) {
                 (None, DiscoveryFault::None)
                 | (Some(_), DiscoveryFault::Refusing | DiscoveryFault::Resetting) => {}
                 (Some(_), DiscoveryFault::Hanging(_) | DiscoveryFault::Silent) => {}
-                (None, _) => self.out_since.set(Some(recorder.now())),
+                (None, _) => self.outage_started_at.set(Some(recorder.now())),
                 (Some(since), DiscoveryFault::None) => {
-                    recorder.outage(since, recorder.now());
-                    self.out_since.set(None);
+                    recorder.record_outage(since, recorder.now());
+                    self.outage_started_at.set(None);
                 }
             }
         }
         self.fault.send_replace(fault);
     }
 
-    /// Sets how long the service works on a poll. It works on one at a time.
+    /// Sets the time to serve one poll. Polls are served one at a time.
     pub fn set_service_time(&self, service_time: Duration) {
         self.service_time.set(service_time);
     }
 
-    /// Sets how late responses come.
+    /// Sets the delay of each response.
     pub fn set_response_delay(&self, delay: Duration) {
         self.response_delay.set(delay);
     }
 
-    /// Adds a target, or changes what is said of it.
+    /// Adds a target to the list, or updates its entry.
     pub fn upsert(&self, endpoint: Endpoint) {
         self.upsert_all([endpoint]);
     }
 
-    /// Adds targets, or changes what is said of them, in one version.
+    /// Adds targets to the list, or updates their entries, in one version.
     pub fn upsert_all(&self, endpoints: impl IntoIterator<Item = Endpoint>) {
         let version = *self.version.borrow() + 1;
         let mut listed = self.entries.borrow_mut();
         for endpoint in endpoints {
             if let Some(recorder) = &self.recorder {
-                recorder.change(version, &endpoint.id, target_state(&endpoint, recorder));
+                recorder.record_change(version, &endpoint.id, target_state(&endpoint, recorder));
             }
             let json = endpoint.json(&self.zone).to_string();
             listed.insert(endpoint.id.clone(), ListEntry { version, endpoint, json });
@@ -229,7 +233,7 @@
         self.version.send_replace(version);
     }
 
-    /// Takes a target out.
+    /// Lists a target as removed. Unknown targets are ignored.
     pub fn remove(&self, id: &str) {
         let endpoint = self.entries.borrow().get(id).map(|entry| entry.endpoint.clone());
         if let Some(endpoint) = endpoint {
@@ -237,7 +241,7 @@
         }
     }
 
-    /// The whole list, as a process caches it.
+    /// The complete list, as a process caches it.
     pub fn snapshot(&self) -> serde_json::Value {
         let entries = self.entries.borrow();
         let listed = entries.values().filter(|entry| entry.endpoint.state != EndpointState::Removed);
@@ -245,13 +249,13 @@
         json!({"version": *self.version.borrow(), "full": true, "servers": servers})
     }
 
-    /// The response to a request; none: its connection is reset.
+    /// The response to a request. `None` if its connection is to be reset.
     async fn handle(&self, request: &Request) -> Option<VersionedResponse> {
         let mut fault = self.fault.subscribe();
         tokio::select! {
             biased;
             fault = async { fault.wait_for(|now| *now != DiscoveryFault::None).await.map(|now| *now) } => {
-                // The sender lives as long as the service.
+                // Cannot fail: the sender lives as long as the service.
                 match fault.unwrap_or(DiscoveryFault::None) {
                     DiscoveryFault::None | DiscoveryFault::Refusing => Some(VersionedResponse::status(503)),
                     DiscoveryFault::Resetting => None,
@@ -283,7 +287,7 @@
         if let Some(from) = from {
             let until = Instant::now() + Duration::from_millis(hold_ms);
             let mut version = self.version.subscribe();
-            // A hold that ends without a change is answered too.
+            // A watch that times out without a change is answered too.
             let _ = tokio::time::timeout_at(until, version.wait_for(|v| *v > from)).await;
         }
         sleep(self.response_delay.get()).await;
@@ -296,24 +300,24 @@
         VersionedResponse { response, version: Some(version) }
     }
 
-    /// The text of the whole list, or of what has changed since a version.
+    /// The complete list as JSON, or only the endpoints changed after version `from`.
     fn list(&self, version: u64, from: Option<u64>) -> String {
         let entries = self.entries.borrow();
-        let wanted = entries.values().filter(|entry| match from {
+        let selected = entries.values().filter(|entry| match from {
             Some(from) => entry.version > from,
             None => entry.endpoint.state != EndpointState::Removed,
         });
-        let servers: Vec<&str> = wanted.map(|entry| entry.json.as_str()).collect();
+        let servers: Vec<&str> = selected.map(|entry| entry.json.as_str()).collect();
         let full = from.is_none();
         format!(r#"{{"version":{version},"full":{full},"servers":[{}]}}"#, servers.join(","))
     }
 }
 
-/// An endpoint as the checker records it.
+/// The endpoint's state in the checker's terms.
 fn target_state(endpoint: &Endpoint, recorder: &Recorder) -> TargetState {
     match endpoint.state {
         EndpointState::Active => TargetState::Active {
-            started: (endpoint.started_ms > 0).then(|| recorder.at_unix_ms(endpoint.started_ms)),
+            started: (endpoint.started_ms > 0).then(|| recorder.micros_at_unix_ms(endpoint.started_ms)),
         },
         EndpointState::Draining => TargetState::Draining,
         EndpointState::Removed => TargetState::Removed,
--- a/crates/test-fleet/src/duty_cycle.rs
+++ b/crates/test-fleet/src/duty_cycle.rs
@@ -1,7 +1,7 @@
-//! Gives processes a small share of a core: they are stopped for most of every period.
+//! Limits processes to a small share of a core, by stopping them for most of every period.
 //!
-//! No special rights are needed, and the machine's other processes are left alone. A process that is stopped
-//! hears and says nothing, as one that waits for its turn on a busy machine does.
+//! Needs no special privileges, and leaves other processes of the machine alone. A stopped process neither
+//! receives nor sends, like a process that waits to be scheduled on a busy machine.
 
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -11,7 +11,7 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Stops and continues processes until it is dropped, which continues all of them.
+/// Stops and continues processes in turns. When dropped, it continues all of them.
 #[derive(Debug)]
 pub struct DutyCycle {
     processes: Arc<Mutex<BTreeSet<u32>>>,
@@ -20,31 +20,31 @@
 }
 
 impl DutyCycle {
-    /// Lets processes run for `share` of every `period`.
+    /// Lets processes run for the fraction `share` of every `period`.
     pub fn start(share: f64, period: Duration) -> DutyCycle {
         let processes: Arc<Mutex<BTreeSet<u32>>> = Arc::default();
         let ended = Arc::new(AtomicBool::new(false));
-        let (held, end) = (Arc::clone(&processes), Arc::clone(&ended));
+        let (shared, stop) = (Arc::clone(&processes), Arc::clone(&ended));
         let running = period.mul_f64(share.clamp(0.0, 1.0));
         let thread = std::thread::spawn(move || {
-            while !end.load(Ordering::Relaxed) {
-                signal_all(&held, Signal::SIGCONT);
+            while !stop.load(Ordering::Relaxed) {
+                signal_all(&shared, Signal::SIGCONT);
                 std::thread::sleep(running);
-                signal_all(&held, Signal::SIGSTOP);
+                signal_all(&shared, Signal::SIGSTOP);
                 std::thread::sleep(period - running);
             }
-            signal_all(&held, Signal::SIGCONT);
+            signal_all(&shared, Signal::SIGCONT);
         });
         DutyCycle { processes, ended, thread: Some(thread) }
     }
 
-    /// From now on the process has its share only.
+    /// Limits a process to the share from now on.
     pub fn add(&self, process: u32) {
         self.processes.lock().unwrap_or_else(PoisonError::into_inner).insert(process);
     }
 
-    /// The process is left alone, and goes on if it was stopped. To be called before the process is waited
-    /// for.
+    /// Ends the limit for a process, and continues it if it was stopped. Must be called before the process is
+    /// reaped, since its id may be reused after that.
     pub fn remove(&self, process: u32) {
         let mut processes = self.processes.lock().unwrap_or_else(PoisonError::into_inner);
         if processes.remove(&process) {
@@ -57,7 +57,7 @@
     fn drop(&mut self) {
         self.ended.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
-            // It does not panic; if it had, there would be nothing left to end.
+            // An error would mean that the thread panicked, and then there is nothing left to end.
             let _ = thread.join();
         }
     }
@@ -68,7 +68,7 @@
     processes.iter().for_each(|process| signal(*process, kind));
 }
 
-/// One that has ended needs no signal.
+/// Sends a signal; a process that has ended is ignored.
 fn signal(process: u32, kind: Signal) {
     if let Ok(process) = i32::try_from(process) {
         let _ = kill(Pid::from_raw(process), kind);
--- a/crates/test-fleet/src/endpoint.rs
+++ b/crates/test-fleet/src/endpoint.rs
@@ -1,39 +1,39 @@
-//! The endpoints that discovery lists.
+//! Endpoints as listed by the discovery service.
 
 use crate::target::StubTarget;
 use serde_json::json;
 use std::net::SocketAddr;
 
-/// What the endpoint list says of a target.
+/// The state of a target in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It takes new work.
+    /// The target accepts new requests.
     Active,
-    /// It takes no new work.
+    /// The target accepts no new requests.
     Draining,
-    /// It is no longer listed; only among changes.
+    /// The target is no longer listed; appears only in deltas.
     Removed,
 }
 
-/// A target as the endpoint list names it.
+/// A target's entry in the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
     /// The target's name.
     pub id: String,
-    /// Where it listens.
+    /// The address that the target listens on.
     pub addr: SocketAddr,
-    /// The shard that it holds.
+    /// The shard that the target stores.
     pub shard: u32,
-    /// Whether it takes new work.
+    /// Whether the target is active, draining or removed.
     pub state: EndpointState,
-    /// Unix time of its last start, in milliseconds; 0: long ago.
+    /// The Unix time of the last start, in milliseconds. 0 if the target has been up for a long time.
     pub started_ms: u64,
-    /// Its zone, where it is not the service's own.
+    /// The target's zone. `None` if it is the discovery service's own zone.
     pub zone: Option<String>,
 }
 
 impl Endpoint {
-    /// A stub target in this state, in the service's own zone.
+    /// The entry of a stub target in this state, in the discovery service's own zone.
     pub fn of(target: &StubTarget, state: EndpointState) -> Endpoint {
         Endpoint {
             id: target.name().to_string(),
@@ -45,7 +45,7 @@
         }
     }
 
-    /// The entry as the platform words it, for a service in `zone`.
+    /// The entry as JSON in the platform's format, for a discovery service in `zone`.
     pub fn json(&self, zone: &str) -> serde_json::Value {
         let state = match self.state {
             EndpointState::Active => "active",
--- a/crates/test-fleet/src/fleet.rs
+++ b/crates/test-fleet/src/fleet.rs
@@ -1,7 +1,7 @@
-//! A fleet of real processes before many targets: their clients, releases of targets, restarts, and the
-//! record of it all.
+//! A fleet of real daemon processes with clients and many stub targets: starts, replaces and restarts them,
+//! and records what they do.
 
-use crate::client_load::{ClientLoad, status_of};
+use crate::client_load::{ClientLoad, get_status};
 use crate::daemon::Daemon;
 use crate::deduplication::DeduplicationScope;
 use crate::discovery::Discovery;
@@ -27,54 +27,54 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Targets that are started between two turns of others.
-const STARTED_AT_ONCE: usize = 64;
+/// The number of targets started before the task yields.
+const TARGET_STARTS_PER_YIELD: usize = 64;
 const POLL_PERIOD: Duration = Duration::from_millis(5);
-/// An initiator that takes longer than this to be ready has failed.
+/// How long an initiator may take until it is ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
-/// After SIGTERM clients go on making connections for so long.
-const CONNECTS_AFTER_SIGTERM: Duration = Duration::from_millis(300);
+/// How long after SIGTERM clients still open new connections.
+const CONNECT_PERIOD_AFTER_SIGTERM: Duration = Duration::from_millis(300);
 
-/// The period of a process's share of a core.
+/// The period in which a process gets its share of a core.
 const DUTY_CYCLE_PERIOD: Duration = Duration::from_millis(50);
 
-/// One place of the fleet, whose process may be started anew.
+/// One initiator of the fleet. Its process may be restarted.
 pub struct Member {
     number: usize,
-    /// The process that runs in this place now.
+    /// The id of the current process in the record.
     pub process: ProcessId,
-    /// The process itself.
+    /// The current process.
     pub daemon: Daemon,
-    /// Its clients.
+    /// The initiator's clients.
     pub load: Rc<ClientLoad>,
 }
 
-/// A fleet that runs.
+/// A running fleet.
 pub struct Fleet {
     plan: FleetPlan,
-    /// What clients, targets and discovery recorded.
+    /// The record of what clients, targets and discovery observed.
     pub recorder: Rc<Recorder>,
-    /// The service that lists the targets.
+    /// The discovery service that lists the targets.
     pub discovery: Rc<Discovery>,
-    /// By name.
+    /// Keyed by the target's name.
     targets: BTreeMap<String, Rc<StubTarget>>,
-    /// Targets started so far.
+    /// The number of targets started so far.
     started: usize,
-    /// The processes, in the order of their numbers.
+    /// The initiators, in the order of their numbers.
     pub members: Vec<Member>,
     peers: Vec<SocketAddr>,
     duty_cycle: Option<DutyCycle>,
     random: Pcg64Mcg,
-    /// What processes that have ended had used.
+    /// The final usage of processes that have ended.
     ended_usage: Vec<ProcessUsage>,
     connections_of_removed: u64,
 }
 
 impl Fleet {
-    /// Starts targets, discovery and processes, and then the clients.
+    /// Starts targets and discovery, and then each process with its clients.
     ///
     /// # Errors
-    /// A socket cannot be bound, or a process does not serve.
+    /// A socket cannot be bound, or a process does not become ready.
     pub async fn start(plan: FleetPlan) -> io::Result<Fleet> {
         let recorder = Recorder::new(plan.load.units);
         tokio::task::spawn_local(Recorder::watch_stalls(Rc::downgrade(&recorder)));
@@ -108,10 +108,10 @@
         Ok(fleet)
     }
 
-    /// Starts a target for each shard, and returns their lines.
+    /// Starts one target per shard, and returns their list entries.
     async fn start_targets(&mut self, shards: &[u32]) -> io::Result<Vec<Endpoint>> {
         let mut endpoints = Vec::with_capacity(shards.len());
-        for (place, shard) in shards.iter().enumerate() {
+        for (index, shard) in shards.iter().enumerate() {
             let name = format!("s-{:08x}", self.started);
             let seed = self.plan.seed.wrapping_mul(31).wrapping_add(self.started as u64);
             self.started += 1;
@@ -120,7 +120,7 @@
             let target = StubTarget::start(name.clone(), *shard, plan, scope, seed).await?;
             endpoints.push(Endpoint::of(&target, EndpointState::Active));
             self.targets.insert(name, target);
-            if place % STARTED_AT_ONCE == 0 {
+            if index % TARGET_STARTS_PER_YIELD == 0 {
                 tokio::task::yield_now().await;
             }
         }
@@ -138,7 +138,7 @@
         let cached_list = self.discovery.snapshot();
         let (peers, all): (_, Vec<Value>) =
             (self.peers.clone(), self.peers.iter().map(|addr| addr.to_string().into()).collect());
-        // It waits for the process, while the stubs go on.
+        // Starting blocks until the process listens, while the stubs must continue to run.
         let started = tokio::task::spawn_blocking(move || {
             Daemon::start_with(&plan, |text| {
                 text["known"] = cached_list;
@@ -152,12 +152,12 @@
         if let Some(cycle) = &self.duty_cycle {
             cycle.add(daemon.pid());
         }
-        ready(daemon.http).await?;
+        wait_until_ready(daemon.http).await?;
         Ok(daemon)
     }
 
     async fn member(&mut self, number: usize) -> io::Result<Member> {
-        let process = self.recorder.process();
+        let process = self.recorder.register_process();
         let daemon = self.daemon(number, process).await?;
         let volumes = (0..self.plan.volumes)
             .map(|volume| {
@@ -173,33 +173,33 @@
         Ok(Member { number, process, daemon, load })
     }
 
-    /// Ends a member's process by a signal, waits until it has ended or `timeout` is over, kills it then,
-    /// and starts another in its place.
+    /// Sends a signal to a member's process and waits until it has ended; kills it after `timeout`. Then
+    /// starts a new process in its place.
     ///
     /// # Errors
-    /// The new process does not serve.
-    pub async fn restart(&mut self, place: usize, signal: Signal, timeout: Duration) -> io::Result<()> {
-        self.stop(place, signal, timeout).await;
-        let number = self.members[place].number;
-        let process = self.recorder.process();
+    /// The new process does not become ready.
+    pub async fn restart(&mut self, index: usize, signal: Signal, timeout: Duration) -> io::Result<()> {
+        self.stop(index, signal, timeout).await;
+        let number = self.members[index].number;
+        let process = self.recorder.register_process();
         let daemon = self.daemon(number, process).await?;
-        let member = &mut self.members[place];
+        let member = &mut self.members[index];
         member.load.switch_to(process, daemon.http);
         (member.process, member.daemon) = (process, daemon);
         Ok(())
     }
 
-    async fn stop(&mut self, place: usize, signal: Signal, timeout: Duration) {
-        let member = &mut self.members[place];
+    async fn stop(&mut self, index: usize, signal: Signal, timeout: Duration) {
+        let member = &mut self.members[index];
         let started_at = tokio::time::Instant::now();
         let terminated_at = (signal != Signal::SIGKILL).then(|| self.recorder.now());
         let mut killed_at = (signal == Signal::SIGKILL).then(|| self.recorder.now());
-        // One that has ended by itself is seen below.
+        // Fails if the process has already ended, which the loop below detects.
         let _ = member.daemon.signal(signal);
         let mut usage = member.daemon.usage();
         while !member.daemon.ended() {
             usage = member.daemon.usage();
-            if started_at.elapsed() >= CONNECTS_AFTER_SIGTERM {
+            if started_at.elapsed() >= CONNECT_PERIOD_AFTER_SIGTERM {
                 member.load.stop_connecting();
             }
             if killed_at.is_none() && started_at.elapsed() >= timeout {
@@ -208,28 +208,28 @@
             }
             sleep(POLL_PERIOD).await;
         }
-        self.recorder.end(ProcessEnd { process: member.process, terminated_at, killed_at });
+        self.recorder.record_process_end(ProcessEnd { process: member.process, terminated_at, killed_at });
         if let Some(cycle) = &self.duty_cycle {
             cycle.remove(member.daemon.pid());
         }
         self.ended_usage.push(usage);
     }
 
-    /// Sends a signal to a member's process, which goes on.
+    /// Sends a signal to a member's process, without waiting for its end.
     ///
     /// # Errors
-    /// It has ended.
-    pub fn signal(&self, place: usize, signal: Signal) -> io::Result<()> {
-        self.members[place].daemon.signal(signal)
+    /// The process has ended.
+    pub fn signal(&self, index: usize, signal: Signal) -> io::Result<()> {
+        self.members[index].daemon.signal(signal)
     }
 
-    /// How many members' processes have ended by themselves.
+    /// How many members' processes have ended without having been stopped.
     pub fn crashes(&mut self) -> usize {
         self.members.iter_mut().map(|member| usize::from(member.daemon.ended())).sum()
     }
 
-    /// Has some targets drain, and starts as many for the same shards, in one version of the list. Returns the
-    /// names of those that drain.
+    /// Sets `count` random targets to draining, and starts as many new ones for the same shards, in one
+    /// version of the list. Returns the names of the draining targets.
     ///
     /// # Errors
     /// A socket cannot be bound.
@@ -246,7 +246,7 @@
         Ok(draining.iter().map(|target| target.name().to_string()).collect())
     }
 
-    /// Ends the processes of targets, and takes them off the list in one version.
+    /// Kills targets, and removes them from the list in one version.
     pub fn remove(&mut self, names: &[String]) {
         let removed: Vec<_> = names.iter().filter_map(|name| self.targets.remove(name)).collect();
         self.discovery.upsert_all(removed.iter().map(|target| Endpoint::of(target, EndpointState::Removed)));
@@ -255,7 +255,7 @@
             removed.iter().map(|target| target.counters().connections).sum::<u64>();
     }
 
-    /// Some targets that take new work, drawn at random.
+    /// Up to `count` targets that are not draining, chosen at random.
     pub fn draw_active(&mut self, count: usize) -> Vec<Rc<StubTarget>> {
         let mut all: Vec<_> = self.targets.values().filter(|target| !target.is_draining()).cloned().collect();
         all.shuffle(&mut self.random);
@@ -263,7 +263,7 @@
         all
     }
 
-    /// Sends no more requests; resolves once all have ended.
+    /// Stops sending requests; resolves when all requests in flight have ended.
     pub async fn settle(&self) {
         self.members.iter().for_each(|member| member.load.stop());
         for member in &self.members {
@@ -271,7 +271,7 @@
         }
     }
 
-    /// What became of all requests.
+    /// The outcomes of all requests.
     pub fn counts(&self) -> RequestCounts {
         self.members
             .iter()
@@ -279,23 +279,24 @@
             .fold(RequestCounts::default(), RequestCounts::merge)
     }
 
-    /// What each process that runs has used.
+    /// The usage of each running process.
     pub fn usage(&self) -> Vec<ProcessUsage> {
         self.members.iter().map(|member| member.daemon.usage()).collect()
     }
 
-    /// What processes that have ended had used.
+    /// The final usage of processes that have ended.
     pub fn ended_usage(&self) -> &[ProcessUsage] {
         &self.ended_usage
     }
 
-    /// Connections that targets accepted, also those that are removed.
+    /// The number of connections that all targets have accepted, including removed targets.
     pub fn connections(&self) -> u64 {
         let here = self.targets.values().map(|target| target.counters().connections);
         here.sum::<u64>() + self.connections_of_removed
     }
 
-    /// What the processes that run warned of in the last lines of their logs.
+    /// Warnings and errors in the last log lines of the running processes, each prefixed with the initiator's
+    /// name.
     pub fn warnings(&self) -> Vec<String> {
         let lines = self.members.iter().flat_map(|member| {
             let name = format!("n{}", member.number);
@@ -304,7 +305,7 @@
         lines.filter(|line| line.contains("WARN") || line.contains("ERROR")).collect()
     }
 
-    /// A copy of all that is recorded so far.
+    /// A copy of all that has been recorded so far.
     pub fn history(&self) -> History {
         self.recorder.history()
     }
@@ -312,22 +313,22 @@
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        // Processes that are stopped are let go on, so that they can end.
+        // Continues processes that the duty cycle has stopped, so that they can end.
         drop(self.duty_cycle.take());
     }
 }
 
-/// Resolves once an initiator answers that it can be used.
-async fn ready(http: SocketAddr) -> io::Result<()> {
+/// Resolves when an initiator reports that it is ready.
+async fn wait_until_ready(http: SocketAddr) -> io::Result<()> {
     let until = tokio::time::Instant::now() + READY_TIMEOUT;
     while tokio::time::Instant::now() < until {
-        // While connections fail, or the answer is another, it is asked again.
-        if let Ok(200) = status_of(http, "/up").await {
+        // Retries on failed connections and on other statuses.
+        if let Ok(200) = get_status(http, "/up").await {
             return Ok(());
         }
         sleep(POLL_PERIOD).await;
     }
-    Err(io::Error::other(format!("{http} is not ready after {READY_TIMEOUT:?}")))
+    Err(io::Error::other(format!("initiator at {http} did not become ready within {READY_TIMEOUT:?}")))
 }
 
 fn unix_ms() -> u64 {
--- a/crates/test-fleet/src/fleet_plan.rs
+++ b/crates/test-fleet/src/fleet_plan.rs
@@ -1,32 +1,32 @@
-//! What a fleet is made of.
+//! The parameters of a fleet.
 
 use crate::daemon_plan::DaemonPlan;
 use crate::load_plan::LoadPlan;
 use crate::target_plan::TargetPlan;
 
-/// What a fleet is made of.
+/// The parameters of a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetPlan {
-    /// What each process is started with; names, numbers and addresses are filled in.
+    /// The parameters of each daemon process; names, numbers and addresses are filled in per process.
     pub daemon: DaemonPlan,
     /// The zone of all targets and processes.
     pub zone: String,
-    /// How many initiators there are.
+    /// The number of initiators.
     pub processes: usize,
-    /// How many targets there are at the start.
+    /// The number of targets at the start.
     pub targets: usize,
-    /// What each target is.
+    /// The parameters of each target.
     pub target: TargetPlan,
-    /// The traffic of each process; its volumes are drawn.
+    /// The traffic of each initiator's clients; the volumes are chosen at random.
     pub load: LoadPlan,
-    /// Volumes of each process.
+    /// The number of volumes per initiator.
     pub volumes: usize,
-    /// Shards of each volume.
+    /// The number of shards per volume.
     pub shards_of_volume: usize,
-    /// The share of a core that each process has; none: as the machine gives.
+    /// The share of a core that each process gets, between 0 and 1. `None` for no limit.
     pub core_share: Option<f64>,
-    /// Processes may send each other datagrams.
+    /// Whether initiators may exchange datagrams with their peers.
     pub peers: bool,
-    /// What all random numbers follow from.
+    /// The seed of all random choices.
     pub seed: u64,
 }
--- a/crates/test-fleet/src/http.rs
+++ b/crates/test-fleet/src/http.rs
@@ -1,4 +1,4 @@
-//! As much of an HTTP/1.1 server (RFC 9112) as a stub needs: one request at a time, lengths by
+//! A minimal HTTP/1.1 server (RFC 9112) for stubs: one request at a time, with bodies delimited by
 //! `Content-Length` only.
 
 use bytes::{Buf, BytesMut};
@@ -6,20 +6,20 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// The longest head, in bytes.
+/// The maximum size of a request head in bytes.
 const MAX_HEAD_BYTES: usize = 16 << 10;
-/// The longest body, in bytes.
+/// The maximum size of a request body in bytes.
 const MAX_BODY_BYTES: usize = 64 << 10;
 const MAX_HEADERS: usize = 32;
 
-/// A request's head.
+/// The head of a request.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
     pub method: String,
-    /// The path with its query.
+    /// The path and query.
     pub target: String,
     headers: Vec<(String, String)>,
-    /// Bytes of the body, whose content nobody looks at.
+    /// The size of the body in bytes; its content is discarded.
     pub body_bytes: usize,
 }
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// A response.
+/// A response to send.
 #[derive(Clone, Debug)]
 pub struct Response {
     pub status: u16,
@@ -58,14 +58,15 @@
         Connection { stream, buffer: BytesMut::new() }
     }
 
-    /// The head of the next request; none where the stream ends before one. Its body is still to be skipped.
+    /// Reads the head of the next request. `None` if the client closed the connection after the previous
+    /// request. The caller must skip the body before it reads the next head.
     pub async fn read_head(&mut self) -> io::Result<Option<Request>> {
         loop {
             if let Some(request) = self.parse_head()? {
                 return Ok(Some(request));
             }
             if self.buffer.len() > MAX_HEAD_BYTES {
-                return Err(invalid_data("too long a head"));
+                return Err(invalid_data("request head exceeds the maximum size"));
             }
             if self.stream.read_buf(&mut self.buffer).await? == 0 {
                 return if self.buffer.is_empty() {
@@ -95,12 +96,12 @@
         request.body_bytes = body_bytes
             .ok()
             .filter(|bytes| *bytes <= MAX_BODY_BYTES)
-            .ok_or_else(|| invalid_data("the body's length"))?;
+            .ok_or_else(|| invalid_data("Content-Length is not a number or exceeds the maximum body size"))?;
         self.buffer.advance(length);
         Ok(Some(request))
     }
 
-    /// Reads this much of a body away.
+    /// Reads and discards this many bytes of a body.
     pub async fn skip_body(&mut self, mut bytes: usize) -> io::Result<()> {
         loop {
             let buffered = bytes.min(self.buffer.len());
@@ -127,9 +128,10 @@
         self.stream.write_all(&bytes).await
     }
 
-    /// Ends the connection by a reset.
+    /// Closes the connection with a TCP reset.
     pub fn reset(self) {
-        // Where the option fails, the other side sees an end instead, which is a break as well.
+        // If the option cannot be set, the peer sees an orderly close instead, which interrupts its request
+        // as well.
         let _ = socket2::SockRef::from(&self.stream).set_linger(Some(std::time::Duration::ZERO));
     }
 }
--- a/crates/test-fleet/src/lib.rs
+++ b/crates/test-fleet/src/lib.rs
@@ -1,9 +1,9 @@
-//! Stubs of what an initiator talks to: targets and discovery, as the platform's protocol has them, on
-//! loopback addresses; and real daemons as processes beside them. The stubs misbehave on command, draw whatever
-//! is left to chance from a seed, and count what they see, so that an experiment can compare it with what
-//! clients saw.
+//! Stubs of the services that an initiator uses, targets and discovery, which speak the platform's protocol
+//! on loopback addresses; and real daemons as child processes. The stubs inject faults on command, take all
+//! random choices from a seed, and count what they receive, so that an experiment can compare the counts with
+//! what clients saw.
 //!
-//! Everything runs on the caller's thread, in a `LocalSet` or a runtime that has one.
+//! All stubs run on the caller's thread, which must run a `LocalSet` or a runtime that contains one.
 
 #![forbid(unsafe_code)]
 
--- a/crates/test-fleet/src/load_plan.rs
+++ b/crates/test-fleet/src/load_plan.rs
@@ -1,26 +1,26 @@
-//! The traffic of clients, and what became of it.
+//! The parameters of client traffic, and the outcomes of its requests.
 
 use rowanglade_checker::Idempotency;
 use std::time::Duration;
 
-/// A request class.
+/// The parameters of a request class.
 #[derive(Clone, Debug)]
 pub struct ClassPlan {
-    /// Its name on the wire.
+    /// The name of the class on the wire.
     pub name: &'static str,
-    /// Its part of all requests, between 0 and 1.
+    /// The share of all requests that are of this class, between 0 and 1.
     pub share: f64,
-    /// Its requests are writes.
+    /// Whether its requests are writes.
     pub write: bool,
-    /// How often a request of it may run.
+    /// Whether a request of this class may be executed more than once.
     pub idempotency: Idempotency,
-    /// How long its clients wait.
+    /// How long its clients wait for a response.
     pub wait: Duration,
-    /// The part of its requests that are for new objects.
+    /// The share of its requests that are for new objects, between 0 and 1.
     pub new_object_share: f64,
 }
 
-/// The request classes that the project ships, with half of the deposits for new objects.
+/// The standard request classes of the project, with half of the deposits for new objects.
 pub fn usual_classes() -> Vec<ClassPlan> {
     let class = |name, share, write, idempotency, wait, new_object_share| {
         let wait = Duration::from_millis(wait);
@@ -33,42 +33,42 @@
     ]
 }
 
-/// The traffic of one initiator's clients.
+/// The parameters of the traffic of one initiator's clients.
 #[derive(Clone, Debug)]
 pub struct LoadPlan {
-    /// Requests a second, at random times.
+    /// Requests per second on average; they are sent at random times.
     pub rate: f64,
-    /// The request classes; their shares add up to 1.
+    /// The request classes. Their shares must add up to 1.
     pub classes: Vec<ClassPlan>,
-    /// The name of the QoS plan.
+    /// The name of the QoS plan of all requests.
     pub plan: &'static str,
-    /// Each volume with the shards that hold its data.
+    /// Each volume's id, and the shards that store its data.
     pub volumes: Vec<(u64, Vec<u32>)>,
-    /// The size of each request.
+    /// The size of each request in units.
     pub units: f64,
-    /// How many initiators a client says that its volume comes through.
+    /// The number of initiators that serve the volume, as stated by the client.
     pub hosts: u32,
-    /// The part of requests whose client disconnects before its time is up.
+    /// The share of requests whose client disconnects before the response, between 0 and 1.
     pub disconnect_share: f64,
 }
 
-/// What became of the requests of a load.
+/// The outcomes of the requests of a load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestCounts {
-    /// All of them.
+    /// All requests that have ended.
     pub sent: u64,
-    /// Answered with success.
+    /// Requests answered with status 200.
     pub served: u64,
-    /// Rejected or failed.
+    /// Requests answered with another status.
     pub rejected: u64,
-    /// No connection could be made.
+    /// Requests for which no connection could be opened.
     pub not_accepted: u64,
-    /// The client disconnected or timed out, or its connection was closed.
+    /// Requests without a response: the client disconnected or timed out, or the connection was closed.
     pub unanswered: u64,
 }
 
 impl RequestCounts {
-    /// The counts of two loads together.
+    /// The sum of the counts of two loads.
     pub fn merge(self, other: RequestCounts) -> RequestCounts {
         RequestCounts {
             sent: self.sent + other.sent,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// The part that was served, between 0 and 1.
+    /// The share of requests that were served, between 0 and 1.
     pub fn share_served(&self) -> f64 {
         self.served as f64 / self.sent.max(1) as f64
     }
--- a/crates/test-fleet/src/recorder.rs
+++ b/crates/test-fleet/src/recorder.rs
@@ -1,4 +1,4 @@
-//! Records what clients, targets and discovery see, on one clock, for the checker.
+//! Records for the checker what clients, targets and discovery observe, with one common clock.
 
 use crate::http::{Request, Response};
 use rowanglade_checker::{
@@ -10,25 +10,25 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// How often it is checked whether this thread stands still.
+/// How often the thread is checked for stalls.
 const STALL_CHECK_PERIOD: Duration = Duration::from_millis(5);
-/// A pause this long counts as a stall of the thread.
+/// The minimum pause between two checks that is recorded as a stall.
 const MIN_STALL: Duration = Duration::from_millis(30);
 
-/// The record of one test. Its clock begins with it.
+/// The record of one test. Its clock starts when the recorder is created.
 #[derive(Debug)]
 pub struct Recorder {
     started_at: Instant,
-    /// The same in Unix time.
+    /// The Unix time at `started_at`.
     started_unix: Micros,
     history: RefCell<History>,
     next_process: Cell<u32>,
-    /// What one request of usual work asks, in units.
+    /// The size of a request of usual work, in units.
     usual_units: f64,
 }
 
 impl Recorder {
-    /// An empty record, whose clock begins now. `usual_units`: the units of one request of usual work.
+    /// Creates an empty record, whose clock starts now. `usual_units` is the size of a request of usual work.
     pub fn new(usual_units: f64) -> Rc<Recorder> {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Rc::new(Recorder {
@@ -40,56 +40,57 @@
         })
     }
 
-    /// The time on the clock of this record.
+    /// The current time on the record's clock.
     pub fn now(&self) -> Micros {
-        self.at(Instant::now())
+        self.micros_at(Instant::now())
     }
 
-    /// A Unix time on the clock of this record.
-    pub fn at_unix_ms(&self, unix_ms: u64) -> Micros {
+    /// Converts a Unix time in milliseconds to the record's clock; 0 if it is earlier than the record's
+    /// start.
+    pub fn micros_at_unix_ms(&self, unix_ms: u64) -> Micros {
         (unix_ms * 1_000).saturating_sub(self.started_unix)
     }
 
-    /// An instant on the clock of this record; 0 for one before it.
-    pub fn at(&self, instant: Instant) -> Micros {
+    /// Converts an instant to the record's clock; 0 if it is earlier than the record's start.
+    pub fn micros_at(&self, instant: Instant) -> Micros {
         instant.saturating_duration_since(self.started_at).as_micros() as Micros
     }
 
-    /// A copy of all that is recorded so far.
+    /// A copy of all that has been recorded so far.
     pub fn history(&self) -> History {
         self.history.borrow().clone()
     }
 
-    /// The number of a process that starts now.
-    pub fn process(&self) -> ProcessId {
+    /// Records the start of a process, and returns the process's id.
+    pub fn register_process(&self) -> ProcessId {
         let process = ProcessId(self.next_process.get());
         self.next_process.set(process.0 + 1);
         self.history.borrow_mut().starts.push((process, self.now()));
         process
     }
 
-    /// A request has ended for its client.
-    pub fn request(&self, request: ClientRequest) {
+    /// Records a request that has ended for its client.
+    pub fn record_request(&self, request: ClientRequest) {
         self.history.borrow_mut().requests.push(request);
     }
 
-    /// The endpoint list changes now.
-    pub fn change(&self, version: u64, target: &str, state: TargetState) {
+    /// Records a change of the endpoint list, as of now.
+    pub fn record_change(&self, version: u64, target: &str, state: TargetState) {
         let change = EndpointChange { version, at: self.now(), target: target.to_string(), state };
         self.history.borrow_mut().changes.push(change);
     }
 
-    /// Discovery has written a version to a process.
-    pub fn delivery(&self, process: ProcessId, version: u64, at: Micros) {
+    /// Records that discovery delivered a version of the list to a process.
+    pub fn record_delivery(&self, process: ProcessId, version: u64, at: Micros) {
         self.history.borrow_mut().deliveries.push(Delivery { process, version, at });
     }
 
-    /// The test has ended a process.
-    pub fn end(&self, end: ProcessEnd) {
+    /// Records that the test ended a process.
+    pub fn record_process_end(&self, end: ProcessEnd) {
         self.history.borrow_mut().ends.push(end);
     }
 
-    /// Notes until the record is dropped when this thread stood still: what was recorded just then is late.
+    /// Records stalls of this thread until the recorder is dropped: events during a stall are recorded late.
     pub async fn watch_stalls(recorder: Weak<Recorder>) {
         let mut last = Instant::now();
         loop {
@@ -97,26 +98,27 @@
             let Some(recorder) = recorder.upgrade() else { return };
             let now = Instant::now();
             if now.saturating_duration_since(last) >= MIN_STALL {
-                let (from, to) = (recorder.at(last), recorder.at(now));
+                let (from, to) = (recorder.micros_at(last), recorder.micros_at(now));
                 recorder.history.borrow_mut().stalls.push(Interval { from, to });
             }
             last = now;
         }
     }
 
-    /// From now on idle clients fill a process's descriptors.
+    /// Records that idle clients use up a process's descriptors from now on.
     pub fn crowd(&self, process: ProcessId) {
         let now = self.now();
         self.history.borrow_mut().crowds.push((process, now));
     }
 
-    /// Discovery could not be reached for a while.
-    pub fn outage(&self, from: Micros, to: Micros) {
+    /// Records a time in which discovery was unavailable.
+    pub fn record_outage(&self, from: Micros, to: Micros) {
         self.history.borrow_mut().outages.push(Interval { from, to });
     }
 
-    /// An attempt begins at a target. None: it is no attempt of a request.
-    pub(crate) fn attempt(
+    /// Records the start of an attempt at a target. `None` if the request is not an attempt of a client's
+    /// request, such as a probe.
+    pub(crate) fn record_attempt(
         self: &Rc<Self>,
         request: &Request,
         target: &str,
@@ -128,7 +130,7 @@
         let units = placement.split(',').find_map(|part| part.trim().strip_prefix("units="));
         let units = units.and_then(|units| units.parse::<f64>().ok()).unwrap_or(self.usual_units);
         let mut history = self.history.borrow_mut();
-        let place = history.attempts.len();
+        let index = history.attempts.len();
         history.attempts.push(Attempt {
             request: id.to_string(),
             target: target.to_string(),
@@ -139,28 +141,28 @@
             outcome: AttemptOutcome::Incomplete,
             ended_at: None,
         });
-        Some(AttemptRecord { recorder: Rc::clone(self), place })
+        Some(AttemptRecord { recorder: Rc::clone(self), index })
     }
 }
 
-/// An attempt that is recorded. Dropped, its connection has ended.
+/// An attempt in the record. When dropped without a response, the attempt ends with its connection.
 pub(crate) struct AttemptRecord {
     recorder: Rc<Recorder>,
-    place: usize,
+    index: usize,
 }
 
 impl AttemptRecord {
-    fn change(&self, change: impl FnOnce(&mut Attempt)) {
-        change(&mut self.recorder.history.borrow_mut().attempts[self.place]);
+    fn update(&self, update: impl FnOnce(&mut Attempt)) {
+        update(&mut self.recorder.history.borrow_mut().attempts[self.index]);
     }
 
-    /// Its last byte has come.
-    pub fn received(&self) {
-        self.change(|attempt| attempt.outcome = AttemptOutcome::InFlight);
+    /// Records that the last byte of the request was received.
+    pub fn record_received(&self) {
+        self.update(|attempt| attempt.outcome = AttemptOutcome::InFlight);
     }
 
-    /// Its response is written.
-    pub fn answered(&self, response: &Response) {
+    /// Records the response to the attempt.
+    pub fn record_response(&self, response: &Response) {
         let unprocessed = response.headers.iter().any(|(name, _)| *name == "X-Unprocessed");
         let outcome = match response.status {
             200 => AttemptOutcome::Served,
@@ -168,13 +170,13 @@
             _ => AttemptOutcome::Failed,
         };
         let now = self.recorder.now();
-        self.change(|attempt| (attempt.outcome, attempt.ended_at) = (outcome, Some(now)));
+        self.update(|attempt| (attempt.outcome, attempt.ended_at) = (outcome, Some(now)));
     }
 }
 
 impl Drop for AttemptRecord {
     fn drop(&mut self) {
         let now = self.recorder.now();
-        self.change(|attempt| attempt.ended_at = attempt.ended_at.or(Some(now)));
+        self.update(|attempt| attempt.ended_at = attempt.ended_at.or(Some(now)));
     }
 }
--- a/crates/test-fleet/src/response_reader.rs
+++ b/crates/test-fleet/src/response_reader.rs
@@ -1,24 +1,24 @@
-//! Reads responses of HTTP/1.1 (RFC 9112) as a client does.
+//! Reads HTTP/1.1 responses (RFC 9112) as a client.
 
 use bytes::BytesMut;
 use std::io;
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 
-/// The longest head, in bytes.
+/// The maximum size of a response head in bytes.
 const MAX_HEAD_BYTES: usize = 16 << 10;
 const MAX_HEADERS: usize = 32;
 
-/// A response as it comes.
+/// Reads one response, and tracks its progress.
 #[derive(Default)]
 pub struct ResponseReader {
-    /// A byte of it has come.
+    /// At least one byte of the response was received.
     pub started: bool,
-    /// Its connection ends with it.
+    /// The connection closes after the response.
     pub closes: bool,
 }
 
-/// Where the body of a response ends.
+/// How the end of a response's body is determined.
 enum Framing {
     Length(usize),
     Chunked,
@@ -26,7 +26,7 @@
 }
 
 impl ResponseReader {
-    /// Reads a response whole, and returns its status.
+    /// Reads a complete response, and returns its status.
     pub async fn read(&mut self, stream: &mut TcpStream) -> io::Result<u16> {
         let mut buffer = BytesMut::new();
         let (status, framing) = loop {
@@ -65,7 +65,8 @@
         Ok(())
     }
 
-    /// The length of the head, its status, and where the body ends; none: it is not whole yet.
+    /// Parses the head: its length in bytes, the status and the body's framing. `None` if the head is
+    /// incomplete.
     fn parse_head(&mut self, buffer: &[u8]) -> io::Result<Option<(usize, u16, Framing)>> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut head = httparse::Response::new(&mut headers);
--- a/crates/test-fleet/src/settings.rs
+++ b/crates/test-fleet/src/settings.rs
@@ -1,10 +1,10 @@
-//! Settings of initiators, as the platform would give them.
+//! Settings of initiators as the platform provides them.
 
 use rowanglade_capture::{Header, Repeat};
 use serde_json::{Value, json};
 use std::io;
 
-/// The settings that the platform would give an initiator for these request classes and QoS plans.
+/// The platform's settings for `initiators` initiators with these request classes and QoS plans.
 pub fn settings(header: &Header, initiators: usize, zone: &str, shards: usize) -> Value {
     let class = |c: &rowanglade_capture::ClassTerms| {
         let mut class = json!({
@@ -51,10 +51,10 @@
     })
 }
 
-/// The same, for the request classes and QoS plans that the project ships.
+/// The platform's settings for the project's standard request classes and QoS plans.
 ///
 /// # Errors
-/// The mapping that the project ships cannot be read.
+/// The project's standard mapping cannot be read.
 pub fn standard_settings(initiators: usize, zone: &str, shards: usize) -> io::Result<Value> {
     let mapping = rowanglade_capture::Mapping::standard().map_err(io::Error::other)?;
     let header = Header {
--- a/crates/test-fleet/src/site.rs
+++ b/crates/test-fleet/src/site.rs
@@ -1,4 +1,4 @@
-//! A few stub targets with their discovery.
+//! A few stub targets with their discovery service.
 
 use crate::deduplication::DeduplicationScope;
 use crate::discovery::Discovery;
@@ -9,16 +9,17 @@
 use std::io;
 use std::rc::Rc;
 
-/// Stub targets, each with a deduplication scope of its own, and the discovery that lists them.
+/// Stub targets, each with its own deduplication scope, and the discovery service that lists them.
 pub struct StubSite {
-    /// In the order of their plans.
+    /// The targets in the order of their plans.
     pub targets: Vec<Rc<StubTarget>>,
-    /// The service that lists them.
+    /// The service that lists the targets.
     pub discovery: Rc<Discovery>,
 }
 
 impl StubSite {
-    /// Starts one target for each plan, each with a shard of its own, in the order given.
+    /// Starts one target per plan, each with its own shard. Targets and shards are numbered in the order
+    /// given.
     ///
     /// # Errors
     /// A socket cannot be bound.
@@ -37,37 +38,37 @@
         Ok(StubSite { targets, discovery })
     }
 
-    /// The counts of all targets together.
+    /// The sum of the counts of all targets.
     pub fn counters(&self) -> TargetCounters {
         let all = self.targets.iter().map(|target| target.counters());
         all.fold(TargetCounters::default(), TargetCounters::merge)
     }
 
-    /// Has a target drain, and lists it so.
+    /// Sets a target to draining, and lists it as draining.
     ///
     /// # Panics
-    /// There is no target of this number.
+    /// There is no target with this number.
     pub fn drain(&self, number: usize) {
         self.targets[number].set_draining(true);
         self.discovery.upsert(Endpoint::of(&self.targets[number], EndpointState::Draining));
     }
 
-    /// Ends a target's process: connections are reset, new ones refused. It is taken off the list.
+    /// Kills a target, which resets its connections and refuses new ones, and lists it as removed.
     ///
     /// # Panics
-    /// There is no target of this number.
+    /// There is no target with this number.
     pub fn kill(&self, number: usize) {
         self.targets[number].kill();
         self.discovery.remove(self.targets[number].name());
     }
 
-    /// Starts a killed target again at its address, cold, and lists it.
+    /// Restarts a killed target at the same address, cold, and lists it as active.
     ///
     /// # Errors
-    /// Its address cannot be bound again.
+    /// The address cannot be bound again.
     ///
     /// # Panics
-    /// There is no target of this number.
+    /// There is no target with this number.
     pub async fn restart(&self, number: usize) -> io::Result<()> {
         self.targets[number].restart().await?;
         self.discovery.upsert(Endpoint::of(&self.targets[number], EndpointState::Active));
--- a/crates/test-fleet/src/target.rs
+++ b/crates/test-fleet/src/target.rs
@@ -1,5 +1,5 @@
-//! A stub target: slots that work, a queue in order of arrival, deduplication of keyed writes, and faults on
-//! command.
+//! A stub target: executes requests in a number of slots with a first-in, first-out queue, deduplicates keyed
+//! writes, and injects faults on command.
 
 use crate::deduplication::{DeduplicationScope, KeyedWrite};
 use crate::http::{Connection, Request, Response};
@@ -18,19 +18,19 @@
 use tokio::sync::{Semaphore, watch};
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// A restarted target binds its address again at most so often, with a pause between.
+/// How often a restarted target tries to bind its address again before it fails.
 const MAX_BIND_ATTEMPTS: usize = 200;
 /// The pause after a failed bind or accept.
 const RETRY_PAUSE: Duration = Duration::from_millis(5);
 
-/// A target that listens on the loopback address.
+/// A target that listens on a loopback address.
 pub struct StubTarget {
     name: String,
     shard: u32,
     plan: TargetPlan,
     deduplication_scope: DeduplicationScope,
     addr: SocketAddr,
-    #[expect(dead_code, reason = "its port is nobody else's while its process is away")]
+    #[expect(dead_code, reason = "reserves the port while no process listens on it")]
     port: socket2::Socket,
     slots: Semaphore,
     in_flight: Cell<u64>,
@@ -41,15 +41,15 @@
     counters: RefCell<TargetCounters>,
     received: RefCell<Vec<(Instant, String)>>,
     random: RefCell<Pcg64Mcg>,
-    /// The number of its process; a change ends the one before.
+    /// The number of the current process; a change ends the previous process.
     incarnation: watch::Sender<u64>,
 }
 
 impl StubTarget {
-    /// Starts a target that has been up for long.
+    /// Starts a target that counts as fully warmed up.
     ///
     /// # Errors
-    /// No socket can be bound.
+    /// The socket cannot be bound.
     pub async fn start(
         name: String,
         shard: u32,
@@ -83,65 +83,66 @@
         Ok(target)
     }
 
-    /// Its name in the endpoint list.
+    /// The target's name in the endpoint list.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Where it listens, for all of its incarnations.
+    /// The address that the target listens on, the same for all incarnations.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// The shard that it holds.
+    /// The shard that the target stores.
     pub fn shard(&self) -> u32 {
         self.shard
     }
 
-    /// Unix time of the last start, in milliseconds; 0: long ago.
+    /// The Unix time of the last restart, in milliseconds. 0 if the target was never restarted.
     pub fn started_ms(&self) -> u64 {
         self.started_unix_ms.get()
     }
 
-    /// What it has seen so far, in all of its incarnations.
+    /// The counts over all incarnations so far.
     pub fn counters(&self) -> TargetCounters {
         self.counters.borrow().clone()
     }
 
-    /// When each request was received, and its path; empty unless the plan asks for it.
+    /// When each request was received, and its path. Empty unless [`TargetPlan::keeps_requests`] is set.
     pub fn received(&self) -> Vec<(Instant, String)> {
         self.received.borrow().clone()
     }
 
-    /// Its memory of keyed writes.
+    /// The target's deduplication scope.
     pub fn deduplication_scope(&self) -> &DeduplicationScope {
         &self.deduplication_scope
     }
 
-    /// Has it misbehave from now on.
+    /// Injects a fault, which replaces the previous one.
     pub fn inject(&self, fault: TargetFault) {
         *self.fault.borrow_mut() = fault;
     }
 
-    /// Has it reject new requests, or no longer.
+    /// Starts or stops rejecting new requests.
     pub fn set_draining(&self, draining: bool) {
         self.draining.set(draining);
     }
 
-    /// Whether new requests are rejected.
+    /// Whether the target rejects new requests.
     pub fn is_draining(&self) -> bool {
         self.draining.get()
     }
 
-    /// Ends its process: connections are reset, new ones refused.
+    /// Ends the target's process: connections are reset, and new ones refused.
     pub fn kill(&self) {
         self.incarnation.send_modify(|number| *number += 1);
     }
 
-    /// Starts it again, cold, at its address. Its deduplication scope remembers what it did before.
+    /// Restarts the target cold at the same address. Its deduplication scope keeps the executions before the
+    /// restart.
     ///
     /// # Errors
-    /// Its address cannot be bound again.
+    /// The address cannot be bound again.
     pub async fn restart(self: &Rc<Self>) -> io::Result<()> {
         self.kill();
         let listener = self.bind_again().await?;
@@ -153,7 +154,7 @@
         Ok(())
     }
 
-    /// The listener of the incarnation before ends with its task.
+    /// Retries, since the listener of the previous incarnation is closed only when its task ends.
     async fn bind_again(&self) -> io::Result<TcpListener> {
         let mut attempts = 0;
         loop {
@@ -167,7 +168,7 @@
         }
     }
 
-    /// The part of its capacity that it has by now, between 0 and 1.
+    /// The fraction of its capacity that the target has reached while warming up, between 0 and 1.
     pub fn capacity(&self) -> f64 {
         let warm = self.plan.warm_within.as_secs_f64();
         let part = if warm > 0.0 { self.started_at.get().elapsed().as_secs_f64() / warm } else { 1.0 };
@@ -192,7 +193,7 @@
     }
 
     async fn serve_until_killed(self: Rc<Self>, stream: TcpStream) {
-        // Without it the last bytes of a response may wait for an acknowledgement.
+        // Disables Nagle's algorithm: otherwise the last bytes of a response may wait for an acknowledgement.
         let _ = stream.set_nodelay(true);
         let mut incarnation = self.incarnation.subscribe();
         let mut connection = Connection::new(stream);
@@ -211,21 +212,21 @@
     async fn serve(&self, connection: &mut Connection) -> io::Result<ConnectionEnd> {
         while let Some(request) = connection.read_head().await? {
             let fault = self.fault.borrow().clone();
-            let record = self.record(&request);
+            let record = self.record_attempt(&request);
             if self.draw(fault.reset_share) {
                 connection.skip_body(request.body_bytes / 2).await?;
                 self.counters.borrow_mut().resets += 1;
                 return Ok(ConnectionEnd::Reset);
             }
             connection.skip_body(request.body_bytes).await?;
-            record.iter().for_each(AttemptRecord::received);
+            record.iter().for_each(AttemptRecord::record_received);
             match self.handle(&request, &fault).await {
                 Some(response) => {
-                    record.iter().for_each(|record| record.answered(&response));
+                    record.iter().for_each(|record| record.record_response(&response));
                     connection.respond(response).await?;
                 }
                 None => {
-                    // Silent until the other side has had enough.
+                    // Sends nothing until the client closes the connection or sends another request.
                     let _ = connection.read_head().await;
                     return Ok(ConnectionEnd::Closed);
                 }
@@ -234,13 +235,13 @@
         Ok(ConnectionEnd::Closed)
     }
 
-    /// Records an attempt that begins; probes are none.
-    fn record(&self, request: &Request) -> Option<AttemptRecord> {
+    /// Records the start of an attempt. `None` if nothing is recorded, or if the request is a probe.
+    fn record_attempt(&self, request: &Request) -> Option<AttemptRecord> {
         let recorder = self.plan.recorder.as_ref()?;
-        recorder.attempt(request, &self.name, self.shard)
+        recorder.record_attempt(request, &self.name, self.shard)
     }
 
-    /// The response to a request; none: there is never one.
+    /// The response to a request. `None` if it is never answered.
     async fn handle(&self, request: &Request, fault: &TargetFault) -> Option<Response> {
         if request.target == "/alive" {
             return Some(Response::new(if self.draining.get() { 503 } else { 200 }));
@@ -306,7 +307,8 @@
         Some(self.with_load_report(response))
     }
 
-    /// The service time of a request of this class with the fault and the capacity of now, and chance.
+    /// The service time of a request of this class: with a random variation of up to 20 %, the fault's
+    /// slowdown and the current capacity.
     fn service_time(&self, class: &str, fault: &TargetFault) -> Duration {
         let usual = self.plan.service_times.get(class).copied().unwrap_or(self.plan.default_service_time);
         let spread = self.random.borrow_mut().random_range(0.8..1.2);
@@ -314,7 +316,7 @@
         usual.mul_f64(spread * slowdown / self.capacity().max(0.01))
     }
 
-    /// Requests that wait for a slot.
+    /// The number of requests waiting for a slot.
     fn waiting(&self) -> u64 {
         self.in_flight.get().saturating_sub(self.plan.slots as u64)
     }
@@ -325,13 +327,13 @@
     }
 }
 
-/// How a connection is to be ended.
+/// How to end a connection.
 enum ConnectionEnd {
     Closed,
     Reset,
 }
 
-/// A request that waits or is worked on; one whose connection ends is dropped with it.
+/// Counts a request that waits or is executed, until it is dropped, at the latest with its connection.
 struct InFlight<'a>(&'a Cell<u64>);
 
 impl InFlight<'_> {
--- a/crates/test-fleet/src/target_counters.rs
+++ b/crates/test-fleet/src/target_counters.rs
@@ -1,38 +1,38 @@
-//! What a stub target counts.
+//! Counters of a stub target.
 
 use std::collections::BTreeMap;
 
-/// What a stub target has seen.
+/// A stub target's counts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TargetCounters {
-    /// Connections that were accepted.
+    /// Connections accepted.
     pub connections: u64,
-    /// Requests whose last byte came.
+    /// Requests received completely.
     pub received: u64,
-    /// Requests answered with success.
+    /// Requests answered with status 200.
     pub served: u64,
     /// Requests answered with an injected error.
     pub errors: u64,
-    /// Rejected unprocessed: the queue was full, or the target was draining.
+    /// Requests rejected unprocessed: the queue was full, the target was draining, or a fault rejected them.
     pub rejected: u64,
-    /// Connections that were reset by an injected fault.
+    /// Connections reset by an injected fault.
     pub resets: u64,
-    /// Requests that were never answered.
+    /// Requests never answered because of an injected fault.
     pub silent: u64,
-    /// Keyed writes that ran.
+    /// Keyed writes that were executed.
     pub writes_executed: u64,
     /// Keyed writes suppressed as repeats.
     pub writes_suppressed: u64,
-    /// Requests received while the target was draining or stopped.
+    /// Requests received while the target was draining.
     pub received_draining: u64,
-    /// The most requests in flight at once.
+    /// The maximum number of requests in flight at the same time.
     pub max_in_flight: u64,
-    /// Requests received of each class.
+    /// Requests received, by request class.
     pub per_class: BTreeMap<String, u64>,
 }
 
 impl TargetCounters {
-    /// The counts of two targets together.
+    /// Adds the counts of another target; `max_in_flight` becomes the greater of both.
     pub fn merge(mut self, other: TargetCounters) -> TargetCounters {
         self.connections += other.connections;
         self.received += other.received;
--- a/crates/test-fleet/src/target_plan.rs
+++ b/crates/test-fleet/src/target_plan.rs
@@ -1,4 +1,4 @@
-//! What a stub target is, and how it misbehaves.
+//! The parameters of a stub target, and the faults that can be injected.
 
 use crate::recorder::Recorder;
 use std::collections::HashMap;
@@ -6,28 +6,28 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What a stub target is.
+/// The parameters of a stub target.
 #[derive(Clone, Debug)]
 pub struct TargetPlan {
-    /// Requests worked on at once.
+    /// The number of requests executed at the same time.
     pub slots: usize,
-    /// Requests that wait for a slot at most; more are rejected unprocessed.
+    /// The maximum number of requests that wait for a slot; further ones are rejected unprocessed.
     pub queue_capacity: usize,
-    /// The service time of a request of each class. A fifth up or down is left to chance.
+    /// The service time by request class. Each request varies at random by up to 20 %.
     pub service_times: HashMap<String, Duration>,
-    /// The service time of all other classes.
+    /// The service time of all other request classes.
     pub default_service_time: Duration,
-    /// How long an idempotency key is remembered.
+    /// How long a repeat of an idempotency key is suppressed after its execution.
     pub deduplication_window: Duration,
-    /// The part of its capacity that a target has just after its start, between 0 and 1.
+    /// The fraction of its capacity that a target has right after a restart, between 0 and 1.
     pub initial_capacity: f64,
-    /// How long after its start a target has all of its capacity.
+    /// How long a target warms up after a restart until it has its full capacity.
     pub warm_within: Duration,
-    /// Bytes of a read's response.
+    /// The size of a read's response body in bytes.
     pub response_bytes: usize,
-    /// It keeps the time and the path of every request that it receives.
+    /// Whether to store the time and path of every request received.
     pub keeps_requests: bool,
-    /// Where every attempt is recorded.
+    /// Where attempts are recorded, if anywhere.
     pub recorder: Option<Rc<Recorder>>,
 }
 
@@ -48,19 +48,20 @@
     }
 }
 
-/// How a stub target misbehaves, until another fault is injected.
+/// An injected fault, in effect until another one is injected.
 #[derive(Clone, Debug, Default)]
 pub struct TargetFault {
-    /// Times slower; 0 and 1 are none.
+    /// The factor by which service times are multiplied; no effect at 1 or less.
     pub slowdown: f64,
-    /// The part of requests that get an error at once.
+    /// The share of requests that are answered with an error at once, between 0 and 1.
     pub error_share: f64,
-    /// The part of requests whose connection is reset when half of their body has come, or all of their head.
+    /// The share of requests whose connection is reset after half of the body, or after the head if there is
+    /// no body.
     pub reset_share: f64,
     /// Requests are read and never answered.
     pub silent: bool,
     /// Requests are rejected unprocessed.
     pub rejects: bool,
-    /// Nothing is worked on before this instant.
+    /// No request is executed before this instant.
     pub stalled_until: Option<Instant>,
 }
--- a/crates/test-fleet/tests/targets.rs
+++ b/crates/test-fleet/tests/targets.rs
@@ -1,4 +1,4 @@
-//! Stub targets misbehave on command, and count what they receive.
+//! Tests that stub targets inject faults on command and count the requests that they receive.
 
 use rowanglade_test_fleet::{StubSite, TargetFault, TargetPlan};
 use std::net::SocketAddr;
@@ -7,22 +7,23 @@
 use tokio::net::TcpStream;
 use tokio::task::LocalSet;
 
-/// The status of an answer; 0 where the connection ended without one, and none where it did not come up.
-async fn ask(addr: SocketAddr, head: &str, body: usize) -> Option<u16> {
+/// Sends a request and returns the response's status. 0 if the connection ended before a response; `None` if
+/// no connection could be opened or the request could not be sent.
+async fn request_status(addr: SocketAddr, head: &str, body: usize) -> Option<u16> {
     let mut stream = TcpStream::connect(addr).await.ok()?;
     let request = format!(
         "{head} HTTP/1.1\r\nIdempotency-Key: k\r\nContent-Length: {body}\r\n\r\n{}",
         "x".repeat(body)
     );
     stream.write_all(request.as_bytes()).await.ok()?;
-    let mut answer = [0; 12];
-    match stream.read_exact(&mut answer).await {
-        Ok(_) => std::str::from_utf8(&answer[9..]).ok()?.parse().ok(),
+    let mut status_line = [0; 12];
+    match stream.read_exact(&mut status_line).await {
+        Ok(_) => std::str::from_utf8(&status_line[9..]).ok()?.parse().ok(),
         Err(_) => Some(0),
     }
 }
 
-async fn list(site: &StubSite, from: Option<u64>) -> String {
+async fn fetch_list(site: &StubSite, from: Option<u64>) -> String {
     let mut stream = TcpStream::connect(site.discovery.addr()).await.expect("connected");
     let query = from.map_or(String::new(), |v| format!("?from={v}&hold_ms=5000"));
     let request = format!("GET /discovery/hosts{query} HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -31,14 +32,14 @@
     let mut buffer = [0; 4096];
     while !text.contains("\"version\"") {
         let read = stream.read(&mut buffer).await.expect("read");
-        assert!(read > 0, "{text}");
+        assert!(read > 0, "connection closed before the list was complete: {text}");
         text.push_str(&String::from_utf8_lossy(&buffer[..read]));
     }
     text
 }
 
 #[test]
-fn targets_misbehave_on_command_and_count_what_they_receive() {
+fn injected_faults_and_state_changes_show_in_responses_lists_and_counters() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
         let plan = TargetPlan {
@@ -49,39 +50,39 @@
         };
         let site = StubSite::start(&[plan], "kingston", 1).await.expect("started");
         let (target, addr) = (&site.targets[0], site.targets[0].addr());
-        assert_eq!(ask(addr, "PUT /deposit/1/2", 10).await, Some(200));
-        assert_eq!(ask(addr, "PUT /deposit/1/2", 10).await, Some(200));
+        assert_eq!(request_status(addr, "PUT /deposit/1/2", 10).await, Some(200));
+        assert_eq!(request_status(addr, "PUT /deposit/1/2", 10).await, Some(200));
         assert_eq!((target.counters().writes_executed, target.counters().writes_suppressed), (1, 1));
-        for (fault, answer) in [
+        for (fault, status) in [
             (TargetFault { error_share: 1.0, ..TargetFault::default() }, 500),
             (TargetFault { rejects: true, ..TargetFault::default() }, 503),
             (TargetFault { reset_share: 1.0, ..TargetFault::default() }, 0),
         ] {
             target.inject(fault);
-            assert_eq!(ask(addr, "PUT /deposit/1/3", 10).await, Some(answer));
+            assert_eq!(request_status(addr, "PUT /deposit/1/3", 10).await, Some(status));
         }
         target.inject(TargetFault::default());
-        let seen = target.counters();
+        let counters = target.counters();
         assert_eq!(
-            (seen.errors, seen.rejected, seen.resets, seen.received),
+            (counters.errors, counters.rejected, counters.resets, counters.received),
             (1, 1, 1, 4),
-            "a reset one is not taken"
+            "a request whose connection was reset is not counted as received"
         );
 
-        assert!(list(&site, None).await.contains("\"active\""));
+        assert!(fetch_list(&site, None).await.contains("\"active\""));
         site.drain(0);
-        assert_eq!(ask(addr, "GET /view/1/2", 0).await, Some(503));
+        assert_eq!(request_status(addr, "GET /view/1/2", 0).await, Some(503));
         assert_eq!(target.counters().received_draining, 1);
-        assert!(list(&site, Some(2)).await.contains("\"leaving\""));
+        assert!(fetch_list(&site, Some(2)).await.contains("\"leaving\""));
         site.kill(0);
-        assert!(list(&site, Some(3)).await.contains("\"left\""));
-        // The watch waits for news: this one is answered by the restart.
+        assert!(fetch_list(&site, Some(3)).await.contains("\"left\""));
+        // The watch waits for a change: the restart completes it.
         let restarted = async {
             site.restart(0).await.expect("the address is free");
         };
-        let (news, ()) = tokio::join!(list(&site, Some(4)), restarted);
-        assert!(news.contains("\"active\"") && target.started_ms() > 0, "{news}");
-        assert!(target.capacity() < 0.3, "it starts cold: {}", target.capacity());
-        assert_eq!(ask(addr, "GET /view/1/2", 0).await, Some(200));
+        let (update, ()) = tokio::join!(fetch_list(&site, Some(4)), restarted);
+        assert!(update.contains("\"active\"") && target.started_ms() > 0, "{update}");
+        assert!(target.capacity() < 0.3, "expected a cold start, found capacity {}", target.capacity());
+        assert_eq!(request_status(addr, "GET /view/1/2", 0).await, Some(200));
     });
 }
