--- a/crates/lab/src/cold.rs
+++ b/crates/lab/src/cold.rs
@@ -153,7 +153,7 @@
             for (number, when) in KILLS.into_iter().enumerate() {
                 at(when).await;
                 daemons[number].signal(Signal::SIGKILL)?;
-                while !daemons[number].ended() {
+                while !daemons[number].has_ended() {
                     tokio::time::sleep(Duration::from_millis(5)).await;
                 }
                 daemons[number] = start(&site, folder.path(), number, Some(to[number]))?;
@@ -190,7 +190,7 @@
             seen.len() as f64 >= 0.1 * allowed(0.0) * WARM_WITHIN / WINDOW,
         );
         out.claim("each request has one last word", words == total.due);
-        out.claim("the killed daemons serve again", daemons.iter_mut().all(|d| !d.ended()));
+        out.claim("the killed daemons serve again", daemons.iter_mut().all(|d| !d.has_ended()));
         Ok(out)
     })
 }
--- a/crates/lab/src/many_targets.rs
+++ b/crates/lab/src/many_targets.rs
@@ -10,7 +10,7 @@
 use rowanglade_checker::{Attempt, Breach, ClientOutcome, History, Micros, Rules, TargetState, check};
 use rowanglade_test_fleet::{
     DaemonPlan, DiscoveryFault, Fleet, FleetPlan, LoadPlan, RequestCounts, Signal, TargetFault, TargetPlan,
-    settings, usual_classes,
+    settings, standard_classes,
 };
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -82,7 +82,7 @@
         target: TargetPlan { default_service_time: Duration::from_millis(30), ..TargetPlan::default() },
         load: LoadPlan {
             rate: RATE,
-            classes: usual_classes(),
+            classes: standard_classes(),
             plan: "full",
             volumes: Vec::new(),
             units: 2.0,
--- a/crates/lab/src/soak/play.rs
+++ b/crates/lab/src/soak/play.rs
@@ -9,7 +9,7 @@
 use rowanglade_fault_shim::{COUNTS, VARIABLE};
 use rowanglade_test_fleet::{
     DaemonPlan, DiscoveryFault, Fleet, FleetPlan, LoadPlan, RequestCounts, Signal, TargetFault, TargetPlan,
-    settings, usual_classes,
+    settings, standard_classes,
 };
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -65,7 +65,7 @@
         target: TargetPlan { default_service_time: Duration::from_millis(20), ..TargetPlan::default() },
         load: LoadPlan {
             rate: 15.0,
-            classes: usual_classes(),
+            classes: standard_classes(),
             plan: "full",
             volumes: Vec::new(),
             units: 2.0,
@@ -179,7 +179,7 @@
         }
         Event::Crowd { process } => {
             let addr = fleet.members[*process].daemon.http;
-            fleet.recorder.crowd(fleet.members[*process].process);
+            fleet.recorder.record_descriptor_exhaustion(fleet.members[*process].process);
             for _ in 0..IDLE_CLIENTS {
                 // One that is not let in is part of the crowd too.
                 let connected =
--- a/crates/lab/src/upgrade.rs
+++ b/crates/lab/src/upgrade.rs
@@ -133,7 +133,7 @@
                 took.push(begun.elapsed().as_secs_f64() * 1e3);
                 serving.signal(Signal::SIGTERM)?;
                 for _ in 0..500 {
-                    if serving.ended() {
+                    if serving.has_ended() {
                         ended += 1;
                         break;
                     }
--- a/crates/test-fleet/src/client_load.rs
+++ b/crates/test-fleet/src/client_load.rs
@@ -78,7 +78,7 @@
     }
 
     /// Resolves when no request is in flight.
-    pub async fn settled(&self) {
+    pub async fn wait_until_idle(&self) {
         while self.in_flight.get() > 0 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
--- a/crates/test-fleet/src/daemon.rs
+++ b/crates/test-fleet/src/daemon.rs
@@ -91,7 +91,7 @@
     }
 
     /// Whether the process has ended.
-    pub fn ended(&mut self) -> bool {
+    pub fn has_ended(&mut self) -> bool {
         !matches!(self.child.try_wait(), Ok(None))
     }
 
--- a/crates/test-fleet/src/fleet.rs
+++ b/crates/test-fleet/src/fleet.rs
@@ -197,7 +197,7 @@
         // Fails if the process has already ended, which the loop below detects.
         let _ = member.daemon.signal(signal);
         let mut usage = member.daemon.usage();
-        while !member.daemon.ended() {
+        while !member.daemon.has_ended() {
             usage = member.daemon.usage();
             if started_at.elapsed() >= CONNECT_PERIOD_AFTER_SIGTERM {
                 member.load.stop_connecting();
@@ -225,7 +225,7 @@
 
     /// How many members' processes have ended without having been stopped.
     pub fn crashes(&mut self) -> usize {
-        self.members.iter_mut().map(|member| usize::from(member.daemon.ended())).sum()
+        self.members.iter_mut().map(|member| usize::from(member.daemon.has_ended())).sum()
     }
 
     /// Sets `count` random targets to draining, and starts as many new ones for the same shards, in one
@@ -267,7 +267,7 @@
     pub async fn settle(&self) {
         self.members.iter().for_each(|member| member.load.stop());
         for member in &self.members {
-            member.load.settled().await;
+            member.load.wait_until_idle().await;
         }
     }
 
--- a/crates/test-fleet/src/lib.rs
+++ b/crates/test-fleet/src/lib.rs
@@ -38,7 +38,7 @@
 pub use endpoint::{Endpoint, EndpointState};
 pub use fleet::{Fleet, Member};
 pub use fleet_plan::FleetPlan;
-pub use load_plan::{ClassPlan, LoadPlan, RequestCounts, usual_classes};
+pub use load_plan::{ClassPlan, LoadPlan, RequestCounts, standard_classes};
 pub use nix::sys::signal::Signal;
 pub use recorder::Recorder;
 pub use settings::{settings, standard_settings};
--- a/crates/test-fleet/src/load_plan.rs
+++ b/crates/test-fleet/src/load_plan.rs
@@ -21,7 +21,7 @@
 }
 
 /// The standard request classes of the project, with half of the deposits for new objects.
-pub fn usual_classes() -> Vec<ClassPlan> {
+pub fn standard_classes() -> Vec<ClassPlan> {
     let class = |name, share, write, idempotency, wait, new_object_share| {
         let wait = Duration::from_millis(wait);
         ClassPlan { name, share, write, idempotency, wait, new_object_share }
--- a/crates/test-fleet/src/recorder.rs
+++ b/crates/test-fleet/src/recorder.rs
@@ -106,7 +106,7 @@
     }
 
     /// Records that idle clients use up a process's descriptors from now on.
-    pub fn crowd(&self, process: ProcessId) {
+    pub fn record_descriptor_exhaustion(&self, process: ProcessId) {
         let now = self.now();
         self.history.borrow_mut().crowds.push((process, now));
     }
--- a/tests/fleets/many_targets.rs
+++ b/tests/fleets/many_targets.rs
@@ -3,7 +3,7 @@
 
 use rowanglade_checker::{Breach, Rules, check};
 use rowanglade_test_fleet::{
-    DaemonPlan, Fleet, FleetPlan, LoadPlan, RequestCounts, TargetPlan, standard_settings, usual_classes,
+    DaemonPlan, Fleet, FleetPlan, LoadPlan, RequestCounts, TargetPlan, standard_classes, standard_settings,
 };
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -25,7 +25,7 @@
 fn load() -> LoadPlan {
     LoadPlan {
         rate: 12.0,
-        classes: usual_classes(),
+        classes: standard_classes(),
         plan: "full",
         volumes: Vec::new(),
         units: 2.0,
--- a/tests/network/processes.rs
+++ b/tests/network/processes.rs
@@ -61,7 +61,7 @@
 }
 
 async fn ends(daemon: &mut Daemon) {
-    while !daemon.ended() {
+    while !daemon.has_ended() {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
@@ -118,7 +118,7 @@
         first.signal(Signal::SIGHUP).expect("it runs");
         second.signal(Signal::SIGHUP).expect("it runs");
         progress(200).await;
-        assert!(!first.ended() && !second.ended(), "nobody told them to end");
+        assert!(!first.has_ended() && !second.has_ended(), "nobody told them to end");
         first.signal(Signal::SIGTERM).expect("it runs");
         ends(&mut first).await;
         progress(100).await;
@@ -126,7 +126,7 @@
         for client in clients {
             client.await.expect("each has an answer");
         }
-        assert!(!second.ended());
+        assert!(!second.has_ended());
         assert_eq!(call(&second, "GET /healthcheck").await, "200 close");
     });
 }
