--- a/crates/distribution/src/follower.rs
+++ b/crates/distribution/src/follower.rs
@@ -11,8 +11,8 @@
 
 /// How long, in milliseconds after the requested wait, a response may take before the request times out.
 const RESPONSE_TIMEOUT: Millis = 1_500;
-/// The same timeout for a request of a snapshot, longer because a relay may delay snapshots while many
-/// followers request them.
+/// The timeout for snapshot requests; longer, because a relay may delay snapshots while many followers
+/// request them.
 const SNAPSHOT_TIMEOUT: Millis = 5_000;
 /// The maximum age, in milliseconds, of the source's last response. A relay that reports a greater age is
 /// considered cut off from the source: relays' own requests wait for at most a second
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -7,8 +7,8 @@
 //! is itself a follower of the source or of another relay, and serves a bounded number of followers.
 //!
 //! Messages are sent on connections that the driver keeps. A response is sent on the connection that its
-//! request arrived on, and is never delivered after either end has restarted. A response that is delivered
-//! nevertheless does no harm, but may cause a snapshot to be requested twice.
+//! request arrived on, and is dropped if either end has restarted in between. Delivering it nevertheless does
+//! no harm, but may cause a snapshot to be requested twice.
 //!
 //! **Invariants**
 //! - Newer wins, stale never replaces newer: a follower accepts a state of a greater version only, whatever
--- a/crates/distribution/src/message.rs
+++ b/crates/distribution/src/message.rs
@@ -9,7 +9,7 @@
 use crate::{Millis, NodeId};
 use serde::{Deserialize, Serialize};
 
-/// The version of a follower's newest state.
+/// The version and digest of a follower's newest state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct HeldVersion {
     /// The version of that state.
--- a/crates/distribution/src/relay.rs
+++ b/crates/distribution/src/relay.rs
@@ -12,8 +12,8 @@
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
-/// How long a relay's own requests wait for a change, in milliseconds. It bounds how old the source ages grow
-/// that the relay reports to its followers.
+/// How long a relay's own requests wait for a change, in milliseconds. Bounds the source age that the relay
+/// reports to its followers.
 pub const RELAY_MAX_WAIT: Millis = 1_000;
 /// The maximum time in milliseconds that a follower's request waits for a change, whatever the request asks
 /// for.
--- a/crates/distribution/src/upstreams.rs
+++ b/crates/distribution/src/upstreams.rs
@@ -11,8 +11,8 @@
 const MAX_BACKOFF: Millis = 2_000;
 /// The maximum number of times the backoff doubles; [`MAX_BACKOFF`] is reached before.
 const MAX_DOUBLINGS: usize = 8;
-/// How long, in milliseconds before jitter, after leaving its first relay a follower tries that relay again,
-/// so that followers are spread evenly again after a fault.
+/// How long after leaving its first relay a follower tries that relay again, in milliseconds before jitter.
+/// Spreads followers evenly over the relays again after a fault.
 const RETURN_TO_FIRST_AFTER: Millis = 30_000;
 
 /// The relays that a follower may watch, and which of them it watches now.
