--- a/crates/lab/src/capture.rs
+++ b/crates/lab/src/capture.rs
@@ -1,4 +1,4 @@
-//! Experiments on reading captures.
+//! Experiments on the import of captured logs.
 
 use crate::experiment::{Experiment, Runner};
 use crate::failure::Failure;
@@ -12,11 +12,12 @@
 use std::time::Instant;
 
 pub fn experiments() -> Vec<Experiment> {
-    let about = "200 MB of log made on the fly: reading speed and peak memory";
+    let about = "import and load of generated logs of up to 200 MB: speed and peak memory";
     vec![Experiment { name: "capture-speed", about, runner: Runner::Plain(speed) }]
 }
 
-/// Writes a combined log of about so many bytes; about 340 requests a second of its time.
+/// Writes a log in the combined format of about `bytes` bytes with about 340 requests per second of log time,
+/// and returns its exact size.
 fn make(path: &Path, bytes: u64) -> Result<u64, Failure> {
     let mut chance = Pcg64Mcg::seed_from_u64(1);
     let mut out = BufWriter::new(File::create(path)?);
@@ -42,7 +43,8 @@
     Ok(written)
 }
 
-/// Runs a command of the daemon's in a process of its own: seconds, and bytes of memory at most.
+/// Runs a command of the daemon in a separate process; returns its run time in seconds and its peak memory in
+/// bytes.
 fn measured(args: &[&std::ffi::OsStr]) -> Result<(f64, f64), Failure> {
     let begun = Instant::now();
     let output = Command::new(std::env::current_exe()?).arg("measured").args(args).output()?;
@@ -90,7 +92,7 @@
         out.figure(format!("{megabytes} MB: import's time over counting lines"), import / count, "times");
         peaks.push(memory);
     }
-    out.claim("peak memory of an import of 200 MB is under 32 MB", peaks[1] < 32e6);
-    out.claim("ten times the log takes less than 1.5 times the memory", peaks[1] < 1.5 * peaks[0]);
+    out.claim("the import of a 200 MB log needs less than 32 MB of peak memory", peaks[1] < 32e6);
+    out.claim("a log ten times as large needs less than 1.5 times the memory", peaks[1] < 1.5 * peaks[0]);
     Ok(out)
 }
--- a/crates/lab/src/cold.rs
+++ b/crates/lab/src/cold.rs
@@ -1,5 +1,5 @@
-//! A box starts again, cold, before a fleet of which some processes are killed just then: what the whole
-//! fleet sends it, counted where it arrives.
+//! A target restarts cold in front of a fleet of which some processes are killed at the same time. The
+//! experiment counts at the target what the whole fleet sends to it.
 
 use crate::experiment::{Experiment, Runner};
 use crate::failure::Failure;
@@ -18,8 +18,7 @@
 use tokio::time::Instant;
 
 pub fn experiments() -> Vec<Experiment> {
-    let about =
-        "a box returns cold before ten daemons, two of them killed then: requests a window, by all together";
+    let about = "a target returns cold, two of ten daemons are killed meanwhile: requests per window from the whole fleet";
     vec![Experiment { name: "cold-start", about, runner: Runner::Plain(cold_start) }]
 }
 
@@ -27,36 +26,37 @@
 const DAEMONS: usize = 10;
 const KILLED: usize = 2;
 const SHARDS: u32 = 4;
-/// On how many shards the data of a volume lies, and through how many daemons it is asked for.
+/// Shards that the data of a volume is spread over, and daemons that its requests come through.
 const SPREAD: u32 = 2;
 const HOSTS: u32 = 2;
 const VOLUMES: u64 = 40;
 const UNITS: f64 = 2.0;
-/// Requests a second at all boxes together, and for how long.
+/// Requests per second to all targets together, and the duration in seconds.
 const RATE: f64 = 88.0;
 const SECONDS: f64 = 18.0;
-/// When the box ends, when it is back, and when daemons are killed.
+/// Seconds after the first request at which the target stops, at which it is back, and at which daemons are
+/// killed.
 const ENDS: f64 = 4.0;
 const BACK: f64 = 4.5;
 const KILLS: [f64; KILLED] = [5.5, 7.0];
-/// Of a box: requests worked on at once, and how long each takes.
+/// Requests that a target processes concurrently, and the time that each takes in milliseconds.
 const SLOTS: usize = 2;
 const WORK_MS: u64 = 80;
-/// The rule on cold boxes, as the settings tell it.
+/// Slow-start rule as the settings define it. Capacities are relative to a warm target, times are in seconds.
 const COLD_FROM: f64 = 0.28;
 const WARM_WITHIN: f64 = 10.0;
 const WINDOW: f64 = 3.0;
 const MULTIPLE: f64 = 2.5;
-/// The part of what a cold box bears that the settings tell.
+/// Fraction of the units that a cold target can serve that the settings state as `cold-units`.
 const TOLD: f64 = 0.15;
 
-/// Requests that a box, cold since 0, is allowed in the window that begins then.
+/// Requests that a target that restarted at 0 may receive in the window that begins at `begin`.
 fn allowed(begin: f64) -> f64 {
     let power = COLD_FROM + (1.0 - COLD_FROM) * (begin / WARM_WITHIN).clamp(0.0, 1.0);
     MULTIPLE * power * WINDOW * SLOTS as f64 * 1e3 / WORK_MS as f64
 }
 
-/// Requests at even odds on each shard of their volume.
+/// Writes a trace in which each request picks one of its volume's shards with equal probability.
 fn make(path: &Path) -> Result<(), Failure> {
     let mut chance = Pcg64Mcg::seed_from_u64(SEED);
     let mut writer = TraceWriter::create(path, &traces::standard_header())?;
@@ -111,7 +111,8 @@
     })?)
 }
 
-/// The most requests in any window, as a part of N + 2 x root of N + 2, and when it began.
+/// Returns the largest number of requests in any window, relative to the limit N + 2 * sqrt(N) + 2 with N
+/// from [`allowed`], and the second at which that window began.
 fn fullest(seen: &[f64]) -> (f64, f64) {
     let part = |from: &f64| {
         let n = allowed(*from);
@@ -139,7 +140,7 @@
         let to = initiators::addresses(&daemons);
         let cold = &site.targets[0];
         let faults = async {
-            // The first request is the beginning.
+            // The clock of the experiment starts at the first request.
             while site.targets.iter().all(|b| b.counters().received == 0) {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
@@ -184,13 +185,13 @@
         out.figure("allowed in its first window", allowed(0.0), "requests");
         out.figure("fullest window, of N + 2 root N + 2", part, "");
         out.figure("which began after", from, "s");
-        out.claim("no window at the cold box passes N + 2 root N + 2", part <= 1.0);
+        out.claim("no window at the cold target exceeds N + 2 * sqrt(N) + 2 requests", part <= 1.0);
         out.claim(
-            "the cold box is not starved",
+            "the cold target is not starved",
             seen.len() as f64 >= 0.1 * allowed(0.0) * WARM_WITHIN / WINDOW,
         );
-        out.claim("each request has one last word", words == total.due);
-        out.claim("the killed daemons serve again", daemons.iter_mut().all(|d| !d.ended()));
+        out.claim("each request has exactly one result", words == total.due);
+        out.claim("the restarted daemons are running", daemons.iter_mut().all(|d| !d.ended()));
         Ok(out)
     })
 }
--- a/crates/lab/src/curve.rs
+++ b/crates/lab/src/curve.rs
@@ -1,14 +1,14 @@
-//! A measured cost against a size, and the law that fits it.
+//! Costs measured at several sizes, and the function fitted to them.
 
 use crate::failure::Failure;
 use plotters::prelude::*;
 use serde::Serialize;
 use std::fmt;
 
-/// Fewer sizes than this say nothing of a slope.
+/// Minimum number of sizes for a fit; fewer do not determine the growth.
 pub const FEWEST_SIZES: usize = 4;
 
-/// The shape of a fitted law.
+/// The function that is fitted to the points.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum GrowthModel {
@@ -19,7 +19,7 @@
 }
 
 impl GrowthModel {
-    /// The cost that the law gives at a size, which may lie beyond those measured.
+    /// Evaluates the function at a size, which may lie outside the measured range.
     pub fn at(&self, size: f64) -> f64 {
         match self {
             GrowthModel::Linear { base, slope } => base + slope * size,
@@ -28,13 +28,13 @@
     }
 }
 
-/// A law, and how well the points lie on it.
+/// A fitted function and its goodness of fit.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct FittedCurve {
     pub law: GrowthModel,
-    /// The part of the variance that the law explains, at most 1.
+    /// Fraction of the variance that the function explains; 1 is a perfect fit.
     pub r_squared: f64,
-    /// The largest distance of a point from the law, as a part of the point.
+    /// Largest distance of a point from the function, relative to the point's cost.
     pub worst_residual: f64,
 }
 
@@ -55,35 +55,35 @@
     }
 }
 
-/// Costs of at least [`FEWEST_SIZES`] sizes, with the law that lies nearest to all of them.
+/// Costs at [`FEWEST_SIZES`] sizes or more, with the linear or power function that fits them best.
 #[derive(Clone, Debug, Serialize)]
 pub struct Curve {
     pub name: String,
-    /// What the sizes count.
+    /// What the sizes count, for example targets.
     pub size: &'static str,
-    /// What the costs are in.
+    /// Unit of the costs.
     pub unit: &'static str,
     pub points: Vec<(f64, f64)>,
-    /// The exponent of the power law through the points, whichever law lies nearest.
+    /// Exponent of the power function fitted to the points, also where the linear function fits better.
     pub exponent: f64,
     pub fit: FittedCurve,
 }
 
-/// Least squares of `y = base + slope * x`.
+/// Least-squares fit of `y = base + slope * x`.
 fn line(points: impl Iterator<Item = (f64, f64)>) -> Result<(f64, f64), Failure> {
     let rows: Vec<f64> = points.flat_map(|(x, y)| [y, 1.0, x]).collect();
     match *linregress::fit_low_level_regression_model_without_statistics(&rows, rows.len() / 3, 3)?.as_slice()
     {
         [base, slope] => Ok((base, slope)),
-        _ => Err(Failure::Unexpected("a line has two parameters")),
+        _ => Err(Failure::Unexpected("the linear regression did not return two parameters")),
     }
 }
 
 impl Curve {
-    /// Fits both laws, and takes the one whose farthest point is nearer.
+    /// Fits a linear and a power function and keeps the one with the smaller worst residual.
     ///
     /// # Errors
-    /// There are too few sizes, or a size or a cost is not above zero.
+    /// There are fewer sizes than [`FEWEST_SIZES`], or a size or a cost is not positive.
     pub fn new(
         name: impl Into<String>,
         size: &'static str,
@@ -107,10 +107,10 @@
         self.fit.law.at(size)
     }
 
-    /// The points and the law through them, as SVG.
+    /// Renders the points and the fitted function as SVG.
     ///
     /// # Errors
-    /// The plot cannot be drawn.
+    /// The plotting library failed.
     pub fn draw(&self) -> Result<String, Failure> {
         const STEPS: u32 = 60;
         let right = self.points.iter().map(|p| p.0).fold(0.0, f64::max) * 1.05;
@@ -140,13 +140,13 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "  {}, {} by {}", self.name, self.unit, self.size)?;
         for (size, cost) in &self.points {
-            writeln!(f, "    {size:>10.0} {cost:>16.3}   by the law {:>16.3}", self.at(*size))?;
+            writeln!(f, "    {size:>10.0} {cost:>16.3}   fitted {:>16.3}", self.at(*size))?;
         }
         let law = match self.fit.law {
             GrowthModel::Linear { base, slope } => format!("{base:.4} + {slope:.6} * size"),
             GrowthModel::Power { factor, exponent } => format!("{factor:.6} * size^{exponent:.2}"),
         };
         let FittedCurve { r_squared, worst_residual, .. } = self.fit;
-        writeln!(f, "    law: {law}; R2 {r_squared:.4}, worst residual {:.1}%", worst_residual * 100.0)
+        writeln!(f, "    fit: {law}; R2 {r_squared:.4}, worst residual {:.1}%", worst_residual * 100.0)
     }
 }
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -1,36 +1,36 @@
-//! What can be run, and with which options.
+//! Experiments and the options they run with.
 
 use crate::failure::Failure;
 use crate::outcome::Outcome;
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// Something to run, as `list` shows it.
+/// An experiment of the lab, as `list` prints it.
 #[derive(Clone, Copy)]
 pub struct Experiment {
-    /// Its name on the command line.
+    /// Name on the command line.
     pub name: &'static str,
-    /// What it is about, in a line.
+    /// One-line description.
     pub about: &'static str,
-    /// What runs it.
+    /// Function that runs the experiment.
     pub runner: Runner,
 }
 
 /// How an experiment is run.
 #[derive(Clone, Copy)]
 pub enum Runner {
-    /// It takes no options.
+    /// Runs without options.
     Plain(fn() -> Result<Outcome, Failure>),
-    /// It plays what seeds draw.
+    /// Runs once for each of a range of seeds.
     Seeded(fn(&Seeds) -> Result<Outcome, Failure>),
 }
 
-/// The seeds that an experiment plays.
+/// Seeds that a seeded experiment runs.
 #[derive(Clone, Debug)]
 pub struct Seeds {
-    /// None: the experiment's own.
+    /// Inclusive range from the command line; `None` selects the experiment's default seeds.
     pub range: Option<RangeInclusive<u64>>,
-    /// No further seed is begun after so long.
+    /// No further seed is started after this time.
     pub time_limit: Duration,
 }
 
--- a/crates/lab/src/failure.rs
+++ b/crates/lab/src/failure.rs
@@ -1,4 +1,4 @@
-//! Why an experiment has no outcome.
+//! Errors that keep an experiment from completing.
 
 use plotters::drawing::DrawingAreaErrorKind;
 use rowanglade::config::ConfigError;
@@ -14,109 +14,109 @@
 use tokio::sync::watch::error::RecvError;
 use tokio::task::JoinError;
 
-/// Why an experiment has no outcome.
+/// Why an experiment did not complete.
 #[derive(Debug, thiserror::Error)]
 pub enum Failure {
     /// A file, a socket or a process failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// Text that another process printed is no number.
+    /// Output of another process is not a number.
     #[error(transparent)]
     ParseInt(#[from] ParseIntError),
-    /// A number is too large for where it goes.
+    /// A number does not fit its target type.
     #[error(transparent)]
     TryFromInt(#[from] TryFromIntError),
-    /// JSON that another process printed cannot be read.
+    /// Output of another process is not the expected JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// Text that another process printed is not UTF-8.
+    /// Output of another process is not UTF-8.
     #[error(transparent)]
     Utf8(#[from] FromUtf8Error),
     /// A task of the experiment panicked or was cancelled.
     #[error(transparent)]
     Task(#[from] JoinError),
-    /// A part of the daemon ended while its state was awaited.
+    /// The state of a daemon component was awaited, and the component ended.
     #[error(transparent)]
     Ended(#[from] RecvError),
-    /// A line cannot be fitted to measured points.
+    /// The regression of measured points failed.
     #[error(transparent)]
     Regression(#[from] linregress::Error),
     /// A trace cannot be read or written.
     #[error(transparent)]
     Trace(#[from] TraceError),
-    /// The shipped mapping is unusable.
+    /// The shipped mapping is invalid.
     #[error(transparent)]
     Mapping(#[from] MappingError),
     /// The shipped sample cannot be imported.
     #[error(transparent)]
     Import(#[from] ImportError),
-    /// A replay could not run.
+    /// A replay could not be run.
     #[error(transparent)]
     Replay(#[from] ReplayError),
-    /// A daemon's configuration is unusable.
+    /// A daemon's configuration is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// An initiator within this process could not start.
+    /// An initiator inside the lab's process could not be started.
     #[error(transparent)]
     Initiator(#[from] rowanglade::initiator::Error),
-    /// A route table is unusable.
+    /// A routing table is invalid.
     #[error(transparent)]
     Routes(#[from] RouteError),
-    /// A message of the distribution cannot be decoded.
+    /// A distribution message cannot be decoded.
     #[error(transparent)]
     Distribution(#[from] rowanglade_distribution::DecodeError),
-    /// A message of the distribution cannot be encoded.
+    /// A distribution message cannot be encoded.
     #[error(transparent)]
     DistributionEncoding(#[from] rowanglade_distribution::EncodeError),
-    /// A state of the distribution cannot be packed.
+    /// A distribution state cannot be compressed into a snapshot.
     #[error(transparent)]
     Snapshot(#[from] rowanglade_distribution::SnapshotError),
-    /// A message of the quota exchange cannot be decoded.
+    /// A quota exchange message cannot be decoded.
     #[error(transparent)]
     QuotaExchange(#[from] rowanglade_quota_exchange::DecodeError),
-    /// A curve or plot cannot be drawn.
+    /// A curve or plot cannot be drawn; the text is the plotting library's.
     #[error("{0}")]
     Drawing(String),
-    /// A line of an access log cannot be read.
+    /// A line of an access log cannot be parsed.
     #[error(transparent)]
     AccessLog(#[from] EntryError),
-    /// An endpoint list, or settings, cannot be used.
+    /// Settings were rejected.
     #[error("{0}")]
     Unreadable(String),
-    /// What an experiment relies on did not happen.
+    /// The program under test or an experiment's own input is not as the experiment requires.
     #[error("{0}")]
     Unexpected(&'static str),
-    /// The fault shim's library is missing.
-    #[error("{} is not built", .0.display())]
+    /// The library of the fault shim has not been built.
+    #[error("fault shim library {} not found; build rowanglade-fault-shim first", .0.display())]
     NotBuilt(PathBuf),
-    /// A program that an experiment starts has failed, with what it printed.
+    /// A command that an experiment ran exited with an error; the text is its standard error output.
     #[error("{0}")]
     Program(String),
-    /// A probe in a process of its own has failed, with what it printed.
-    #[error("{name}: {stderr}")]
+    /// A probe process exited with an error.
+    #[error("probe {name} failed: {stderr}")]
     Probe {
-        /// The probe.
+        /// Name of the probe.
         name: String,
-        /// What it printed.
+        /// The process's standard error output.
         stderr: String,
     },
-    /// A sink's process printed no address.
-    #[error("the box did not start: {0}")]
+    /// The process of a [`crate::sink::Sink`] did not print an address.
+    #[error("the stub target process did not print its address: {0}")]
     SinkStart(AddrParseError),
-    /// Points through which no law can be fitted.
-    #[error("{name}: {points:?} gives no slope")]
+    /// The points do not allow a fit.
+    #[error("cannot fit curve {name:?}: too few sizes, or a size or cost that is not positive: {points:?}")]
     NoSlope {
-        /// The curve.
+        /// Name of the curve.
         name: String,
         /// Sizes and costs.
         points: Vec<(f64, f64)>,
     },
-    /// Fewer polls than expected came in time.
-    #[error("{answered} of {expected} calls came")]
+    /// Discovery received fewer polls than expected within the timeout.
+    #[error("discovery answered {answered} of {expected} expected polls before the timeout")]
     MissingPolls {
-        /// How many came.
+        /// Polls that discovery answered.
         answered: u64,
-        /// How many had to come.
+        /// Polls that were expected.
         expected: u64,
     },
 }
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Experiments on fleets of instances.
+//! Experiments on fleets of initiators.
 
 use crate::experiment::{Experiment, Runner};
 use crate::failure::Failure;
@@ -13,23 +13,24 @@
 use std::path::Path;
 
 pub fn experiments() -> Vec<Experiment> {
-    let about = "a limited volume through one of three initiators: the limit used, against the even split";
+    let about = "a limited volume served by one of three initiators: share of the limit used, quota exchange against even split";
     vec![Experiment { name: "fleet-share", about, runner: Runner::Plain(share) }]
 }
 
-/// Units a second, the store, and the slack of the plan `basic` in [`rowanglade_test_fleet::settings`].
+/// Rate in units per second, burst and slack of the QoS plan `basic` in [`rowanglade_test_fleet::settings`].
 const LIMIT: f64 = 32.0;
 const BURST: f64 = 48.0;
 const SLACK: f64 = 3.2;
 
-/// Addresses that were free a moment ago.
+/// Returns local addresses whose UDP ports were free when they were probed.
 fn free(count: usize) -> Result<Vec<SocketAddr>, Failure> {
     let sockets: Vec<UdpSocket> =
         (0..count).map(|_| UdpSocket::bind("127.0.0.1:0")).collect::<Result<_, _>>()?;
     Ok(sockets.iter().map(UdpSocket::local_addr).collect::<Result<_, _>>()?)
 }
 
-/// Requests of one unit of one volume on `basic`, evenly, all of whose time is short of a second try.
+/// Writes a trace of evenly spaced one-unit requests for one volume on QoS plan `basic`. Their deadline is
+/// too short for a second attempt.
 fn make(path: &Path, rate: f64, seconds: f64) -> Result<u64, Failure> {
     let mut writer = TraceWriter::create(path, &traces::standard_header())?;
     for i in 0..(rate * seconds) as u64 {
@@ -58,7 +59,7 @@
         let (trace, warm) = (folder.path().join("made.trace"), folder.path().join("warm.trace"));
         let seconds = 14.0;
         make(&trace, 80.0, seconds)?;
-        // A little traffic through all three, so that each knows the volume.
+        // A little traffic through all three initiators, so that each of them tracks the volume.
         make(&warm, 2.0, 2.0)?;
         let key = folder.path().join("fleet.key");
         std::fs::write(&key, "5a".repeat(32))?;
@@ -78,7 +79,7 @@
                 traces::replay_all(&warm, &Replay { retries: false, ..Replay::to(vec![*addr]) }).await?;
             }
             let before = site.targets[0].received().len();
-            // All of it through the first.
+            // Sends the whole trace through the first initiator.
             let report =
                 traces::replay_all(&trace, &Replay { retries: false, ..Replay::to(vec![all[0]]) }).await?;
             let seen: Vec<f64> = {
@@ -86,14 +87,15 @@
                 let first = seen[0].0;
                 seen.iter().map(|(at, _)| at.duration_since(first).as_secs_f64()).collect()
             };
-            // In any window the units that reached the box are at most the store and what fills it.
+            // In any window the units that reach the target may exceed the burst plus the refill of that
+            // window by the slack at most.
             let mut worst = f64::MIN;
             for (i, from) in seen.iter().enumerate() {
                 for (j, until) in seen.iter().enumerate().skip(i) {
                     worst = worst.max((j - i + 1) as f64 - BURST - LIMIT * (until - from));
                 }
             }
-            // The last ten seconds: the stores' first content is spent by then.
+            // Only the last ten seconds count: by then the initial burst is spent.
             let end = seen.last().copied().unwrap_or(0.0);
             let late = seen.iter().skip(before).filter(|at| **at > end - 10.0).count() as f64 / 10.0;
             let round = if exchange { "exchange" } else { "even split" };
@@ -102,14 +104,17 @@
             out.figure(format!("{round}: of the limit"), late / LIMIT, "");
             out.figure(format!("{round}: refused"), report.total().refused as f64, "");
             out.figure(format!("{round}: units beyond store and filling, at worst"), worst, "");
-            out.claim(format!("{round}: the limit and its slack are kept in every window"), worst <= SLACK);
+            out.claim(
+                format!("{round}: units stay within the limit and its slack in every window"),
+                worst <= SLACK,
+            );
             let total = report.total();
             let words = total.served + total.refused + total.failed + total.lost + total.unsent;
-            out.claim(format!("{round}: each request has one last word"), words == total.due);
+            out.claim(format!("{round}: each request has exactly one result"), words == total.due);
             used.push(late / LIMIT);
         }
-        out.claim("the even split leaves more than half of the limit", used[0] < 0.5);
-        out.claim("with the exchange 0.9 of the limit is used", used[1] >= 0.9);
+        out.claim("the even split leaves more than half of the limit unused", used[0] < 0.5);
+        out.claim("the quota exchange uses at least 0.9 of the limit", used[1] >= 0.9);
         Ok(out)
     })
 }
--- a/crates/lab/src/initiators.rs
+++ b/crates/lab/src/initiators.rs
@@ -1,4 +1,4 @@
-//! The initiators of an experiment, as processes of their own, over the targets of a site.
+//! Starts the initiators of an experiment as separate processes in front of the stub targets of a site.
 
 use crate::failure::Failure;
 use rowanglade_capture::{Header, own_log};
@@ -10,7 +10,7 @@
 /// The zone of all targets and initiators.
 pub const ZONE: &str = "kingston";
 
-/// A target whose requests take so many milliseconds each, by class.
+/// Plan of a target with the given service times in milliseconds per request class.
 pub fn target_plan(view: u64, deposit: u64, export: u64) -> TargetPlan {
     let service_times = [("view", view), ("deposit", deposit), ("export", export)];
     TargetPlan {
@@ -19,7 +19,8 @@
     }
 }
 
-/// Starts daemons over a site's targets. `operator` makes the text of an operator's file for each.
+/// Starts `count` daemons that serve the targets of `site`. `operator` returns the text of each daemon's
+/// operator file, or `None` for a daemon without one.
 pub fn start_daemons(
     site: &StubSite,
     header: &Header,
@@ -29,7 +30,7 @@
     start_daemons_with(site, header, count, |number, plan| plan.operator = operator(number))
 }
 
-/// The same, with their plans changed.
+/// Starts daemons as [`start_daemons`] does; `change` adjusts the plan of each before it starts.
 pub fn start_daemons_with(
     site: &StubSite,
     header: &Header,
@@ -58,12 +59,13 @@
     Ok(daemons)
 }
 
-/// Where their clients connect.
+/// Addresses of the daemons' HTTP fronts.
 pub fn addresses(daemons: &[Daemon]) -> Vec<SocketAddr> {
     daemons.iter().map(|d| d.http).collect()
 }
 
-/// The volumes and statuses in a daemon's access log, once it holds that many lines (or after a while).
+/// Reads volume and status of each line of a daemon's access log. Waits up to 2 s until the log has `least`
+/// lines.
 pub async fn access_log(daemon: &Daemon, least: u64) -> Result<Vec<(u64, u16)>, Failure> {
     let path = daemon.folder().join("access.log");
     let until = Instant::now() + Duration::from_secs(2);
@@ -72,8 +74,12 @@
         let lines: Vec<&[u8]> = text.split_inclusive(|b| *b == b'\n').collect();
         if lines.len() as u64 >= least || Instant::now() >= until {
             let parse = |line: &&[u8]| -> Result<(u64, u16), Failure> {
-                let offer = own_log::parse(line)?.ok_or(Failure::Unexpected("an empty line"))?;
-                let known = offer.known.as_ref().ok_or(Failure::Unexpected("a line without its volume"))?;
+                let offer =
+                    own_log::parse(line)?.ok_or(Failure::Unexpected("the access log has an empty line"))?;
+                let known = offer
+                    .known
+                    .as_ref()
+                    .ok_or(Failure::Unexpected("a line of the access log has no volume"))?;
                 Ok((known.volume, offer.status))
             };
             return lines.iter().map(parse).collect();
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,5 +1,5 @@
-//! The lab: experiments that start real daemons and stubs on loopback, print figures, and fail where a
-//! stated claim does not hold.
+//! Experiments that run real daemons against stub services on loopback, print measured figures and fail when
+//! a stated claim does not hold.
 #![forbid(unsafe_code)]
 
 mod capture;
@@ -35,13 +35,13 @@
 const HELP: &str = "\
 usage: cargo run --release -p rowanglade-lab -- list
        cargo run --release -p rowanglade-lab -- run NAME|all [--json FILE] [--html FILE] [--svg FOLDER]
-           [--seeds A..B] [--minutes M]    for experiments that play seeds; none is begun after M minutes
+           [--seeds A..B] [--minutes M]    for seeded experiments; no new seed starts after M minutes
 
-Each experiment takes a minute at most and uses loopback addresses only. Exit codes: 0 every claim holds; 1 one does
-not, or an experiment failed; 2 wrong usage.
+Each experiment takes at most one minute and uses loopback addresses only. Exit codes: 0 every claim holds; 1 a claim
+does not hold or an experiment failed; 2 wrong usage.
 ";
 
-/// All experiments, in the order of `list`.
+/// All experiments, in the order in which `list` prints them.
 fn experiments() -> Vec<Experiment> {
     let all = [replays::experiments(), capture::experiments(), routes::experiments(), fleet::experiments()];
     let more = [
@@ -68,8 +68,9 @@
             ExitCode::SUCCESS
         }
         Some("run") => run(rest),
-        // What experiments start this program for: the daemon's own command line, the same with its usage
-        // told at the end, and a box that answers at once.
+        // Subcommands that experiments spawn this program with: the daemon's command line, the same followed
+        // by its resource usage as JSON, a stub target that responds immediately, a cost probe, and a process
+        // of several idle initiators.
         Some("rowanglade") => rowanglade::cli::run(rest),
         Some("measured") => {
             let code = rowanglade::cli::run(rest);
@@ -145,7 +146,7 @@
     ExitCode::from(u8::from(failed))
 }
 
-/// Writes each curve into a file of its own.
+/// Writes each curve to its own SVG file.
 fn draw(folder: &Path, outcomes: &[Outcome]) -> Result<(), failure::Failure> {
     std::fs::create_dir_all(folder)?;
     for outcome in outcomes {
@@ -156,7 +157,7 @@
     Ok(())
 }
 
-/// The command line of `run`.
+/// Options of the `run` command.
 #[derive(Default)]
 struct RunOptions {
     names: Vec<String>,
@@ -166,10 +167,10 @@
     seeds: Seeds,
 }
 
-/// A range of seeds, as `A..B`, both played.
+/// Parses an inclusive range of seeds, written as `A..B`.
 fn seeds(text: &str) -> Result<RangeInclusive<u64>, lexopt::Error> {
     let range = text.split_once("..").and_then(|(a, b)| Some(a.parse().ok()?..=b.parse().ok()?));
-    range.ok_or_else(|| format!("--seeds {text:?}: two numbers as A..B").into())
+    range.ok_or_else(|| format!("--seeds {text:?}: expected two numbers as A..B").into())
 }
 
 fn parse(args: Vec<OsString>) -> Result<RunOptions, lexopt::Error> {
@@ -189,7 +190,7 @@
         }
     }
     if options.names.is_empty() {
-        return Err("run needs a NAME, or `all`".into());
+        return Err("run needs the NAME of an experiment, or `all`".into());
     }
     Ok(options)
 }
--- a/crates/lab/src/many_targets.rs
+++ b/crates/lab/src/many_targets.rs
@@ -1,5 +1,6 @@
-//! What a process needs and serves before many targets: the same traffic before 200, 800, 1,600 and 3,200,
-//! with a small share of a core, through a release, an outage of discovery, restarts and targets that hang.
+//! Resource usage and service quality in front of many targets: the same traffic with 200, 800, 1,600 and
+//! 3,200 targets on a small share of a core, through a rolling release, a discovery outage, restarts and
+//! hanging targets.
 
 use crate::experiment::{Experiment, Runner, Seeds};
 use crate::failure::Failure;
@@ -19,31 +20,32 @@
 
 const SIZES: [usize; 4] = [200, 800, 1_600, 3_200];
 const PROCESSES: usize = 4;
-/// Requests a second of each process's clients.
+/// Requests per second that the clients of each process send.
 const RATE: f64 = 12.0;
-/// The part of a core that each process has.
+/// Fraction of a core that each process may use.
 const SHARE: f64 = 0.1;
 const GRACE: Micros = 1_000_000;
-/// Half of the targets are replaced in so many steps.
+/// Half of the targets are replaced, in this many steps.
 const STEPS: usize = 8;
 const STEP: Duration = Duration::from_millis(800);
-/// One of so many targets hangs, and goes on later.
+/// One in this many targets stops responding while the release is under way.
 const HANGING: usize = 20;
 const OUTAGE: Duration = Duration::from_secs(4);
-/// How long a process may take to end after SIGTERM, by the platform's rule: the longest deadline, counted as
-/// 3 s at most, and 0.7 s.
+/// How long a process may take to exit after SIGTERM, by the platform's rule: the longest deadline, capped at
+/// 3 s, plus 0.7 s.
 const PATIENCE: Duration = Duration::from_millis(3_700);
 const QUIET: Duration = Duration::from_secs(2);
-/// Every row is to stay within this part of its bound.
+/// Every resource has to stay within this fraction of its bound.
 const MARGIN: f64 = 0.8;
 const OWN_SEED: u64 = 278_639;
 
 pub fn experiments() -> Vec<Experiment> {
-    let about = "the same traffic before 200 to 3,200 targets: processor, memory, connections, lists, rules";
+    let about =
+        "the same traffic with 200 to 3,200 targets: processor, memory, connections, endpoint lists, rules";
     vec![Experiment { name: "many-targets", about, runner: Runner::Seeded(many_targets) }]
 }
 
-/// What one play needed and served.
+/// Resource usage and results of one run.
 struct Play {
     targets: usize,
     processor: f64,
@@ -52,9 +54,10 @@
     connections: f64,
     list_bytes: f64,
     share: f64,
-    /// The longest time from a departure's being told to the last attempt there, in seconds.
+    /// Longest time from the delivery of a target's departure to a process until that process's last attempt
+    /// there, in seconds.
     latest_send: f64,
-    /// The longest time from a request's deadline to its answer, in seconds.
+    /// Longest time from a request's deadline to its response, in seconds.
     latest_answer: f64,
     breaches: Vec<Breach>,
     warnings: Vec<String>,
@@ -118,7 +121,7 @@
         descriptors = fleet.usage().iter().map(|usage| usage.descriptors).max().unwrap_or(0).max(descriptors);
     }
     let list_bytes = (fleet.discovery.list_bytes() - list_bytes) as f64 / PROCESSES as f64;
-    // An outage, at whose end a further step is told while half of the processes start anew.
+    // An outage, after which another release step is published while half of the processes restart.
     fleet.discovery.inject(DiscoveryFault::Refusing);
     sleep(OUTAGE).await;
     leaving.push(fleet.replace(targets / 2 / STEPS).await?);
@@ -148,8 +151,8 @@
     })
 }
 
-/// The longest time from a departure's being written to a process to an attempt of that process there, in
-/// seconds.
+/// Longest time from the delivery of a target's departure to a process until an attempt of that process at
+/// the target, in seconds.
 fn latest_send(history: &History) -> f64 {
     let processes: HashMap<&str, _> = history.requests.iter().map(|r| (r.id.as_str(), r.process)).collect();
     let mut departures: HashMap<&str, u64> = HashMap::new();
@@ -169,7 +172,7 @@
     history.attempts.iter().filter_map(late).max().unwrap_or(0) as f64 / 1e6
 }
 
-/// The longest time from a request's deadline to its answer, in seconds.
+/// Longest time from a request's deadline to its response, in seconds.
 fn latest_answer(history: &History) -> f64 {
     let late = |request: &rowanglade_checker::Request| match request.outcome {
         ClientOutcome::Answered { at, .. } => at.checked_sub(request.sent_at + request.wait),
@@ -178,12 +181,13 @@
     history.requests.iter().filter_map(late).max().unwrap_or(0) as f64 / 1e6
 }
 
-/// A row of the operators' table: what may grow, and how far.
+/// A resource with the bound that the operators' table sets on its growth with the number of targets.
 struct Row {
     name: &'static str,
     unit: &'static str,
     value: fn(&Play) -> f64,
-    /// How many times the usual, and how much beside that for thousands of targets.
+    /// Computes the bound from the value at the smallest number of targets and from the number of targets in
+    /// thousands.
     bound: fn(f64, f64) -> f64,
 }
 
@@ -230,7 +234,7 @@
         out.figure(title(row.name), value, row.unit);
         out.claim(
             format!(
-                "{} within {MARGIN} of its bound {bound:.2} (usual {:.2})",
+                "{} at most {MARGIN} of the bound {bound:.2} ({:.2} with the fewest targets)",
                 title(row.name),
                 (row.value)(usual)
             ),
@@ -238,7 +242,7 @@
         );
     }
     let claim =
-        format!("{} {:.3}, not under {LEAST_SHARE} of {:.3}", title("share served"), many.share, usual.share);
+        format!("{} {:.3}, at least {LEAST_SHARE} of {:.3}", title("share served"), many.share, usual.share);
     out.claim(claim, many.share >= LEAST_SHARE * usual.share);
 }
 
@@ -264,11 +268,11 @@
     let mut out = Outcome::default();
     let begun = std::time::Instant::now();
     let range = seeds.range.clone().unwrap_or(OWN_SEED..=OWN_SEED);
-    // Further seeds are played at the two ends only.
+    // Seeds from the command line run with the smallest and the largest number of targets only.
     let sizes: &[usize] = if seeds.range.is_some() { &[SIZES[0], SIZES[3]] } else { &SIZES };
     for seed in range {
         if begun.elapsed() > seeds.time_limit {
-            out.claim(format!("seed {seed} and those behind it are not played: the time is up"), false);
+            out.claim(format!("seed {seed} and the following seeds were not run: time limit reached"), false);
             break;
         }
         let plays = block_on(async {
--- a/crates/lab/src/outcome.rs
+++ b/crates/lab/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What an experiment found, and whether its claims hold.
+//! Results of an experiment: measured figures and checked claims.
 
 use crate::curve::Curve;
 use crate::failure::Failure;
@@ -6,7 +6,7 @@
 use serde::Serialize;
 use std::fmt;
 
-/// A measured figure.
+/// A named measurement with its unit.
 #[derive(Clone, Debug, Serialize)]
 struct Figure {
     name: String,
@@ -14,19 +14,19 @@
     unit: &'static str,
 }
 
-/// What an experiment says that has to hold.
+/// A statement that the experiment checked, and the result of the check.
 #[derive(Clone, Debug, Serialize)]
 struct CheckedClaim {
     text: String,
     holds: bool,
 }
 
-/// Figures and claims.
+/// Everything that an experiment reports. The fields are the keys of the JSON report.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Outcome {
-    /// The experiment.
+    /// Name of the experiment.
     pub name: String,
-    /// What it is about.
+    /// One-line description of the experiment.
     pub about: String,
     figures: Vec<Figure>,
     claims: Vec<CheckedClaim>,
@@ -40,25 +40,25 @@
         self.figures.push(Figure { name: name.into(), value, unit });
     }
 
-    /// Adds a claim, and whether it holds.
+    /// Adds a claim; `holds` is the result of its check.
     pub fn claim(&mut self, text: impl Into<String>, holds: bool) {
         self.claims.push(CheckedClaim { text: text.into(), holds });
     }
 
-    /// Adds lines over time.
+    /// Adds a plot of lines over time.
     pub fn plot(&mut self, title: impl Into<String>, lines: Vec<(&'static str, Vec<(f64, f64)>)>) {
         self.plots.push(Plot { title: title.into(), lines });
     }
 
-    /// Adds a cost by size.
+    /// Adds the curve of a cost against a size.
     pub fn curve(&mut self, curve: Curve) {
         self.curves.push(curve);
     }
 
-    /// Each curve as a file's name and its SVG.
+    /// Returns the file name and the SVG of each curve.
     ///
     /// # Errors
-    /// One cannot be drawn.
+    /// A curve cannot be drawn.
     pub fn drawings(&self) -> Result<Vec<(String, String)>, Failure> {
         let plain = |name: &str| name.replace(|c: char| !c.is_ascii_alphanumeric(), "-");
         let file = |curve: &Curve| format!("{}-{}.svg", self.name, plain(&curve.name));
@@ -87,7 +87,7 @@
     }
 }
 
-/// The outcomes as one page of HTML.
+/// Renders the outcomes as one HTML page.
 pub fn page(outcomes: &[Outcome]) -> String {
     let escape = |text: &str| text.replace('&', "&amp;").replace('<', "&lt;");
     let plots = |o: &Outcome| {
--- a/crates/lab/src/plot.rs
+++ b/crates/lab/src/plot.rs
@@ -1,23 +1,23 @@
-//! Lines over time.
+//! Line plots over time.
 
 use crate::failure::Failure;
 use plotters::prelude::*;
 use serde::Serialize;
 
-/// Lines over time, with their names.
+/// A plot of named lines over time.
 #[derive(Clone, Debug, Serialize)]
 pub struct Plot {
-    /// Its caption.
+    /// Caption.
     pub title: String,
-    /// Each line with its points, in seconds and the unit that the title names.
+    /// Name of each line with its points: seconds, and the unit that the title names.
     pub lines: Vec<(&'static str, Vec<(f64, f64)>)>,
 }
 
 impl Plot {
-    /// As SVG.
+    /// Renders the plot as SVG.
     ///
     /// # Errors
-    /// It cannot be drawn.
+    /// The plotting library failed.
     pub fn draw(&self) -> Result<String, Failure> {
         let points = || self.lines.iter().flat_map(|(_, points)| points);
         let (right, top) = points().fold((1.0f64, 1e-9f64), |(x, y), p| (x.max(p.0), y.max(p.1)));
--- a/crates/lab/src/replays.rs
+++ b/crates/lab/src/replays.rs
@@ -1,4 +1,4 @@
-//! Experiments on traffic sent again.
+//! Experiments on the replay of recorded and generated traffic.
 
 use crate::experiment::{Experiment, Runner};
 use crate::failure::Failure;
@@ -16,14 +16,26 @@
 pub fn experiments() -> Vec<Experiment> {
     let made = |name, about, run| Experiment { name, about, runner: Runner::Plain(run) };
     vec![
-        made("replay-twice", "the sample replayed twice: the same counts, sent when it was due", twice),
-        made("replay-keyed", "writes at the boxes equal distinct keys, also when connections break", keyed),
-        made("replay-stall", "a box stalls for 2 s: the schedule goes on and the latency shows it", stall),
-        made("replay-crowd", "more requests at once than descriptors: each has its last word", crowd),
-        made("replay-fleet", "four initiators: each volume keeps to its own set", fleet),
-        made("replay-iscsi", "the sample over the iSCSI-style front beside the platform's", iscsi),
+        made("replay-twice", "the sample replayed twice: equal counts, requests sent on schedule", twice),
+        made(
+            "replay-keyed",
+            "writes executed by the targets equal distinct keys, also with connection resets",
+            keyed,
+        ),
+        made(
+            "replay-stall",
+            "a target stalls for 2 s: requests stay on schedule and the stall shows in the latency",
+            stall,
+        ),
+        made("replay-crowd", "more concurrent requests than descriptors: each request has a result", crowd),
+        made(
+            "replay-fleet",
+            "four initiators: requests of a volume use only the initiators of its set",
+            fleet,
+        ),
+        made("replay-iscsi", "the sample over the iSCSI-style front compared with the HTTP front", iscsi),
         made("replay-rate", "the highest rate that one core replays on time", rate),
-        made("access-log", "what the daemon's access log costs, and whether it is whole", access_log),
+        made("access-log", "the cost of the daemon's access log, and whether it is complete", access_log),
     ]
 }
 
@@ -63,7 +75,7 @@
             out.figure(format!("{round}: behind the schedule p99"), ms(report.drift.at(0.99)), "ms");
         }
         out.claim("per-class counts, due and served, are equal", counts(a) == counts(b));
-        let within = |part, most| reports.iter().all(|r| ms(r.drift.at(part)) <= most);
+        let within = |quantile, limit| reports.iter().all(|r| ms(r.drift.at(quantile)) <= limit);
         out.claim("p50 of start times within 5 ms of the schedule", within(0.5, 5.0));
         out.claim("p99 of start times within 20 ms of the schedule", within(0.99, 20.0));
         Ok(out)
@@ -100,10 +112,16 @@
             out.figure(format!("{round}: deposits served"), report.classes["deposit"].served as f64, "");
             out.claim(format!("{round}: no key ran twice"), ran.1 == 0 && seen.writes_executed == ran.0);
             if round == "calm" {
-                out.claim("calm: writes at the boxes equal distinct keys", seen.writes_executed == distinct);
+                out.claim(
+                    "calm: writes executed by the targets equal distinct keys",
+                    seen.writes_executed == distinct,
+                );
             } else {
-                out.claim("resets: connections broke", seen.resets > 20);
-                out.claim("resets: no more writes than keys", seen.writes_executed <= distinct);
+                out.claim("resets: connections were reset", seen.resets > 20);
+                out.claim(
+                    "resets: no more writes executed than distinct keys",
+                    seen.writes_executed <= distinct,
+                );
             }
         }
         Ok(out)
@@ -145,19 +163,23 @@
                 "ms",
             );
             out.figure(format!("{round}: behind the schedule p99"), ms(report.drift.at(0.99)), "ms");
-            out.claim(format!("{round}: each request has one last word"), words(&report) == total.due);
-            out.claim(format!("{round}: p99 of starts within 20 ms"), ms(report.drift.at(0.99)) <= 20.0);
+            out.claim(format!("{round}: each request has exactly one result"), words(&report) == total.due);
+            out.claim(
+                format!("{round}: p99 of start times within 20 ms of the schedule"),
+                ms(report.drift.at(0.99)) <= 20.0,
+            );
             served.push((total.in_time, report));
         }
         let (calm, stalled) = (&served[0], &served[1]);
         let worst =
             stalled.1.classes.values().map(|c| c.latency.max().max(c.refusal.max())).max().unwrap_or(0);
         out.figure("stalled: longest time to an answer", ms(worst), "ms");
-        // A third of 2 s of traffic met the stall; the rest did not have to.
+        // Two seconds of traffic to one of three targets met the stall; all other requests are unaffected by
+        // it.
         let lost = (calm.0 - stalled.0.min(calm.0)) as f64 / (150.0 * 2.0 / 3.0);
         out.figure("requests no longer in time, of those due to the box in its stall", lost, "");
-        out.claim("the stall shows", lost > 0.3);
-        out.claim("it stays with the stalled box: less than double what it was due", lost < 2.0);
+        out.claim("the stall shows in the latency", lost > 0.3);
+        out.claim("the stall affects fewer than twice the requests due to the stalled target", lost < 2.0);
         Ok(out)
     })
 }
@@ -179,10 +201,10 @@
         out.figure("refused", total.refused as f64, "");
         out.figure("unsent, their time being up before there was room", total.unsent as f64, "");
         out.figure("held for room", report.held as f64, "");
-        out.claim("each request has one last word", words(&report) == due && total.due == due);
-        out.claim("requests waited for room", report.held > 100);
+        out.claim("each request has exactly one result", words(&report) == due && total.due == due);
+        out.claim("requests waited for a free slot", report.held > 100);
         out.figure("most tries out at once", report.most_out as f64, "");
-        out.claim("no more are out than allowed", report.most_out <= 48);
+        out.claim("no more attempts are in flight than allowed", report.most_out <= 48);
         Ok(out)
     })
 }
@@ -211,13 +233,13 @@
         out.figure("served", total.served as f64, "");
         out.figure("behind the schedule p99", ms(report.drift.at(0.99)), "ms");
         out.claim("no request went through an initiator outside its volume's set", astray == 0);
-        out.claim("each request has one last word", words(&report) == due);
-        out.claim("nearly all are served", total.served as f64 >= 0.98 * due as f64);
+        out.claim("each request has exactly one result", words(&report) == due);
+        out.claim("at least 98% of the requests are served", total.served as f64 >= 0.98 * due as f64);
         Ok(out)
     })
 }
 
-/// An operator's file with the access log alone.
+/// Operator's file that enables nothing but the access log.
 fn log() -> String {
     "[access_log]\npath = \"access.log\"\nqueue = 16384\n".into()
 }
@@ -242,13 +264,15 @@
             let site = StubSite::start(&vec![initiators::target_plan(12, 20, 40); 4], ZONE, 1).await?;
             let daemons = initiators::start_daemons(&site, &header, 1, |_| Some(operator.clone()))?;
             let mut ask = Replay::to(initiators::addresses(&daemons));
-            // Both are ready once the platform's front says so.
+            // The HTTP front's readiness covers both fronts, so an empty trace is replayed over it first.
             let none = folder.path().join("none.trace");
             rowanglade_capture::TraceWriter::create(&none, &header)?.finish()?;
             traces::replay_all(&none, &ask).await?;
             if over_iscsi {
                 ask.front = Front::Iscsi { target: target.into(), blocks_per_unit: 8 };
-                ask.to = vec![daemons[0].iscsi.ok_or(Failure::Unexpected("the front is off"))?];
+                ask.to = vec![
+                    daemons[0].iscsi.ok_or(Failure::Unexpected("the iSCSI-style front is not enabled"))?,
+                ];
             }
             let report = traces::replay_all(&trace, &ask).await?;
             let front = report.front.clone();
@@ -259,9 +283,9 @@
             reports.push(report);
         }
         let due = |r: &Report| counts(r).into_iter().map(|(n, c)| (n.to_string(), c.0)).collect::<Vec<_>>();
-        out.claim("the same requests come due on both fronts", due(&reports[0]) == due(&reports[1]));
+        out.claim("the same requests are due on both fronts", due(&reports[0]) == due(&reports[1]));
         let all = |r: &Report| r.total().served == r.total().due;
-        out.claim("all are served on both fronts", reports.iter().all(all));
+        out.claim("all requests are served on both fronts", reports.iter().all(all));
         Ok(out)
     })
 }
@@ -295,7 +319,7 @@
         }
         out.figure("highest rate with p99 within 10 ms and all served", best, "requests/s");
         out.figure("highest rate tried", tried, "requests/s");
-        out.claim("at least 4,000 requests a second", best >= 4_000.0);
+        out.claim("at least 4,000 requests per second", best >= 4_000.0);
         Ok(out)
     })
 }
@@ -337,12 +361,15 @@
             if on {
                 let lines = initiators::access_log(&daemons[0], due).await?;
                 let served = lines.iter().filter(|(_, status)| *status == 200).count() as u64;
-                out.claim("a line for each request", lines.len() as u64 == due);
-                out.claim("as many served as clients saw", served == report.total().served);
+                out.claim("the access log has a line for each request", lines.len() as u64 == due);
+                out.claim(
+                    "the access log has as many served requests as the clients",
+                    served == report.total().served,
+                );
             }
         }
         out.figure("processor time with the log over without", cost[1] / cost[0].max(0.01), "times");
-        out.claim("the log costs less than half as much again", cost[1] < 1.5 * cost[0].max(0.01));
+        out.claim("the log adds less than half to the processor time", cost[1] < 1.5 * cost[0].max(0.01));
         Ok(out)
     })
 }
--- a/crates/lab/src/routes.rs
+++ b/crates/lab/src/routes.rs
@@ -1,4 +1,4 @@
-//! Experiments on routes.
+//! Experiments on routing tables: offline checks, lookup cost and reload under load.
 
 use crate::experiment::{Experiment, Runner};
 use crate::failure::Failure;
@@ -15,7 +15,7 @@
 use std::fmt::Write;
 use std::time::{Duration, Instant};
 
-/// After a table is in force, what was sent under the one before has reached its box within this time.
+/// Time after which a request that was sent under the previous routing table has reached its target.
 const UNDER_WAY: Duration = Duration::from_millis(150);
 
 pub fn experiments() -> Vec<Experiment> {
@@ -26,8 +26,12 @@
             "10,000 collections and 2,000 expectations, checked without traffic",
             routes_check,
         ),
-        made("routes-lookup", "the cost of a look-up at 10 and at 10,000 routes", lookup),
-        made("routes-reload", "500 requests a second while the table is swapped ten times", reload),
+        made("routes-lookup", "the cost of a route lookup with 10 and with 10,000 routes", lookup),
+        made(
+            "routes-reload",
+            "500 requests per second while the routing table is reloaded ten times",
+            reload,
+        ),
     ]
 }
 
@@ -58,7 +62,8 @@
     (0..count).map(one).collect()
 }
 
-/// A route for each collection, to the pool of its box; an expectation for some of them, and five for all.
+/// Generates a configuration with one route per collection to the pool of its target, plus five expectations
+/// for all requests and, if `expectations` is larger, expectations for single collections.
 fn text(collections: u64, expectations: u64, boxes: u64) -> String {
     let mut out = String::new();
     for b in 0..boxes {
@@ -107,7 +112,7 @@
         out.figure(format!("{collections} collections: read"), read, "s");
         out.figure(format!("{collections} collections: read and checked"), whole, "s");
         out.claim(format!("{collections} collections: all {expectations} expectations hold"), holds);
-        // One of them wrong must be found among the others.
+        // A single wrong expectation must be found among the others.
         let mut broken = rules.expectations.clone();
         if let Some(e) = broken.iter_mut().find(|e| e.name == "e7") {
             e.requirement = Requirement::Rejected;
@@ -124,7 +129,7 @@
     out.figure("ten times as many take", times[1] / times[0].max(1e-6), "times as long");
     out.claim("10,000 collections and 2,000 expectations in under 2 s", times[1] < 2.0);
     out.claim("in under 200 MB", memory < 200.0);
-    out.claim("about linear: ten times as many take less than 20 times as long", times[1] < 20.0 * times[0]);
+    out.claim("ten times as many take less than 20 times as long", times[1] < 20.0 * times[0]);
     Ok(out)
 }
 
@@ -151,18 +156,21 @@
         let cost = begun.elapsed().as_secs_f64() * 1e9 / looks as f64;
         out.figure(format!("{routes} routes: a look-up"), cost, "ns");
         out.claim(
-            format!("{routes} routes: about half of the volumes have one"),
+            format!("{routes} routes: about half of the volumes have a route"),
             found.abs_diff(looks / 2) < looks / 20,
         );
         costs.push(cost);
     }
     out.figure("at 10,000 over at 10", costs[1] / costs[0], "times");
-    out.claim("a thousand times the routes cost less than ten times as much", costs[1] < 10.0 * costs[0]);
+    out.claim(
+        "a lookup among a thousand times as many routes costs less than ten times as much",
+        costs[1] < 10.0 * costs[0],
+    );
     Ok(out)
 }
 
-/// New objects of half of the volumes go to one box, which changes with every version; the rest to all but
-/// box 0.
+/// Generates version `number` of the configuration: new objects of half of the volumes go to one target,
+/// which changes with each version; those of the other volumes go to all targets but target 0.
 fn version(number: usize) -> String {
     let target = 1 + number % 3;
     format!(
@@ -188,11 +196,11 @@
         let ask = Replay { retries: false, ..Replay::to(initiators::addresses(&daemons)) };
         let in_force = || daemons[0].log().iter().filter(|l| l.contains("routes loaded")).count();
         let swaps = async {
-            // From when until when which version alone is in force.
+            // Spans in which exactly one version was in force, each with the number of the version.
             let (mut spans, mut current, mut since) = (Vec::new(), 0, tokio::time::Instant::now());
             for number in 1..=10usize {
                 tokio::time::sleep(Duration::from_millis(1_000)).await;
-                // The third is half written, the seventh breaks its expectation.
+                // The third file is truncated; the seventh violates its expectation.
                 let text = match number {
                     3 => version(number)[..120].to_string(),
                     7 => version(number).replace("[\"box-1\", ", "[\"box-0\", \"box-1\", "),
@@ -230,7 +238,7 @@
         for (i, each) in site.targets.iter().enumerate() {
             out.figure(format!("requests at box {i}"), each.counters().received as f64, "");
         }
-        // Within a version's span the moved volumes go to its box alone.
+        // While a single version is in force, new objects of the moved volumes go to its target only.
         let (mut judged, mut astray) = (0, 0);
         for (i, each) in site.targets.iter().enumerate() {
             for (at, target) in each.received() {
@@ -244,13 +252,13 @@
             }
         }
         out.figure("requests of moved volumes within one version's span", judged as f64, "");
-        out.claim("none of them went to a box that its version forbids", judged > 1_000 && astray == 0);
+        out.claim("none of them went to a target that the version forbids", judged > 1_000 && astray == 0);
         let lines = initiators::access_log(&daemons[0], due).await?.len() as u64;
-        out.claim("each request has one last word", total.due == due && lines == due);
-        out.claim("none is lost", total.lost + total.failed + total.unsent == 0);
-        out.claim("nearly all are served", total.served as f64 >= 0.98 * due as f64);
+        out.claim("each request has one result and one access log line", total.due == due && lines == due);
+        out.claim("no request is lost, failed or unsent", total.lost + total.failed + total.unsent == 0);
+        out.claim("at least 98% of the requests are served", total.served as f64 >= 0.98 * due as f64);
         out.claim(
-            "none went to the box that every version forbids",
+            "no request went to the target that every version forbids",
             site.targets[0].counters().received == 0,
         );
         out.claim("eight tables were put in force, two files were not", (loaded, unread + refused) == (8, 2));
--- a/crates/lab/src/scale/all_pairs.rs
+++ b/crates/lab/src/scale/all_pairs.rs
@@ -1,11 +1,11 @@
-//! The table as it was before each target drew its candidates: a hash of every pair of an instance and a
-//! target, sorted at every change. Kept as the baseline of `scale-subsets` only.
+//! Baseline of `scale-subsets`: the former assignment of targets to initiators, which hashed every pair of an
+//! initiator and a target and sorted all pairs at each change. In use, each target draws candidates instead.
 
 use rowanglade_subset::SubsetConfig;
 use std::collections::BTreeSet;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// What each instance prefers, by its number.
+/// Returns the preferred targets of each initiator, indexed by the initiator's number.
 pub fn table(rule: &SubsetConfig, instances: u32, targets: &[&str]) -> Vec<BTreeSet<usize>> {
     let (fewest, most) = rule.bounds(instances, targets.len());
     let score = |instance: u32, target: &str| xxh3_64_with_seed(target.as_bytes(), u64::from(instance));
--- a/crates/lab/src/scale/connections.rs
+++ b/crates/lab/src/scale/connections.rs
@@ -1,4 +1,4 @@
-//! What a client's connection and a held request cost a real daemon.
+//! Cost of client connections and of requests in flight for a real daemon.
 
 use crate::curve::Curve;
 use crate::experiment::{Experiment, Runner};
@@ -15,17 +15,18 @@
 
 pub const EXPERIMENT: Experiment = Experiment {
     name: "scale-connections",
-    about: "a real daemon's memory and descriptors by client connections, idle and with a request",
+    about: "a daemon's memory and descriptors by client connections, idle and with a request in flight",
     runner: Runner::Plain(run),
 };
 
 const SEED: u64 = 33;
-/// Idle connections; a twelfth of the descriptors may stand so.
+/// Numbers of idle connections; the daemon allows a twelfth of its descriptors for them.
 const CONNECTIONS: [usize; 4] = [200, 400, 800, 1_600];
 const REQUESTS: [usize; 4] = [100, 200, 400, 800];
-/// What a process of this machine may have, nearly.
+/// Descriptor limit of the daemon, just under what a process on this machine may have.
 const DESCRIPTORS: usize = 19_900;
-/// Longer than it takes to send all requests; well within their aim.
+/// Service time in milliseconds: longer than it takes to send all requests, and well within their latency
+/// objective.
 const WORK_MS: u64 = 700;
 const BOXES: usize = 40;
 
@@ -33,7 +34,7 @@
     let shape = |_: usize, start: &mut rowanglade_test_fleet::DaemonPlan| start.sockets = DESCRIPTORS;
     let daemon = initiators::start_daemons_with(site, &traces::standard_header(), 1, shape)?
         .pop()
-        .ok_or(Failure::Unexpected("one daemon"))?;
+        .ok_or(Failure::Unexpected("no daemon was started"))?;
     while !up(&daemon).await? {
         sleep(Duration::from_millis(20)).await;
     }
@@ -52,7 +53,8 @@
     Ok(std::fs::read_dir(format!("/proc/{}/fd", daemon.pid()))?.count() as f64)
 }
 
-/// Memory and descriptors beyond those before, for so many connections that have each had an answer.
+/// Returns by how many bytes and descriptors the daemon grows for `count` connections that have each received
+/// a response.
 async fn idle(count: usize) -> Result<(f64, f64), Failure> {
     let site = StubSite::start(&[initiators::target_plan(1, 1, 1)], ZONE, SEED).await?;
     let daemon = daemon(&site).await?;
@@ -71,7 +73,8 @@
     Ok((after.0 - before.0, after.1 - before.1))
 }
 
-/// Requests that are held, of so many, and the memory beyond that before.
+/// Sends `count` requests and returns how many of them are in flight after 0.3 s, and by how many bytes the
+/// daemon grows.
 async fn held(count: usize) -> Result<(f64, f64), Failure> {
     let plan = TargetPlan {
         queue_capacity: 100_000,
@@ -80,7 +83,7 @@
     };
     let site = StubSite::start(&vec![plan; BOXES], ZONE, SEED).await?;
     for each in &site.targets {
-        // One that has just started is sent little.
+        // A target that has just started would be sent few requests because of slow start.
         site.discovery.upsert(Endpoint { started_ms: 0, ..Endpoint::of(each, EndpointState::Active) });
     }
     let daemon = daemon(&site).await?;
@@ -126,9 +129,9 @@
         }
         let requests =
             Curve::new("memory of connections with a request each", "requests at once", "KiB", requests)?;
-        out.claim("descriptors grow with connections, one each", (0.95..1.05).contains(&files.exponent));
-        out.claim("memory grows no faster than connections do", memory.exponent <= 1.15);
-        out.claim("memory grows no faster than requests do", requests.exponent <= 1.25);
+        out.claim("descriptors grow in proportion to connections", (0.95..1.05).contains(&files.exponent));
+        out.claim("memory grows no faster than idle connections", memory.exponent <= 1.15);
+        out.claim("memory grows no faster than requests in flight", requests.exponent <= 1.25);
         let each = 10e6 / 2_200.0;
         out.figure("4,545 connections of an instance, by the fit", memory.at(each) / 1024.0, "MiB");
         for curve in [memory, files, requests] {
--- a/crates/lab/src/scale/cost.rs
+++ b/crates/lab/src/scale/cost.rs
@@ -1,4 +1,5 @@
-//! What a piece of work costs: measured in a process of its own, so that its peak of memory is its own.
+//! Measures the cost of a piece of work. A probe runs in a separate process, so that its peak of memory is
+//! its own.
 
 use crate::failure::Failure;
 use rustix::time::{ClockId, clock_gettime};
@@ -6,33 +7,33 @@
 use std::process::Command;
 use std::time::Duration;
 
-/// Half of a machine of 24 GiB: an allocation beyond it fails.
+/// Memory limit of the process in bytes, half of a machine with 24 GiB. Allocations beyond it fail.
 const MOST_MEMORY: usize = 12 << 30;
 
 #[global_allocator]
 static ALLOCATED: cap::Cap<std::alloc::System> = cap::Cap::new(std::alloc::System, MOST_MEMORY);
 
-/// What a piece of work costs.
+/// Processor time, memory and traffic of a piece of work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Cost {
-    /// Seconds of processor time of the thread.
+    /// Seconds of the thread's processor time.
     pub processor: f64,
-    /// Bytes that its result keeps allocated.
+    /// Bytes that the result keeps allocated.
     pub state: f64,
-    /// The most bytes that were allocated at once, beyond what was before.
+    /// Peak of allocated bytes, less those allocated before the work.
     pub peak: f64,
-    /// Bytes that go over a wire.
+    /// Bytes on the wire.
     pub wire: f64,
 }
 
-/// How large a fleet is.
+/// Size of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Size {
     pub instances: u32,
     pub targets: usize,
 }
 
-/// The size to design for, and three that each are half of the next.
+/// The design size and three smaller sizes, each half of the next.
 pub const SIZES: [Size; 4] = [
     Size { instances: 275, targets: 437 },
     Size { instances: 550, targets: 875 },
@@ -40,18 +41,19 @@
     Size { instances: 2_200, targets: 3_500 },
 ];
 
-/// Processor time of this thread so far, in seconds.
+/// Processor time of the calling thread so far, in seconds.
 pub fn thread_time() -> f64 {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     time.tv_sec as f64 + time.tv_nsec as f64 / 1e9
 }
 
-/// Bytes that this process has allocated now.
+/// Bytes that this process has currently allocated.
 pub fn allocated() -> f64 {
     ALLOCATED.allocated() as f64
 }
 
-/// Runs work several times: the least processor time, since noise only adds; the memory is the first run's.
+/// Runs the work several times. The processor time is the minimum of all runs, since noise only adds to it;
+/// the memory is that of the first run.
 pub fn measure<T>(runs: usize, mut work: impl FnMut() -> T) -> Cost {
     let mut cost = Cost { processor: f64::MAX, ..Cost::default() };
     for run in 0..runs.max(1) {
@@ -67,10 +69,10 @@
     cost
 }
 
-/// Runs a probe in a process of its own, which prints its cost.
+/// Runs a probe in a separate process and reads the cost that it prints.
 ///
 /// # Errors
-/// The process cannot be started, or the probe failed.
+/// The process cannot be started, exits with an error or does not print a cost.
 pub fn probe(name: &str, size: Size) -> Result<Cost, Failure> {
     let (instances, targets) = (size.instances.to_string(), size.targets.to_string());
     let output =
@@ -82,18 +84,18 @@
     Ok(serde_json::from_slice(&output.stdout)?)
 }
 
-/// Costs of a probe at all [`SIZES`].
+/// Runs a probe at all [`SIZES`].
 ///
 /// # Errors
-/// A probe failed.
+/// As [`probe`].
 pub fn probe_all(name: &str) -> Result<Vec<(Size, Cost)>, Failure> {
     SIZES.into_iter().map(|size| Ok((size, probe(name, size)?))).collect()
 }
 
-/// How long `/proc` says that all threads of a process have run.
+/// Processor time of all threads of a process, from `/proc`.
 ///
 /// # Errors
-/// There is no such process.
+/// There is no such process, or its statistics cannot be read.
 pub fn process_time(process: u32) -> Result<Duration, Failure> {
     let mut total = 0;
     for task in std::fs::read_dir(format!("/proc/{process}/task"))? {
--- a/crates/lab/src/scale/cost_curves.rs
+++ b/crates/lab/src/scale/cost_curves.rs
@@ -1,10 +1,10 @@
-//! Costs of probes as curves.
+//! Converts the costs of probes to curves.
 
 use super::cost::{Cost, Size};
 use crate::curve::Curve;
 use crate::failure::Failure;
 
-/// A probe's costs as a curve by targets or instances.
+/// Curve of one component of a probe's costs, by targets or initiators.
 pub fn curve(
     name: &str,
     (axis, size): (&'static str, fn(&Size) -> f64),
@@ -15,7 +15,7 @@
     Curve::new(name, axis, unit, costs.iter().map(|(s, c)| (size(s), cost(c))).collect())
 }
 
-/// The axis and the size of a curve by targets.
+/// Axis and size of a curve by targets.
 pub const BY_TARGETS: (&str, fn(&Size) -> f64) = ("targets", |size| size.targets as f64);
-/// The axis and the size of a curve by initiators.
+/// Axis and size of a curve by initiators.
 pub const BY_INSTANCES: (&str, fn(&Size) -> f64) = ("instances", |size| f64::from(size.instances));
--- a/crates/lab/src/scale/distribution.rs
+++ b/crates/lab/src/scale/distribution.rs
@@ -1,4 +1,4 @@
-//! Distribution by relays at the size, in simulated time, against whole lists from one discovery.
+//! Distribution by relays at the design size, in simulated time, against snapshots from one discovery server.
 
 use super::cost::{Cost, SIZES, Size, measure, probe};
 use super::network::{Network, POISON, Shape};
@@ -14,7 +14,7 @@
 
 pub const EXPERIMENT: Experiment = Experiment {
     name: "scale-distribution",
-    about: "2,200 hollow instances behind 16 relays, in simulated time, with cuts, deaths and restarts",
+    about: "2,200 simulated initiators behind 16 relays, with network partitions, failures and restarts",
     runner: Runner::Plain(run),
 };
 
@@ -22,22 +22,23 @@
 const RELAYS: u32 = 16;
 const REGIONS: u32 = 4;
 const TARGETS: usize = 3_500;
-/// Targets of a zone.
+/// Number of targets in a zone.
 const ZONE: usize = TARGETS / 9;
-/// The budget: seconds until in force, bytes a second, part of a core, bytes.
+/// Budget of an initiator: seconds until a change is in force, bytes per second, fraction of a core, bytes of
+/// memory.
 const IN_FORCE: f64 = 14.0;
 const BYTES: f64 = 11_000.0;
 const CORE: f64 = 0.018;
 const MEMORY: f64 = 256e6;
-/// What is simulated of one discovery at most.
+/// Result in seconds if the simulation of one discovery server ends before the last initiator is served.
 const NEVER: f64 = 600.0;
 
 fn shape(instances: u32) -> Shape {
     Shape { instances, relays: RELAYS, regions: REGIONS, seed: SEED }
 }
 
-/// Names, addresses and starts have nothing in common, as on a fleet that has grown: a list in order would
-/// pack to nothing.
+/// Pseudo-random value of a target. Names, addresses and start times are unrelated, as in a fleet that has
+/// grown over time: sorted values would compress to almost nothing.
 fn drawn(place: usize, what: u64) -> u64 {
     xxh3_64_with_seed(&place.to_le_bytes(), what)
 }
@@ -60,18 +61,18 @@
     EntryChange { name: "limits".into(), value: Some(value.into()) }
 }
 
-/// The list of so many targets, at version 1.
+/// An endpoint list of `targets` entries, as version 1.
 fn list(targets: usize) -> State {
     let entries = (0..targets).map(|place| (name(place), value(place, "active")));
     State::new(Version { epoch: 1, number: 1 }, entries)
 }
 
-/// What an instance keeps.
+/// Cost of the state that an initiator keeps.
 pub fn state(size: Size) -> Result<Cost, Failure> {
     Ok(measure(4, || list(size.targets)))
 }
 
-/// One change every 5 s for `seconds`, from the 5th on, without any fault.
+/// Simulates `seconds` seconds with one change every 5 s, the first at 5 s, and no faults.
 fn quiet(instances: u32, seconds: u64) -> Result<Network, Failure> {
     let first = list(TARGETS);
     let mut network = Network::new(shape(instances), first.clone(), Some(&first));
@@ -83,35 +84,37 @@
     Ok(network)
 }
 
-/// What happens at a second, beside the change of every fifth.
+/// Injects the fault of the given second, in addition to the regular change in every fifth.
 fn fault(network: &mut Network, second: u64, first: &State) -> Result<(), Failure> {
     match second {
         30 => network.restart_every(10),
-        // In the middle of the change of this second: its relays have heard, their followers not all.
+        // Interrupts the distribution of this second's change: the relays have received it, some followers
+        // have not.
         40 => {
             network.run(40_025)?;
             network.kill_relay(3);
         }
         50 => network.cut(2),
-        // Old state, while the region is still cut.
+        // Outdated state, while the region is still partitioned.
         60 => network.start_relay(3, Some(first.clone())),
         65 => network.publish((0..ZONE).map(|i| change(i * 9, "leaving")).collect())?,
         85 => network.heal(),
         95 => network.publish(vec![set_limits(POISON)])?,
-        // Taken back within 14 s.
+        // Reverts the invalid configuration within 14 s.
         100 => network.publish(vec![set_limits("32")])?,
         _ => {}
     }
     Ok(())
 }
 
-/// The version of the poison, which nobody is to run with.
+/// Second at which the invalid configuration is published; no initiator may activate it.
 const POISON_AT: u64 = 95;
 const END: u64 = 130;
 
-/// Everything at once: a tenth restarts, a relay dies in the middle of a change and comes back with old
-/// state, a region is cut for 35 s while a zone goes, and a configuration that nobody can run with is
-/// published and taken back.
+/// Simulates all faults in one run. A tenth of the initiators restarts, a relay dies during a change and
+/// returns with outdated state, a region is partitioned for 35 s while the targets of a zone start draining,
+/// and an invalid configuration is published and reverted. Returns the network and the number of the invalid
+/// version.
 pub fn faults(instances: u32) -> Result<(Network, usize), Failure> {
     let first = list(TARGETS);
     let mut network = Network::new(shape(instances), first.clone(), Some(&first));
@@ -129,7 +132,8 @@
     Ok((network, poison))
 }
 
-/// Seconds until the last of all instances has a state, all started from nothing at once.
+/// Seconds until the last initiator has a state if all start at once without any. `None` if one has none
+/// after 60 s.
 pub fn all_start(instances: u32) -> Result<Option<f64>, Failure> {
     let first = list(TARGETS);
     let mut network = Network::new(shape(instances), first, None);
@@ -137,7 +141,7 @@
     Ok(network.all_started().map(|at| at as f64 / 1e3))
 }
 
-/// The delays in seconds, sorted; one that never came counts as infinite.
+/// Delays in seconds in ascending order; a version that never came into force counts as infinite.
 fn sorted(network: &Network, skip: &[usize]) -> Vec<f64> {
     let delays = network.delays(skip).into_iter();
     let mut delays: Vec<f64> = delays.map(|d| d.map_or(f64::INFINITY, |d| d as f64 / 1e3)).collect();
@@ -168,8 +172,8 @@
     let spent = Curve::new("quiet: processor of an instance", "instances", "% of a core", spent)?;
     let relays = Curve::new("quiet: processor of a relay", "instances", "% of a core", relays)?;
     let slowest = Curve::new("quiet: the last instance has a change in force", "instances", "ms", slowest)?;
-    out.claim("an instance's bytes do not grow with instances", bytes.exponent.abs() <= 0.1);
-    out.claim("a relay's time grows no faster than instances", relays.exponent <= 1.25);
+    out.claim("an initiator's bytes do not grow with the number of initiators", bytes.exponent.abs() <= 0.1);
+    out.claim("a relay's time grows no faster than the number of initiators", relays.exponent <= 1.25);
 
     let (network, poison) = faults(instances)?;
     let delays = sorted(&network, &[poison]);
@@ -202,18 +206,18 @@
     out.figure("faults: messages", network.messages as f64, "");
     let refused = network.seen.iter().filter(|seen| seen.refused > 0).count();
     out.figure("faults: instances that refused the poison", refused as f64, "");
-    out.claim("every version is in force everywhere within 14 s of what kept it away", worst <= IN_FORCE);
-    out.claim("no instance spends more than 11 KB a second over the run", most_mean <= BYTES);
-    out.claim("nor in any 14 s of it", most_window <= BYTES);
-    out.claim("an instance takes at most 1.8% of a core", core <= CORE);
-    out.claim("all end with the source's state", network.current() == instances as usize);
-    out.claim("no instance goes back to an older version", network.seen.iter().all(|seen| !seen.went_back));
-    out.claim("the poison was refused, and nobody refuses any more", {
+    out.claim("every initiator has each version in force within 14 s of its publication, or of the end of what made the initiator unreachable", worst <= IN_FORCE);
+    out.claim("no initiator exceeds 11 KB per second over the run", most_mean <= BYTES);
+    out.claim("no initiator exceeds 11 KB per second in any 14 s window", most_window <= BYTES);
+    out.claim("an initiator uses at most 1.8% of a core", core <= CORE);
+    out.claim("all initiators end with the state of the source", network.current() == instances as usize);
+    out.claim("no initiator goes back to an older version", network.seen.iter().all(|seen| !seen.went_back));
+    out.claim("the invalid configuration was rejected, and no initiator rejects the last state", {
         refused > 0 && network.source().is_some_and(|source| source.rejecting(END * 1_000) == 0)
     });
     let state = probe("distribution-state", SIZES[SIZES.len() - 1])?;
     out.figure("a state of 3,500 entries", state.state / 1_048_576.0, "MiB");
-    out.claim("two states take under a tenth of the memory", 2.0 * state.state <= MEMORY / 10.0);
+    out.claim("two states use at most a tenth of the memory budget", 2.0 * state.state <= MEMORY / 10.0);
 
     out.figure("the same, packed", Snapshot::compress(&list(TARGETS))?.size() as f64 / 1_024.0, "KiB");
 
@@ -226,8 +230,11 @@
         by_discovery,
         "s",
     );
-    out.claim("all start at once: within 14 s by relays", by_relays <= IN_FORCE);
-    out.claim("sooner than by one discovery", by_relays < by_discovery);
+    out.claim(
+        "all start at once: with relays the last initiator has its state within 14 s",
+        by_relays <= IN_FORCE,
+    );
+    out.claim("all start at once: relays are faster than one discovery server", by_relays < by_discovery);
     for curve in [bytes, spent, relays, slowest] {
         out.curve(curve);
     }
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -1,4 +1,5 @@
-//! Whole initiators without clients: by instances and by targets, and hollow ones against real ones.
+//! Idle initiators by number of initiators and by number of targets, and those that share a process
+//! ("hollow") against those in separate processes ("real").
 
 use super::idle_initiators::{InitiatorCost, in_own_processes, in_shared_process};
 use crate::curve::Curve;
@@ -8,14 +9,15 @@
 
 pub const EXPERIMENT: Experiment = Experiment {
     name: "scale-fleet",
-    about: "hollow and real instances on one discovery: start, one change, memory, descriptors",
+    about: "idle initiators in a shared process and in separate ones with one discovery server: start, one change, memory, descriptors",
     runner: Runner::Plain(run),
 };
 
-/// Hollow instances in one process.
+/// Numbers of initiators in one process.
 const HOLLOW: [u32; 4] = [25, 50, 100, 200];
 const TARGETS: [usize; 4] = [437, 875, 1_750, 3_500];
-/// Targets while instances vary, and at the size that both kinds run.
+/// Number of targets while the number of initiators varies, and the number of initiators at which both kinds
+/// are compared.
 const FEW_TARGETS: usize = 437;
 const BOTH: u32 = 12;
 
@@ -58,17 +60,17 @@
         out.figure(label("descriptors of each, the process's share"), each.descriptors, "");
     }
     out.claim(
-        "hollow ones make the calls of real ones",
+        "initiators in a shared process send as many polls as separate ones",
         (made.change_polls / processes.change_polls - 1.0).abs() <= 0.1,
     );
     out.claim(
-        "hollow ones are sent the bytes of real ones",
+        "initiators in a shared process receive as many bytes as separate ones",
         (made.change_bytes / processes.change_bytes - 1.0).abs() <= 0.1,
     );
     let times = made.change / processes.change;
     out.figure("processor of one change, hollow over real", times, "");
     out.claim(
-        "hollow ones take a half to twice the real ones' time for a change",
+        "initiators in a shared process take half to twice the time of separate ones for a change",
         (0.5..2.0).contains(&times),
     );
     let calls = by_instances("calls at discovery for one change", "calls each", &many, |e| e.change_polls)?;
@@ -78,15 +80,24 @@
         by_instances("memory of all hollow instances", "MiB each", &many, |e| e.memory / 1_048_576.0)?;
     let listed = by_instances("all start: the last has the list", "s", &many, |e| e.listed_after)?;
     let told = by_instances("one change told to all", "ms", &many, |e| e.known_after * 1e3)?;
-    out.claim("an instance's calls for a change do not grow with instances", calls.exponent.abs() <= 0.1);
-    out.claim("an instance's time for a change does not grow with instances", change.exponent <= 0.25);
+    out.claim(
+        "an initiator's polls per change do not grow with the number of initiators",
+        calls.exponent.abs() <= 0.1,
+    );
+    out.claim(
+        "an initiator's time per change does not grow with the number of initiators",
+        change.exponent <= 0.25,
+    );
     let taken = by_targets("one change at a real instance", "ms of processor", &lists, |e| e.change * 1e3)?;
     let start = by_targets("start of a real instance", "ms of processor", &lists, |e| e.start * 1e3)?;
     let held = by_targets("memory of a real instance", "MiB", &lists, |e| e.memory / 1_048_576.0)?;
     let bytes = by_targets("news of one change", "bytes", &lists, |e| e.change_bytes)?;
-    out.claim("an instance's time for a change grows no faster than the list", taken.exponent <= 1.25);
-    out.claim("the news of one change does not grow with the list", bytes.exponent.abs() <= 0.1);
-    out.claim("an instance's memory grows no faster than the list", held.exponent <= 1.1);
+    out.claim(
+        "an initiator's time per change grows no faster than the endpoint list",
+        taken.exponent <= 1.25,
+    );
+    out.claim("the bytes of one change do not grow with the endpoint list", bytes.exponent.abs() <= 0.1);
+    out.claim("an initiator's memory grows no faster than the endpoint list", held.exponent <= 1.1);
     for curve in [calls, change, memory, listed, told, taken, start, held, bytes] {
         out.curve(curve);
     }
--- a/crates/lab/src/scale/idle_initiators.rs
+++ b/crates/lab/src/scale/idle_initiators.rs
@@ -1,5 +1,5 @@
-//! Whole initiators without clients that share a process ("hollow" ones in figures and documents). Beside them
-//! some that have a process each ("real" ones), for the sizes that fit.
+//! Initiators without clients that share a process ("hollow" in figures and documents), and for sizes that
+//! fit also initiators that have a process each ("real").
 
 use super::cost::process_time;
 use super::lists;
@@ -19,38 +19,39 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Changes that the mean cost of one is taken over.
+/// Number of changes that the mean cost of one is computed from.
 const CHANGES: u32 = 20;
-/// Discovery is waited for so long at most.
+/// Maximum time to wait until discovery has answered the expected polls.
 const DISCOVERY_TIMEOUT: Duration = Duration::from_secs(20);
 const POLL_PERIOD: Duration = Duration::from_millis(5);
 
-/// What one initiator costs.
+/// Mean cost of one initiator.
 #[derive(Clone, Copy, Debug)]
 pub struct InitiatorCost {
-    /// Seconds from the start of all until the last had the whole list.
+    /// Seconds from the start of the fleet until discovery has served the endpoint list to the last
+    /// initiator.
     pub listed_after: f64,
-    /// Processor seconds until then.
+    /// Processor seconds from the start until then.
     pub start: f64,
-    /// Processor seconds of one change.
+    /// Processor seconds per change of one target.
     pub change: f64,
-    /// Bytes that discovery sent for one change.
+    /// Bytes of list responses that discovery sent per change.
     pub change_bytes: f64,
-    /// Polls and watches answered for one change.
+    /// Polls and watches that discovery answered per change.
     pub change_polls: f64,
-    /// Seconds from one change until the last initiator had it, in the mean.
+    /// Mean number of seconds from a change until discovery has notified the last initiator.
     pub known_after: f64,
-    /// Bytes of memory; in a shared process beside the process's own.
+    /// Peak bytes of memory of the process, divided by the initiators in it.
     pub memory: f64,
-    /// Open descriptors.
+    /// Open descriptors of the process, divided by the initiators in it.
     pub descriptors: f64,
 }
 
-/// Initiators under measurement.
+/// The initiators under measurement.
 enum Initiators {
-    /// So many in one process.
+    /// The given number of initiators in one process.
     InSharedProcess(SharedProcess, u32),
-    /// One in each process.
+    /// One initiator in each process.
     InOwnProcesses(Vec<Daemon>),
 }
 
@@ -83,7 +84,7 @@
     }
 }
 
-/// A process of several initiators. Dropped, it is killed.
+/// A process of several initiators, which is killed on drop.
 struct SharedProcess(Child);
 
 impl SharedProcess {
@@ -102,7 +103,7 @@
     }
 }
 
-/// The life of a process of several initiators: until its standard input ends.
+/// Main function of a process of several initiators, which exits when its standard input is closed.
 pub fn run(instances: u32, targets: usize, discovery: &str) -> ExitCode {
     std::thread::spawn(|| {
         let _ = std::io::stdin().read_to_end(&mut Vec::new());
@@ -111,7 +112,7 @@
     block_on(async {
         for number in 0..instances {
             if let Err(error) = start_one(number, instances, targets, discovery).await {
-                eprintln!("a hollow instance does not start: {error}");
+                eprintln!("idle initiator {number} could not be started: {error}");
                 return ExitCode::FAILURE;
             }
         }
@@ -135,7 +136,7 @@
     Ok(())
 }
 
-/// A site whose list has so many targets. Nobody connects to them.
+/// Starts a site whose endpoint list has the given number of targets. No target is ever connected to.
 pub async fn listed(targets: usize) -> Result<StubSite, Failure> {
     let site = StubSite::start(&[], ZONE, 1).await?;
     for place in 0..targets {
@@ -167,7 +168,7 @@
         .map_err(|_| Failure::MissingPolls { answered: discovery.responses(), expected: calls })
 }
 
-/// Starts instances, has all read the list, and tells them changes, one after another.
+/// Starts initiators, waits until all have the endpoint list, and publishes changes one after another.
 async fn measure(
     site: &StubSite,
     start: impl FnOnce() -> Result<Initiators, Failure>,
@@ -176,7 +177,7 @@
     let begun = Instant::now();
     let fleet = start()?;
     let count = fleet.count();
-    // Each reads the list once before it watches.
+    // Each initiator reads the list once before it watches for changes.
     calls_reach(discovery, count as u64).await?;
     let listed_after = begun.elapsed().as_secs_f64();
     sleep(Duration::from_millis(500)).await;
@@ -205,10 +206,10 @@
     })
 }
 
-/// So many hollow instances in one process, before so many targets.
+/// Measures the given number of initiators in one process.
 ///
 /// # Errors
-/// They do not start, or discovery is not asked.
+/// The initiators cannot be started, or discovery receives too few polls.
 pub fn in_shared_process(instances: u32, targets: usize) -> Result<InitiatorCost, Failure> {
     block_on(async {
         let site = listed(targets).await?;
@@ -222,10 +223,10 @@
     })
 }
 
-/// The same, each in a process of its own.
+/// Measures the given number of initiators, each in a separate process.
 ///
 /// # Errors
-/// As [`hollow`].
+/// As [`in_shared_process`].
 pub fn in_own_processes(instances: u32, targets: usize) -> Result<InitiatorCost, Failure> {
     block_on(async {
         let site = listed(targets).await?;
--- a/crates/lab/src/scale/list_curves.rs
+++ b/crates/lab/src/scale/list_curves.rs
@@ -1,4 +1,4 @@
-//! What a list and its changes cost an initiator, by targets, without sockets.
+//! Cost of an endpoint list and its changes for an initiator, by number of targets, without sockets.
 
 use super::cost::probe_all;
 use super::cost_curves::{BY_TARGETS, curve};
@@ -6,10 +6,10 @@
 use crate::failure::Failure;
 use crate::outcome::Outcome;
 
-/// The experiment.
+/// Curves of the probes of [`super::lists`].
 pub const EXPERIMENT: Experiment = Experiment {
     name: "scale-lists",
-    about: "reading a list and taking changes of it, by targets, without sockets",
+    about: "decoding an endpoint list and applying its changes, by targets, without sockets",
     runner: Runner::Plain(list_curves),
 };
 
@@ -36,13 +36,22 @@
         c.processor * 1e3
     })?;
     let empty = curve("an empty change", BY_TARGETS, "us of processor", &empty, |c| c.processor * 1e6)?;
-    out.claim("a request for a new object does not go with the list", new_object.exponent <= 0.5);
-    out.claim("an empty change does not go with the list", empty.exponent <= 0.5);
-    out.claim("bytes of a list grow in step with targets", (0.95..1.05).contains(&wire.exponent));
-    out.claim("decoding grows no faster than the list", read.exponent <= 1.2);
-    out.claim("the core's state grows no faster than the list", core.exponent <= 1.1);
-    out.claim("a change of one target does not go with the list", taken.exponent <= 0.5);
-    out.claim("a request does not go with the list", request.exponent <= 0.5);
+    out.claim(
+        "the cost of a request for a new object does not grow with the endpoint list",
+        new_object.exponent <= 0.5,
+    );
+    out.claim("the cost of an empty change does not grow with the endpoint list", empty.exponent <= 0.5);
+    out.claim(
+        "the bytes of an endpoint list grow in proportion to the targets",
+        (0.95..1.05).contains(&wire.exponent),
+    );
+    out.claim("decoding time grows no faster than the endpoint list", read.exponent <= 1.2);
+    out.claim("the core's state grows no faster than the endpoint list", core.exponent <= 1.1);
+    out.claim(
+        "the cost of a change of one target does not grow with the endpoint list",
+        taken.exponent <= 0.5,
+    );
+    out.claim("the cost of a request does not grow with the endpoint list", request.exponent <= 0.5);
     for curve in [wire, read, kept, written, taken, module, request, new_object, empty, core] {
         out.curve(curve);
     }
--- a/crates/lab/src/scale/lists.rs
+++ b/crates/lab/src/scale/lists.rs
@@ -1,4 +1,4 @@
-//! The list of targets: what a whole one and a change of one target cost an instance.
+//! Cost of the endpoint list for an initiator: a snapshot, and a change of one target.
 
 use super::cost::{Cost, Size, measure, thread_time};
 use crate::failure::Failure;
@@ -20,15 +20,16 @@
 use tokio::sync::{mpsc, watch};
 
 const SEED: u64 = 33;
-/// Changes that the mean cost of one is taken over.
+/// Number of changes that the mean cost of one is computed from.
 const CHANGES: usize = 20;
 const EMPTY_CHANGES: usize = 2_000;
-/// Times that a list is read or written: the least of a few is noise where others use the machine.
+/// Number of times that a list is decoded or encoded. The minimum is used: other load on the machine only
+/// adds time.
 const RUNS: usize = 60;
-/// Zones of the fleet.
+/// Number of zones in the fleet.
 const ZONES: usize = 9;
 
-/// A target as the list has it; its address is never connected to.
+/// An entry of the endpoint list. Nothing ever connects to its address.
 pub fn line(place: usize) -> Endpoint {
     let [.., high, low] = (place as u32).to_be_bytes();
     Endpoint {
@@ -47,7 +48,7 @@
     (0..targets).map(line).collect()
 }
 
-/// A whole list, read from its JSON.
+/// Decodes a snapshot from JSON.
 pub fn decode(size: Size) -> Result<Cost, Failure> {
     let text = serde_json::to_vec(&EndpointPage::snapshot(lines(size.targets)))?;
     serde_json::from_slice::<EndpointPage>(&text)?;
@@ -55,7 +56,7 @@
     Ok(Cost { wire: text.len() as f64, ..cost })
 }
 
-/// A whole list, written as JSON: the least that whoever serves it spends on each reader.
+/// Encodes a snapshot as JSON, the minimum work that a discovery server does for each reader.
 pub fn encode(size: Size) -> Result<Cost, Failure> {
     let page = EndpointPage::snapshot(lines(size.targets));
     let text = serde_json::to_vec(&page)?;
@@ -63,7 +64,7 @@
     Ok(Cost { wire: text.len() as f64, ..cost })
 }
 
-/// The decision module that has heard the whole list.
+/// Creates a scheduler that has received a snapshot of all targets.
 fn listed_module(size: Size) -> Result<(Scheduler, Vec<Action>), Failure> {
     let settings = rowanglade_test_fleet::settings(
         &traces::standard_header(),
@@ -93,7 +94,7 @@
     EndpointEntry { target: node, shard, zone: ZoneId((place % ZONES) as u32), state, started: None }
 }
 
-/// The decision module by itself: the whole list once, then changes of one target each.
+/// Cost of a change of one target in the scheduler alone.
 pub fn module_change(size: Size) -> Result<Cost, Failure> {
     let (mut scheduler, mut actions) = listed_module(size)?;
     let begun = thread_time();
@@ -110,19 +111,20 @@
     Ok(Cost { processor: (thread_time() - begun) / CHANGES as f64, ..Cost::default() })
 }
 
-/// Requests that the mean cost of one is taken over, and the microseconds between two: 1,050 a second.
+/// Number of requests that the mean cost of one is computed from, and the microseconds between two of them,
+/// which make 1,050 requests per second.
 const REQUESTS: u64 = 60;
 const BETWEEN: Micros = 952;
-/// Microseconds that a target takes.
+/// Microseconds that a target takes to serve a request.
 const SERVED_IN: Micros = 2_000;
 
-/// The decision module by itself, with requests of as many shards as there are targets, all of which are
-/// served.
+/// Cost of a request in the scheduler alone. The requests spread over as many shards as there are targets,
+/// and all of them are served.
 pub fn module_request(size: Size) -> Result<Cost, Failure> {
     module_requests(size, |number| Some(ShardId((number as usize * 7 % size.targets) as u32)))
 }
 
-/// The same with new objects, for which the module chooses the shard.
+/// Cost of a request for a new object, for which the scheduler chooses the shard.
 pub fn module_new_object(size: Size) -> Result<Cost, Failure> {
     module_requests(size, |_| None)
 }
@@ -150,7 +152,7 @@
     }
     let (begun, mut served) = (thread_time(), 0);
     while served < REQUESTS {
-        let ((now, _), event) = due.pop_first().ok_or(Failure::Unexpected("a request has no end"))?;
+        let ((now, _), event) = due.pop_first().ok_or(Failure::Unexpected("a request did not end"))?;
         served += u64::from(matches!(event, Event::AttemptEnded { .. }));
         scheduler.handle(now, event, &mut actions);
         for action in std::mem::take(&mut actions) {
@@ -161,7 +163,7 @@
                     (SERVED_IN, answered(id, node))
                 }
                 Action::Reject { .. } | Action::Fail { .. } => {
-                    return Err(Failure::Unexpected("a request is not served"));
+                    return Err(Failure::Unexpected("a request was rejected or failed"));
                 }
                 _ => continue,
             };
@@ -186,7 +188,7 @@
     }
 }
 
-/// Lists that change nothing, in the module: a watch that ends without news.
+/// Cost in the scheduler of an empty delta, as a watch returns that times out without a change.
 pub fn module_empty_change(size: Size) -> Result<Cost, Failure> {
     let (mut scheduler, mut actions) = listed_module(size)?;
     let begun = thread_time();
@@ -198,8 +200,8 @@
     Ok(Cost { processor: (thread_time() - begun) / EMPTY_CHANGES as f64, ..Cost::default() })
 }
 
-/// A core without sockets beside targets that are no more than a mailbox: the whole list once, then changes
-/// of one target each. The state is the list's, the processor time that of one change.
+/// Cost of changes in a core without sockets, whose target connections are plain channels. `state` is the
+/// memory of the snapshot, `processor` the time for a change of one target.
 fn core_changes(size: Size, subset: Option<SubsetConfig>) -> Result<Cost, Failure> {
     let settings = rowanglade_test_fleet::settings(
         &traces::standard_header(),
@@ -246,11 +248,12 @@
         let state = (super::cost::allocated() - memory).max(0.0);
         let begun = thread_time();
         for change in 0..CHANGES {
-            // Another kind is news to whoever waits for the list; another start is news to the module.
+            // A changed kind notifies those who watch the list; a changed start time makes the scheduler
+            // process the entry.
             let mut entry = line(change * 7 % size.targets);
             entry.kind = format!("box-{change}");
             entry.started = Some(1_000_000 * change as u64);
-            // One that had left comes back: the subset hears of it too.
+            // Alternating between draining and active makes the subset process the change as well.
             entry.state = if change % 2 == 0 { TargetState::Draining } else { TargetState::Active };
             let news = Message::endpoints(Protocol::Http, EndpointUpdateKind::Delta, vec![entry]);
             handle.send(news).await;
@@ -261,12 +264,12 @@
     })
 }
 
-/// A change of one target, without a subset.
+/// Cost of a change of one target without target subsets.
 pub fn change(size: Size) -> Result<Cost, Failure> {
     core_changes(size, None)
 }
 
-/// The same, with `[subset]`.
+/// Cost of a change of one target with `[subset]`.
 pub fn change_with_subset(size: Size) -> Result<Cost, Failure> {
     core_changes(size, Some(super::subsets::RULE))
 }
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -1,8 +1,9 @@
-//! Slopes: what the control of a fleet costs at four sizes each, and what law that follows.
+//! Scaling experiments: the cost of a fleet's control traffic and state at four sizes each, and the function
+//! that fits its growth.
 //!
-//! Memory and processor time of code without sockets are measured in processes of their own ([`cost`]); whole
-//! initiators without clients share processes ([`idle_initiators`]), with real ones beside them at one size; what no
-//! number of sockets on one machine holds is simulated ([`reads`]).
+//! Memory and processor time of code without sockets are measured in separate processes ([`cost`]). Idle
+//! initiators share processes ([`idle_initiators`]), with initiators in separate processes for comparison at
+//! one size. Fleets that need more sockets than one machine has are simulated ([`reads`], [`network`]).
 
 mod all_pairs;
 mod connections;
@@ -41,7 +42,7 @@
     ]
 }
 
-/// Work whose cost is measured in a process of its own.
+/// A piece of work whose cost is measured in a separate process.
 type Probe = fn(Size) -> Result<Cost, Failure>;
 
 const PROBES: &[(&str, Probe)] = &[
@@ -60,12 +61,12 @@
     ("unit-lack", units::lack),
 ];
 
-/// The life of a process that measures one probe: `NAME INSTANCES TARGETS`.
+/// Main function of a process that measures one probe; its arguments are `NAME INSTANCES TARGETS`.
 pub fn run_probe(arguments: &[OsString]) -> ExitCode {
     let words: Vec<&str> = arguments.iter().filter_map(|word| word.to_str()).collect();
     let cost = match words.as_slice() {
         [name, instances, targets] => measured(name, instances, targets),
-        _ => Err(Failure::Unexpected("a probe's name, instances and targets")),
+        _ => Err(Failure::Unexpected("expected three arguments: probe name, instances, targets")),
     };
     let printed = cost.and_then(|cost| {
         println!("{}", serde_json::to_string(&cost)?);
@@ -83,10 +84,10 @@
 fn measured(name: &str, instances: &str, targets: &str) -> Result<Cost, Failure> {
     let size = Size { instances: instances.parse()?, targets: targets.parse()? };
     let probe = PROBES.iter().find(|(known, _)| *known == name);
-    probe.ok_or(Failure::Unexpected("an unknown probe"))?.1(size)
+    probe.ok_or(Failure::Unexpected("unknown probe name"))?.1(size)
 }
 
-/// The life of a process of initiators without clients: `INSTANCES TARGETS DISCOVERY`.
+/// Main function of a process of idle initiators; its arguments are `INSTANCES TARGETS DISCOVERY`.
 pub fn run_idle_initiators(arguments: &[OsString]) -> ExitCode {
     let words: Vec<&str> = arguments.iter().filter_map(|word| word.to_str()).collect();
     match words.as_slice() {
--- a/crates/lab/src/scale/network.rs
+++ b/crates/lab/src/scale/network.rs
@@ -1,5 +1,5 @@
-//! A source, relays and hollow instances on a simulated network: their own code and their own bytes, with
-//! delays, cuts, deaths and restarts, in simulated time.
+//! A source, relays and followers on a simulated network. They run the distribution's own code and exchange
+//! its encoded messages; delays, partitions, failures and restarts happen in simulated time.
 
 use super::cost::thread_time;
 use super::network_events::{Due, Event};
@@ -16,20 +16,20 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 const KEY: Key = [0x5a; 32];
-/// Bytes of a packet beside its message: a guess, of TCP over IPv4 with options.
+/// Overhead of a packet in bytes: TCP over IPv4 with options.
 const PACKET: u64 = 60;
 const SEGMENT: u64 = 1_400;
-/// Delays within a region and between two, in milliseconds.
+/// Delays within a region and between two regions, in milliseconds.
 const NEAR: std::ops::Range<Millis> = 1..4;
 const FAR: std::ops::Range<Millis> = 20..80;
-/// How long an instance's watch waits for news.
+/// How long an upstream holds the watch of a follower without a change.
 const HOLD: Millis = 4_000;
 const LIMITS: RelayLimits =
     RelayLimits { max_followers: 220, bytes_per_second: 4 << 20, burst_bytes: 512 << 10 };
-/// Instances start within this span.
+/// The nodes start within this span.
 const START_WITHIN: Millis = 1_000;
 
-/// How large a fleet is.
+/// Size of a fleet, and the seed of its random numbers.
 #[derive(Clone, Copy, Debug)]
 pub struct Shape {
     pub instances: u32,
@@ -44,33 +44,33 @@
     Dead,
 }
 
-/// The fleet, and what was seen of it.
+/// The simulated fleet, with measurements of each initiator and of the relays.
 pub struct Network {
     shape: Shape,
     now: Millis,
     nodes: Vec<Node>,
-    /// How often each node has started.
+    /// Number of restarts of each node.
     incarnations: Vec<u32>,
-    /// When each node is polled next.
+    /// Time of each node's next poll.
     due: Vec<Millis>,
     queue: BinaryHeap<Reverse<Due>>,
     order: u64,
     chance: Pcg64Mcg,
     topology: Topology,
     cut: Option<(u32, Millis)>,
-    /// When each version was published, by its number.
+    /// Time at which each version was published, indexed by version number.
     pub published: Vec<Millis>,
     /// What was observed of each initiator.
     pub seen: Vec<Observations>,
-    /// Processor seconds of all instances, and of all relays with the source.
+    /// Processor seconds of all initiators, and of all relays including the source.
     pub instance_time: f64,
     pub relay_time: f64,
-    /// Bytes that relays and the source sent.
+    /// Bytes sent by the relays and the source.
     pub relay_bytes: u64,
     pub messages: u64,
 }
 
-/// An instance cannot run with a state that has this value.
+/// Value of the entry `limits` that makes a state invalid for initiators.
 pub const POISON: &str = "poison";
 
 fn usable(state: &State) -> Result<(), InvalidState> {
@@ -81,7 +81,8 @@
 }
 
 impl Network {
-    /// All relays and instances have `known` from their last incarnation, if it is given; the source has `first`.
+    /// Creates a fleet whose source has the state `first`. All relays and initiators start with the state
+    /// `known` from a previous run, or without any if it is `None`.
     pub fn new(shape: Shape, first: State, known: Option<&State>) -> Network {
         let place = |i: u32| NodeLocation {
             addr: SocketAddr::from((Ipv4Addr::from(0x7f02_0000 + i), 9)),
@@ -127,7 +128,8 @@
 
     fn relay(&self, relay: u32, known: Option<State>) -> Node {
         let me = NodeId(1 + relay);
-        // The source first; relays of other regions reach it where this one cannot.
+        // The source comes first. The other relays follow, since those of other regions may reach the source
+        // when this relay cannot.
         let others = (0..self.shape.relays).map(|i| NodeId(1 + i)).filter(|id| *id != me);
         let mut upstreams: Vec<NodeId> = others.collect();
         let others = upstreams.len().max(1);
@@ -155,7 +157,7 @@
         (node.0 > self.shape.relays).then(|| (node.0 - 1 - self.shape.relays) as usize)
     }
 
-    /// Lets time pass until then.
+    /// Runs the simulation until the given time.
     pub fn run(&mut self, until: Millis) -> Result<(), Failure> {
         while self.queue.peek().is_some_and(|Reverse(due)| due.at <= until) {
             let Some(Reverse(due)) = self.queue.pop() else { break };
@@ -250,7 +252,7 @@
     }
 
     fn deliver(&mut self, from: NodeId, to: NodeId, bytes: &[u8]) -> Result<(), Failure> {
-        // Whoever is dead or cut off says nothing, not even that.
+        // Messages between partitioned regions are dropped without notice to either side.
         if self.is_cut(from, to) {
             return Ok(());
         }
@@ -277,27 +279,29 @@
         self.poll(to)
     }
 
-    /// The source's next version.
+    /// Publishes the next version at the source.
     pub fn publish(&mut self, changes: Vec<EntryChange>) -> Result<(), Failure> {
-        let Node::Relay(source) = &mut self.nodes[0] else { return Err(Failure::Unexpected("no source")) };
-        source.publish(changes).ok_or(Failure::Unexpected("only the source publishes"))?;
+        let Node::Relay(source) = &mut self.nodes[0] else {
+            return Err(Failure::Unexpected("node 0 is not the source"));
+        };
+        source.publish(changes).ok_or(Failure::Unexpected("the source did not publish the changes"))?;
         self.published.push(self.now);
         self.poll(NodeId(0))
     }
 
-    /// A relay stops without a word.
+    /// Stops a relay without notice to its peers.
     pub fn kill_relay(&mut self, relay: u32) {
         self.nodes[(1 + relay) as usize] = Node::Dead;
     }
 
-    /// It starts again, with what it kept.
+    /// Restarts a relay with the state that it stored.
     pub fn start_relay(&mut self, relay: u32, known: Option<State>) {
         self.nodes[(1 + relay) as usize] = self.relay(relay, known);
         self.incarnations[(1 + relay) as usize] += 1;
         self.poll_at(NodeId(1 + relay), self.now + 1);
     }
 
-    /// Every so many-th instance starts again from nothing, all at once.
+    /// Restarts every `step`-th initiator at the same time, without stored state.
     pub fn restart_every(&mut self, step: u32) {
         for instance in (0..self.shape.instances).step_by(step as usize) {
             let node = 1 + self.shape.relays + instance;
@@ -309,7 +313,7 @@
         }
     }
 
-    /// Relays see that a follower's connections have ended.
+    /// Notifies all relays that a follower's connections were closed.
     fn break_connections(&mut self, follower: NodeId) {
         for node in &mut self.nodes {
             if let Node::Relay(relay) = node {
@@ -318,7 +322,7 @@
         }
     }
 
-    /// A region and all others lose each other.
+    /// Partitions a region from all others.
     pub fn cut(&mut self, region: u32) {
         self.cut = Some((region, self.now));
     }
@@ -339,14 +343,15 @@
         }
     }
 
-    /// Instances whose state in force is the source's.
+    /// Number of initiators whose active state is that of the source.
     pub fn current(&self) -> usize {
         let newest = self.source().and_then(Relay::state);
         let in_force = |node: &&Node| matches!(node, Node::Instance(f) if f.active() == newest);
         self.nodes.iter().filter(in_force).count()
     }
 
-    /// Sums of all instances' counters: relays left for silence, for being cut off, and whole states taken.
+    /// Sums of all initiators' counters: relays abandoned after a timeout, relays abandoned because they were
+    /// cut off from the source, and snapshots received.
     pub fn left(&self) -> (u64, u64, u64) {
         let mut sums = (0, 0, 0);
         for node in &self.nodes {
@@ -358,9 +363,9 @@
         sums
     }
 
-    /// Milliseconds from each version's publication until each instance had it or a newer one in force: from
-    /// the end of what kept it from being told, if anything did. None: it never had. Versions listed in
-    /// `skip` are left out.
+    /// Milliseconds from each version's publication until each initiator had it or a newer one in force,
+    /// counted from the end of the initiator's last unreachable span if there was one. `None` if it never
+    /// had. Versions in `skip` are left out.
     pub fn delays(&self, skip: &[usize]) -> Vec<Option<Millis>> {
         let mut delays = Vec::new();
         for (version, published) in self.published.iter().enumerate().skip(2) {
@@ -371,7 +376,7 @@
         delays
     }
 
-    /// Milliseconds until the last instance had a state; none if one has none.
+    /// Milliseconds until the last initiator had a state; `None` if one has none.
     pub fn all_started(&self) -> Option<Millis> {
         self.seen.iter().map(|seen| seen.reached.first().copied()).try_fold(0, |last, at| Some(last.max(at?)))
     }
--- a/crates/lab/src/scale/network_events.rs
+++ b/crates/lab/src/scale/network_events.rs
@@ -1,17 +1,18 @@
-//! The events of the simulated network, in the order of their times.
+//! Events of the simulated network, ordered by time.
 
 use rowanglade_distribution::{Millis, NodeId};
 use std::rc::Rc;
 
-/// What happens at a time.
+/// An event of the simulation.
 pub enum Event {
-    /// A message comes on a connection, which ends with the incarnation of its receiver.
+    /// A message arrives on a connection. It is dropped if the receiver has restarted since it was sent.
     Deliver { from: NodeId, to: NodeId, incarnation: u32, bytes: Rc<[u8]> },
     /// A node is polled.
     Poll(NodeId),
 }
 
-/// An event that is due; the queue orders by time, and then by the order of scheduling.
+/// A scheduled event. Events are ordered by time, and at equal times by the order in which they were
+/// scheduled.
 pub struct Due {
     pub at: Millis,
     pub order: u64,
--- a/crates/lab/src/scale/observations.rs
+++ b/crates/lab/src/scale/observations.rs
@@ -1,29 +1,29 @@
-//! What is observed of each initiator of the simulated network.
+//! Measurements of an initiator of the simulated network.
 
 use rowanglade_distribution::{Millis, StateUpdate};
 
-/// Bytes are counted in windows of this many milliseconds.
+/// Window in milliseconds in which bytes are counted.
 pub const WINDOW: Millis = 14_000;
 
 /// What was observed of an initiator.
 #[derive(Clone, Debug, Default)]
 pub struct Observations {
-    /// When each version, by its number, or a newer one was in force.
+    /// Time at which each version or a newer one came into force, indexed by version number.
     pub reached: Vec<Millis>,
-    /// Spans in which nothing could reach it.
+    /// Spans in which a partition cut the initiator off. A restart is recorded as an empty span.
     pub unreachable: Vec<(Millis, Millis)>,
-    /// Bytes in and out.
+    /// Bytes sent and received.
     pub bytes: u64,
-    /// The same in each window of time.
+    /// Bytes sent and received in each window.
     windows: Vec<u64>,
-    /// Versions that its check refused.
+    /// Number of states that the initiator's validation rejected.
     pub refused: u64,
-    /// A version that came after a newer one.
+    /// Whether an older version came into force after a newer one.
     pub went_back: bool,
 }
 
 impl Observations {
-    /// Counts bytes in or out.
+    /// Counts bytes that were sent or received.
     pub fn count(&mut self, now: Millis, bytes: u64) {
         self.bytes += bytes;
         let window = (now / WINDOW) as usize;
@@ -33,18 +33,18 @@
         self.windows[window] += bytes;
     }
 
-    /// The most bytes a second of a window.
+    /// Highest rate of a window in bytes per second.
     pub fn peak_rate(&self) -> f64 {
         self.windows.iter().max().copied().unwrap_or(0) as f64 * 1e3 / WINDOW as f64
     }
 
-    /// Its follower took a version, or refused it.
+    /// Records that the follower activated or rejected a state.
     pub fn event(&mut self, now: Millis, news: &StateUpdate) {
         match news {
             StateUpdate::Activated(state) => {
                 let number = state.version().number as usize;
-                // After a restart from nothing an older one than before may come, through a relay that is
-                // behind.
+                // After a restart without stored state, a relay that lags may serve an older version than the
+                // one before the restart.
                 let restarted = self.unreachable.iter().any(|(from, to)| from == to);
                 self.went_back |= number + 1 < self.reached.len() && !restarted;
                 if self.reached.len() <= number {
@@ -55,7 +55,8 @@
         }
     }
 
-    /// Milliseconds from a version's publication until it or a newer one was in force; none: it never was.
+    /// Milliseconds from a version's publication, or from the end of the last unreachable span after it,
+    /// until it or a newer one was in force. `None` if it never was.
     pub fn delay(&self, version: usize, published: Millis) -> Option<Millis> {
         let reached = *self.reached.get(version)?;
         let unreachable = self.unreachable.iter().filter(|(from, to)| *to > published && *from < reached);
--- a/crates/lab/src/scale/reads.rs
+++ b/crates/lab/src/scale/reads.rs
@@ -1,5 +1,5 @@
-//! Whole lists from one discovery that serves calls one after another, in simulated time: what no number of
-//! sockets on one machine holds.
+//! Reads of the whole endpoint list from one discovery server that serves polls one after another, in
+//! simulated time: the fleets need more sockets than one machine has.
 
 use super::cost::{SIZES, Size, probe, thread_time};
 use super::idle_initiators;
@@ -17,27 +17,27 @@
 
 pub const EXPERIMENT: Experiment = Experiment {
     name: "scale-reads",
-    about: "whole lists and news of one change from one discovery, by instances, in simulated time",
+    about: "endpoint list snapshots and a change of one target from one discovery server, by initiators, in simulated time",
     runner: Runner::Plain(run),
 };
 
 const SEED: u64 = 33;
-/// Seconds that a call waits for its answer, as `rowanglade_discovery_polling` has it for one that does not
-/// hold.
+/// Seconds that an initiator waits for the response to a poll that discovery does not hold, as in
+/// `rowanglade_discovery_polling`.
 const PATIENCE: f64 = 5.0;
-/// Each instance's first call, and the next after one that failed, come within this span, as the module has
-/// it where the list must be asked for every 10 s: a tenth of a second for each instance of the fleet, at
-/// most those 10 s.
+/// An initiator's first poll, and the next poll after a failed one, are spread over a span that grows with
+/// the fleet: 0.1 s for each of its initiators, at most 10 s. The scheduler uses the same span if the list
+/// has to be polled every 10 s.
 const TURN: f64 = 0.1;
 const LONGEST_TURN: f64 = 10.0;
-/// Seconds that are simulated at most.
+/// Maximum number of simulated seconds.
 const END: f64 = 600.0;
-/// Calls that a service time is the mean of.
+/// Number of polls that the mean service time is computed from.
 const CALLS: u32 = 20;
-/// A change of the configuration must be in force after this long.
+/// Seconds after which a change of the configuration must be in force.
 const IN_FORCE: f64 = 14.0;
 
-/// A call that comes to discovery.
+/// A poll that arrives at discovery.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Call {
     at: f64,
@@ -58,8 +58,9 @@
     }
 }
 
-/// Seconds until so many instances of a fleet that start at once each have an answer, where a call takes
-/// `service` seconds. None: some have none when the simulation ends.
+/// Seconds until each of `starting` initiators, which start at once in a fleet of `fleet`, has received a
+/// response, if discovery takes `service` seconds per poll. `None` if some have none at the end of the
+/// simulation.
 pub fn all_served(starting: u32, fleet: u32, service: f64) -> Option<f64> {
     let mut chance = Pcg64Mcg::seed_from_u64(SEED);
     let turn = (TURN * f64::from(fleet)).min(LONGEST_TURN);
@@ -70,7 +71,7 @@
         if call.at > END {
             return None;
         }
-        // Discovery does not know that a caller has given up, and serves the call all the same.
+        // Discovery does not notice that an initiator has timed out, and processes the poll nevertheless.
         free = free.max(call.at) + service;
         if free <= call.at + PATIENCE {
             last = last.max(free);
@@ -82,7 +83,7 @@
     Some(last)
 }
 
-/// Reads answers, one after another, on one connection.
+/// Sends polls one after another on one connection and returns the length of the last response in bytes.
 fn ask(discovery: SocketAddr, query: &str) -> std::io::Result<usize> {
     let mut stream = TcpStream::connect(discovery)?;
     let mut answer = Vec::new();
@@ -91,7 +92,7 @@
         stream.write_all(format!("GET /discovery/hosts{query} HTTP/1.1\r\nHost: x\r\n\r\n").as_bytes())?;
         answer.clear();
         let mut chunk = [0; 64 << 10];
-        // The page's last bytes are the list's end.
+        // A response body ends with the closing brace of the list.
         while !answer.ends_with(b"}") || !balanced(&answer) {
             let read = stream.read(&mut chunk)?;
             if read == 0 {
@@ -104,7 +105,7 @@
     Ok(bytes)
 }
 
-/// Whether the answer has as many bytes as its head says.
+/// Whether the response is as long as its Content-Length header states.
 fn balanced(answer: &[u8]) -> bool {
     let text = String::from_utf8_lossy(&answer[..answer.len().min(256)]);
     let length =
@@ -113,7 +114,7 @@
     length.zip(head).is_some_and(|(length, head)| answer.len() >= head + length)
 }
 
-/// Seconds of processor time that stub discovery takes for a poll, and the bytes of its response.
+/// Measures the processor seconds of stub discovery per poll, and the length of its response in bytes.
 pub fn service(targets: usize, query: &'static str) -> Result<(f64, f64), Failure> {
     block_on(async {
         let site = idle_initiators::listed(targets).await?;
@@ -124,7 +125,7 @@
     })
 }
 
-/// Seconds that a change takes until the last of so many watches is answered, one after another.
+/// Seconds until the last of the watches is answered, if discovery answers them one after another.
 fn all_told(instances: u32, service: f64) -> f64 {
     f64::from(instances) * service
 }
@@ -141,7 +142,8 @@
     let bytes = Curve::new("a whole list on the wire", "targets", "KiB", bytes)?;
     let Size { instances: fleet, targets } = SIZES[SIZES.len() - 1];
     let whole = times.at(targets as f64) / 1e3;
-    // Stub discovery's first version is 1, and each target adds one: this asks for the last change alone.
+    // Stub discovery starts at version 1 and each target adds one, so this poll asks for the last change
+    // only.
     let (news, _) = service(targets, "?from=3500&hold_ms=1")?;
     let least = probe("list-encode", SIZES[SIZES.len() - 1])?.processor;
     out.figure("the stand-in's time for a whole list of 3,500", whole * 1e3, "ms");
@@ -166,9 +168,12 @@
     );
     let told = SIZES.map(|size| (f64::from(size.instances), all_told(size.instances, news)));
     let told = Curve::new("one change told to all watchers", "instances", "s", told.to_vec())?;
-    out.claim("a whole list's bytes grow in step with targets", (0.95..1.05).contains(&bytes.exponent));
-    out.claim("a call's time grows no faster than the list", times.exponent <= 1.25);
-    out.claim("one change is told to 2,200 watchers within 14 s", told.at(f64::from(fleet)) <= IN_FORCE);
+    out.claim(
+        "the bytes of a snapshot grow in proportion to the targets",
+        (0.95..1.05).contains(&bytes.exponent),
+    );
+    out.claim("the processor time of a poll grows no faster than the list", times.exponent <= 1.25);
+    out.claim("2,200 watchers are notified of one change within 14 s", told.at(f64::from(fleet)) <= IN_FORCE);
     for curve in [times, bytes, told] {
         out.curve(curve);
     }
--- a/crates/lab/src/scale/subsets.rs
+++ b/crates/lab/src/scale/subsets.rs
@@ -1,4 +1,5 @@
-//! The table of subsets: what it costs each instance at a change of the list, and what a change moves.
+//! Assignment table of target subsets: its cost for an initiator per change of the list, and what a change
+//! moves.
 
 use super::all_pairs;
 use super::cost::{Cost, Size, measure, probe_all, thread_time};
@@ -12,20 +13,20 @@
 
 pub const EXPERIMENT: Experiment = Experiment {
     name: "scale-subsets",
-    about: "the table of subsets by instances and targets that grow together, against all pairs",
+    about: "the assignment table of target subsets as initiators and targets grow together, against the all-pairs table",
     runner: Runner::Plain(run),
 };
 
-/// Twenty targets of an instance are about twelve instances of a target.
+/// Twenty targets per initiator make about twelve initiators per target at the sizes measured.
 pub const RULE: SubsetConfig = SubsetConfig { size: 20, spread: 1.25 };
-/// Changes that the mean cost of one is taken over.
+/// Number of changes that the mean cost of one is computed from.
 const CHANGES: usize = 20;
-/// Changes that the mean of what moves is taken over.
+/// Number of changes that the mean moved fraction is computed from.
 const MOVES: u32 = 8;
-/// Where both ways are compared by what moves; and the size to design for.
+/// Size at which both algorithms are compared by what a change moves, and the design size.
 const COMPARED: Size = Size { instances: 550, targets: 875 };
 const DESIGN: Size = Size { instances: 2_200, targets: 3_500 };
-/// A day's changes, and the processor seconds of a day that control may take.
+/// Changes of the list per day, and the processor seconds per day that an initiator may spend on control.
 const CHANGES_A_DAY: f64 = 4_300.0;
 const SECONDS_A_DAY: f64 = 1_555.0;
 const BUDGET_MIB: f64 = 256.0;
@@ -40,19 +41,19 @@
     names.iter().map(String::as_str).collect()
 }
 
-/// The whole table from nothing.
+/// Cost of computing the whole table.
 pub fn whole(size: Size) -> Result<Cost, Failure> {
     let names = names(size.targets);
     Ok(measure(3, || assignments(&RULE, size.instances, &strs(&names))))
 }
 
-/// The same, by all pairs.
+/// Cost of computing the whole table with the all-pairs algorithm.
 pub fn whole_by_pairs(size: Size) -> Result<Cost, Failure> {
     let names = names(size.targets);
     Ok(measure(2, || all_pairs::table(&RULE, size.instances, &strs(&names))))
 }
 
-/// What one instance keeps, and one change of the list at it.
+/// State of one initiator's subset, and the cost of one change of the list in it.
 pub fn change(size: Size) -> Result<Cost, Failure> {
     let all: BTreeSet<String> = names(size.targets).into_iter().collect();
     let cost = measure(1, || {
@@ -74,8 +75,8 @@
     Ok(Cost { processor, ..cost })
 }
 
-/// How much of the table moves when an instance joins, or a target leaves, as a multiple of the part that is
-/// theirs.
+/// Returns the fraction of other assignments that move when an initiator joins and when a target leaves, each
+/// as a multiple of the fraction that belongs to that initiator or target.
 fn moved(way: Way, size: Size) -> (f64, f64) {
     let all = names(size.targets);
     let all = strs(&all);
@@ -96,7 +97,7 @@
     (joins, mean(leaves.collect()))
 }
 
-/// The fewest and the most instances of a target.
+/// Fewest and most initiators assigned to a target.
 fn loads(size: Size) -> (usize, usize) {
     let names = names(size.targets);
     let mut loads = vec![0; size.targets];
@@ -153,23 +154,31 @@
             "",
         );
         out.claim(
-            format!("{instances} x {targets}: a change moves about its share"),
+            format!(
+                "{instances} x {targets}: a change moves at most 1.5 times its share of other assignments"
+            ),
             joins <= 1.5 && leaves <= 1.5,
         );
         out.claim(
-            format!("{instances} x {targets}: instances of a target are within the bounds"),
+            format!("{instances} x {targets}: initiators per target are within the bounds"),
             least >= fewest && greatest <= most + 1,
         );
     }
-    out.claim("the table grows in step with one side, not with the product", table_time.exponent <= 1.4);
-    out.claim("one change grows no faster", change_time.exponent <= 1.4);
     out.claim(
-        "at 2,200 x 3,500 a change takes a tenth of all pairs or less",
+        "the time of the table grows with one side, not with the product of both",
+        table_time.exponent <= 1.4,
+    );
+    out.claim("the time of one change grows no faster than that", change_time.exponent <= 1.4);
+    out.claim(
+        "at 2,200 x 3,500 a change takes at most a tenth of the time of the all-pairs table",
         change_time.at(at) * 10.0 <= pairs_time.at(at),
     );
-    out.claim("4,300 changes a day take under a tenth of control's time", day <= SECONDS_A_DAY / 10.0);
     out.claim(
-        "what an instance keeps and its peak are under a tenth of control's memory",
+        "4,300 changes a day take at most a tenth of the time budget of control",
+        day <= SECONDS_A_DAY / 10.0,
+    );
+    out.claim(
+        "the peak memory of the table is at most a tenth of the memory budget of control",
         table_peak.at(at) <= BUDGET_MIB / 10.0,
     );
     for curve in [pairs_time, pairs_peak, table_time, table_peak, change_time, state] {
--- a/crates/lab/src/scale/tests.rs
+++ b/crates/lab/src/scale/tests.rs
@@ -6,7 +6,7 @@
 
 fn curve(cost: impl Fn(f64) -> f64) -> Curve {
     let points = SIZES.into_iter().map(|size| (size, cost(size))).collect();
-    Curve::new("made", "size", "unit", points).expect("a slope")
+    Curve::new("made", "size", "unit", points).expect("the points allow a fit")
 }
 
 #[test]
@@ -25,7 +25,7 @@
     assert!(made.fit.r_squared > 0.999_999 && made.fit.worst_residual < 1e-9);
 }
 
-// A point that no law explains must be seen in the residual.
+// An outlier must show in the residual, whichever function fits best.
 #[test]
 fn a_point_beside_the_law_is_told() {
     let made = curve(|size| if size == 400.0 { 9.0 * size } else { size });
@@ -38,36 +38,41 @@
     assert!(Curve::new("made", "size", "unit", SIZES.map(|size| (size, 0.0)).to_vec()).is_err());
 }
 
-// Discovery that takes more work in a span than the span has never catches up with callers who give up.
+// A discovery service that needs more time for the polls of a span than the span lasts cannot catch up, since
+// it still processes polls whose initiators have timed out.
 #[test]
 fn an_overbooked_discovery_does_not_serve_all() {
     assert!(all_served(2_200, 2_200, 0.001).is_some_and(|last| last <= 11.0));
     assert_eq!(all_served(2_200, 2_200, 0.05), None);
-    assert_eq!(all_served(2_200, 2_200, 0.05), all_served(2_200, 2_200, 0.05), "the same seed, the same end");
+    assert_eq!(
+        all_served(2_200, 2_200, 0.05),
+        all_served(2_200, 2_200, 0.05),
+        "the same seed gives the same result"
+    );
 }
 
-// Few instances, and all that goes wrong at the size: restarts, a relay's death and old state, a cut, a
-// poison.
+// A small fleet with all faults of the experiment: restarts, a relay that dies and returns with outdated
+// state, a network partition, and an invalid configuration.
 #[test]
 fn with_relays_every_version_is_in_force_in_time_whatever_goes_wrong() {
     const INSTANCES: u32 = 160;
-    let (network, poison) = faults(INSTANCES).expect("it runs");
+    let (network, poison) = faults(INSTANCES).expect("the simulation runs");
     for delay in network.delays(&[poison]) {
         assert!(delay.is_some_and(|delay| delay <= 14_000), "{delay:?}");
     }
     assert_eq!(network.current(), INSTANCES as usize);
     assert!(network.seen.iter().all(|seen| !seen.went_back));
     let most = network.seen.iter().map(|seen| seen.peak_rate()).fold(0.0, f64::max);
-    assert!(most <= 11_000.0, "{most} bytes a second in 14 s");
+    assert!(most <= 11_000.0, "{most} bytes per second in a 14 s window");
     assert!(network.seen.iter().any(|seen| seen.refused > 0));
     assert_eq!(network.source().map(|source| source.rejecting(130_000)), Some(0));
-    // The same seed, the same end.
-    let (again, _) = faults(INSTANCES).expect("it runs");
+    // The simulation is deterministic for a seed.
+    let (again, _) = faults(INSTANCES).expect("the simulation runs");
     assert_eq!((again.messages, again.relay_bytes), (network.messages, network.relay_bytes));
 }
 
 #[test]
 fn with_relays_all_that_start_from_nothing_have_a_state_in_time() {
-    let last = all_start(160).expect("it runs");
+    let last = all_start(160).expect("the simulation runs");
     assert!(last.is_some_and(|seconds| seconds <= 14.0), "{last:?}");
 }
--- a/crates/lab/src/sink.rs
+++ b/crates/lab/src/sink.rs
@@ -1,4 +1,4 @@
-//! A target in a process of its own, which answers everything at once.
+//! A stub target in a separate process that responds immediately to every request.
 
 use crate::failure::Failure;
 use crate::runtime::block_on;
@@ -9,18 +9,18 @@
 use std::process::{Child, Command, ExitCode, Stdio};
 use std::time::Duration;
 
-/// A target in a process of its own, which answers everything at once.
+/// Handle of the child process, which is killed on drop.
 pub struct Sink {
     child: Child,
-    /// Where it listens.
+    /// Address that the target listens on.
     pub addr: SocketAddr,
 }
 
 impl Sink {
-    /// Starts the process, and waits until it listens.
+    /// Starts the process and waits until it has printed its listen address.
     ///
     /// # Errors
-    /// It cannot be started, or says no address.
+    /// The process cannot be started, or its output is not an address.
     pub fn start() -> Result<Sink, Failure> {
         let mut command = Command::new(std::env::current_exe()?);
         let mut child = command.arg("box").stdin(Stdio::piped()).stdout(Stdio::piped()).spawn()?;
@@ -46,7 +46,7 @@
     }
 }
 
-/// The life of a [`Sink`]'s process: until its standard input ends.
+/// Main function of a [`Sink`]'s process, which exits when its standard input is closed.
 pub fn run_sink() -> ExitCode {
     std::thread::spawn(|| {
         let _ = std::io::stdin().read_to_end(&mut Vec::new());
--- a/crates/lab/src/sites.rs
+++ b/crates/lab/src/sites.rs
@@ -1,4 +1,4 @@
-//! A whole site is lost under load, and returns.
+//! Loss of a whole site under load, and its return.
 
 use crate::experiment::{Experiment, Runner};
 use crate::failure::Failure;
@@ -13,25 +13,25 @@
 use tokio::time::Instant;
 
 pub fn experiments() -> Vec<Experiment> {
-    let about =
-        "a site of four boxes falls silent under load and returns cold: each box by itself, against [sites]";
+    let about = "a site of four targets stops responding under load and returns cold: per-target detection against [sites]";
     vec![Experiment { name: "site-loss", about, runner: Runner::Plain(loss) }]
 }
 
 const SEED: u64 = 11;
 const RATE: f64 = 600.0;
 const SECONDS: f64 = 22.0;
-/// When the site falls silent, and when it is back.
+/// Seconds after the first request at which the site stops responding and at which it is back.
 const GONE: f64 = 4.0;
 const BACK: f64 = 9.0;
-/// By then a loss should have been noticed.
+/// Seconds after the loss by which initiators should have detected it.
 const NOTICED: f64 = 1.5;
 const FAR: std::ops::Range<usize> = 2..6;
 const INSTANCES: usize = 3;
 const VOLUMES: u64 = 60;
-/// Of [`settings`], but for how long a box is cold: what a cold one bears within three seconds, from which
-/// part of its power on; the multiple of its power that pushes it over; and the reserve of a volume on the
-/// plan `full`.
+/// Values of [`settings`](rowanglade_test_fleet::settings), except for the warm-up time, which the experiment
+/// sets: the units that a cold target can serve within one window of three seconds, its capacity right after
+/// a start relative to a warm target, the multiple of its capacity that overloads it, and the units per
+/// second that are reserved for a volume on the QoS plan `full`.
 const COLD_UNITS: f64 = 51.0;
 const COLD_FROM: f64 = 0.28;
 const WARM_WITHIN: f64 = 10.0;
@@ -44,8 +44,8 @@
     Endpoint { zone: Some(zone.into()), ..Endpoint::of(each, EndpointState::Active) }
 }
 
-/// Units that a box that returned at 0 bears in the window that begins then, if the rule on cold boxes is
-/// kept.
+/// Units that a target that returned at 0 may receive in the window that begins at `from` without violating
+/// the slow-start rule.
 fn bears(from: f64) -> f64 {
     let power = COLD_FROM + (1.0 - COLD_FROM) * ((from + WINDOW) / WARM_WITHIN).min(1.0);
     let reserves = RESERVE * VOLUMES as f64 / FAR.end as f64;
@@ -60,13 +60,14 @@
     failed: f64,
     wordless: f64,
     due: f64,
-    /// Requests that boxes of the lost site were sent while it was lost.
+    /// Requests that targets of the lost site received while it was lost, after the loss should have been
+    /// detected.
     in_vain: f64,
-    /// From the return until a second in which nine of ten requests were served.
+    /// Seconds from the return until a second in which at least nine of ten requests were served.
     full_after: f64,
-    /// The most that a returned box got, as a part of what it bears.
+    /// Most units that a returned target received in a window, relative to what the slow-start rule allows.
     worst: f64,
-    /// The most that a survivor got in a second, as a part of the most before the loss.
+    /// Most requests that the remaining targets received in one second, relative to the most before the loss.
     survivors: f64,
 }
 
@@ -91,7 +92,7 @@
         })?;
     let boxes = site.targets.clone();
     let faults = async move {
-        // The first request is the beginning.
+        // The clock of the experiment starts at the first request.
         while boxes.iter().all(|b| b.counters().received == 0) {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
@@ -99,7 +100,7 @@
         tokio::time::sleep_until(begun + Duration::from_secs_f64(GONE)).await;
         FAR.for_each(|place| boxes[place].inject(TargetFault { silent: true, ..TargetFault::default() }));
         tokio::time::sleep_until(begun + Duration::from_secs_f64(BACK)).await;
-        // Its processes were started again; the list does not know.
+        // The targets' processes were restarted; the endpoint list does not show it.
         for place in FAR {
             boxes[place].inject(TargetFault::default());
             boxes[place].restart().await?;
@@ -189,13 +190,24 @@
             out.plot(format!("{name}: part served, by second"), vec![("served", round.served.clone())]);
             rounds.push(round);
         }
-        let [alone, judged] = rounds.as_slice() else { return Err(Failure::Unexpected("two rounds")) };
-        out.claim("each request has one last word", alone.wordless + judged.wordless == 0.0);
-        out.claim("a lost site is sent a tenth as much in vain", judged.in_vain * 10.0 <= alone.in_vain);
-        out.claim("what returns gets no more than cold boxes bear", judged.worst <= 1.0);
-        out.claim("by itself each box would get more than that", alone.worst > 1.0);
-        out.claim("the loss does not multiply the load on survivors", judged.survivors <= 1.25);
-        out.claim("it comes back", judged.full_after.is_finite());
+        let [alone, judged] = rounds.as_slice() else {
+            return Err(Failure::Unexpected("expected the results of two rounds"));
+        };
+        out.claim("every request received a final response", alone.wordless + judged.wordless == 0.0);
+        out.claim(
+            "with [sites] a lost site is sent at most a tenth of the requests",
+            judged.in_vain * 10.0 <= alone.in_vain,
+        );
+        out.claim(
+            "with [sites] returning targets receive no more than cold targets can serve",
+            judged.worst <= 1.0,
+        );
+        out.claim("with per-target detection they receive more than that", alone.worst > 1.0);
+        out.claim(
+            "the loss raises the peak load on the remaining targets by at most a quarter",
+            judged.survivors <= 1.25,
+        );
+        out.claim("nine of ten requests are served again after the return", judged.full_after.is_finite());
         Ok(out)
     })
 }
--- a/crates/lab/src/soak/event.rs
+++ b/crates/lab/src/soak/event.rs
@@ -1,4 +1,4 @@
-//! What befalls a fleet during a soak, beside failing system calls.
+//! Faults of a soak other than failing system calls.
 
 use rand::Rng;
 use rand::seq::IndexedRandom;
@@ -6,31 +6,32 @@
 use rowanglade_test_fleet::{DiscoveryFault, TargetFault};
 use std::time::Duration;
 
-/// A fault that befalls the fleet at a time.
+/// A fault that is injected into the fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A part of the targets is replaced in one version.
+    /// Replaces a fraction of the targets in one version of the endpoint list.
     Release { part: f64 },
-    /// Discovery misbehaves for a while.
+    /// Discovery fails for the given time.
     Outage { fault: DiscoveryFault, span: Duration },
-    /// A part of the targets misbehaves.
+    /// A fraction of the targets misbehaves for the given time.
     Targets { part: f64, kind: Misbehaviour, span: Duration },
-    /// SIGTERM, again after a while, and SIGKILL at the earliest.
+    /// SIGTERM, preceded by SIGHUP if `hangup` and by another SIGTERM if `twice`. SIGKILL follows if the
+    /// process does not exit in time.
     Terminate { process: usize, twice: bool, hangup: bool },
-    /// SIGKILL.
+    /// SIGKILL, followed by a restart.
     Kill { process: usize },
-    /// SIGHUP, several times.
+    /// SIGHUP, `times` times in a row.
     Reload { process: usize, times: usize },
-    /// Idle clients fill the descriptors of a process.
+    /// Idle clients use up the descriptors of a process.
     Crowd { process: usize },
 }
 
-/// How targets misbehave.
+/// Ways in which targets misbehave.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Misbehaviour {
-    /// They never answer.
+    /// They never respond.
     Silent,
-    /// They take twenty times as long.
+    /// They take twenty times as long to respond.
     Slow,
     /// They reset half of the connections.
     Resets,
@@ -41,7 +42,7 @@
 }
 
 impl Event {
-    /// Draws an event of a fleet of so many processes.
+    /// Draws an event for a fleet of the given number of processes.
     pub fn draw(random: &mut Pcg64Mcg, processes: usize) -> Event {
         let process = random.random_range(0..processes);
         let span = Duration::from_millis(random.random_range(500..3_000));
@@ -66,7 +67,7 @@
         }
     }
 
-    /// The kind of the event, as outcomes count it.
+    /// Name of the event's variant, under which outcomes count it.
     pub fn kind(&self) -> String {
         let text = format!("{self:?}");
         text.split([' ', '{']).next().unwrap_or_default().to_string()
@@ -74,7 +75,7 @@
 }
 
 impl Misbehaviour {
-    /// The fault of a target that misbehaves so.
+    /// The fault to inject into a target that misbehaves in this way.
     pub fn fault(self) -> TargetFault {
         match self {
             Misbehaviour::Silent => TargetFault { silent: true, ..TargetFault::default() },
--- a/crates/lab/src/soak/mod.rs
+++ b/crates/lab/src/soak/mod.rs
@@ -1,8 +1,10 @@
-//! A seeded soak: real processes under faults that a seed draws, and the checker's word on what they did.
+//! A seeded soak: real processes run under faults drawn from a seed, and the checker verifies their
+//! behaviour.
 //!
 //! Each seed draws the size of the fleet, the number of targets, the traffic, and a list of faults with their
-//! times. A seed that breaks a rule prints its timeline and is played again with one fault left out at a
-//! time, until no fault can be left out: what is left is the least that shows the breach.
+//! times. For a seed that breaks a rule the soak prints the timeline. If seeds were given on the command
+//! line, it then shrinks the plan: it runs the plan again with one fault left out at a time and keeps each
+//! smaller plan that still fails.
 
 mod event;
 mod plan;
@@ -17,17 +19,18 @@
 use rowanglade_test_fleet::RequestCounts;
 use std::collections::BTreeMap;
 
-/// The seeds of the short run.
+/// Seeds of the short run, which is used when the command line gives none.
 const SHORT_RUN: std::ops::RangeInclusive<u64> = 1..=4;
-/// A seed that fails is played again at most so often to find the least that shows it.
+/// Maximum number of runs to shrink the plan of a failed seed.
 const MAX_REPLAYS: usize = 8;
 
 pub fn experiments() -> Vec<Experiment> {
-    let about = "real processes under seeded faults of system calls, targets, discovery, signals and crowds";
+    let about =
+        "real processes under seeded faults: system calls, targets, discovery, signals, idle connections";
     vec![Experiment { name: "soak", about, runner: Runner::Seeded(soak) }]
 }
 
-/// Leaves faults out of a plan that failed for as long as it fails without them.
+/// Removes faults from a failed plan as long as it still fails without them.
 fn shrink(plan: &SoakPlan) -> Result<SoakPlan, Failure> {
     let mut least = plan.clone();
     let (mut index, mut replays) = (0, 0);
@@ -53,7 +56,7 @@
     let mut counts = RequestCounts::default();
     for seed in seeds.range.clone().unwrap_or(SHORT_RUN) {
         if started_at.elapsed() > seeds.time_limit {
-            out.claim(format!("seed {seed} and those behind it are not played: the time is up"), false);
+            out.claim(format!("seed {seed} and the following seeds were not run: time limit reached"), false);
             break;
         }
         let mut plan = SoakPlan::draw(seed);
@@ -70,7 +73,7 @@
             *events.entry(event.kind()).or_default() += 1;
         }
         eprintln!(
-            "  seed {seed}: {} processes, {} targets, {:?}, {} breaches, {} crashed, rig stalled {} times",
+            "  seed {seed}: {} processes, {} targets, {:?}, {} rule breaches, {} crashed, test process stalled {} times",
             plan.processes,
             plan.targets,
             result.counts,
@@ -86,7 +89,10 @@
         out.claim(format!("seed {seed} breaks no rule"), false);
         if seeds.range.is_some() {
             let least = shrink(&plan)?;
-            eprintln!("  seed {seed}, least: calls {:?}, events {:?}", least.calls, least.events);
+            eprintln!(
+                "  seed {seed}, smallest failing plan: system calls {:?}, events {:?}",
+                least.calls, least.events
+            );
         }
     }
     out.figure("seeds played", f64::from(played), "");
@@ -101,11 +107,11 @@
     Ok(out)
 }
 
-/// The timeline of a play that failed, and how to play it again.
+/// Prints the timeline of a failed run and the command that repeats it.
 fn report(plan: &SoakPlan, play: &Play) {
-    eprintln!("  seed {}: again with `run soak --seeds {}..{}`", plan.seed, plan.seed, plan.seed);
+    eprintln!("  seed {}: repeat with `run soak --seeds {}..{}`", plan.seed, plan.seed, plan.seed);
     eprintln!(
-        "    share {:?}, clients that leave {}, calls {:?}",
+        "    core share {:?}, share of clients that disconnect {}, system call faults {:?}",
         plan.core_share, plan.disconnect_share, plan.calls
     );
     play.timeline.iter().for_each(|line| eprintln!("    {line}"));
--- a/crates/lab/src/soak/plan.rs
+++ b/crates/lab/src/soak/plan.rs
@@ -6,26 +6,27 @@
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
 
-/// What a seed draws.
+/// Size, load and faults of a soak run, all drawn from its seed.
 #[derive(Clone, Debug)]
 pub struct SoakPlan {
-    /// The seed.
+    /// Seed that the plan was drawn from.
     pub seed: u64,
-    /// How many initiators there are.
+    /// Number of initiator processes.
     pub processes: usize,
-    /// How many targets there are.
+    /// Number of targets.
     pub targets: usize,
-    /// The share of a core that each process has; none: as the machine gives.
+    /// Fraction of a core that each process may use; `None` sets no limit.
     pub core_share: Option<f64>,
-    /// The part of requests whose client disconnects early.
+    /// Fraction of requests whose client disconnects before the response.
     pub disconnect_share: f64,
-    /// Faults of system calls, as the shim reads them.
+    /// System call faults, in the format of the fault shim.
     pub calls: Vec<String>,
-    /// Other faults, with their times from the start.
+    /// Other faults, each with its time after the start of the run.
     pub events: Vec<(Duration, Event)>,
 }
 
-/// The kinds of system-call faults that a seed draws from. Each has its rate and the time in which it comes.
+/// System call faults that a seed draws from: the call, the fault, its probability and, where given, the window in
+/// which it occurs, in milliseconds after the first call that the shim intercepts.
 const CALLS: [&str; 16] = [
     "accept4:ECONNABORTED:0.2",
     "accept4:ENETUNREACH:0.1",
@@ -45,7 +46,7 @@
     "epoll_wait:late=100:0.01",
 ];
 
-/// Steps of the wall clock while a process runs.
+/// Steps of the wall clock while a process runs, in the same format.
 const CLOCK_STEPS: [&str; 4] = [
     "clock:step=3600000:1:3000-60000",
     "clock:step=-3600000:1:3000-60000",
@@ -54,7 +55,7 @@
 ];
 
 impl SoakPlan {
-    /// Draws what a seed has.
+    /// Draws the plan of a seed.
     pub fn draw(seed: u64) -> SoakPlan {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let random = &mut random;
@@ -68,7 +69,8 @@
         }
         let core_share = random.random_bool(0.3).then_some(0.3);
         if core_share.is_some() {
-            // A process that waits for its share is held up already; the rules allow for 0.15 s in all.
+            // A process at its CPU limit is delayed already, and the checker's rules allow for 0.15 s of
+            // delay in total.
             calls.retain(|call| !call.contains("late="));
         }
         let count = random.random_range(3..=6);
@@ -87,14 +89,15 @@
         }
     }
 
-    /// Leaves out what holds processes up. The short run has to give the same verdict on a machine that is
-    /// busy, which holds them up by itself.
+    /// Removes the faults that delay processes. The short run has to give the same result on a busy machine,
+    /// which delays them already.
     pub fn remove_hold_ups(&mut self) {
         self.core_share = None;
         self.calls.retain(|call| !call.contains("late="));
     }
 
-    /// The plan with one of its faults left out; none: it has no such fault.
+    /// Returns the plan without the fault at `index`, counting system call faults first; `None` if there is
+    /// no such fault.
     pub fn without(&self, index: usize) -> Option<SoakPlan> {
         let mut plan = self.clone();
         if index < plan.calls.len() {
--- a/crates/lab/src/soak/play.rs
+++ b/crates/lab/src/soak/play.rs
@@ -1,4 +1,4 @@
-//! Plays what a seed has drawn, with real processes.
+//! Runs a soak plan with real processes.
 
 use super::event::Event;
 use super::plan::SoakPlan;
@@ -20,20 +20,20 @@
 
 /// How long clients send requests.
 const PLAY: Duration = Duration::from_secs(9);
-/// How long after its drain a target may be sent new work, in microseconds.
+/// How long after a target starts draining it may be sent new work, in microseconds.
 const GRACE: u64 = 1_000_000;
-/// SIGKILL comes this long after SIGTERM at the earliest: the longest deadline, counted as 3 s at most, and
-/// 0.7 s.
+/// SIGKILL follows SIGTERM after this time at the earliest: the longest deadline, capped at 3 s, plus 0.7 s.
 const EARLIEST_KILL: Duration = Duration::from_millis(3_700);
-/// The file name of the shim's library.
+/// File name of the fault shim's library.
 const LIBRARY: &str = "librowanglade_fault_shim.so";
-/// Connections of a crowd.
+/// Idle connections that [`Event::Crowd`] opens.
 const IDLE_CLIENTS: usize = 400;
 
-/// Where the shim's library lies: beside this program's own parts.
+/// Path of the fault shim's library, which Cargo places beside the dependencies of this program.
 fn library() -> Result<PathBuf, Failure> {
     let program = std::env::current_exe()?;
-    let folder = program.parent().ok_or(Failure::Unexpected("the program lies in no folder"))?;
+    let folder =
+        program.parent().ok_or(Failure::Unexpected("the path of this program has no parent folder"))?;
     let path = folder.join("deps").join(LIBRARY);
     if path.exists() { Ok(path) } else { Err(Failure::NotBuilt(path)) }
 }
@@ -80,28 +80,28 @@
     })
 }
 
-/// What a play showed.
+/// Results of a soak run.
 pub struct Play {
-    /// What became of all requests.
+    /// Number of requests by result.
     pub counts: RequestCounts,
-    /// Rules that were broken.
+    /// Violations of the checker's rules.
     pub breaches: Vec<Breach>,
-    /// How many processes ended by themselves.
+    /// Processes that exited without having been signalled.
     pub crashed: usize,
-    /// How often the rig itself stood still.
+    /// Times that the test process itself was stalled.
     pub stalls: usize,
-    /// Injected faults of system calls, by kind.
+    /// Injected system call faults, counted by kind.
     pub injected: BTreeMap<String, u64>,
-    /// When each event came.
+    /// Each event with the time at which it was injected.
     pub timeline: Vec<String>,
-    /// Warnings in the processes' logs.
+    /// Warnings from the processes' logs.
     pub warnings: Vec<String>,
 }
 
-/// Plays a plan.
+/// Runs a plan and checks the recorded history.
 ///
 /// # Errors
-/// The fleet cannot be started, or a process that is started anew does not serve.
+/// The fleet cannot be started, or a restarted process does not become ready.
 pub async fn play(plan: &SoakPlan) -> Result<Play, Failure> {
     let folder = tempfile::tempdir()?;
     let counts_file = folder.path().join("counts");
@@ -181,7 +181,7 @@
             let addr = fleet.members[*process].daemon.http;
             fleet.recorder.crowd(fleet.members[*process].process);
             for _ in 0..IDLE_CLIENTS {
-                // One that is not let in is part of the crowd too.
+                // A connection that is not accepted in time still occupies the listen queue.
                 let connected =
                     tokio::time::timeout(Duration::from_millis(20), TcpStream::connect(addr)).await;
                 crowd.extend(connected.ok().and_then(Result::ok));
@@ -191,8 +191,8 @@
     Ok(())
 }
 
-/// The shim's counts of all processes. A process writes its file every so many faults, and none where there
-/// was no fault.
+/// Sums the fault counts that the shim wrote for all processes. A process writes its file once per several
+/// faults, and none if no fault was injected.
 fn read_counts(folder: &Path) -> BTreeMap<String, u64> {
     let mut counts: BTreeMap<String, u64> = BTreeMap::new();
     let files = std::fs::read_dir(folder).into_iter().flatten().flatten();
--- a/crates/lab/src/subsets.rs
+++ b/crates/lab/src/subsets.rs
@@ -1,4 +1,4 @@
-//! Where many instances place new objects: each by itself, against subsets.
+//! Placement of new objects by many initiators, with and without target subsets.
 
 use crate::experiment::{Experiment, Runner};
 use crate::failure::Failure;
@@ -13,7 +13,7 @@
 use std::path::Path;
 
 pub fn experiments() -> Vec<Experiment> {
-    let about = "4 to 48 instances place new objects at 24 boxes: each by itself, against [subset]";
+    let about = "4 to 48 initiators place new objects on 24 targets: all targets against [subset]";
     vec![Experiment { name: "subsets", about, runner: Runner::Plain(place) }]
 }
 
@@ -26,19 +26,19 @@
 const RULE: SubsetConfig = SubsetConfig { size: 4, spread: 1.25 };
 
 struct Round {
-    /// Boxes that an instance sent to, in the mean.
+    /// Mean number of targets that an initiator sent requests to.
     boxes: f64,
-    /// The fewest and the most instances of a box.
+    /// Fewest and most initiators that sent requests to one target.
     fewest: f64,
     most: f64,
-    /// Jain's index of the requests that boxes got.
+    /// Jain's fairness index of the requests that targets received.
     even: f64,
     p99: f64,
     served: f64,
     due: f64,
 }
 
-/// Jain's index: 1 where all have the same, 1/n where one has all.
+/// Jain's fairness index: 1 if all values are equal, 1/n if all but one of n values are zero.
 fn jain(parts: &[f64]) -> f64 {
     let (sum, squares) = parts.iter().fold((0.0, 0.0), |(s, q), x| (s + x, q + x * x));
     if squares > 0.0 { sum * sum / (parts.len() as f64 * squares) } else { 1.0 }
@@ -49,7 +49,7 @@
         keeps_requests: true,
         queue_capacity: 512,
         slots: 4,
-        // A sixth of them is faster: whoever looks for the fastest finds these.
+        // A sixth of the targets is faster; initiators that look for the fastest target converge on these.
         ..if place.is_multiple_of(6) {
             initiators::target_plan(2, 3, 4)
         } else {
@@ -72,7 +72,7 @@
         got.push(seen.len() as f64);
         for (_, target) in seen {
             let volume = target.split('/').nth(2).and_then(|v| u64::from_str_radix(v, 16).ok());
-            let volume = volume.ok_or(Failure::Unexpected("a target without its volume"))?;
+            let volume = volume.ok_or(Failure::Unexpected("a request path has no volume"))?;
             let of = pick::set(SEED, volume, 1, instances as usize);
             pairs.insert((of.first().copied().unwrap_or(0), place));
         }
@@ -90,8 +90,8 @@
     })
 }
 
-/// How much of the table moves when an instance joins, or a box leaves, as a multiple of the part that is
-/// theirs.
+/// Returns the fraction of other assignments that move when an initiator joins and when a target leaves, each
+/// as a multiple of the fraction that belongs to that initiator or target.
 fn moved() -> (f64, f64) {
     let names: Vec<String> = (0..BOXES).map(|i| format!("s-{i:08x}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
@@ -134,7 +134,9 @@
                 lines[which][1].push((f64::from(instances), round.even));
                 rounds.push(round);
             }
-            let [alone, subset] = rounds.as_slice() else { return Err(Failure::Unexpected("two rounds")) };
+            let [alone, subset] = rounds.as_slice() else {
+                return Err(Failure::Unexpected("expected the results of two rounds"));
+            };
             let (_, most) = RULE.bounds(instances, BOXES);
             fewer &= subset.boxes <= RULE.size as f64;
             within &= subset.most <= (most + 1) as f64;
@@ -152,10 +154,13 @@
                 vec![("by itself", alone[at].clone()), ("[subset]", subset[at].clone())],
             );
         }
-        out.claim("an instance keeps to its subset", fewer);
-        out.claim("no box has more instances than the table allows", within);
-        out.claim("as much is served as without", served);
-        out.claim("a change moves about its share", joins <= 1.5 && leaves <= 1.5);
+        out.claim("an initiator sends to no more targets than its subset has", fewer);
+        out.claim("no target has more initiators than the table allows", within);
+        out.claim("at least 98% of the requests served without subsets are served with them", served);
+        out.claim(
+            "a change moves at most 1.5 times its share of other assignments",
+            joins <= 1.5 && leaves <= 1.5,
+        );
         Ok(out)
     })
 }
--- a/crates/lab/src/traces.rs
+++ b/crates/lab/src/traces.rs
@@ -1,4 +1,4 @@
-//! Traces that experiments replay, and what they hold.
+//! Creates, replays and reads the traces of experiments.
 
 use crate::failure::Failure;
 use rand::{Rng, SeedableRng};
@@ -11,10 +11,10 @@
 use std::path::{Path, PathBuf};
 use tokio::sync::oneshot;
 
-/// The trace that the project ships.
+/// The HAR sample that the project ships, compressed.
 const SAMPLE: &[u8] = include_bytes!("../../../samples/viewers.har.gz");
 
-/// The shipped sample as a trace in a folder.
+/// Imports the shipped sample into a trace in `folder` and returns the trace's path.
 pub fn import_sample(folder: &Path) -> Result<PathBuf, Failure> {
     let (har, trace) = (folder.join("viewers.har.gz"), folder.join("viewers.trace"));
     std::fs::write(&har, SAMPLE)?;
@@ -29,7 +29,7 @@
     Ok(trace)
 }
 
-/// The request classes and QoS plans that the project ships.
+/// Trace header with the request classes and QoS plans of the default configuration.
 pub fn standard_header() -> Header {
     let class = |name: &str, write, repeat, aim_ms, deadline_ms| ClassTerms {
         name: name.into(),
@@ -52,27 +52,28 @@
     }
 }
 
-/// Traffic to be generated.
+/// Parameters of a generated trace.
 #[derive(Clone, Copy, Debug)]
 pub struct Traffic {
-    /// Requests a second, at random times.
+    /// Mean requests per second; arrivals are a Poisson process.
     pub rate: f64,
-    /// The length of the trace.
+    /// Length of the trace in seconds.
     pub seconds: f64,
-    /// How many volumes the requests spread over.
+    /// Number of volumes that the requests are spread over.
     pub volumes: u64,
-    /// 0: all are new objects.
+    /// Number of shards; 0 makes all requests new objects, which carry no shard.
     pub shards: u32,
-    /// How many initiators each volume comes through.
+    /// Number of initiators that serve each volume.
     pub hosts: u32,
-    /// What the random numbers follow from.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
-/// Generates a trace of the shipped mix of request classes, all on the QoS plan without a limit.
+/// Writes a trace with a fixed mix of the standard request classes, all on the QoS plan without a limit, and
+/// returns the number of requests.
 ///
 /// # Errors
-/// The file cannot be written.
+/// The trace file cannot be written.
 pub fn generate(path: &Path, traffic: Traffic) -> Result<u64, Failure> {
     let mut random = Pcg64Mcg::seed_from_u64(traffic.seed);
     let mut writer = TraceWriter::create(path, &standard_header())?;
@@ -106,7 +107,7 @@
     }
 }
 
-/// Replays a whole trace.
+/// Replays a trace to its end. A trace that cannot be read to its end is an error.
 pub async fn replay_all(trace: &Path, plan: &Replay) -> Result<Report, Failure> {
     let (_stop, stopped) = oneshot::channel();
     let (report, trace_error) = replay(trace, plan, stopped, &mut |_| {}).await?;
@@ -116,7 +117,7 @@
     }
 }
 
-/// The records of a trace.
+/// Reads all records of a trace.
 pub fn read_records(trace: &Path) -> Result<Vec<Record>, Failure> {
     Ok(TraceReader::open(trace)?.collect::<Result<_, _>>()?)
 }
--- a/crates/lab/src/upgrade.rs
+++ b/crates/lab/src/upgrade.rs
@@ -1,4 +1,4 @@
-//! The process is replaced under load, twice.
+//! Two handovers to a successor process under load.
 
 use crate::experiment::{Experiment, Runner};
 use crate::failure::Failure;
@@ -18,18 +18,18 @@
 use tokio::net::TcpStream;
 
 pub fn experiments() -> Vec<Experiment> {
-    let about =
-        "the process replaced twice under load: requests lost, units over the limit, what both take up";
+    let about = "two handovers to a successor under load: requests lost, units over the limit, descriptors and memory";
     vec![Experiment { name: "replace", about, runner: Runner::Plain(replace) }]
 }
 
 const SECONDS: f64 = 12.0;
-/// Units a second and the slack of the plan `basic` in [`rowanglade_test_fleet::settings`].
+/// Rate in units per second and slack of the QoS plan `basic` in [`rowanglade_test_fleet::settings`].
 const LIMIT: f64 = 32.0;
 const SLACK: f64 = 3.2;
 const SOCKETS: usize = 256;
 
-/// Requests of many volumes without a limit, a write among four, and of one that asks for twice its limit.
+/// Writes a trace with requests of many volumes without a limit, every fourth of them a write, and of one
+/// volume whose load is about twice its limit.
 fn make(path: &Path) -> Result<u64, Failure> {
     let mut writer = TraceWriter::create(path, &traces::standard_header())?;
     let rate = 220.0;
@@ -66,15 +66,15 @@
         }
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    Err(Failure::Unexpected("it does not get ready"))
+    Err(Failure::Unexpected("the daemon did not become ready"))
 }
 
-/// Descriptors that a process holds.
+/// Number of open descriptors of a process.
 fn descriptors(process: u32) -> usize {
     std::fs::read_dir(format!("/proc/{process}/fd")).map_or(0, Iterator::count)
 }
 
-/// Bytes of memory that a process holds now.
+/// Resident memory of a process in bytes.
 fn memory(process: u32) -> u64 {
     let text = std::fs::read_to_string(format!("/proc/{process}/status")).unwrap_or_default();
     let held = text.lines().find_map(|l| l.strip_prefix("VmRSS:"));
@@ -106,7 +106,7 @@
         let born = tokio::time::Instant::now();
         let first = start(None)?;
         let addr = first.http;
-        healthy(first.admin.ok_or(Failure::Unexpected("nobody answers operators"))?).await?;
+        healthy(first.admin.ok_or(Failure::Unexpected("the daemon has no admin address"))?).await?;
         let processes = Rc::new(RefCell::new(vec![first.pid()]));
         let peak = Rc::new(Cell::new((0, 0)));
         let watch = {
@@ -129,7 +129,7 @@
                 let begun = tokio::time::Instant::now();
                 let next = start(Some(addr))?;
                 processes.borrow_mut().push(next.pid());
-                healthy(next.admin.ok_or(Failure::Unexpected("nobody answers operators"))?).await?;
+                healthy(next.admin.ok_or(Failure::Unexpected("the daemon has no admin address"))?).await?;
                 took.push(begun.elapsed().as_secs_f64() * 1e3);
                 serving.signal(Signal::SIGTERM)?;
                 for _ in 0..500 {
@@ -150,8 +150,8 @@
         watch.abort();
 
         let total = report.total();
-        // Of the limited volume, whose box nobody else uses: the store is empty when the first process
-        // starts, so no more may have come at any time than what has filled it since, and the slack.
+        // Only the limited volume uses this target. Its token bucket is empty when the first process starts,
+        // so at any time the units received must not exceed the refill since then plus the slack.
         let seen: Vec<f64> = {
             let seen = site.targets[0].received();
             seen.iter().map(|(at, _)| at.duration_since(born).as_secs_f64()).collect()
@@ -171,11 +171,17 @@
         out.figure("limited units beyond filling and slack, at worst", over, "units");
         out.figure("descriptors of both, at most", held as f64, "");
         out.figure("memory of both, at most", bytes as f64 / 1e6, "MB");
-        out.claim("no request is lost or turned back", total.lost + total.unsent + total.failed == 0);
-        out.claim("no unit beyond the limit reaches the box", over <= 0.0);
-        out.claim("the limit is used across the upgrades", seen.len() as f64 >= 0.9 * LIMIT * SECONDS);
-        out.claim("both together stay within the descriptors of one", held <= SOCKETS);
-        out.claim("both predecessors end by themselves", ended == 2);
+        out.claim("no request is lost, unsent or failed", total.lost + total.unsent + total.failed == 0);
+        out.claim("no unit beyond the limit and its slack reaches the target", over <= 0.0);
+        out.claim(
+            "at least 90% of the limit is used across the handovers",
+            seen.len() as f64 >= 0.9 * LIMIT * SECONDS,
+        );
+        out.claim(
+            "predecessor and successor together stay within the descriptor limit of one process",
+            held <= SOCKETS,
+        );
+        out.claim("both predecessors exit after SIGTERM", ended == 2);
         Ok(out)
     })
 }
