--- a/crates/lab/src/capture.rs
+++ b/crates/lab/src/capture.rs
@@ -13,13 +13,13 @@
 
 pub fn experiments() -> Vec<Experiment> {
     let about = "import and load of generated logs of up to 200 MB: speed and peak memory";
-    vec![Experiment { name: "capture-speed", about, runner: Runner::Plain(speed) }]
+    vec![Experiment { name: "capture-speed", about, runner: Runner::Plain(measure_import) }]
 }
 
 /// Writes a log in the combined format of about `bytes` bytes with about 340 requests per second of log time,
 /// and returns its exact size.
-fn make(path: &Path, bytes: u64) -> Result<u64, Failure> {
-    let mut chance = Pcg64Mcg::seed_from_u64(1);
+fn write_log(path: &Path, bytes: u64) -> Result<u64, Failure> {
+    let mut random = Pcg64Mcg::seed_from_u64(1);
     let mut out = BufWriter::new(File::create(path)?);
     let (mut written, mut second) = (0, 0);
     while written < bytes {
@@ -27,17 +27,17 @@
         let line = format!(
             "10.{}.{}.{} - - [01/Dec/2026:{h:02}:{m:02}:{s:02} -0500] \"GET /view/{:016x}/{:016x}?size=2 HTTP/1.1\" \
              200 {} \"https://members.example/x\" \"viewer/1.0 (X11; Linux x86_64)\" 0.{:03}\n",
-            chance.random_range(0..256),
-            chance.random_range(0..256),
-            chance.random_range(0..256),
-            chance.random_range(0..80),
-            chance.random::<u64>(),
-            chance.random_range(0..300_000),
-            chance.random_range(0..999)
+            random.random_range(0..256),
+            random.random_range(0..256),
+            random.random_range(0..256),
+            random.random_range(0..80),
+            random.random::<u64>(),
+            random.random_range(0..300_000),
+            random.random_range(0..999)
         );
         out.write_all(line.as_bytes())?;
         written += line.len() as u64;
-        second += u32::from(chance.random_bool(0.003));
+        second += u32::from(random.random_bool(0.003));
     }
     out.flush()?;
     Ok(written)
@@ -45,12 +45,12 @@
 
 /// Runs a command of the daemon in a separate process; returns its run time in seconds and its peak memory in
 /// bytes.
-fn measured(args: &[&std::ffi::OsStr]) -> Result<(f64, f64), Failure> {
-    let begun = Instant::now();
+fn run_measured(args: &[&std::ffi::OsStr]) -> Result<(f64, f64), Failure> {
+    let started_at = Instant::now();
     let output = Command::new(std::env::current_exe()?).arg("measured").args(args).output()?;
-    let seconds = begun.elapsed().as_secs_f64();
+    let seconds = started_at.elapsed().as_secs_f64();
     if !output.status.success() {
-        return Err(Failure::Program(String::from_utf8_lossy(&output.stderr).into_owned()));
+        return Err(Failure::CommandFailed(String::from_utf8_lossy(&output.stderr).into_owned()));
     }
     let text = String::from_utf8(output.stdout)?;
     let usage: serde_json::Value = serde_json::from_str(text.lines().last().unwrap_or_default())?;
@@ -58,31 +58,32 @@
 }
 
 fn count_lines(path: &Path) -> Result<(f64, usize), Failure> {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let mut file = BufReader::new(File::open(path)?);
     let mut buffer = vec![0; 256 << 10];
     let mut lines = 0;
     loop {
         let read = file.read(&mut buffer)?;
         if read == 0 {
-            return Ok((begun.elapsed().as_secs_f64(), lines));
+            return Ok((started_at.elapsed().as_secs_f64(), lines));
         }
         lines += memchr::memchr_iter(b'\n', &buffer[..read]).count();
     }
 }
 
-fn speed() -> Result<Outcome, Failure> {
+fn measure_import() -> Result<Outcome, Failure> {
     let folder = tempfile::tempdir()?;
     let mut out = Outcome::default();
     let mut peaks = Vec::new();
     for megabytes in [20, 200_u64] {
         let log = folder.path().join(format!("{megabytes}.log"));
-        let bytes = make(&log, megabytes * 1_000_000)? as f64;
+        let bytes = write_log(&log, megabytes * 1_000_000)? as f64;
         let trace = folder.path().join("out.trace");
-        let words = ["capture", "import"].map(std::ffi::OsStr::new);
-        let args = [words[0], words[1], log.as_os_str(), "--out".as_ref(), trace.as_os_str()];
-        let (import, memory) = measured(&args)?;
-        let (load, load_memory) = measured(&["load".as_ref(), log.as_os_str()])?;
+        let import_command = ["capture", "import"].map(std::ffi::OsStr::new);
+        let args =
+            [import_command[0], import_command[1], log.as_os_str(), "--out".as_ref(), trace.as_os_str()];
+        let (import, memory) = run_measured(&args)?;
+        let (load, load_memory) = run_measured(&["load".as_ref(), log.as_os_str()])?;
         let (count, lines) = count_lines(&log)?;
         out.figure(format!("{megabytes} MB: lines"), lines as f64, "");
         out.figure(format!("{megabytes} MB: import"), bytes / 1e6 / import, "MB/s");
--- a/crates/lab/src/curve.rs
+++ b/crates/lab/src/curve.rs
@@ -6,7 +6,7 @@
 use std::fmt;
 
 /// Minimum number of sizes for a fit; fewer do not determine the growth.
-pub const FEWEST_SIZES: usize = 4;
+pub const MIN_SIZES: usize = 4;
 
 /// The function that is fitted to the points.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
@@ -41,21 +41,22 @@
 impl FittedCurve {
     fn of(law: GrowthModel, points: &[(f64, f64)]) -> FittedCurve {
         let mean = points.iter().map(|(_, cost)| cost).sum::<f64>() / points.len() as f64;
-        let around = |center: &dyn Fn(f64) -> f64| -> f64 {
+        let sum_of_squares = |center: &dyn Fn(f64) -> f64| -> f64 {
             points.iter().map(|(size, cost)| (cost - center(*size)).powi(2)).sum()
         };
-        let (left, all) = (around(&|size| law.at(size)), around(&|_| mean));
+        let (residual_squares, total_squares) =
+            (sum_of_squares(&|size| law.at(size)), sum_of_squares(&|_| mean));
         let residual =
             |(size, cost): &(f64, f64)| (cost - law.at(*size)).abs() / cost.abs().max(f64::MIN_POSITIVE);
         FittedCurve {
             law,
-            r_squared: if all > 0.0 { 1.0 - left / all } else { 1.0 },
+            r_squared: if total_squares > 0.0 { 1.0 - residual_squares / total_squares } else { 1.0 },
             worst_residual: points.iter().map(residual).fold(0.0, f64::max),
         }
     }
 }
 
-/// Costs at [`FEWEST_SIZES`] sizes or more, with the linear or power function that fits them best.
+/// Costs at [`MIN_SIZES`] sizes or more, with the linear or power function that fits them best.
 #[derive(Clone, Debug, Serialize)]
 pub struct Curve {
     pub name: String,
@@ -70,7 +71,7 @@
 }
 
 /// Least-squares fit of `y = base + slope * x`.
-fn line(points: impl Iterator<Item = (f64, f64)>) -> Result<(f64, f64), Failure> {
+fn fit_line(points: impl Iterator<Item = (f64, f64)>) -> Result<(f64, f64), Failure> {
     let rows: Vec<f64> = points.flat_map(|(x, y)| [y, 1.0, x]).collect();
     match *linregress::fit_low_level_regression_model_without_statistics(&rows, rows.len() / 3, 3)?.as_slice()
     {
@@ -83,7 +84,7 @@
     /// Fits a linear and a power function and keeps the one with the smaller worst residual.
     ///
     /// # Errors
-    /// There are fewer sizes than [`FEWEST_SIZES`], or a size or a cost is not positive.
+    /// There are fewer sizes than [`MIN_SIZES`], or a size or a cost is not positive.
     pub fn new(
         name: impl Into<String>,
         size: &'static str,
@@ -91,11 +92,11 @@
         points: Vec<(f64, f64)>,
     ) -> Result<Curve, Failure> {
         let name = name.into();
-        if points.len() < FEWEST_SIZES || points.iter().any(|(size, cost)| *size <= 0.0 || *cost <= 0.0) {
-            return Err(Failure::NoSlope { name, points });
+        if points.len() < MIN_SIZES || points.iter().any(|(size, cost)| *size <= 0.0 || *cost <= 0.0) {
+            return Err(Failure::CurveFit { name, points });
         }
-        let (base, slope) = line(points.iter().copied())?;
-        let (log_factor, exponent) = line(points.iter().map(|(size, cost)| (size.ln(), cost.ln())))?;
+        let (base, slope) = fit_line(points.iter().copied())?;
+        let (log_factor, exponent) = fit_line(points.iter().map(|(size, cost)| (size.ln(), cost.ln())))?;
         let linear = FittedCurve::of(GrowthModel::Linear { base, slope }, &points);
         let power = FittedCurve::of(GrowthModel::Power { factor: log_factor.exp(), exponent }, &points);
         let fit = if linear.worst_residual < power.worst_residual { linear } else { power };
--- a/crates/lab/src/failure.rs
+++ b/crates/lab/src/failure.rs
@@ -37,7 +37,7 @@
     Task(#[from] JoinError),
     /// The state of a daemon component was awaited, and the component ended.
     #[error(transparent)]
-    Ended(#[from] RecvError),
+    ComponentEnded(#[from] RecvError),
     /// The regression of measured points failed.
     #[error(transparent)]
     Regression(#[from] linregress::Error),
@@ -82,16 +82,16 @@
     AccessLog(#[from] EntryError),
     /// Settings were rejected.
     #[error("{0}")]
-    Unreadable(String),
+    InvalidSettings(String),
     /// The program under test or an experiment's own input is not as the experiment requires.
     #[error("{0}")]
     Unexpected(&'static str),
     /// The library of the fault shim has not been built.
     #[error("fault shim library {} not found; build rowanglade-fault-shim first", .0.display())]
-    NotBuilt(PathBuf),
+    FaultShimNotBuilt(PathBuf),
     /// A command that an experiment ran exited with an error; the text is its standard error output.
     #[error("{0}")]
-    Program(String),
+    CommandFailed(String),
     /// A probe process exited with an error.
     #[error("probe {name} failed: {stderr}")]
     Probe {
@@ -105,7 +105,7 @@
     SinkStart(AddrParseError),
     /// The points do not allow a fit.
     #[error("cannot fit curve {name:?}: too few sizes, or a size or cost that is not positive: {points:?}")]
-    NoSlope {
+    CurveFit {
         /// Name of the curve.
         name: String,
         /// Sizes and costs.
--- a/crates/lab/src/initiators.rs
+++ b/crates/lab/src/initiators.rs
@@ -64,23 +64,23 @@
     daemons.iter().map(|d| d.http).collect()
 }
 
-/// Reads volume and status of each line of a daemon's access log. Waits up to 2 s until the log has `least`
-/// lines.
-pub async fn access_log(daemon: &Daemon, least: u64) -> Result<Vec<(u64, u16)>, Failure> {
+/// Reads volume and status of each line of a daemon's access log. Waits up to 2 s for the log to have
+/// `min_lines` lines.
+pub async fn access_log(daemon: &Daemon, min_lines: u64) -> Result<Vec<(u64, u16)>, Failure> {
     let path = daemon.folder().join("access.log");
     let until = Instant::now() + Duration::from_secs(2);
     loop {
         let text = std::fs::read(&path)?;
         let lines: Vec<&[u8]> = text.split_inclusive(|b| *b == b'\n').collect();
-        if lines.len() as u64 >= least || Instant::now() >= until {
+        if lines.len() as u64 >= min_lines || Instant::now() >= until {
             let parse = |line: &&[u8]| -> Result<(u64, u16), Failure> {
-                let offer =
+                let entry =
                     own_log::parse(line)?.ok_or(Failure::Unexpected("the access log has an empty line"))?;
-                let known = offer
+                let known = entry
                     .known
                     .as_ref()
                     .ok_or(Failure::Unexpected("a line of the access log has no volume"))?;
-                Ok((known.volume, offer.status))
+                Ok((known.volume, entry.status))
             };
             return lines.iter().map(parse).collect();
         }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -58,9 +58,9 @@
 
 fn main() -> ExitCode {
     let mut args = std::env::args_os().skip(1);
-    let word = args.next().unwrap_or_default();
+    let command = args.next().unwrap_or_default();
     let rest: Vec<OsString> = args.collect();
-    match word.to_str() {
+    match command.to_str() {
         Some("list") => {
             for e in experiments() {
                 println!("{:<16} {}", e.name, e.about);
--- a/crates/lab/src/many_targets.rs
+++ b/crates/lab/src/many_targets.rs
@@ -23,21 +23,21 @@
 /// Requests per second that the clients of each process send.
 const RATE: f64 = 12.0;
 /// Fraction of a core that each process may use.
-const SHARE: f64 = 0.1;
+const CORE_SHARE: f64 = 0.1;
 const GRACE: Micros = 1_000_000;
 /// Half of the targets are replaced, in this many steps.
-const STEPS: usize = 8;
-const STEP: Duration = Duration::from_millis(800);
+const RELEASE_STEPS: usize = 8;
+const STEP_INTERVAL: Duration = Duration::from_millis(800);
 /// One in this many targets stops responding while the release is under way.
-const HANGING: usize = 20;
+const TARGETS_PER_HANGING: usize = 20;
 const OUTAGE: Duration = Duration::from_secs(4);
 /// How long a process may take to exit after SIGTERM, by the platform's rule: the longest deadline, capped at
 /// 3 s, plus 0.7 s.
-const PATIENCE: Duration = Duration::from_millis(3_700);
-const QUIET: Duration = Duration::from_secs(2);
+const TERMINATION_TIMEOUT: Duration = Duration::from_millis(3_700);
+const SETTLE_TIME: Duration = Duration::from_secs(2);
 /// Every resource has to stay within this fraction of its bound.
-const MARGIN: f64 = 0.8;
-const OWN_SEED: u64 = 278_639;
+const BOUND_FRACTION: f64 = 0.8;
+const DEFAULT_SEED: u64 = 278_639;
 
 pub fn experiments() -> Vec<Experiment> {
     let about =
@@ -46,7 +46,7 @@
 }
 
 /// Resource usage and results of one run.
-struct Play {
+struct RunResult {
     targets: usize,
     processor: f64,
     memory: f64,
@@ -56,9 +56,9 @@
     share: f64,
     /// Longest time from the delivery of a target's departure to a process until that process's last attempt
     /// there, in seconds.
-    latest_send: f64,
+    latest_attempt: f64,
     /// Longest time from a request's deadline to its response, in seconds.
-    latest_answer: f64,
+    latest_response: f64,
     breaches: Vec<Breach>,
     warnings: Vec<String>,
 }
@@ -94,27 +94,27 @@
         },
         volumes: 6,
         shards_of_volume: 4,
-        core_share: Some(SHARE),
+        core_share: Some(CORE_SHARE),
         peers: true,
         seed,
     })
 }
 
-async fn play(targets: usize, seed: u64) -> Result<Play, Failure> {
+async fn run(targets: usize, seed: u64) -> Result<RunResult, Failure> {
     let mut fleet = Fleet::start(plan(targets, seed)?).await?;
-    sleep(QUIET).await;
+    sleep(SETTLE_TIME).await;
     let list_bytes = fleet.discovery.list_bytes();
     let mut descriptors = 0;
     let mut leaving = Vec::new();
-    for step in 0..STEPS {
-        leaving.push(fleet.replace(targets / 2 / STEPS).await?);
+    for step in 0..RELEASE_STEPS {
+        leaving.push(fleet.replace(targets / 2 / RELEASE_STEPS).await?);
         if step == 1 {
-            let hanging = fleet.draw_active(targets / HANGING);
+            let hanging = fleet.draw_active(targets / TARGETS_PER_HANGING);
             hanging
                 .iter()
                 .for_each(|target| target.inject(TargetFault { silent: true, ..TargetFault::default() }));
         }
-        sleep(STEP).await;
+        sleep(STEP_INTERVAL).await;
         if leaving.len() > 2 {
             fleet.remove(&leaving.remove(0));
         }
@@ -124,18 +124,18 @@
     // An outage, after which another release step is published while half of the processes restart.
     fleet.discovery.inject(DiscoveryFault::Refusing);
     sleep(OUTAGE).await;
-    leaving.push(fleet.replace(targets / 2 / STEPS).await?);
+    leaving.push(fleet.replace(targets / 2 / RELEASE_STEPS).await?);
     fleet.discovery.inject(DiscoveryFault::None);
-    for place in 0..PROCESSES / 2 {
-        fleet.restart(place, Signal::SIGTERM, PATIENCE).await?;
+    for index in 0..PROCESSES / 2 {
+        fleet.restart(index, Signal::SIGTERM, TERMINATION_TIMEOUT).await?;
     }
-    sleep(QUIET).await;
+    sleep(SETTLE_TIME).await;
     fleet.settle().await;
     descriptors = fleet.usage().iter().map(|usage| usage.descriptors).max().unwrap_or(0).max(descriptors);
     let all: Vec<_> = fleet.usage().into_iter().chain(fleet.ended_usage().iter().copied()).collect();
     let history = fleet.history();
     let counts: RequestCounts = fleet.counts();
-    Ok(Play {
+    Ok(RunResult {
         targets,
         processor: all.iter().map(|usage| usage.processor_seconds).sum::<f64>() / PROCESSES as f64,
         memory: all.iter().map(|usage| usage.peak_memory_bytes).max().unwrap_or(0) as f64
@@ -144,8 +144,8 @@
         connections: fleet.connections() as f64 / PROCESSES as f64,
         list_bytes: list_bytes / 1024.0,
         share: counts.share_served(),
-        latest_send: latest_send(&history),
-        latest_answer: latest_answer(&history),
+        latest_attempt: latest_attempt(&history),
+        latest_response: latest_response(&history),
         breaches: check(&history, &Rules::with_grace(GRACE)),
         warnings: fleet.warnings(),
     })
@@ -153,7 +153,7 @@
 
 /// Longest time from the delivery of a target's departure to a process until an attempt of that process at
 /// the target, in seconds.
-fn latest_send(history: &History) -> f64 {
+fn latest_attempt(history: &History) -> f64 {
     let processes: HashMap<&str, _> = history.requests.iter().map(|r| (r.id.as_str(), r.process)).collect();
     let mut departures: HashMap<&str, u64> = HashMap::new();
     for change in
@@ -163,130 +163,135 @@
             departures.entry(&change.target).or_insert(change.version);
         }
     }
-    let late = |attempt: &Attempt| {
+    let delay = |attempt: &Attempt| {
         let (process, version) =
             (processes.get(attempt.request.as_str())?, departures.get(attempt.target.as_str())?);
-        let told = history.deliveries.iter().filter(|d| d.process == *process && d.version >= *version);
-        attempt.started_at.checked_sub(told.map(|d| d.at).min()?)
+        let notified = history.deliveries.iter().filter(|d| d.process == *process && d.version >= *version);
+        attempt.started_at.checked_sub(notified.map(|d| d.at).min()?)
     };
-    history.attempts.iter().filter_map(late).max().unwrap_or(0) as f64 / 1e6
+    history.attempts.iter().filter_map(delay).max().unwrap_or(0) as f64 / 1e6
 }
 
 /// Longest time from a request's deadline to its response, in seconds.
-fn latest_answer(history: &History) -> f64 {
-    let late = |request: &rowanglade_checker::Request| match request.outcome {
+fn latest_response(history: &History) -> f64 {
+    let delay = |request: &rowanglade_checker::Request| match request.outcome {
         ClientOutcome::Answered { at, .. } => at.checked_sub(request.sent_at + request.wait),
         _ => None,
     };
-    history.requests.iter().filter_map(late).max().unwrap_or(0) as f64 / 1e6
+    history.requests.iter().filter_map(delay).max().unwrap_or(0) as f64 / 1e6
 }
 
 /// A resource with the bound that the operators' table sets on its growth with the number of targets.
-struct Row {
+struct Resource {
     name: &'static str,
     unit: &'static str,
-    value: fn(&Play) -> f64,
+    value: fn(&RunResult) -> f64,
     /// Computes the bound from the value at the smallest number of targets and from the number of targets in
     /// thousands.
     bound: fn(f64, f64) -> f64,
 }
 
-const ROWS: [Row; 5] = [
-    Row {
+const RESOURCES: [Resource; 5] = [
+    Resource {
         name: "processor",
         unit: "s",
-        value: |play| play.processor,
-        bound: |usual, thousands| 1.4 * usual + 0.02 + 0.03 * thousands,
+        value: |run| run.processor,
+        bound: |baseline, thousands| 1.4 * baseline + 0.02 + 0.03 * thousands,
     },
-    Row {
+    Resource {
         name: "peak memory",
         unit: "MiB",
-        value: |play| play.memory,
-        bound: |usual, thousands| 1.5 * usual + 8.0 + 4.0 * thousands,
+        value: |run| run.memory,
+        bound: |baseline, thousands| 1.5 * baseline + 8.0 + 4.0 * thousands,
     },
-    Row {
+    Resource {
         name: "descriptors",
         unit: "",
-        value: |play| play.descriptors,
-        bound: |usual, _| 2.0 * usual + 40.0,
+        value: |run| run.descriptors,
+        bound: |baseline, _| 2.0 * baseline + 40.0,
     },
-    Row {
+    Resource {
         name: "connections to targets",
         unit: "",
-        value: |play| play.connections,
-        bound: |usual, _| 2.5 * usual + 40.0,
+        value: |run| run.connections,
+        bound: |baseline, _| 2.5 * baseline + 40.0,
     },
-    Row {
+    Resource {
         name: "bytes of lists",
         unit: "KiB",
-        value: |play| play.list_bytes,
-        bound: |usual, thousands| 2.0 * usual + 64.0 + 500.0 * thousands,
+        value: |run| run.list_bytes,
+        bound: |baseline, thousands| 2.0 * baseline + 64.0 + 500.0 * thousands,
     },
 ];
 
-const LEAST_SHARE: f64 = 0.85;
+const MIN_SERVED_RATIO: f64 = 0.85;
 
-fn compare(out: &mut Outcome, seed: u64, usual: &Play, many: &Play) {
+fn compare(out: &mut Outcome, seed: u64, baseline: &RunResult, many: &RunResult) {
     let thousands = many.targets as f64 / 1e3;
     let title = |what: &str| format!("seed {seed}, {} targets: {what}", many.targets);
-    for row in &ROWS {
-        let (value, bound) = ((row.value)(many), (row.bound)((row.value)(usual), thousands));
-        out.figure(title(row.name), value, row.unit);
+    for resource in &RESOURCES {
+        let (value, bound) =
+            ((resource.value)(many), (resource.bound)((resource.value)(baseline), thousands));
+        out.figure(title(resource.name), value, resource.unit);
         out.claim(
             format!(
-                "{} at most {MARGIN} of the bound {bound:.2} ({:.2} with the fewest targets)",
-                title(row.name),
-                (row.value)(usual)
+                "{} at most {BOUND_FRACTION} of the bound {bound:.2} ({:.2} with the fewest targets)",
+                title(resource.name),
+                (resource.value)(baseline)
             ),
-            value <= MARGIN * bound,
+            value <= BOUND_FRACTION * bound,
         );
     }
-    let claim =
-        format!("{} {:.3}, at least {LEAST_SHARE} of {:.3}", title("share served"), many.share, usual.share);
-    out.claim(claim, many.share >= LEAST_SHARE * usual.share);
+    let claim = format!(
+        "{} {:.3}, at least {MIN_SERVED_RATIO} of {:.3}",
+        title("share served"),
+        many.share,
+        baseline.share
+    );
+    out.claim(claim, many.share >= MIN_SERVED_RATIO * baseline.share);
 }
 
-fn tell(out: &mut Outcome, seed: u64, play: &Play) {
-    let title = |what: &str| format!("seed {seed}, {} targets: {what}", play.targets);
-    out.figure(title("share served"), play.share, "");
-    out.figure(title("latest attempt behind a told departure"), play.latest_send, "s");
-    out.figure(title("latest answer behind a deadline"), play.latest_answer, "s");
+fn add_figures(out: &mut Outcome, seed: u64, run: &RunResult) {
+    let title = |what: &str| format!("seed {seed}, {} targets: {what}", run.targets);
+    out.figure(title("share served"), run.share, "");
+    out.figure(title("latest attempt behind a told departure"), run.latest_attempt, "s");
+    out.figure(title("latest answer behind a deadline"), run.latest_response, "s");
     let mut kinds: BTreeMap<String, usize> = BTreeMap::new();
-    for breach in &play.breaches {
+    for breach in &run.breaches {
         *kinds.entry(breach.kind.to_string()).or_default() += 1;
     }
-    out.claim(format!("{} {kinds:?}", title("no rule is broken:")), play.breaches.is_empty());
-    for breach in play.breaches.iter().take(5) {
+    out.claim(format!("{} {kinds:?}", title("no rule is broken:")), run.breaches.is_empty());
+    for breach in run.breaches.iter().take(5) {
         eprintln!("  {breach}");
     }
-    if !play.breaches.is_empty() {
-        play.warnings.iter().take(20).for_each(|line| eprintln!("  {line}"));
+    if !run.breaches.is_empty() {
+        run.warnings.iter().take(20).for_each(|line| eprintln!("  {line}"));
     }
 }
 
 fn many_targets(seeds: &Seeds) -> Result<Outcome, Failure> {
     let mut out = Outcome::default();
-    let begun = std::time::Instant::now();
-    let range = seeds.range.clone().unwrap_or(OWN_SEED..=OWN_SEED);
+    let started_at = std::time::Instant::now();
+    let range = seeds.range.clone().unwrap_or(DEFAULT_SEED..=DEFAULT_SEED);
     // Seeds from the command line run with the smallest and the largest number of targets only.
     let sizes: &[usize] = if seeds.range.is_some() { &[SIZES[0], SIZES[3]] } else { &SIZES };
     for seed in range {
-        if begun.elapsed() > seeds.time_limit {
+        if started_at.elapsed() > seeds.time_limit {
             out.claim(format!("seed {seed} and the following seeds were not run: time limit reached"), false);
             break;
         }
-        let plays = block_on(async {
-            let mut plays = Vec::new();
+        let runs = block_on(async {
+            let mut runs = Vec::new();
             for targets in sizes {
-                plays.push(play(*targets, seed).await?);
+                runs.push(run(*targets, seed).await?);
             }
-            Ok::<_, Failure>(plays)
+            Ok::<_, Failure>(runs)
         })?;
-        plays.iter().for_each(|play| tell(&mut out, seed, play));
-        plays[1..].iter().for_each(|many| compare(&mut out, seed, &plays[0], many));
-        for row in &ROWS {
-            let points = plays.iter().map(|play| (play.targets as f64, (row.value)(play))).collect();
-            out.plot(format!("{} by targets, seed {seed}", row.name), vec![(row.name, points)]);
+        runs.iter().for_each(|run| add_figures(&mut out, seed, run));
+        runs[1..].iter().for_each(|many| compare(&mut out, seed, &runs[0], many));
+        for resource in &RESOURCES {
+            let points = runs.iter().map(|run| (run.targets as f64, (resource.value)(run))).collect();
+            out.plot(format!("{} by targets, seed {seed}", resource.name), vec![(resource.name, points)]);
         }
     }
     Ok(out)
--- a/crates/lab/src/replays.rs
+++ b/crates/lab/src/replays.rs
@@ -14,28 +14,44 @@
 use tokio::time::Instant;
 
 pub fn experiments() -> Vec<Experiment> {
-    let made = |name, about, run| Experiment { name, about, runner: Runner::Plain(run) };
+    let experiment = |name, about, run| Experiment { name, about, runner: Runner::Plain(run) };
     vec![
-        made("replay-twice", "the sample replayed twice: equal counts, requests sent on schedule", twice),
-        made(
+        experiment(
+            "replay-twice",
+            "the sample replayed twice: equal counts, requests sent on schedule",
+            replay_twice,
+        ),
+        experiment(
             "replay-keyed",
             "writes executed by the targets equal distinct keys, also with connection resets",
-            keyed,
+            replay_keyed,
         ),
-        made(
+        experiment(
             "replay-stall",
             "a target stalls for 2 s: requests stay on schedule and the stall shows in the latency",
-            stall,
+            replay_stall,
+        ),
+        experiment(
+            "replay-crowd",
+            "more concurrent requests than descriptors: each request has a result",
+            replay_crowd,
         ),
-        made("replay-crowd", "more concurrent requests than descriptors: each request has a result", crowd),
-        made(
+        experiment(
             "replay-fleet",
             "four initiators: requests of a volume use only the initiators of its set",
-            fleet,
+            replay_fleet,
+        ),
+        experiment(
+            "replay-iscsi",
+            "the sample over the iSCSI-style front compared with the HTTP front",
+            iscsi,
+        ),
+        experiment("replay-rate", "the highest rate that one core replays on time", rate),
+        experiment(
+            "access-log",
+            "the cost of the daemon's access log, and whether it is complete",
+            access_log,
         ),
-        made("replay-iscsi", "the sample over the iSCSI-style front compared with the HTTP front", iscsi),
-        made("replay-rate", "the highest rate that one core replays on time", rate),
-        made("access-log", "the cost of the daemon's access log, and whether it is complete", access_log),
     ]
 }
 
@@ -43,7 +59,7 @@
     report.classes.iter().map(|(name, c)| (name.as_str(), (c.due, c.served))).collect()
 }
 
-fn words(report: &Report) -> u64 {
+fn results(report: &Report) -> u64 {
     let total = report.total();
     total.served + total.refused + total.failed + total.lost + total.unsent
 }
@@ -52,7 +68,7 @@
     micros as f64 / 1e3
 }
 
-fn twice() -> Result<Outcome, Failure> {
+fn replay_twice() -> Result<Outcome, Failure> {
     block_on(async {
         let folder = tempfile::tempdir()?;
         let trace = traces::import_sample(folder.path())?;
@@ -82,7 +98,7 @@
     })
 }
 
-fn keyed() -> Result<Outcome, Failure> {
+fn replay_keyed() -> Result<Outcome, Failure> {
     block_on(async {
         let folder = tempfile::tempdir()?;
         let trace = traces::import_sample(folder.path())?;
@@ -100,27 +116,30 @@
             site.targets.iter().for_each(|b| b.inject(fault.clone()));
             let daemons = initiators::start_daemons(&site, &header, 1, |_| None)?;
             let report = traces::replay_all(&trace, &Replay::to(initiators::addresses(&daemons))).await?;
-            let seen = site.counters();
-            let ran = site
+            let counters = site.counters();
+            let executed = site
                 .targets
                 .iter()
                 .map(|b| b.deduplication_scope().executed_keys())
                 .fold((0, 0), |a, b| (a.0 + b.0, a.1 + b.1));
-            out.figure(format!("{round}: writes that ran"), seen.writes_executed as f64, "");
-            out.figure(format!("{round}: repeats dropped"), seen.writes_suppressed as f64, "");
-            out.figure(format!("{round}: connections reset by boxes"), seen.resets as f64, "");
+            out.figure(format!("{round}: writes that ran"), counters.writes_executed as f64, "");
+            out.figure(format!("{round}: repeats dropped"), counters.writes_suppressed as f64, "");
+            out.figure(format!("{round}: connections reset by boxes"), counters.resets as f64, "");
             out.figure(format!("{round}: deposits served"), report.classes["deposit"].served as f64, "");
-            out.claim(format!("{round}: no key ran twice"), ran.1 == 0 && seen.writes_executed == ran.0);
+            out.claim(
+                format!("{round}: no keyed write was executed twice"),
+                executed.1 == 0 && counters.writes_executed == executed.0,
+            );
             if round == "calm" {
                 out.claim(
                     "calm: writes executed by the targets equal distinct keys",
-                    seen.writes_executed == distinct,
+                    counters.writes_executed == distinct,
                 );
             } else {
-                out.claim("resets: connections were reset", seen.resets > 20);
+                out.claim("resets: connections were reset", counters.resets > 20);
                 out.claim(
                     "resets: no more writes executed than distinct keys",
-                    seen.writes_executed <= distinct,
+                    counters.writes_executed <= distinct,
                 );
             }
         }
@@ -128,7 +147,7 @@
     })
 }
 
-fn stall() -> Result<Outcome, Failure> {
+fn replay_stall() -> Result<Outcome, Failure> {
     block_on(async {
         let folder = tempfile::tempdir()?;
         let trace = folder.path().join("made.trace");
@@ -136,21 +155,21 @@
         traces::generate(&trace, traffic)?;
         let mut out = Outcome::default();
         let mut served = Vec::new();
-        for stalls in [false, true] {
+        for with_stall in [false, true] {
             let site = StubSite::start(&vec![initiators::target_plan(6, 10, 20); 3], ZONE, 3).await?;
             let daemons = initiators::start_daemons(&site, &traces::standard_header(), 1, |_| None)?;
             let target = std::rc::Rc::clone(&site.targets[0]);
-            let breaks = actix_rt::spawn(async move {
+            let fault_task = actix_rt::spawn(async move {
                 tokio::time::sleep(Duration::from_secs(4)).await;
-                if stalls {
+                if with_stall {
                     let until = Some(Instant::now() + Duration::from_secs(2));
                     target.inject(TargetFault { stalled_until: until, ..TargetFault::default() });
                 }
             });
-            let ask = Replay { retries: false, ..Replay::to(initiators::addresses(&daemons)) };
-            let report = traces::replay_all(&trace, &ask).await?;
-            breaks.abort();
-            let round = if stalls { "stalled" } else { "calm" };
+            let replay_plan = Replay { retries: false, ..Replay::to(initiators::addresses(&daemons)) };
+            let report = traces::replay_all(&trace, &replay_plan).await?;
+            fault_task.abort();
+            let round = if with_stall { "stalled" } else { "calm" };
             let total = report.total();
             out.figure(
                 format!("{round}: served in time of due"),
@@ -163,7 +182,7 @@
                 "ms",
             );
             out.figure(format!("{round}: behind the schedule p99"), ms(report.drift.at(0.99)), "ms");
-            out.claim(format!("{round}: each request has exactly one result"), words(&report) == total.due);
+            out.claim(format!("{round}: each request has exactly one result"), results(&report) == total.due);
             out.claim(
                 format!("{round}: p99 of start times within 20 ms of the schedule"),
                 ms(report.drift.at(0.99)) <= 20.0,
@@ -184,7 +203,7 @@
     })
 }
 
-fn crowd() -> Result<Outcome, Failure> {
+fn replay_crowd() -> Result<Outcome, Failure> {
     block_on(async {
         let folder = tempfile::tempdir()?;
         let trace = folder.path().join("made.trace");
@@ -192,8 +211,8 @@
         let due = traces::generate(&trace, traffic)?;
         let site = StubSite::start(&vec![initiators::target_plan(15, 25, 40); 2], ZONE, 3).await?;
         let daemons = initiators::start_daemons(&site, &traces::standard_header(), 1, |_| None)?;
-        let ask = Replay { most_out: 48, ..Replay::to(initiators::addresses(&daemons)) };
-        let report = traces::replay_all(&trace, &ask).await?;
+        let replay_plan = Replay { most_out: 48, ..Replay::to(initiators::addresses(&daemons)) };
+        let report = traces::replay_all(&trace, &replay_plan).await?;
         let total = report.total();
         let mut out = Outcome::default();
         out.figure("requests due", due as f64, "");
@@ -201,7 +220,7 @@
         out.figure("refused", total.refused as f64, "");
         out.figure("unsent, their time being up before there was room", total.unsent as f64, "");
         out.figure("held for room", report.held as f64, "");
-        out.claim("each request has exactly one result", words(&report) == due && total.due == due);
+        out.claim("each request has exactly one result", results(&report) == due && total.due == due);
         out.claim("requests waited for a free slot", report.held > 100);
         out.figure("most tries out at once", report.most_out as f64, "");
         out.claim("no more attempts are in flight than allowed", report.most_out <= 48);
@@ -209,38 +228,39 @@
     })
 }
 
-fn fleet() -> Result<Outcome, Failure> {
+fn replay_fleet() -> Result<Outcome, Failure> {
     block_on(async {
         let folder = tempfile::tempdir()?;
         let trace = folder.path().join("made.trace");
         let traffic = Traffic { rate: 300.0, seconds: 6.0, volumes: 40, shards: 6, hosts: 2, seed: 6 };
         let due = traces::generate(&trace, traffic)?;
         let site = StubSite::start(&vec![initiators::target_plan(4, 6, 12); 6], ZONE, 3).await?;
-        let daemons = initiators::start_daemons(&site, &traces::standard_header(), 4, |_| Some(log()))?;
-        let ask = Replay { retries: false, ..Replay::to(initiators::addresses(&daemons)) };
-        let report = traces::replay_all(&trace, &ask).await?;
+        let daemons =
+            initiators::start_daemons(&site, &traces::standard_header(), 4, |_| Some(access_log_settings()))?;
+        let replay_plan = Replay { retries: false, ..Replay::to(initiators::addresses(&daemons)) };
+        let report = traces::replay_all(&trace, &replay_plan).await?;
         let mut out = Outcome::default();
-        let mut astray = 0;
+        let mut misrouted = 0;
         for (number, daemon) in daemons.iter().enumerate() {
             let lines = initiators::access_log(daemon, 0).await?;
             out.figure(format!("requests through initiator {number}"), lines.len() as f64, "");
             for (volume, _) in &lines {
-                astray += usize::from(!pick::set(ask.seed, *volume, 2, 4).contains(&number));
+                misrouted += usize::from(!pick::set(replay_plan.seed, *volume, 2, 4).contains(&number));
             }
         }
         let total = report.total();
         out.figure("requests due", due as f64, "");
         out.figure("served", total.served as f64, "");
         out.figure("behind the schedule p99", ms(report.drift.at(0.99)), "ms");
-        out.claim("no request went through an initiator outside its volume's set", astray == 0);
-        out.claim("each request has exactly one result", words(&report) == due);
+        out.claim("no request went through an initiator outside its volume's set", misrouted == 0);
+        out.claim("each request has exactly one result", results(&report) == due);
         out.claim("at least 98% of the requests are served", total.served as f64 >= 0.98 * due as f64);
         Ok(out)
     })
 }
 
 /// Operator's file that enables nothing but the access log.
-fn log() -> String {
+fn access_log_settings() -> String {
     "[access_log]\npath = \"access.log\"\nqueue = 16384\n".into()
 }
 
@@ -263,18 +283,18 @@
         for over_iscsi in [false, true] {
             let site = StubSite::start(&vec![initiators::target_plan(12, 20, 40); 4], ZONE, 1).await?;
             let daemons = initiators::start_daemons(&site, &header, 1, |_| Some(operator.clone()))?;
-            let mut ask = Replay::to(initiators::addresses(&daemons));
+            let mut replay_plan = Replay::to(initiators::addresses(&daemons));
             // The HTTP front's readiness covers both fronts, so an empty trace is replayed over it first.
-            let none = folder.path().join("none.trace");
-            rowanglade_capture::TraceWriter::create(&none, &header)?.finish()?;
-            traces::replay_all(&none, &ask).await?;
+            let empty_trace = folder.path().join("none.trace");
+            rowanglade_capture::TraceWriter::create(&empty_trace, &header)?.finish()?;
+            traces::replay_all(&empty_trace, &replay_plan).await?;
             if over_iscsi {
-                ask.front = Front::Iscsi { target: target.into(), blocks_per_unit: 8 };
-                ask.to = vec![
+                replay_plan.front = Front::Iscsi { target: target.into(), blocks_per_unit: 8 };
+                replay_plan.to = vec![
                     daemons[0].iscsi.ok_or(Failure::Unexpected("the iSCSI-style front is not enabled"))?,
                 ];
             }
-            let report = traces::replay_all(&trace, &ask).await?;
+            let report = traces::replay_all(&trace, &replay_plan).await?;
             let front = report.front.clone();
             for (class, c) in &report.classes {
                 out.figure(format!("{front}: {class} served of {}", c.due), c.served as f64, "");
@@ -302,9 +322,9 @@
             let traffic =
                 Traffic { rate: per_second, seconds: 3.0, volumes: 200, shards: 1, hosts: 1, seed: 7 };
             let due = traces::generate(&trace, traffic)?;
-            let ask = Replay { most_out: 800, ..Replay::to(vec![sink.addr]) };
+            let replay_plan = Replay { most_out: 800, ..Replay::to(vec![sink.addr]) };
             let before = ProcessUsage::of("self").processor_seconds;
-            let report = traces::replay_all(&trace, &ask).await?;
+            let report = traces::replay_all(&trace, &replay_plan).await?;
             let busy = (ProcessUsage::of("self").processor_seconds - before) / report.seconds;
             let total = report.total();
             out.figure(format!("{per_second} a second: behind p50"), ms(report.drift.at(0.5)), "ms");
@@ -334,7 +354,9 @@
         let mut cost = Vec::new();
         for on in [false, true] {
             let site = StubSite::start(&vec![initiators::target_plan(3, 4, 6); 8], ZONE, 3).await?;
-            let daemons = initiators::start_daemons(&site, &traces::standard_header(), 1, |_| on.then(log))?;
+            let daemons = initiators::start_daemons(&site, &traces::standard_header(), 1, |_| {
+                on.then(access_log_settings)
+            })?;
             let report = traces::replay_all(
                 &trace,
                 &Replay { retries: false, ..Replay::to(initiators::addresses(&daemons)) },
--- a/crates/lab/src/routes.rs
+++ b/crates/lab/src/routes.rs
@@ -16,18 +16,18 @@
 use std::time::{Duration, Instant};
 
 /// Time after which a request that was sent under the previous routing table has reached its target.
-const UNDER_WAY: Duration = Duration::from_millis(150);
+const DELIVERY_TIME: Duration = Duration::from_millis(150);
 
 pub fn experiments() -> Vec<Experiment> {
-    let made = |name, about, run| Experiment { name, about, runner: Runner::Plain(run) };
+    let experiment = |name, about, run| Experiment { name, about, runner: Runner::Plain(run) };
     vec![
-        made(
+        experiment(
             "routes-check",
             "10,000 collections and 2,000 expectations, checked without traffic",
             routes_check,
         ),
-        made("routes-lookup", "the cost of a route lookup with 10 and with 10,000 routes", lookup),
-        made(
+        experiment("routes-lookup", "the cost of a route lookup with 10 and with 10,000 routes", lookup),
+        experiment(
             "routes-reload",
             "500 requests per second while the routing table is reloaded ten times",
             reload,
@@ -51,26 +51,26 @@
     }
 }
 
-fn boxes(count: u32) -> Vec<TargetInfo> {
-    let one = |i: u32| TargetInfo {
+fn targets(count: u32) -> Vec<TargetInfo> {
+    let target_info = |i: u32| TargetInfo {
         name: format!("s-{i}"),
         zone: ZONE.into(),
         kind: "std".into(),
         shard: i,
         addr: [10, 1, 0, i as u8].into(),
     };
-    (0..count).map(one).collect()
+    (0..count).map(target_info).collect()
 }
 
 /// Generates a configuration with one route per collection to the pool of its target, plus five expectations
 /// for all requests and, if `expectations` is larger, expectations for single collections.
-fn text(collections: u64, expectations: u64, boxes: u64) -> String {
+fn configuration_text(collections: u64, expectations: u64, targets: u64) -> String {
     let mut out = String::new();
-    for b in 0..boxes {
+    for b in 0..targets {
         let _ = write!(out, "[[pool]]\nname = \"p{b}\"\nboxes = \"s-{b}\"\n");
     }
     for c in 0..collections {
-        let _ = write!(out, "[[route]]\nname = \"c{c}\"\nvolume = \"{c:x}\"\npool = \"p{}\"\n", c % boxes);
+        let _ = write!(out, "[[route]]\nname = \"c{c}\"\nvolume = \"{c:x}\"\npool = \"p{}\"\n", c % targets);
     }
     if expectations > 0 {
         let zone = format!("[[pool]]\nname = \"zone\"\nzones = \"{ZONE}\"\n");
@@ -81,7 +81,7 @@
         let _ = write!(
             out,
             "[[expect]]\nname = \"e{e}\"\nrequests = {{ volume = \"{c:x}\" }}\nonly = {{ boxes = \"s-{}\" }}\n",
-            c % boxes
+            c % targets
         );
     }
     out += "[[expect]]\nname = \"drain\"\nnever = {}\nin_state = [\"draining\", \"gone\"]\n";
@@ -92,44 +92,44 @@
     out
 }
 
-fn parsed(text: String) -> Result<RoutingRules, Failure> {
+fn parse_rules(text: String) -> Result<RoutingRules, Failure> {
     Ok(parse(&[Source { name: "made".into(), text }], &settings())?)
 }
 
 fn routes_check() -> Result<Outcome, Failure> {
     let mut out = Outcome::default();
-    let boxes = boxes(14);
+    let targets = targets(14);
     let mut times = Vec::new();
     for (collections, expectations) in [(1_000, 200), (10_000, 2_000)] {
-        let text = text(collections, expectations, 14);
-        let begun = Instant::now();
-        let rules = parsed(text)?;
-        let read = begun.elapsed().as_secs_f64();
-        let report = check(&rules.table, &rules.expectations, &settings(), &boxes);
-        let whole = begun.elapsed().as_secs_f64();
+        let text = configuration_text(collections, expectations, 14);
+        let started_at = Instant::now();
+        let rules = parse_rules(text)?;
+        let parse_seconds = started_at.elapsed().as_secs_f64();
+        let report = check(&rules.table, &rules.expectations, &settings(), &targets);
+        let total_seconds = started_at.elapsed().as_secs_f64();
         let holds = report.decision(&rules.expectations) == Decision::Load
             && report.lines(&rules.expectations).is_empty();
-        out.figure(format!("{collections} collections: read"), read, "s");
-        out.figure(format!("{collections} collections: read and checked"), whole, "s");
+        out.figure(format!("{collections} collections: read"), parse_seconds, "s");
+        out.figure(format!("{collections} collections: read and checked"), total_seconds, "s");
         out.claim(format!("{collections} collections: all {expectations} expectations hold"), holds);
         // A single wrong expectation must be found among the others.
         let mut broken = rules.expectations.clone();
         if let Some(e) = broken.iter_mut().find(|e| e.name == "e7") {
             e.requirement = Requirement::Rejected;
         }
-        let decision = check(&rules.table, &broken, &settings(), &boxes).decision(&broken);
+        let decision = check(&rules.table, &broken, &settings(), &targets).decision(&broken);
         out.claim(
             format!("{collections} collections: one wrong expectation is found"),
             decision == Decision::Refuse,
         );
-        times.push(whole);
+        times.push(total_seconds);
     }
     let memory = ProcessUsage::of("self").peak_memory_bytes as f64 / 1e6;
     out.figure("memory at most", memory, "MB");
     out.figure("ten times as many take", times[1] / times[0].max(1e-6), "times as long");
     out.claim("10,000 collections and 2,000 expectations in under 2 s", times[1] < 2.0);
     out.claim("in under 200 MB", memory < 200.0);
-    out.claim("ten times as many take less than 20 times as long", times[1] < 20.0 * times[0]);
+    out.claim("about linear: ten times as many take less than 20 times as long", times[1] < 20.0 * times[0]);
     Ok(out)
 }
 
@@ -137,11 +137,11 @@
     let mut out = Outcome::default();
     let mut costs = Vec::new();
     for routes in [10u64, 10_000] {
-        let rules = parsed(text(routes, 0, 10))?;
-        let looks = 2_000_000u64;
-        let begun = Instant::now();
+        let rules = parse_rules(configuration_text(routes, 0, 10))?;
+        let lookups = 2_000_000u64;
+        let started_at = Instant::now();
         let mut found = 0u64;
-        for i in 0..looks {
+        for i in 0..lookups {
             let request = RouteRequest {
                 front: Front::Http,
                 client: None,
@@ -153,11 +153,11 @@
             };
             found += u64::from(rules.table.route(&request).is_some());
         }
-        let cost = begun.elapsed().as_secs_f64() * 1e9 / looks as f64;
+        let cost = started_at.elapsed().as_secs_f64() * 1e9 / lookups as f64;
         out.figure(format!("{routes} routes: a look-up"), cost, "ns");
         out.claim(
             format!("{routes} routes: about half of the volumes have a route"),
-            found.abs_diff(looks / 2) < looks / 20,
+            found.abs_diff(lookups / 2) < lookups / 20,
         );
         costs.push(cost);
     }
@@ -171,7 +171,7 @@
 
 /// Generates version `number` of the configuration: new objects of half of the volumes go to one target,
 /// which changes with each version; those of the other volumes go to all targets but target 0.
-fn version(number: usize) -> String {
+fn configuration(number: usize) -> String {
     let target = 1 + number % 3;
     format!(
         "[access_log]\npath = \"access.log\"\n[[pool]]\nname = \"target\"\nboxes = \"box-{target}\"\n\
@@ -191,68 +191,75 @@
         let plan =
             rowanglade_test_fleet::TargetPlan { keeps_requests: true, ..initiators::target_plan(3, 4, 6) };
         let site = StubSite::start(&vec![plan; 4], ZONE, 5).await?;
-        let daemons = initiators::start_daemons(&site, &traces::standard_header(), 1, |_| Some(version(0)))?;
+        let daemons =
+            initiators::start_daemons(&site, &traces::standard_header(), 1, |_| Some(configuration(0)))?;
         let file = daemons[0].folder().join("operator.toml");
-        let ask = Replay { retries: false, ..Replay::to(initiators::addresses(&daemons)) };
+        let replay_plan = Replay { retries: false, ..Replay::to(initiators::addresses(&daemons)) };
         let in_force = || daemons[0].log().iter().filter(|l| l.contains("routes loaded")).count();
-        let swaps = async {
+        let reloads = async {
             // Spans in which exactly one version was in force, each with the number of the version.
             let (mut spans, mut current, mut since) = (Vec::new(), 0, tokio::time::Instant::now());
             for number in 1..=10usize {
                 tokio::time::sleep(Duration::from_millis(1_000)).await;
                 // The third file is truncated; the seventh violates its expectation.
                 let text = match number {
-                    3 => version(number)[..120].to_string(),
-                    7 => version(number).replace("[\"box-1\", ", "[\"box-0\", \"box-1\", "),
-                    _ => version(number),
+                    3 => configuration(number)[..120].to_string(),
+                    7 => configuration(number).replace("[\"box-1\", ", "[\"box-0\", \"box-1\", "),
+                    _ => configuration(number),
                 };
-                let beside = file.with_extension("new");
-                std::fs::write(&beside, text)?;
-                std::fs::rename(&beside, &file)?;
+                let new_file = file.with_extension("new");
+                std::fs::write(&new_file, text)?;
+                std::fs::rename(&new_file, &file)?;
                 let before = in_force();
-                let asked = tokio::time::Instant::now();
+                let signalled_at = tokio::time::Instant::now();
                 daemons[0].signal(rowanglade_test_fleet::Signal::SIGHUP)?;
                 if number != 3 && number != 7 {
-                    while in_force() == before && asked.elapsed() < Duration::from_millis(800) {
+                    while in_force() == before && signalled_at.elapsed() < Duration::from_millis(800) {
                         tokio::time::sleep(Duration::from_millis(2)).await;
                     }
-                    spans.push((since + UNDER_WAY, asked, current));
+                    spans.push((since + DELIVERY_TIME, signalled_at, current));
                     (current, since) = (number, tokio::time::Instant::now());
                 }
             }
             Ok::<_, Failure>(spans)
         };
-        let (report, swapped) = tokio::join!(traces::replay_all(&trace, &ask), swaps);
-        let (report, spans) = (report?, swapped?);
+        let (report, reloaded) = tokio::join!(traces::replay_all(&trace, &replay_plan), reloads);
+        let (report, spans) = (report?, reloaded?);
         let total = report.total();
         let log = daemons[0].log();
-        let with = |words: &str| log.iter().filter(|l| l.contains(words)).count();
-        let (loaded, unread, refused) =
-            (with("routes loaded"), with("configuration not reloaded"), with("configuration rejected"));
+        let count_lines = |words: &str| log.iter().filter(|l| l.contains(words)).count();
+        let (loaded, unreadable, refused) = (
+            count_lines("routes loaded"),
+            count_lines("configuration not reloaded"),
+            count_lines("configuration rejected"),
+        );
         let mut out = Outcome::default();
         out.figure("requests due", due as f64, "");
         out.figure("served", total.served as f64, "");
         out.figure("tables put in force", loaded as f64, "");
-        out.figure("files not read", unread as f64, "");
+        out.figure("files not read", unreadable as f64, "");
         out.figure("files refused", refused as f64, "");
         for (i, each) in site.targets.iter().enumerate() {
             out.figure(format!("requests at box {i}"), each.counters().received as f64, "");
         }
         // While a single version is in force, new objects of the moved volumes go to its target only.
-        let (mut judged, mut astray) = (0, 0);
+        let (mut checked, mut misrouted) = (0, 0);
         for (i, each) in site.targets.iter().enumerate() {
             for (at, target) in each.received() {
                 let volume = target.split('/').nth(2).and_then(|v| u64::from_str_radix(v, 16).ok());
                 let moved = volume.is_some_and(|v| v <= 0x14);
                 let span = spans.iter().find(|(from, until, _)| (*from..*until).contains(&at));
                 if let Some((.., number)) = span.filter(|_| moved) {
-                    judged += 1;
-                    astray += usize::from(i != 1 + number % 3);
+                    checked += 1;
+                    misrouted += usize::from(i != 1 + number % 3);
                 }
             }
         }
-        out.figure("requests of moved volumes within one version's span", judged as f64, "");
-        out.claim("none of them went to a target that the version forbids", judged > 1_000 && astray == 0);
+        out.figure("requests of moved volumes within one version's span", checked as f64, "");
+        out.claim(
+            "none of them went to a target that the version forbids",
+            checked > 1_000 && misrouted == 0,
+        );
         let lines = initiators::access_log(&daemons[0], due).await?.len() as u64;
         out.claim("each request has one result and one access log line", total.due == due && lines == due);
         out.claim("no request is lost, failed or unsent", total.lost + total.failed + total.unsent == 0);
@@ -261,7 +268,10 @@
             "no request went to the target that every version forbids",
             site.targets[0].counters().received == 0,
         );
-        out.claim("eight tables were put in force, two files were not", (loaded, unread + refused) == (8, 2));
+        out.claim(
+            "eight tables were put in force, two files were not",
+            (loaded, unreadable + refused) == (8, 2),
+        );
         Ok(out)
     })
 }
--- a/crates/lab/src/scale/connections.rs
+++ b/crates/lab/src/scale/connections.rs
@@ -28,25 +28,25 @@
 /// Service time in milliseconds: longer than it takes to send all requests, and well within their latency
 /// objective.
 const WORK_MS: u64 = 700;
-const BOXES: usize = 40;
+const TARGETS: usize = 40;
 
 async fn daemon(site: &StubSite) -> Result<Daemon, Failure> {
-    let shape = |_: usize, start: &mut rowanglade_test_fleet::DaemonPlan| start.sockets = DESCRIPTORS;
-    let daemon = initiators::start_daemons_with(site, &traces::standard_header(), 1, shape)?
+    let adjust = |_: usize, start: &mut rowanglade_test_fleet::DaemonPlan| start.sockets = DESCRIPTORS;
+    let daemon = initiators::start_daemons_with(site, &traces::standard_header(), 1, adjust)?
         .pop()
         .ok_or(Failure::Unexpected("no daemon was started"))?;
-    while !up(&daemon).await? {
+    while !is_up(&daemon).await? {
         sleep(Duration::from_millis(20)).await;
     }
     Ok(daemon)
 }
 
-async fn up(daemon: &Daemon) -> Result<bool, Failure> {
+async fn is_up(daemon: &Daemon) -> Result<bool, Failure> {
     let mut stream = TcpStream::connect(daemon.http).await?;
     stream.write_all(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n").await?;
-    let mut answer = [0; 12];
-    stream.read_exact(&mut answer).await?;
-    Ok(answer.ends_with(b"200"))
+    let mut response = [0; 12];
+    stream.read_exact(&mut response).await?;
+    Ok(response.ends_with(b"200"))
 }
 
 fn descriptors(daemon: &Daemon) -> Result<f64, Failure> {
@@ -65,9 +65,9 @@
         stream.write_all(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n").await?;
         clients.push(stream);
     }
-    let mut answer = [0; 12];
+    let mut response = [0; 12];
     for client in &mut clients {
-        client.read_exact(&mut answer).await?;
+        client.read_exact(&mut response).await?;
     }
     let after = (daemon.usage().peak_memory_bytes as f64, descriptors(&daemon)?);
     Ok((after.0 - before.0, after.1 - before.1))
@@ -75,13 +75,13 @@
 
 /// Sends `count` requests and returns how many of them are in flight after 0.3 s, and by how many bytes the
 /// daemon grows.
-async fn held(count: usize) -> Result<(f64, f64), Failure> {
+async fn in_flight(count: usize) -> Result<(f64, f64), Failure> {
     let plan = TargetPlan {
         queue_capacity: 100_000,
         slots: 100_000,
         ..initiators::target_plan(WORK_MS, WORK_MS, WORK_MS)
     };
-    let site = StubSite::start(&vec![plan; BOXES], ZONE, SEED).await?;
+    let site = StubSite::start(&vec![plan; TARGETS], ZONE, SEED).await?;
     for each in &site.targets {
         // A target that has just started would be sent few requests because of slow start.
         site.discovery.upsert(Endpoint { started_ms: 0, ..Endpoint::of(each, EndpointState::Active) });
@@ -94,7 +94,7 @@
             "GET /export/{number:016x}/7f3a9c21e0b4d655?v=1 HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: r{number}\r\n\
              X-Service-Class: export\r\nX-Qos-Policy: full\r\nX-Time-Left-Ms: 5000\r\n\
              X-Placement: units=1,shard={},hosts=1\r\n\r\n",
-            number % BOXES
+            number % TARGETS
         );
         let mut stream = TcpStream::connect(daemon.http).await?;
         stream.write_all(request.as_bytes()).await?;
@@ -102,12 +102,12 @@
     }
     sleep(Duration::from_millis(300)).await;
     let memory = daemon.usage().peak_memory_bytes as f64 - before;
-    let mut held = 0;
+    let mut in_flight = 0;
     for client in &mut clients {
         let answered = timeout(Duration::from_millis(1), client.readable()).await.is_ok();
-        held += usize::from(!answered);
+        in_flight += usize::from(!answered);
     }
-    Ok((held as f64, memory))
+    Ok((in_flight as f64, memory))
 }
 
 fn run() -> Result<Outcome, Failure> {
@@ -123,8 +123,8 @@
         let files = Curve::new("descriptors of idle connections", "connections", "descriptors", files)?;
         let mut requests = Vec::new();
         for count in REQUESTS {
-            let (held, bytes) = held(count).await?;
-            out.figure(format!("of {count} requests at once, held after 0.3 s"), held, "");
+            let (in_flight, bytes) = in_flight(count).await?;
+            out.figure(format!("of {count} requests at once, held after 0.3 s"), in_flight, "");
             requests.push((count as f64, bytes / 1024.0));
         }
         let requests =
--- a/crates/lab/src/scale/cost.rs
+++ b/crates/lab/src/scale/cost.rs
@@ -8,10 +8,10 @@
 use std::time::Duration;
 
 /// Memory limit of the process in bytes, half of a machine with 24 GiB. Allocations beyond it fail.
-const MOST_MEMORY: usize = 12 << 30;
+const MAX_ALLOCATED_BYTES: usize = 12 << 30;
 
 #[global_allocator]
-static ALLOCATED: cap::Cap<std::alloc::System> = cap::Cap::new(std::alloc::System, MOST_MEMORY);
+static ALLOCATED: cap::Cap<std::alloc::System> = cap::Cap::new(std::alloc::System, MAX_ALLOCATED_BYTES);
 
 /// Processor time, memory and traffic of a piece of work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -29,16 +29,16 @@
 /// Size of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Size {
-    pub instances: u32,
+    pub initiators: u32,
     pub targets: usize,
 }
 
 /// The design size and three smaller sizes, each half of the next.
 pub const SIZES: [Size; 4] = [
-    Size { instances: 275, targets: 437 },
-    Size { instances: 550, targets: 875 },
-    Size { instances: 1_100, targets: 1_750 },
-    Size { instances: 2_200, targets: 3_500 },
+    Size { initiators: 275, targets: 437 },
+    Size { initiators: 550, targets: 875 },
+    Size { initiators: 1_100, targets: 1_750 },
+    Size { initiators: 2_200, targets: 3_500 },
 ];
 
 /// Processor time of the calling thread so far, in seconds.
@@ -57,9 +57,9 @@
 pub fn measure<T>(runs: usize, mut work: impl FnMut() -> T) -> Cost {
     let mut cost = Cost { processor: f64::MAX, ..Cost::default() };
     for run in 0..runs.max(1) {
-        let (memory, begun) = (ALLOCATED.allocated(), thread_time());
+        let (memory, started_at) = (ALLOCATED.allocated(), thread_time());
         let result = work();
-        cost.processor = cost.processor.min(thread_time() - begun);
+        cost.processor = cost.processor.min(thread_time() - started_at);
         if run == 0 {
             cost.state = ALLOCATED.allocated().saturating_sub(memory) as f64;
             cost.peak = ALLOCATED.max_allocated().saturating_sub(memory) as f64;
@@ -74,9 +74,9 @@
 /// # Errors
 /// The process cannot be started, exits with an error or does not print a cost.
 pub fn probe(name: &str, size: Size) -> Result<Cost, Failure> {
-    let (instances, targets) = (size.instances.to_string(), size.targets.to_string());
+    let (initiators, targets) = (size.initiators.to_string(), size.targets.to_string());
     let output =
-        Command::new(std::env::current_exe()?).args(["probe", name, &instances, &targets]).output()?;
+        Command::new(std::env::current_exe()?).args(["probe", name, &initiators, &targets]).output()?;
     if !output.status.success() {
         let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
         return Err(Failure::Probe { name: name.to_string(), stderr });
--- a/crates/lab/src/scale/cost_curves.rs
+++ b/crates/lab/src/scale/cost_curves.rs
@@ -18,4 +18,4 @@
 /// Axis and size of a curve by targets.
 pub const BY_TARGETS: (&str, fn(&Size) -> f64) = ("targets", |size| size.targets as f64);
 /// Axis and size of a curve by initiators.
-pub const BY_INSTANCES: (&str, fn(&Size) -> f64) = ("instances", |size| f64::from(size.instances));
+pub const BY_INITIATORS: (&str, fn(&Size) -> f64) = ("instances", |size| f64::from(size.initiators));
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -14,14 +14,14 @@
 };
 
 /// Numbers of initiators in one process.
-const HOLLOW: [u32; 4] = [25, 50, 100, 200];
+const IDLE_INITIATORS: [u32; 4] = [25, 50, 100, 200];
 const TARGETS: [usize; 4] = [437, 875, 1_750, 3_500];
 /// Number of targets while the number of initiators varies, and the number of initiators at which both kinds
 /// are compared.
 const FEW_TARGETS: usize = 437;
-const BOTH: u32 = 12;
+const COMPARED_INITIATORS: u32 = 12;
 
-fn by_instances(
+fn by_initiators(
     name: &str,
     unit: &'static str,
     each: &[(f64, InitiatorCost)],
@@ -41,7 +41,7 @@
 
 fn run() -> Result<Outcome, Failure> {
     let mut out = Outcome::default();
-    let many: Vec<(f64, InitiatorCost)> = HOLLOW
+    let many: Vec<(f64, InitiatorCost)> = IDLE_INITIATORS
         .into_iter()
         .map(|n| Ok((f64::from(n), in_shared_process(n, FEW_TARGETS)?)))
         .collect::<Result<_, Failure>>()?;
@@ -49,9 +49,12 @@
         .into_iter()
         .map(|t| Ok((t as f64, in_own_processes(1, t)?)))
         .collect::<Result<_, Failure>>()?;
-    let (made, processes) = (in_shared_process(BOTH, FEW_TARGETS)?, in_own_processes(BOTH, FEW_TARGETS)?);
-    for (kind, each) in [("hollow", made), ("real", processes)] {
-        let label = |what: &str| format!("{BOTH} {kind}: {what}");
+    let (shared, separate) = (
+        in_shared_process(COMPARED_INITIATORS, FEW_TARGETS)?,
+        in_own_processes(COMPARED_INITIATORS, FEW_TARGETS)?,
+    );
+    for (kind, each) in [("hollow", shared), ("real", separate)] {
+        let label = |what: &str| format!("{COMPARED_INITIATORS} {kind}: {what}");
         out.figure(label("calls for one change"), each.change_polls, "");
         out.figure(label("bytes for one change"), each.change_bytes, "bytes");
         out.figure(label("processor of one change"), each.change * 1e3, "ms");
@@ -61,25 +64,25 @@
     }
     out.claim(
         "initiators in a shared process send as many polls as separate ones",
-        (made.change_polls / processes.change_polls - 1.0).abs() <= 0.1,
+        (shared.change_polls / separate.change_polls - 1.0).abs() <= 0.1,
     );
     out.claim(
         "initiators in a shared process receive as many bytes as separate ones",
-        (made.change_bytes / processes.change_bytes - 1.0).abs() <= 0.1,
+        (shared.change_bytes / separate.change_bytes - 1.0).abs() <= 0.1,
     );
-    let times = made.change / processes.change;
+    let times = shared.change / separate.change;
     out.figure("processor of one change, hollow over real", times, "");
     out.claim(
         "initiators in a shared process take half to twice the time of separate ones for a change",
         (0.5..2.0).contains(&times),
     );
-    let calls = by_instances("calls at discovery for one change", "calls each", &many, |e| e.change_polls)?;
+    let calls = by_initiators("calls at discovery for one change", "calls each", &many, |e| e.change_polls)?;
     let change =
-        by_instances("one change at a hollow instance", "ms of processor", &many, |e| e.change * 1e3)?;
+        by_initiators("one change at a hollow instance", "ms of processor", &many, |e| e.change * 1e3)?;
     let memory =
-        by_instances("memory of all hollow instances", "MiB each", &many, |e| e.memory / 1_048_576.0)?;
-    let listed = by_instances("all start: the last has the list", "s", &many, |e| e.listed_after)?;
-    let told = by_instances("one change told to all", "ms", &many, |e| e.known_after * 1e3)?;
+        by_initiators("memory of all hollow instances", "MiB each", &many, |e| e.memory / 1_048_576.0)?;
+    let listed = by_initiators("all start: the last has the list", "s", &many, |e| e.listed_after)?;
+    let notified = by_initiators("one change told to all", "ms", &many, |e| e.notified_after * 1e3)?;
     out.claim(
         "an initiator's polls per change do not grow with the number of initiators",
         calls.exponent.abs() <= 0.1,
@@ -98,7 +101,7 @@
     );
     out.claim("the bytes of one change do not grow with the endpoint list", bytes.exponent.abs() <= 0.1);
     out.claim("an initiator's memory grows no faster than the endpoint list", held.exponent <= 1.1);
-    for curve in [calls, change, memory, listed, told, taken, start, held, bytes] {
+    for curve in [calls, change, memory, listed, notified, taken, start, held, bytes] {
         out.curve(curve);
     }
     Ok(out)
--- a/crates/lab/src/scale/idle_initiators.rs
+++ b/crates/lab/src/scale/idle_initiators.rs
@@ -40,7 +40,7 @@
     /// Polls and watches that discovery answered per change.
     pub change_polls: f64,
     /// Mean number of seconds from a change until discovery has notified the last initiator.
-    pub known_after: f64,
+    pub notified_after: f64,
     /// Peak bytes of memory of the process, divided by the initiators in it.
     pub memory: f64,
     /// Open descriptors of the process, divided by the initiators in it.
@@ -88,8 +88,8 @@
 struct SharedProcess(Child);
 
 impl SharedProcess {
-    fn start(instances: u32, targets: usize, discovery: &Discovery) -> Result<SharedProcess, Failure> {
-        let arguments = [instances.to_string(), targets.to_string(), discovery.addr().to_string()];
+    fn start(initiators: u32, targets: usize, discovery: &Discovery) -> Result<SharedProcess, Failure> {
+        let arguments = [initiators.to_string(), targets.to_string(), discovery.addr().to_string()];
         let mut command = Command::new(std::env::current_exe()?);
         command.arg("hollow").args(arguments).stdin(Stdio::piped());
         Ok(SharedProcess(command.spawn()?))
@@ -104,14 +104,14 @@
 }
 
 /// Main function of a process of several initiators, which exits when its standard input is closed.
-pub fn run(instances: u32, targets: usize, discovery: &str) -> ExitCode {
+pub fn run(initiators: u32, targets: usize, discovery: &str) -> ExitCode {
     std::thread::spawn(|| {
         let _ = std::io::stdin().read_to_end(&mut Vec::new());
         std::process::exit(0);
     });
     block_on(async {
-        for number in 0..instances {
-            if let Err(error) = start_one(number, instances, targets, discovery).await {
+        for number in 0..initiators {
+            if let Err(error) = start_initiator(number, initiators, targets, discovery).await {
                 eprintln!("idle initiator {number} could not be started: {error}");
                 return ExitCode::FAILURE;
             }
@@ -120,10 +120,15 @@
     })
 }
 
-async fn start_one(number: u32, instances: u32, targets: usize, discovery: &str) -> Result<(), Failure> {
+async fn start_initiator(
+    number: u32,
+    initiators: u32,
+    targets: usize,
+    discovery: &str,
+) -> Result<(), Failure> {
     let folder = tempfile::tempdir()?;
     let path = folder.path().join("config.json");
-    let mut settings = settings(&traces::standard_header(), instances as usize, ZONE, targets);
+    let mut settings = settings(&traces::standard_header(), initiators as usize, ZONE, targets);
     settings["my-number"] = number.into();
     let text = json!({
         "name": format!("hollow-{number}"), "listen": "127.0.0.1:0", "discovery": discovery,
@@ -137,35 +142,35 @@
 }
 
 /// Starts a site whose endpoint list has the given number of targets. No target is ever connected to.
-pub async fn listed(targets: usize) -> Result<StubSite, Failure> {
+pub async fn site_with_targets(targets: usize) -> Result<StubSite, Failure> {
     let site = StubSite::start(&[], ZONE, 1).await?;
-    for place in 0..targets {
-        site.discovery.upsert(entry(place, EndpointState::Active));
+    for index in 0..targets {
+        site.discovery.upsert(entry(index, EndpointState::Active));
     }
     Ok(site)
 }
 
-fn entry(place: usize, state: EndpointState) -> Endpoint {
-    let line = lists::line(place);
+fn entry(index: usize, state: EndpointState) -> Endpoint {
+    let endpoint = lists::endpoint(index);
     Endpoint {
-        id: line.name,
-        addr: line.addr,
-        shard: line.shard,
+        id: endpoint.name,
+        addr: endpoint.addr,
+        shard: endpoint.shard,
         state,
         started_ms: 0,
-        zone: Some(line.zone),
+        zone: Some(endpoint.zone),
     }
 }
 
-async fn calls_reach(discovery: &Rc<Discovery>, calls: u64) -> Result<(), Failure> {
+async fn wait_for_polls(discovery: &Rc<Discovery>, polls: u64) -> Result<(), Failure> {
     let reached = async {
-        while discovery.responses() < calls {
+        while discovery.responses() < polls {
             sleep(POLL_PERIOD).await;
         }
     };
     timeout(DISCOVERY_TIMEOUT, reached)
         .await
-        .map_err(|_| Failure::MissingPolls { answered: discovery.responses(), expected: calls })
+        .map_err(|_| Failure::MissingPolls { answered: discovery.responses(), expected: polls })
 }
 
 /// Starts initiators, waits until all have the endpoint list, and publishes changes one after another.
@@ -174,22 +179,22 @@
     start: impl FnOnce() -> Result<Initiators, Failure>,
 ) -> Result<InitiatorCost, Failure> {
     let discovery = &site.discovery;
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let fleet = start()?;
     let count = fleet.count();
     // Each initiator reads the list once before it watches for changes.
-    calls_reach(discovery, count as u64).await?;
-    let listed_after = begun.elapsed().as_secs_f64();
+    wait_for_polls(discovery, count as u64).await?;
+    let listed_after = started_at.elapsed().as_secs_f64();
     sleep(Duration::from_millis(500)).await;
     let started = fleet.processor()?;
-    let (calls, bytes) = (discovery.responses(), discovery.list_bytes());
-    let mut known_after = 0.0;
+    let (polls, bytes) = (discovery.responses(), discovery.list_bytes());
+    let mut notified_after = 0.0;
     for change in 0..CHANGES {
         let state = if change % 2 == 0 { EndpointState::Draining } else { EndpointState::Active };
-        let (told, before) = (Instant::now(), discovery.responses());
+        let (changed_at, before) = (Instant::now(), discovery.responses());
         discovery.upsert(entry(change as usize / 2, state));
-        calls_reach(discovery, before + count as u64).await?;
-        known_after += told.elapsed().as_secs_f64() / f64::from(CHANGES);
+        wait_for_polls(discovery, before + count as u64).await?;
+        notified_after += changed_at.elapsed().as_secs_f64() / f64::from(CHANGES);
         sleep(POLL_PERIOD).await;
     }
     sleep(Duration::from_millis(200)).await;
@@ -199,8 +204,8 @@
         start: started / count,
         change: (fleet.processor()? - started) / changes,
         change_bytes: (discovery.list_bytes() - bytes) as f64 / changes,
-        change_polls: (discovery.responses() - calls) as f64 / changes,
-        known_after,
+        change_polls: (discovery.responses() - polls) as f64 / changes,
+        notified_after,
         memory: fleet.memory() / count,
         descriptors: fleet.descriptors()? / count,
     })
@@ -210,13 +215,13 @@
 ///
 /// # Errors
 /// The initiators cannot be started, or discovery receives too few polls.
-pub fn in_shared_process(instances: u32, targets: usize) -> Result<InitiatorCost, Failure> {
+pub fn in_shared_process(initiators: u32, targets: usize) -> Result<InitiatorCost, Failure> {
     block_on(async {
-        let site = listed(targets).await?;
+        let site = site_with_targets(targets).await?;
         let start = || {
             Ok(Initiators::InSharedProcess(
-                SharedProcess::start(instances, targets, &site.discovery)?,
-                instances,
+                SharedProcess::start(initiators, targets, &site.discovery)?,
+                initiators,
             ))
         };
         measure(&site, start).await
@@ -227,13 +232,13 @@
 ///
 /// # Errors
 /// As [`in_shared_process`].
-pub fn in_own_processes(instances: u32, targets: usize) -> Result<InitiatorCost, Failure> {
+pub fn in_own_processes(initiators: u32, targets: usize) -> Result<InitiatorCost, Failure> {
     block_on(async {
-        let site = listed(targets).await?;
-        let shape =
+        let site = site_with_targets(targets).await?;
+        let adjust =
             |_: usize, start: &mut DaemonPlan| start.settings["family-info"]["n-shards"] = targets.into();
         let daemons =
-            || initiators::start_daemons_with(&site, &traces::standard_header(), instances as usize, shape);
+            || initiators::start_daemons_with(&site, &traces::standard_header(), initiators as usize, adjust);
         let start = || Ok(Initiators::InOwnProcesses(daemons()?));
         measure(&site, start).await
     })
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -49,24 +49,24 @@
     ("list-decode", lists::decode),
     ("list-encode", lists::encode),
     ("list-change", lists::change),
-    ("module-change", lists::module_change),
-    ("module-request", lists::module_request),
-    ("module-new-object", lists::module_new_object),
-    ("module-empty-change", lists::module_empty_change),
+    ("module-change", lists::scheduler_change),
+    ("module-request", lists::scheduler_request),
+    ("module-new-object", lists::scheduler_new_object),
+    ("module-empty-change", lists::scheduler_empty_change),
     ("list-change-subset", lists::change_with_subset),
-    ("subset-table", subsets::whole),
-    ("subset-all-pairs", subsets::whole_by_pairs),
+    ("subset-table", subsets::table),
+    ("subset-all-pairs", subsets::table_by_all_pairs),
     ("subset-change", subsets::change),
     ("distribution-state", distribution::state),
-    ("unit-lack", units::lack),
+    ("unit-lack", units::shortage),
 ];
 
-/// Main function of a process that measures one probe; its arguments are `NAME INSTANCES TARGETS`.
+/// Main function of a process that measures one probe; its arguments are `NAME INITIATORS TARGETS`.
 pub fn run_probe(arguments: &[OsString]) -> ExitCode {
     let words: Vec<&str> = arguments.iter().filter_map(|word| word.to_str()).collect();
     let cost = match words.as_slice() {
-        [name, instances, targets] => measured(name, instances, targets),
-        _ => Err(Failure::Unexpected("expected three arguments: probe name, instances, targets")),
+        [name, initiators, targets] => measured(name, initiators, targets),
+        _ => Err(Failure::Unexpected("expected three arguments: probe name, initiators, targets")),
     };
     let printed = cost.and_then(|cost| {
         println!("{}", serde_json::to_string(&cost)?);
@@ -81,18 +81,18 @@
     }
 }
 
-fn measured(name: &str, instances: &str, targets: &str) -> Result<Cost, Failure> {
-    let size = Size { instances: instances.parse()?, targets: targets.parse()? };
+fn measured(name: &str, initiators: &str, targets: &str) -> Result<Cost, Failure> {
+    let size = Size { initiators: initiators.parse()?, targets: targets.parse()? };
     let probe = PROBES.iter().find(|(known, _)| *known == name);
     probe.ok_or(Failure::Unexpected("unknown probe name"))?.1(size)
 }
 
-/// Main function of a process of idle initiators; its arguments are `INSTANCES TARGETS DISCOVERY`.
+/// Main function of a process of idle initiators; its arguments are `INITIATORS TARGETS DISCOVERY`.
 pub fn run_idle_initiators(arguments: &[OsString]) -> ExitCode {
     let words: Vec<&str> = arguments.iter().filter_map(|word| word.to_str()).collect();
     match words.as_slice() {
-        [instances, targets, discovery] => match (instances.parse(), targets.parse()) {
-            (Ok(instances), Ok(targets)) => idle_initiators::run(instances, targets, discovery),
+        [initiators, targets, discovery] => match (initiators.parse(), targets.parse()) {
+            (Ok(initiators), Ok(targets)) => idle_initiators::run(initiators, targets, discovery),
             _ => ExitCode::from(2),
         },
         _ => ExitCode::from(2),
--- a/crates/lab/src/scale/network.rs
+++ b/crates/lab/src/scale/network.rs
@@ -17,11 +17,11 @@
 
 const KEY: Key = [0x5a; 32];
 /// Overhead of a packet in bytes: TCP over IPv4 with options.
-const PACKET: u64 = 60;
+const PACKET_OVERHEAD: u64 = 60;
 const SEGMENT: u64 = 1_400;
 /// Delays within a region and between two regions, in milliseconds.
-const NEAR: std::ops::Range<Millis> = 1..4;
-const FAR: std::ops::Range<Millis> = 20..80;
+const DELAY_WITHIN_REGION: std::ops::Range<Millis> = 1..4;
+const DELAY_BETWEEN_REGIONS: std::ops::Range<Millis> = 20..80;
 /// How long an upstream holds the watch of a follower without a change.
 const HOLD: Millis = 4_000;
 const LIMITS: RelayLimits =
@@ -32,7 +32,7 @@
 /// Size of a fleet, and the seed of its random numbers.
 #[derive(Clone, Copy, Debug)]
 pub struct Shape {
-    pub instances: u32,
+    pub initiators: u32,
     pub relays: u32,
     pub regions: u32,
     pub seed: u64,
@@ -40,7 +40,7 @@
 
 enum Node {
     Relay(Box<Relay>),
-    Instance(Box<Follower>),
+    Follower(Box<Follower>),
     Dead,
 }
 
@@ -55,15 +55,15 @@
     due: Vec<Millis>,
     queue: BinaryHeap<Reverse<Due>>,
     order: u64,
-    chance: Pcg64Mcg,
+    random: Pcg64Mcg,
     topology: Topology,
-    cut: Option<(u32, Millis)>,
+    partition: Option<(u32, Millis)>,
     /// Time at which each version was published, indexed by version number.
     pub published: Vec<Millis>,
     /// What was observed of each initiator.
-    pub seen: Vec<Observations>,
+    pub observations: Vec<Observations>,
     /// Processor seconds of all initiators, and of all relays including the source.
-    pub instance_time: f64,
+    pub initiator_time: f64,
     pub relay_time: f64,
     /// Bytes sent by the relays and the source.
     pub relay_bytes: u64,
@@ -73,7 +73,7 @@
 /// Value of the entry `limits` that makes a state invalid for initiators.
 pub const POISON: &str = "poison";
 
-fn usable(state: &State) -> Result<(), InvalidState> {
+fn validate(state: &State) -> Result<(), InvalidState> {
     match state.get("limits") {
         Some(POISON) => Err(InvalidState { entry: "limits".into(), problem: "not a number".into() }),
         _ => Ok(()),
@@ -84,17 +84,17 @@
     /// Creates a fleet whose source has the state `first`. All relays and initiators start with the state
     /// `known` from a previous run, or without any if it is `None`.
     pub fn new(shape: Shape, first: State, known: Option<&State>) -> Network {
-        let place = |i: u32| NodeLocation {
+        let location = |i: u32| NodeLocation {
             addr: SocketAddr::from((Ipv4Addr::from(0x7f02_0000 + i), 9)),
             region: format!("r{}", i % shape.regions),
             zone: "z".into(),
         };
         let topology = Topology {
             regions: Vec::new(),
-            relays: (0..shape.relays).map(place).collect(),
+            relays: (0..shape.relays).map(location).collect(),
             fan_out: LIMITS.max_followers,
         };
-        let count = (1 + shape.relays + shape.instances) as usize;
+        let count = (1 + shape.relays + shape.initiators) as usize;
         let published = vec![0; first.version().number as usize + 1];
         let mut network = Network {
             shape,
@@ -104,23 +104,23 @@
             due: vec![Millis::MAX; count],
             queue: BinaryHeap::new(),
             order: 0,
-            chance: Pcg64Mcg::seed_from_u64(shape.seed),
+            random: Pcg64Mcg::seed_from_u64(shape.seed),
             topology,
-            cut: None,
+            partition: None,
             published,
-            seen: vec![Observations::default(); shape.instances as usize],
-            instance_time: 0.0,
+            observations: vec![Observations::default(); shape.initiators as usize],
+            initiator_time: 0.0,
             relay_time: 0.0,
             relay_bytes: 0,
             messages: 0,
         };
         network.nodes.push(Node::Relay(Box::new(Relay::source(NodeId(0), LIMITS, first))));
         (0..shape.relays).for_each(|i| network.nodes.push(network.relay(i, known.cloned())));
-        for i in 0..shape.instances {
-            network.nodes.push(network.instance(i, known.cloned()));
+        for i in 0..shape.initiators {
+            network.nodes.push(network.initiator(i, known.cloned()));
         }
         for node in 0..count as u32 {
-            let at = network.chance.random_range(0..START_WITHIN);
+            let at = network.random.random_range(0..START_WITHIN);
             network.poll_at(NodeId(node), at);
         }
         network
@@ -138,22 +138,22 @@
         Node::Relay(Box::new(Relay::new(me, LIMITS, upstreams, known)))
     }
 
-    fn instance(&self, instance: u32, known: Option<State>) -> Node {
-        let me = NodeId(1 + self.shape.relays + instance);
+    fn initiator(&self, initiator: u32, known: Option<State>) -> Node {
+        let me = NodeId(1 + self.shape.relays + initiator);
         let places = self.topology.preferred_relays(me, &format!("r{}", self.region(me)));
-        let upstreams = places.into_iter().map(|place| NodeId(1 + place as u32)).collect();
-        Node::Instance(Box::new(Follower::new(me, upstreams, HOLD, Box::new(usable), known)))
+        let upstreams = places.into_iter().map(|index| NodeId(1 + index as u32)).collect();
+        Node::Follower(Box::new(Follower::new(me, upstreams, HOLD, Box::new(validate), known)))
     }
 
     fn region(&self, node: NodeId) -> u32 {
         match node.0 {
             0 => 0,
             relay if relay <= self.shape.relays => (relay - 1) % self.shape.regions,
-            instance => (instance - 1 - self.shape.relays) % self.shape.regions,
+            initiator => (initiator - 1 - self.shape.relays) % self.shape.regions,
         }
     }
 
-    fn observed(&self, node: NodeId) -> Option<usize> {
+    fn initiator_index(&self, node: NodeId) -> Option<usize> {
         (node.0 > self.shape.relays).then(|| (node.0 - 1 - self.shape.relays) as usize)
     }
 
@@ -194,7 +194,7 @@
     }
 
     fn poll(&mut self, node: NodeId) -> Result<(), Failure> {
-        let (now, begun) = (self.now, thread_time());
+        let (now, started_at) = (self.now, thread_time());
         let mut out: Vec<(NodeId, Message)> = Vec::new();
         let wake = match &mut self.nodes[node.0 as usize] {
             Node::Relay(relay) => {
@@ -202,7 +202,7 @@
                 out.extend(relay.poll(now).into_iter().map(|o| (o.to, Message::Response(o.response))));
                 relay.next_timeout(now)
             }
-            Node::Instance(follower) => {
+            Node::Follower(follower) => {
                 out.extend(follower.poll(now, 0).map(|(to, watch)| (to, Message::Request(watch))));
                 follower.next_timeout()
             }
@@ -212,7 +212,7 @@
             .into_iter()
             .map(|(to, m)| Ok((to, encode(&KEY, node, &m)?)))
             .collect::<Result<_, Failure>>()?;
-        self.spent(node, begun);
+        self.record_time(node, started_at);
         for (to, bytes) in sent {
             self.send(node, to, bytes);
         }
@@ -222,22 +222,23 @@
         Ok(())
     }
 
-    fn spent(&mut self, node: NodeId, begun: f64) {
-        let spent = thread_time() - begun;
-        match self.observed(node) {
-            Some(_) => self.instance_time += spent,
-            None => self.relay_time += spent,
+    fn record_time(&mut self, node: NodeId, started_at: f64) {
+        let elapsed = thread_time() - started_at;
+        match self.initiator_index(node) {
+            Some(_) => self.initiator_time += elapsed,
+            None => self.relay_time += elapsed,
         }
     }
 
     fn send(&mut self, from: NodeId, to: NodeId, bytes: Vec<u8>) {
-        let delay = if self.region(from) == self.region(to) { NEAR } else { FAR };
-        let at = self.now + self.chance.random_range(delay);
+        let delay =
+            if self.region(from) == self.region(to) { DELAY_WITHIN_REGION } else { DELAY_BETWEEN_REGIONS };
+        let at = self.now + self.random.random_range(delay);
         let length = bytes.len() as u64;
-        let counted = length + PACKET * length.div_ceil(SEGMENT).max(1);
+        let counted = length + PACKET_OVERHEAD * length.div_ceil(SEGMENT).max(1);
         for node in [from, to] {
-            match self.observed(node) {
-                Some(place) => self.seen[place].count(self.now, counted),
+            match self.initiator_index(node) {
+                Some(index) => self.observations[index].count(self.now, counted),
                 None if node == from => self.relay_bytes += counted,
                 None => {}
             }
@@ -247,34 +248,34 @@
         self.schedule(at, Event::Deliver { from, to, incarnation, bytes: bytes.into() });
     }
 
-    fn is_cut(&self, a: NodeId, b: NodeId) -> bool {
-        self.cut.is_some_and(|(region, _)| (self.region(a) == region) != (self.region(b) == region))
+    fn is_partitioned(&self, a: NodeId, b: NodeId) -> bool {
+        self.partition.is_some_and(|(region, _)| (self.region(a) == region) != (self.region(b) == region))
     }
 
     fn deliver(&mut self, from: NodeId, to: NodeId, bytes: &[u8]) -> Result<(), Failure> {
         // Messages between partitioned regions are dropped without notice to either side.
-        if self.is_cut(from, to) {
+        if self.is_partitioned(from, to) {
             return Ok(());
         }
-        let (now, begun) = (self.now, thread_time());
-        let (mut news, mut turned_away) = (None, None);
+        let (now, started_at) = (self.now, thread_time());
+        let (mut update, mut rejection) = (None, None);
         match (&mut self.nodes[to.0 as usize], decode(&KEY, from, bytes)?) {
             (Node::Relay(relay), Message::Request(watch)) => {
-                turned_away = relay.handle_request(now, from, watch)
+                rejection = relay.handle_request(now, from, watch)
             }
-            (Node::Relay(relay), Message::Response(answer)) => relay.handle_response(now, from, answer),
-            (Node::Instance(follower), Message::Response(answer)) => {
-                news = follower.handle_response(now, from, answer)
+            (Node::Relay(relay), Message::Response(response)) => relay.handle_response(now, from, response),
+            (Node::Follower(follower), Message::Response(response)) => {
+                update = follower.handle_response(now, from, response)
             }
             _ => return Ok(()),
         }
-        self.spent(to, begun);
-        if let (Some(news), Some(place)) = (news, self.observed(to)) {
-            self.seen[place].event(now, &news);
+        self.record_time(to, started_at);
+        if let (Some(update), Some(index)) = (update, self.initiator_index(to)) {
+            self.observations[index].record(now, &update);
         }
-        if let Some(away) = turned_away {
-            let bytes = encode(&KEY, to, &Message::Response(away.response))?;
-            self.send(to, away.to, bytes);
+        if let Some(rejection) = rejection {
+            let bytes = encode(&KEY, to, &Message::Response(rejection.response))?;
+            self.send(to, rejection.to, bytes);
         }
         self.poll(to)
     }
@@ -303,12 +304,12 @@
 
     /// Restarts every `step`-th initiator at the same time, without stored state.
     pub fn restart_every(&mut self, step: u32) {
-        for instance in (0..self.shape.instances).step_by(step as usize) {
-            let node = 1 + self.shape.relays + instance;
-            self.nodes[node as usize] = self.instance(instance, None);
+        for initiator in (0..self.shape.initiators).step_by(step as usize) {
+            let node = 1 + self.shape.relays + initiator;
+            self.nodes[node as usize] = self.initiator(initiator, None);
             self.incarnations[node as usize] += 1;
             self.break_connections(NodeId(node));
-            self.seen[instance as usize].unreachable.push((self.now, self.now));
+            self.observations[initiator as usize].unreachable.push((self.now, self.now));
             self.poll_at(NodeId(node), self.now + 1);
         }
     }
@@ -323,15 +324,15 @@
     }
 
     /// Partitions a region from all others.
-    pub fn cut(&mut self, region: u32) {
-        self.cut = Some((region, self.now));
+    pub fn partition(&mut self, region: u32) {
+        self.partition = Some((region, self.now));
     }
 
     pub fn heal(&mut self) {
-        let Some((region, since)) = self.cut.take() else { return };
-        for instance in 0..self.shape.instances {
-            if self.region(NodeId(1 + self.shape.relays + instance)) == region {
-                self.seen[instance as usize].unreachable.push((since, self.now));
+        let Some((region, since)) = self.partition.take() else { return };
+        for initiator in 0..self.shape.initiators {
+            if self.region(NodeId(1 + self.shape.relays + initiator)) == region {
+                self.observations[initiator as usize].unreachable.push((since, self.now));
             }
         }
     }
@@ -346,16 +347,16 @@
     /// Number of initiators whose active state is that of the source.
     pub fn current(&self) -> usize {
         let newest = self.source().and_then(Relay::state);
-        let in_force = |node: &&Node| matches!(node, Node::Instance(f) if f.active() == newest);
+        let in_force = |node: &&Node| matches!(node, Node::Follower(f) if f.active() == newest);
         self.nodes.iter().filter(in_force).count()
     }
 
     /// Sums of all initiators' counters: relays abandoned after a timeout, relays abandoned because they were
     /// cut off from the source, and snapshots received.
-    pub fn left(&self) -> (u64, u64, u64) {
+    pub fn follower_counters(&self) -> (u64, u64, u64) {
         let mut sums = (0, 0, 0);
         for node in &self.nodes {
-            if let Node::Instance(follower) = node {
+            if let Node::Follower(follower) = node {
                 let counters = follower.counters();
                 sums = (sums.0 + counters.timeouts, sums.1 + counters.cut_off, sums.2 + counters.snapshots);
             }
@@ -370,7 +371,9 @@
         let mut delays = Vec::new();
         for (version, published) in self.published.iter().enumerate().skip(2) {
             if !skip.contains(&version) {
-                delays.extend(self.seen.iter().map(|seen| seen.delay(version, *published)));
+                delays.extend(
+                    self.observations.iter().map(|observations| observations.delay(version, *published)),
+                );
             }
         }
         delays
@@ -378,6 +381,9 @@
 
     /// Milliseconds until the last initiator had a state; `None` if one has none.
     pub fn all_started(&self) -> Option<Millis> {
-        self.seen.iter().map(|seen| seen.reached.first().copied()).try_fold(0, |last, at| Some(last.max(at?)))
+        self.observations
+            .iter()
+            .map(|observations| observations.reached.first().copied())
+            .try_fold(0, |last, at| Some(last.max(at?)))
     }
 }
--- a/crates/lab/src/scale/observations.rs
+++ b/crates/lab/src/scale/observations.rs
@@ -17,9 +17,9 @@
     /// Bytes sent and received in each window.
     windows: Vec<u64>,
     /// Number of states that the initiator's validation rejected.
-    pub refused: u64,
+    pub rejected: u64,
     /// Whether an older version came into force after a newer one.
-    pub went_back: bool,
+    pub reverted: bool,
 }
 
 impl Observations {
@@ -39,19 +39,19 @@
     }
 
     /// Records that the follower activated or rejected a state.
-    pub fn event(&mut self, now: Millis, news: &StateUpdate) {
-        match news {
+    pub fn record(&mut self, now: Millis, update: &StateUpdate) {
+        match update {
             StateUpdate::Activated(state) => {
                 let number = state.version().number as usize;
                 // After a restart without stored state, a relay that lags may serve an older version than the
                 // one before the restart.
                 let restarted = self.unreachable.iter().any(|(from, to)| from == to);
-                self.went_back |= number + 1 < self.reached.len() && !restarted;
+                self.reverted |= number + 1 < self.reached.len() && !restarted;
                 if self.reached.len() <= number {
                     self.reached.resize(number + 1, now);
                 }
             }
-            StateUpdate::Rejected { .. } => self.refused += 1,
+            StateUpdate::Rejected { .. } => self.rejected += 1,
         }
     }
 
--- a/crates/lab/src/soak/mod.rs
+++ b/crates/lab/src/soak/mod.rs
@@ -15,14 +15,14 @@
 use crate::outcome::Outcome;
 use crate::runtime::block_on;
 use plan::SoakPlan;
-use play::{Play, play};
+use play::{SoakResult, run_plan};
 use rowanglade_test_fleet::RequestCounts;
 use std::collections::BTreeMap;
 
 /// Seeds of the short run, which is used when the command line gives none.
 const SHORT_RUN: std::ops::RangeInclusive<u64> = 1..=4;
 /// Maximum number of runs to shrink the plan of a failed seed.
-const MAX_REPLAYS: usize = 8;
+const MAX_SHRINK_RUNS: usize = 8;
 
 pub fn experiments() -> Vec<Experiment> {
     let about =
@@ -32,19 +32,19 @@
 
 /// Removes faults from a failed plan as long as it still fails without them.
 fn shrink(plan: &SoakPlan) -> Result<SoakPlan, Failure> {
-    let mut least = plan.clone();
-    let (mut index, mut replays) = (0, 0);
-    while replays < MAX_REPLAYS
-        && let Some(smaller) = least.without(index)
+    let mut smallest = plan.clone();
+    let (mut index, mut runs) = (0, 0);
+    while runs < MAX_SHRINK_RUNS
+        && let Some(smaller) = smallest.without(index)
     {
-        replays += 1;
-        let played = block_on(play(&smaller))?;
-        match played.breaches.is_empty() && played.crashed == 0 {
+        runs += 1;
+        let result = block_on(run_plan(&smaller))?;
+        match result.breaches.is_empty() && result.crashed == 0 {
             true => index += 1,
-            false => least = smaller,
+            false => smallest = smaller,
         }
     }
-    Ok(least)
+    Ok(smallest)
 }
 
 fn soak(seeds: &Seeds) -> Result<Outcome, Failure> {
@@ -61,9 +61,9 @@
         }
         let mut plan = SoakPlan::draw(seed);
         if seeds.range.is_none() {
-            plan.remove_hold_ups();
+            plan.remove_delays();
         }
-        let result = block_on(play(&plan))?;
+        let result = block_on(run_plan(&plan))?;
         played += 1;
         counts = counts.merge(result.counts);
         for (kind, count) in &result.injected {
@@ -88,10 +88,10 @@
         report(&plan, &result);
         out.claim(format!("seed {seed} breaks no rule"), false);
         if seeds.range.is_some() {
-            let least = shrink(&plan)?;
+            let smallest = shrink(&plan)?;
             eprintln!(
                 "  seed {seed}, smallest failing plan: system calls {:?}, events {:?}",
-                least.calls, least.events
+                smallest.system_call_faults, smallest.events
             );
         }
     }
@@ -108,13 +108,13 @@
 }
 
 /// Prints the timeline of a failed run and the command that repeats it.
-fn report(plan: &SoakPlan, play: &Play) {
+fn report(plan: &SoakPlan, result: &SoakResult) {
     eprintln!("  seed {}: repeat with `run soak --seeds {}..{}`", plan.seed, plan.seed, plan.seed);
     eprintln!(
         "    core share {:?}, share of clients that disconnect {}, system call faults {:?}",
-        plan.core_share, plan.disconnect_share, plan.calls
+        plan.core_share, plan.disconnect_share, plan.system_call_faults
     );
-    play.timeline.iter().for_each(|line| eprintln!("    {line}"));
-    play.breaches.iter().take(10).for_each(|breach| eprintln!("    {breach}"));
-    play.warnings.iter().rev().take(15).rev().for_each(|line| eprintln!("    {line}"));
+    result.timeline.iter().for_each(|line| eprintln!("    {line}"));
+    result.breaches.iter().take(10).for_each(|breach| eprintln!("    {breach}"));
+    result.warnings.iter().rev().take(15).rev().for_each(|line| eprintln!("    {line}"));
 }
--- a/crates/lab/src/soak/plan.rs
+++ b/crates/lab/src/soak/plan.rs
@@ -20,14 +20,14 @@
     /// Fraction of requests whose client disconnects before the response.
     pub disconnect_share: f64,
     /// System call faults, in the format of the fault shim.
-    pub calls: Vec<String>,
+    pub system_call_faults: Vec<String>,
     /// Other faults, each with its time after the start of the run.
     pub events: Vec<(Duration, Event)>,
 }
 
-/// System call faults that a seed draws from: the call, the fault, its probability and, where given, the window in
-/// which it occurs, in milliseconds after the first call that the shim intercepts.
-const CALLS: [&str; 16] = [
+/// System call faults that a seed draws from: the call, the fault, its probability and, where given, the
+/// window in which it occurs, in milliseconds after the first call that the shim intercepts.
+const SYSTEM_CALL_FAULTS: [&str; 16] = [
     "accept4:ECONNABORTED:0.2",
     "accept4:ENETUNREACH:0.1",
     "accept4:EMFILE:0.05:2000-4000",
@@ -62,16 +62,16 @@
         let processes = random.random_range(2..=6);
         let targets = *[10, 40, 200, 800, 3_200].choose(random).unwrap_or(&40);
         let count = random.random_range(2..=5);
-        let mut calls: Vec<String> =
-            CALLS.choose_multiple(random, count).map(|call| (*call).to_string()).collect();
+        let mut system_call_faults: Vec<String> =
+            SYSTEM_CALL_FAULTS.choose_multiple(random, count).map(|call| (*call).to_string()).collect();
         if random.random_bool(0.5) {
-            calls.extend(CLOCK_STEPS.choose(random).map(|step| (*step).to_string()));
+            system_call_faults.extend(CLOCK_STEPS.choose(random).map(|step| (*step).to_string()));
         }
         let core_share = random.random_bool(0.3).then_some(0.3);
         if core_share.is_some() {
             // A process at its CPU limit is delayed already, and the checker's rules allow for 0.15 s of
             // delay in total.
-            calls.retain(|call| !call.contains("late="));
+            system_call_faults.retain(|call| !call.contains("late="));
         }
         let count = random.random_range(3..=6);
         let mut events: Vec<(Duration, Event)> = (0..count)
@@ -84,26 +84,26 @@
             targets,
             core_share,
             disconnect_share: if random.random_bool(0.5) { 0.1 } else { 0.0 },
-            calls,
+            system_call_faults,
             events,
         }
     }
 
     /// Removes the faults that delay processes. The short run has to give the same result on a busy machine,
     /// which delays them already.
-    pub fn remove_hold_ups(&mut self) {
+    pub fn remove_delays(&mut self) {
         self.core_share = None;
-        self.calls.retain(|call| !call.contains("late="));
+        self.system_call_faults.retain(|call| !call.contains("late="));
     }
 
     /// Returns the plan without the fault at `index`, counting system call faults first; `None` if there is
     /// no such fault.
     pub fn without(&self, index: usize) -> Option<SoakPlan> {
         let mut plan = self.clone();
-        if index < plan.calls.len() {
-            plan.calls.remove(index);
-        } else if index - plan.calls.len() < plan.events.len() {
-            plan.events.remove(index - plan.calls.len());
+        if index < plan.system_call_faults.len() {
+            plan.system_call_faults.remove(index);
+        } else if index - plan.system_call_faults.len() < plan.events.len() {
+            plan.events.remove(index - plan.system_call_faults.len());
         } else {
             return None;
         }
--- a/crates/lab/src/soak/play.rs
+++ b/crates/lab/src/soak/play.rs
@@ -19,7 +19,7 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 /// How long clients send requests.
-const PLAY: Duration = Duration::from_secs(9);
+const LOAD_DURATION: Duration = Duration::from_secs(9);
 /// How long after a target starts draining it may be sent new work, in microseconds.
 const GRACE: u64 = 1_000_000;
 /// SIGKILL follows SIGTERM after this time at the earliest: the longest deadline, capped at 3 s, plus 0.7 s.
@@ -30,19 +30,19 @@
 const IDLE_CLIENTS: usize = 400;
 
 /// Path of the fault shim's library, which Cargo places beside the dependencies of this program.
-fn library() -> Result<PathBuf, Failure> {
+fn shim_library() -> Result<PathBuf, Failure> {
     let program = std::env::current_exe()?;
     let folder =
         program.parent().ok_or(Failure::Unexpected("the path of this program has no parent folder"))?;
     let path = folder.join("deps").join(LIBRARY);
-    if path.exists() { Ok(path) } else { Err(Failure::NotBuilt(path)) }
+    if path.exists() { Ok(path) } else { Err(Failure::FaultShimNotBuilt(path)) }
 }
 
 fn fleet_plan(plan: &SoakPlan, counts: &Path) -> Result<FleetPlan, Failure> {
-    let library = library()?.display().to_string();
-    let faults = format!("seed={};{}", plan.seed, plan.calls.join(";"));
+    let shim_library = shim_library()?.display().to_string();
+    let faults = format!("seed={};{}", plan.seed, plan.system_call_faults.join(";"));
     let env = vec![
-        ("LD_PRELOAD".to_string(), library),
+        ("LD_PRELOAD".to_string(), shim_library),
         (VARIABLE.to_string(), faults),
         (COUNTS.to_string(), counts.display().to_string()),
     ];
@@ -81,7 +81,7 @@
 }
 
 /// Results of a soak run.
-pub struct Play {
+pub struct SoakResult {
     /// Number of requests by result.
     pub counts: RequestCounts,
     /// Violations of the checker's rules.
@@ -102,7 +102,7 @@
 ///
 /// # Errors
 /// The fleet cannot be started, or a restarted process does not become ready.
-pub async fn play(plan: &SoakPlan) -> Result<Play, Failure> {
+pub async fn run_plan(plan: &SoakPlan) -> Result<SoakResult, Failure> {
     let folder = tempfile::tempdir()?;
     let counts_file = folder.path().join("counts");
     let mut fleet = Fleet::start(fleet_plan(plan, &counts_file)?).await?;
@@ -113,13 +113,13 @@
     for (at, event) in &plan.events {
         sleep_until(started_at + *at).await;
         timeline.push(format!("{:>8} us {event:?}", fleet.recorder.now()));
-        carry_out(&mut fleet, event, plan.targets, &mut draining, &mut crowd).await?;
+        inject_event(&mut fleet, event, plan.targets, &mut draining, &mut crowd).await?;
     }
-    sleep_until(started_at + PLAY).await;
+    sleep_until(started_at + LOAD_DURATION).await;
     fleet.discovery.inject(DiscoveryFault::None);
     fleet.settle().await;
     let crashed = fleet.crashes();
-    Ok(Play {
+    Ok(SoakResult {
         counts: fleet.counts(),
         breaches: check(&fleet.history(), &Rules::with_grace(GRACE)),
         crashed,
@@ -130,7 +130,7 @@
     })
 }
 
-async fn carry_out(
+async fn inject_event(
     fleet: &mut Fleet,
     event: &Event,
     targets: usize,
@@ -153,12 +153,12 @@
             });
         }
         Event::Targets { part, kind, span } => {
-            let bad = fleet.draw_active((targets as f64 * part) as usize + 1);
-            bad.iter().for_each(|target| target.inject(kind.fault()));
+            let misbehaving = fleet.draw_active((targets as f64 * part) as usize + 1);
+            misbehaving.iter().for_each(|target| target.inject(kind.fault()));
             let span = *span;
             tokio::task::spawn_local(async move {
                 sleep(span).await;
-                bad.iter().for_each(|target| target.inject(TargetFault::default()));
+                misbehaving.iter().for_each(|target| target.inject(TargetFault::default()));
             });
         }
         Event::Terminate { process, twice, hangup } => {
--- a/crates/lab/src/upgrade.rs
+++ b/crates/lab/src/upgrade.rs
@@ -19,7 +19,7 @@
 
 pub fn experiments() -> Vec<Experiment> {
     let about = "two handovers to a successor under load: requests lost, units over the limit, descriptors and memory";
-    vec![Experiment { name: "replace", about, runner: Runner::Plain(replace) }]
+    vec![Experiment { name: "replace", about, runner: Runner::Plain(hand_over_twice) }]
 }
 
 const SECONDS: f64 = 12.0;
@@ -30,7 +30,7 @@
 
 /// Writes a trace with requests of many volumes without a limit, every fourth of them a write, and of one
 /// volume whose load is about twice its limit.
-fn make(path: &Path) -> Result<u64, Failure> {
+fn write_trace(path: &Path) -> Result<u64, Failure> {
     let mut writer = TraceWriter::create(path, &traces::standard_header())?;
     let rate = 220.0;
     for i in 0..(rate * SECONDS) as u64 {
@@ -55,13 +55,13 @@
     Ok(writer.finish()?)
 }
 
-async fn healthy(admin: SocketAddr) -> Result<(), Failure> {
+async fn wait_until_ready(admin: SocketAddr) -> Result<(), Failure> {
     for _ in 0..2_000 {
         let mut stream = TcpStream::connect(admin).await?;
         stream.write_all(b"GET /healthcheck HTTP/1.1\r\nHost: x\r\n\r\n").await?;
-        let mut answer = Vec::new();
-        stream.read_to_end(&mut answer).await?;
-        if answer.starts_with(b"HTTP/1.1 200") {
+        let mut response = Vec::new();
+        stream.read_to_end(&mut response).await?;
+        if response.starts_with(b"HTTP/1.1 200") {
             return Ok(());
         }
         tokio::time::sleep(Duration::from_millis(5)).await;
@@ -70,24 +70,28 @@
 }
 
 /// Number of open descriptors of a process.
-fn descriptors(process: u32) -> usize {
+fn open_descriptors(process: u32) -> usize {
     std::fs::read_dir(format!("/proc/{process}/fd")).map_or(0, Iterator::count)
 }
 
 /// Resident memory of a process in bytes.
-fn memory(process: u32) -> u64 {
+fn resident_memory(process: u32) -> u64 {
     let text = std::fs::read_to_string(format!("/proc/{process}/status")).unwrap_or_default();
-    let held = text.lines().find_map(|l| l.strip_prefix("VmRSS:"));
-    held.and_then(|l| l.trim().split(' ').next()).and_then(|n| n.parse::<u64>().ok()).unwrap_or(0) << 10
+    let descriptors = text.lines().find_map(|l| l.strip_prefix("VmRSS:"));
+    descriptors.and_then(|l| l.trim().split(' ').next()).and_then(|n| n.parse::<u64>().ok()).unwrap_or(0)
+        << 10
 }
 
-fn replace() -> Result<Outcome, Failure> {
+fn hand_over_twice() -> Result<Outcome, Failure> {
     block_on(async {
         let folder = tempfile::tempdir()?;
         let trace = folder.path().join("made.trace");
-        make(&trace)?;
-        let remember = |plan| TargetPlan { keeps_requests: true, ..plan };
-        let plans = [remember(initiators::target_plan(2, 3, 5)), remember(initiators::target_plan(2, 3, 5))];
+        write_trace(&trace)?;
+        let keep_requests = |plan| TargetPlan { keeps_requests: true, ..plan };
+        let plans = [
+            keep_requests(initiators::target_plan(2, 3, 5)),
+            keep_requests(initiators::target_plan(2, 3, 5)),
+        ];
         let site = StubSite::start(&plans, ZONE, 5).await?;
         let start = |listen: Option<SocketAddr>| -> Result<Daemon, Failure> {
             Ok(Daemon::start(&DaemonPlan {
@@ -103,34 +107,35 @@
                 env: Vec::new(),
             })?)
         };
-        let born = tokio::time::Instant::now();
+        let first_start = tokio::time::Instant::now();
         let first = start(None)?;
         let addr = first.http;
-        healthy(first.admin.ok_or(Failure::Unexpected("the daemon has no admin address"))?).await?;
+        wait_until_ready(first.admin.ok_or(Failure::Unexpected("the daemon has no admin address"))?).await?;
         let processes = Rc::new(RefCell::new(vec![first.pid()]));
         let peak = Rc::new(Cell::new((0, 0)));
-        let watch = {
+        let monitor = {
             let (processes, peak) = (Rc::clone(&processes), Rc::clone(&peak));
             actix_rt::spawn(async move {
                 loop {
                     let all = processes.borrow().clone();
-                    let held = all.iter().map(|p| descriptors(*p)).sum::<usize>();
-                    let bytes = all.iter().map(|p| memory(*p)).sum::<u64>();
+                    let descriptors = all.iter().map(|p| open_descriptors(*p)).sum::<usize>();
+                    let bytes = all.iter().map(|p| resident_memory(*p)).sum::<u64>();
                     let (most, largest) = peak.get();
-                    peak.set((held.max(most), bytes.max(largest)));
+                    peak.set((descriptors.max(most), bytes.max(largest)));
                     tokio::time::sleep(Duration::from_millis(5)).await;
                 }
             })
         };
-        let replacing = async {
-            let (mut serving, mut took, mut ended) = (first, Vec::new(), 0);
+        let handovers = async {
+            let (mut serving, mut ready_times_ms, mut ended) = (first, Vec::new(), 0);
             for wait in [3.0, 2.0] {
                 tokio::time::sleep(Duration::from_secs_f64(wait)).await;
-                let begun = tokio::time::Instant::now();
+                let handover_start = tokio::time::Instant::now();
                 let next = start(Some(addr))?;
                 processes.borrow_mut().push(next.pid());
-                healthy(next.admin.ok_or(Failure::Unexpected("the daemon has no admin address"))?).await?;
-                took.push(begun.elapsed().as_secs_f64() * 1e3);
+                wait_until_ready(next.admin.ok_or(Failure::Unexpected("the daemon has no admin address"))?)
+                    .await?;
+                ready_times_ms.push(handover_start.elapsed().as_secs_f64() * 1e3);
                 serving.signal(Signal::SIGTERM)?;
                 for _ in 0..500 {
                     if serving.ended() {
@@ -142,44 +147,44 @@
                 processes.borrow_mut().remove(0);
                 serving = next;
             }
-            Ok::<_, Failure>((took, ended, serving))
+            Ok::<_, Failure>((ready_times_ms, ended, serving))
         };
-        let ask = Replay { retries: false, ..Replay::to(vec![addr]) };
-        let (report, replaced) = tokio::join!(traces::replay_all(&trace, &ask), replacing);
-        let (report, (took, ended, _serving)) = (report?, replaced?);
-        watch.abort();
+        let replay_plan = Replay { retries: false, ..Replay::to(vec![addr]) };
+        let (report, handed_over) = tokio::join!(traces::replay_all(&trace, &replay_plan), handovers);
+        let (report, (ready_times_ms, ended, _serving)) = (report?, handed_over?);
+        monitor.abort();
 
         let total = report.total();
         // Only the limited volume uses this target. Its token bucket is empty when the first process starts,
         // so at any time the units received must not exceed the refill since then plus the slack.
-        let seen: Vec<f64> = {
-            let seen = site.targets[0].received();
-            seen.iter().map(|(at, _)| at.duration_since(born).as_secs_f64()).collect()
+        let arrival_times: Vec<f64> = {
+            let arrival_times = site.targets[0].received();
+            arrival_times.iter().map(|(at, _)| at.duration_since(first_start).as_secs_f64()).collect()
         };
-        let over = seen.iter().enumerate().map(|(i, at)| (i + 1) as f64 - LIMIT * at - SLACK);
-        let over = over.fold(f64::MIN, f64::max);
-        let (held, bytes) = peak.get();
+        let excess = arrival_times.iter().enumerate().map(|(i, at)| (i + 1) as f64 - LIMIT * at - SLACK);
+        let excess = excess.fold(f64::MIN, f64::max);
+        let (descriptors, bytes) = peak.get();
         let mut out = Outcome::default();
         out.figure("requests", total.due as f64, "");
         out.figure("served", total.served as f64, "");
         out.figure("refused", total.refused as f64, "");
         out.figure("failed", total.failed as f64, "");
         out.figure("lost, or without a connection", (total.lost + total.unsent) as f64, "");
-        out.figure("until the first successor served", took[0], "ms");
-        out.figure("until the second successor served", took[1], "ms");
-        out.figure("limited units at the box a second", seen.len() as f64 / SECONDS, "units/s");
-        out.figure("limited units beyond filling and slack, at worst", over, "units");
-        out.figure("descriptors of both, at most", held as f64, "");
+        out.figure("until the first successor served", ready_times_ms[0], "ms");
+        out.figure("until the second successor served", ready_times_ms[1], "ms");
+        out.figure("limited units at the box a second", arrival_times.len() as f64 / SECONDS, "units/s");
+        out.figure("limited units beyond filling and slack, at worst", excess, "units");
+        out.figure("descriptors of both, at most", descriptors as f64, "");
         out.figure("memory of both, at most", bytes as f64 / 1e6, "MB");
         out.claim("no request is lost, unsent or failed", total.lost + total.unsent + total.failed == 0);
-        out.claim("no unit beyond the limit and its slack reaches the target", over <= 0.0);
+        out.claim("no unit beyond the limit and its slack reaches the target", excess <= 0.0);
         out.claim(
             "at least 90% of the limit is used across the handovers",
-            seen.len() as f64 >= 0.9 * LIMIT * SECONDS,
+            arrival_times.len() as f64 >= 0.9 * LIMIT * SECONDS,
         );
         out.claim(
             "predecessor and successor together stay within the descriptor limit of one process",
-            held <= SOCKETS,
+            descriptors <= SOCKETS,
         );
         out.claim("both predecessors exit after SIGTERM", ended == 2);
         Ok(out)
