--- a/crates/lab/src/scale/idle_initiators.rs
+++ b/crates/lab/src/scale/idle_initiators.rs
@@ -1,5 +1,5 @@
-//! Whole initiators without clients that share a process ("hollow" ones in figures and documents). Beside them
-//! some that have a process each ("real" ones), for the sizes that fit.
+//! Initiators without clients that share a process ("hollow" in figures and documents), and for sizes that
+//! fit also initiators that have a process each ("real").
 
 use super::cost::process_time;
 use super::lists;
@@ -19,38 +19,39 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Changes that the mean cost of one is taken over.
+/// Number of changes that the mean cost of one is computed from.
 const CHANGES: u32 = 20;
-/// Discovery is waited for so long at most.
+/// Maximum time to wait until discovery has answered the expected polls.
 const DISCOVERY_TIMEOUT: Duration = Duration::from_secs(20);
 const POLL_PERIOD: Duration = Duration::from_millis(5);
 
-/// What one initiator costs.
+/// Mean cost of one initiator.
 #[derive(Clone, Copy, Debug)]
 pub struct InitiatorCost {
-    /// Seconds from the start of all until the last had the whole list.
+    /// Seconds from the start of the fleet until discovery has served the endpoint list to the last
+    /// initiator.
     pub listed_after: f64,
-    /// Processor seconds until then.
+    /// Processor seconds from the start until then.
     pub start: f64,
-    /// Processor seconds of one change.
+    /// Processor seconds per change of one target.
     pub change: f64,
-    /// Bytes that discovery sent for one change.
+    /// Bytes of list responses that discovery sent per change.
     pub change_bytes: f64,
-    /// Polls and watches answered for one change.
+    /// Polls and watches that discovery answered per change.
     pub change_polls: f64,
-    /// Seconds from one change until the last initiator had it, in the mean.
-    pub known_after: f64,
-    /// Bytes of memory; in a shared process beside the process's own.
+    /// Mean number of seconds from a change until discovery has notified the last initiator.
+    pub notified_after: f64,
+    /// Peak bytes of memory of the process, divided by the initiators in it.
     pub memory: f64,
-    /// Open descriptors.
+    /// Open descriptors of the process, divided by the initiators in it.
     pub descriptors: f64,
 }
 
-/// Initiators under measurement.
+/// The initiators under measurement.
 enum Initiators {
-    /// So many in one process.
+    /// The given number of initiators in one process.
     InSharedProcess(SharedProcess, u32),
-    /// One in each process.
+    /// One initiator in each process.
     InOwnProcesses(Vec<Daemon>),
 }
 
@@ -83,12 +84,12 @@
     }
 }
 
-/// A process of several initiators. Dropped, it is killed.
+/// A process of several initiators, which is killed on drop.
 struct SharedProcess(Child);
 
 impl SharedProcess {
-    fn start(instances: u32, targets: usize, discovery: &Discovery) -> Result<SharedProcess, Failure> {
-        let arguments = [instances.to_string(), targets.to_string(), discovery.addr().to_string()];
+    fn start(initiators: u32, targets: usize, discovery: &Discovery) -> Result<SharedProcess, Failure> {
+        let arguments = [initiators.to_string(), targets.to_string(), discovery.addr().to_string()];
         let mut command = Command::new(std::env::current_exe()?);
         command.arg("hollow").args(arguments).stdin(Stdio::piped());
         Ok(SharedProcess(command.spawn()?))
@@ -102,16 +103,16 @@
     }
 }
 
-/// The life of a process of several initiators: until its standard input ends.
-pub fn run(instances: u32, targets: usize, discovery: &str) -> ExitCode {
+/// Main function of a process of several initiators, which exits when its standard input is closed.
+pub fn run(initiators: u32, targets: usize, discovery: &str) -> ExitCode {
     std::thread::spawn(|| {
         let _ = std::io::stdin().read_to_end(&mut Vec::new());
         std::process::exit(0);
     });
     block_on(async {
-        for number in 0..instances {
-            if let Err(error) = start_one(number, instances, targets, discovery).await {
-                eprintln!("a hollow instance does not start: {error}");
+        for number in 0..initiators {
+            if let Err(error) = start_initiator(number, initiators, targets, discovery).await {
+                eprintln!("idle initiator {number} could not be started: {error}");
                 return ExitCode::FAILURE;
             }
         }
@@ -119,10 +120,15 @@
     })
 }
 
-async fn start_one(number: u32, instances: u32, targets: usize, discovery: &str) -> Result<(), Failure> {
+async fn start_initiator(
+    number: u32,
+    initiators: u32,
+    targets: usize,
+    discovery: &str,
+) -> Result<(), Failure> {
     let folder = tempfile::tempdir()?;
     let path = folder.path().join("config.json");
-    let mut settings = settings(&traces::standard_header(), instances as usize, ZONE, targets);
+    let mut settings = settings(&traces::standard_header(), initiators as usize, ZONE, targets);
     settings["my-number"] = number.into();
     let text = json!({
         "name": format!("hollow-{number}"), "listen": "127.0.0.1:0", "discovery": discovery,
@@ -135,60 +141,60 @@
     Ok(())
 }
 
-/// A site whose list has so many targets. Nobody connects to them.
-pub async fn listed(targets: usize) -> Result<StubSite, Failure> {
+/// Starts a site whose endpoint list has the given number of targets. No target is ever connected to.
+pub async fn site_with_targets(targets: usize) -> Result<StubSite, Failure> {
     let site = StubSite::start(&[], ZONE, 1).await?;
-    for place in 0..targets {
-        site.discovery.upsert(entry(place, EndpointState::Active));
+    for index in 0..targets {
+        site.discovery.upsert(entry(index, EndpointState::Active));
     }
     Ok(site)
 }
 
-fn entry(place: usize, state: EndpointState) -> Endpoint {
-    let line = lists::line(place);
+fn entry(index: usize, state: EndpointState) -> Endpoint {
+    let endpoint = lists::endpoint(index);
     Endpoint {
-        id: line.name,
-        addr: line.addr,
-        shard: line.shard,
+        id: endpoint.name,
+        addr: endpoint.addr,
+        shard: endpoint.shard,
         state,
         started_ms: 0,
-        zone: Some(line.zone),
+        zone: Some(endpoint.zone),
     }
 }
 
-async fn calls_reach(discovery: &Rc<Discovery>, calls: u64) -> Result<(), Failure> {
+async fn wait_for_polls(discovery: &Rc<Discovery>, polls: u64) -> Result<(), Failure> {
     let reached = async {
-        while discovery.responses() < calls {
+        while discovery.responses() < polls {
             sleep(POLL_PERIOD).await;
         }
     };
     timeout(DISCOVERY_TIMEOUT, reached)
         .await
-        .map_err(|_| Failure::MissingPolls { answered: discovery.responses(), expected: calls })
+        .map_err(|_| Failure::MissingPolls { answered: discovery.responses(), expected: polls })
 }
 
-/// Starts instances, has all read the list, and tells them changes, one after another.
+/// Starts initiators, waits until all have the endpoint list, and publishes changes one after another.
 async fn measure(
     site: &StubSite,
     start: impl FnOnce() -> Result<Initiators, Failure>,
 ) -> Result<InitiatorCost, Failure> {
     let discovery = &site.discovery;
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let fleet = start()?;
     let count = fleet.count();
-    // Each reads the list once before it watches.
-    calls_reach(discovery, count as u64).await?;
-    let listed_after = begun.elapsed().as_secs_f64();
+    // Each initiator reads the list once before it watches for changes.
+    wait_for_polls(discovery, count as u64).await?;
+    let listed_after = started_at.elapsed().as_secs_f64();
     sleep(Duration::from_millis(500)).await;
     let started = fleet.processor()?;
-    let (calls, bytes) = (discovery.responses(), discovery.list_bytes());
-    let mut known_after = 0.0;
+    let (polls, bytes) = (discovery.responses(), discovery.list_bytes());
+    let mut notified_after = 0.0;
     for change in 0..CHANGES {
         let state = if change % 2 == 0 { EndpointState::Draining } else { EndpointState::Active };
-        let (told, before) = (Instant::now(), discovery.responses());
+        let (changed_at, before) = (Instant::now(), discovery.responses());
         discovery.upsert(entry(change as usize / 2, state));
-        calls_reach(discovery, before + count as u64).await?;
-        known_after += told.elapsed().as_secs_f64() / f64::from(CHANGES);
+        wait_for_polls(discovery, before + count as u64).await?;
+        notified_after += changed_at.elapsed().as_secs_f64() / f64::from(CHANGES);
         sleep(POLL_PERIOD).await;
     }
     sleep(Duration::from_millis(200)).await;
@@ -198,41 +204,41 @@
         start: started / count,
         change: (fleet.processor()? - started) / changes,
         change_bytes: (discovery.list_bytes() - bytes) as f64 / changes,
-        change_polls: (discovery.responses() - calls) as f64 / changes,
-        known_after,
+        change_polls: (discovery.responses() - polls) as f64 / changes,
+        notified_after,
         memory: fleet.memory() / count,
         descriptors: fleet.descriptors()? / count,
     })
 }
 
-/// So many hollow instances in one process, before so many targets.
+/// Measures the given number of initiators in one process.
 ///
 /// # Errors
-/// They do not start, or discovery is not asked.
-pub fn in_shared_process(instances: u32, targets: usize) -> Result<InitiatorCost, Failure> {
+/// The initiators cannot be started, or discovery receives too few polls.
+pub fn in_shared_process(initiators: u32, targets: usize) -> Result<InitiatorCost, Failure> {
     block_on(async {
-        let site = listed(targets).await?;
+        let site = site_with_targets(targets).await?;
         let start = || {
             Ok(Initiators::InSharedProcess(
-                SharedProcess::start(instances, targets, &site.discovery)?,
-                instances,
+                SharedProcess::start(initiators, targets, &site.discovery)?,
+                initiators,
             ))
         };
         measure(&site, start).await
     })
 }
 
-/// The same, each in a process of its own.
+/// Measures the given number of initiators, each in a separate process.
 ///
 /// # Errors
-/// As [`hollow`].
-pub fn in_own_processes(instances: u32, targets: usize) -> Result<InitiatorCost, Failure> {
+/// As [`in_shared_process`].
+pub fn in_own_processes(initiators: u32, targets: usize) -> Result<InitiatorCost, Failure> {
     block_on(async {
-        let site = listed(targets).await?;
-        let shape =
+        let site = site_with_targets(targets).await?;
+        let adjust =
             |_: usize, start: &mut DaemonPlan| start.settings["family-info"]["n-shards"] = targets.into();
         let daemons =
-            || initiators::start_daemons_with(&site, &traces::standard_header(), instances as usize, shape);
+            || initiators::start_daemons_with(&site, &traces::standard_header(), initiators as usize, adjust);
         let start = || Ok(Initiators::InOwnProcesses(daemons()?));
         measure(&site, start).await
     })
