--- a/crates/checker/src/breach.rs
+++ b/crates/checker/src/breach.rs
@@ -1,59 +1,59 @@
-//! What the checker finds.
+//! Breaches of the protocol's rules.
 
 use crate::{Micros, ProcessId};
 use std::fmt;
 
-/// A rule that was broken, by whom, and when.
+/// One breach of a rule, with the request, process and target that it concerns.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("{at:>10} us: {kind} (request {request}, process {process:?}, target {target})")]
 pub struct Breach {
-    /// When it was broken.
+    /// When the rule was broken.
     pub at: Micros,
-    /// Which rule it was.
+    /// The rule that was broken.
     pub kind: BreachKind,
-    /// The request's id; empty where no single request is meant.
+    /// Id of the request; empty if the breach does not concern a single request.
     pub request: String,
-    /// The initiator; none where it is all of them together.
+    /// The initiator process; `None` if all processes together broke the rule.
     pub process: Option<ProcessId>,
-    /// The target's name; empty where no target is meant.
+    /// Name of the target; empty if the breach does not concern a target.
     pub target: String,
 }
 
-/// Which rule was broken.
+/// A rule of the protocol that can be broken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum BreachKind {
-    /// No final response in time, though the client waited.
+    /// The client did not receive a final response in time, although it waited for one.
     Unanswered,
-    /// The connection was closed without a response to a request that had been read.
+    /// The initiator closed the connection without responding to a request that it had received.
     ClosedWithoutResponse,
-    /// The response is of a request's target, but no target served it.
+    /// The client received a success status, but no target served the request.
     FabricatedResponse,
-    /// An attempt began after its client had disconnected, or after the final response.
+    /// An attempt started after its client had disconnected or had received the final response.
     AttemptAfterEnd,
-    /// An attempt told its target more time than its client had left.
+    /// An attempt stated more time left to its target than its client had.
     TimeLeftTooLong,
-    /// A request was retried that may have run already, where its class forbids it.
+    /// A request that may have run was retried although its idempotency forbids it.
     ForbiddenRetry,
-    /// Two attempts of one request were in flight at once, where its class may not run twice.
+    /// Two attempts of a non-idempotent request that may both run were in flight at once.
     ConcurrentAttempts,
-    /// New work went to a target after its drain had become known and the grace was over.
+    /// A target was sent new work after the process had received its drain and the drain grace had elapsed.
     SentToDraining,
-    /// A target that has just started was sent more than its slow start allows.
+    /// A newly started target was sent more work than slow start allows.
     SlowStartExceeded,
 }
 
 impl fmt::Display for BreachKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            BreachKind::Unanswered => "no final answer in time",
-            BreachKind::ClosedWithoutResponse => "the connection was closed without an answer",
-            BreachKind::FabricatedResponse => "served with an answer that no target made",
-            BreachKind::AttemptAfterEnd => "an attempt began after the request had ended",
-            BreachKind::TimeLeftTooLong => "an attempt tells more time than is left",
-            BreachKind::ForbiddenRetry => "sent again though it may have run",
-            BreachKind::ConcurrentAttempts => "two attempts at once",
-            BreachKind::SentToDraining => "sent to a target that had been told as leaving",
-            BreachKind::SlowStartExceeded => "slow start exceeded",
+            BreachKind::Unanswered => "no final response in time",
+            BreachKind::ClosedWithoutResponse => "connection closed without a response",
+            BreachKind::FabricatedResponse => "client received a success that no target served",
+            BreachKind::AttemptAfterEnd => "attempt started after the request had ended",
+            BreachKind::TimeLeftTooLong => "attempt stated more time left than its client had",
+            BreachKind::ForbiddenRetry => "request retried although it may have run",
+            BreachKind::ConcurrentAttempts => "two attempts of a non-idempotent request in flight at once",
+            BreachKind::SentToDraining => "new work sent to a draining or removed target",
+            BreachKind::SlowStartExceeded => "target sent more than slow start allows",
         })
     }
 }
--- a/crates/checker/src/drains.rs
+++ b/crates/checker/src/drains.rs
@@ -1,23 +1,26 @@
-//! The rule on drains: no new work for a target once its drain is known and the grace is over.
+//! The drain rule: once a target's drain counts as received by a process and the drain grace has elapsed, the
+//! process sends the target no new work.
 
 use crate::{
     Breach, BreachKind, Delivery, EndpointChange, History, Interval, Micros, ProcessId, Rules, TargetState,
 };
 use std::collections::HashMap;
 
-/// Attempts that began too late at draining or removed targets.
+/// Returns a breach for each attempt that started at a draining or removed target after the grace. Attempts
+/// of unrecorded requests are skipped.
 pub fn check(history: &History, rules: &Rules) -> Vec<Breach> {
-    let knowledge = EndpointKnowledge::of(history, rules);
+    let propagation = EndpointPropagation::new(history, rules);
     let processes: HashMap<&str, ProcessId> =
         history.requests.iter().map(|request| (request.id.as_str(), request.process)).collect();
     let mut breaches = Vec::new();
     for attempt in &history.attempts {
         let Some(process) = processes.get(attempt.request.as_str()) else { continue };
-        let Some(known_at) = knowledge.draining_since(*process, &attempt.target, attempt.started_at) else {
+        let Some(propagated_at) = propagation.draining_since(*process, &attempt.target, attempt.started_at)
+        else {
             continue;
         };
-        let stalled = history.stalled(known_at, attempt.started_at);
-        if attempt.started_at > known_at + rules.drain_grace + rules.socket_slack + stalled {
+        let stall_time = history.stall_time(propagated_at, attempt.started_at);
+        if attempt.started_at > propagated_at + rules.drain_grace + rules.socket_slack + stall_time {
             breaches.push(Breach {
                 at: attempt.started_at,
                 kind: BreachKind::SentToDraining,
@@ -30,19 +33,19 @@
     breaches
 }
 
-/// Which changes of the endpoint list each process knows, and since when.
-struct EndpointKnowledge<'a> {
-    /// By target, in the order of their versions.
+/// Determines when each change of the endpoint list counts as received by each process.
+struct EndpointPropagation<'a> {
+    /// By target, ordered by list version.
     changes: HashMap<&'a str, Vec<&'a EndpointChange>>,
-    /// In the order of their times.
+    /// Ordered by delivery time.
     deliveries: HashMap<ProcessId, Vec<&'a Delivery>>,
     process_starts: HashMap<ProcessId, Micros>,
     outages: &'a [Interval],
     discovery_propagation: Micros,
 }
 
-impl<'a> EndpointKnowledge<'a> {
-    fn of(history: &'a History, rules: &Rules) -> EndpointKnowledge<'a> {
+impl<'a> EndpointPropagation<'a> {
+    fn new(history: &'a History, rules: &Rules) -> EndpointPropagation<'a> {
         let mut changes: HashMap<&str, Vec<&EndpointChange>> = HashMap::new();
         for change in &history.changes {
             changes.entry(&change.target).or_default().push(change);
@@ -53,7 +56,7 @@
         }
         changes.values_mut().for_each(|list| list.sort_by_key(|change| change.version));
         deliveries.values_mut().for_each(|list| list.sort_by_key(|delivery| delivery.at));
-        EndpointKnowledge {
+        EndpointPropagation {
             changes,
             deliveries,
             process_starts: history.process_starts.iter().copied().collect(),
@@ -62,8 +65,8 @@
         }
     }
 
-    /// Since when a process knows that a target takes no new work, as of a time; none: it does not, or the
-    /// target has been active again since.
+    /// Since when the target's drain or removal counts as received by the process. `None` if that is not the
+    /// case by `at`, or if the target has become active again.
     fn draining_since(&self, process: ProcessId, target: &str, at: Micros) -> Option<Micros> {
         let mut since = None;
         for change in self.changes.get(target)? {
@@ -71,28 +74,31 @@
                 break;
             }
             match change.state {
-                // Active again from the change itself on, known or not.
+                // A target that becomes active may be sent new work from the change on, even before the
+                // process has received the change.
                 TargetState::Active { .. } => since = None,
                 TargetState::Draining | TargetState::Removed => {
-                    let known_at = self.known_at(process, change);
-                    since = Some(since.map_or(known_at, |earlier: Micros| earlier.min(known_at)));
+                    let propagated_at = self.propagated_at(process, change);
+                    since = Some(since.map_or(propagated_at, |earlier: Micros| earlier.min(propagated_at)));
                 }
             }
         }
-        since.filter(|known_at| *known_at <= at)
+        since.filter(|propagated_at| *propagated_at <= at)
     }
 
-    /// When a change counts as known to a process: written to it, or so long after discovery had it and could
-    /// be reached by the process.
-    fn known_at(&self, process: ProcessId, change: &EndpointChange) -> Micros {
+    /// When a change counts as received by a process: when discovery delivered it to the process, but at the
+    /// latest `discovery_propagation` after the process had started, discovery had recorded the change and
+    /// was reachable.
+    fn propagated_at(&self, process: ProcessId, change: &EndpointChange) -> Micros {
         let deliveries = self.deliveries.get(&process).map_or(&[][..], Vec::as_slice);
-        let written = deliveries.iter().filter(|d| d.version >= change.version).map(|d| d.at).min();
-        let started = self.process_starts.get(&process).copied().unwrap_or(0).max(change.at);
-        let latest = self.reachable_from(started) + self.discovery_propagation;
-        written.map_or(latest, |at| at.min(latest))
+        let delivered_at = deliveries.iter().filter(|d| d.version >= change.version).map(|d| d.at).min();
+        let reachable_since = self.process_starts.get(&process).copied().unwrap_or(0).max(change.at);
+        let latest = self.reachable_from(reachable_since) + self.discovery_propagation;
+        delivered_at.map_or(latest, |at| at.min(latest))
     }
 
-    /// The first time from `at` on at which discovery can be reached.
+    /// The first time at or after `at` at which discovery is reachable. Outages must be ordered by start
+    /// time.
     fn reachable_from(&self, at: Micros) -> Micros {
         let mut reachable = at;
         for outage in self.outages {
--- a/crates/checker/src/history.rs
+++ b/crates/checker/src/history.rs
@@ -1,81 +1,85 @@
-//! What a test recorded.
+//! The record of a test: requests, attempts, endpoint list changes and disturbances.
 
-/// Microseconds of the rig's monotonic clock.
+/// A time or duration in microseconds, times being on the rig's monotonic clock.
 pub type Micros = u64;
 
-/// One life of an initiator: a process that starts again has another number.
+/// One incarnation of an initiator: a restarted process has a new number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProcessId(pub u32);
 
-/// How often a request may run.
+/// Under which conditions a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may run again at any time.
+    /// The request may be executed again at any time.
     Idempotent,
-    /// Targets of one deduplication scope drop a repeat within a window.
+    /// Targets of one deduplication scope drop a repeat of the request within a window.
     KeyedWithin {
-        /// How long after the first attempt was sent.
+        /// Length of the window, measured from the start of the first attempt.
         window: Micros,
     },
-    /// It may not run twice.
+    /// The request may be executed only once.
     NonIdempotent,
 }
 
-/// How a request ended for its client.
+/// The result of a request as observed by its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientOutcome {
-    /// The last byte of a response came.
+    /// The client received a complete response.
     Answered {
-        /// When it came.
+        /// When the last byte arrived.
         at: Micros,
-        /// The status code of HTTP.
+        /// The HTTP status code.
         status: u16,
     },
-    /// The client closed its connection before it had a response.
+    /// The client closed its connection before it received a response.
     Disconnected {
-        /// When it closed.
+        /// When the client closed the connection.
         at: Micros,
     },
-    /// The client waited for as long as it said and half a second more.
+    /// No response arrived by the client's deadline, nor in the half second after it.
     TimedOut {
-        /// When it gave up.
+        /// When the client stopped waiting.
         at: Micros,
     },
-    /// The initiator closed the connection, on which the whole request had been written.
+    /// The initiator closed the connection without a response, after the client had written the whole
+    /// request.
     Closed {
-        /// When it closed.
+        /// When the initiator closed the connection.
         at: Micros,
-        /// No other request had been sent on the connection before.
+        /// Whether this was the first request on the connection.
         first: bool,
     },
-    /// The request never was an initiator's: no connection came up, or it was not written whole.
+    /// The request did not reach an initiator: the connection failed, or the request was not completely
+    /// written.
     NotAccepted,
-    /// A response began and its connection was reset, so its client can tell that it is not whole.
+    /// The connection was reset after a response had begun; the reset shows the client that the response is
+    /// incomplete.
     Truncated {
         /// When the connection was reset.
         at: Micros,
     },
 }
 
-/// A request as its client saw it.
+/// A request as observed by its client.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// The same at the client and in all attempts.
+    /// Identifies the request; each of its attempts carries the same id.
     pub id: String,
-    /// The initiator that it was sent to.
+    /// The initiator process that the request was sent to.
     pub process: ProcessId,
-    /// How often it may run.
+    /// Under which conditions the request may be executed more than once.
     pub idempotency: Idempotency,
-    /// When its last byte was written.
+    /// When the client had written the last byte.
     pub sent_at: Micros,
-    /// How long the client said that it waits, from then.
+    /// The request's time limit as stated by the client, counted from `sent_at`.
     pub wait: Micros,
-    /// How it ended.
+    /// The result observed by the client.
     pub outcome: ClientOutcome,
 }
 
 impl Request {
-    /// When no attempt of it may begin any more; none: it has not ended for its client.
+    /// When the request ended for its client; no attempt may start after this. `None` if the request was not
+    /// accepted.
     pub fn ended_at(&self) -> Option<Micros> {
         match self.outcome {
             ClientOutcome::Answered { at, .. }
@@ -88,91 +92,92 @@
     }
 }
 
-/// What became of an attempt at its target.
+/// The state or result of an attempt as observed by its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// It is being worked on, or was never answered.
+    /// The target is processing the attempt, or its connection ended before the response.
     InFlight,
-    /// It ran.
+    /// The target executed the request and returned a success.
     Served,
-    /// It failed, and may have run.
+    /// The target returned an error; the request may have been executed.
     Failed,
-    /// It was rejected with the promise that it did not run.
+    /// The target rejected the attempt and stated that it was not executed.
     Rejected,
-    /// Its connection broke before its last byte had come.
+    /// The last byte of the attempt has not arrived; final if the connection ended before it.
     Incomplete,
 }
 
-/// An attempt as its target saw it.
+/// An attempt as observed by its target.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Attempt {
-    /// The id of its request.
+    /// Id of the request that the attempt belongs to.
     pub request: String,
-    /// The target's name.
+    /// Name of the target.
     pub target: String,
-    /// The targets among which a repeat is known.
+    /// Name of the group of targets that recognise repeats of each other's keyed requests.
     pub deduplication_scope: String,
-    /// When its head had come.
+    /// When the target had received the attempt's headers.
     pub started_at: Micros,
-    /// Its size, in requests of usual work.
+    /// Size of the attempt relative to a request of usual size.
     pub units: f64,
-    /// The time that the initiator says it will wait.
+    /// Time left as stated by the initiator; `None` if the attempt states none.
     pub time_left: Option<Micros>,
-    /// What became of it.
+    /// The state or result at the target.
     pub outcome: AttemptOutcome,
-    /// When its response was written, or its connection ended.
+    /// When the target had written the response, or when the connection ended before that; `None` while
+    /// neither has happened.
     pub ended_at: Option<Micros>,
 }
 
-/// What the endpoint list says of a target.
+/// The state of a target in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetState {
-    /// It takes new work.
+    /// The target accepts new work.
     Active {
-        /// When it started, unless that was long ago.
+        /// When the target started; `None` if it started too long ago for slow start to apply.
         started: Option<Micros>,
     },
-    /// It takes no new work.
+    /// The target accepts no new work.
     Draining,
-    /// It is no longer listed.
+    /// The target is no longer listed.
     Removed,
 }
 
 /// A change of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointChange {
-    /// The version of the list that has it.
+    /// Version of the endpoint list that contains the change.
     pub version: u64,
-    /// When discovery had it.
+    /// When the change was recorded at discovery.
     pub at: Micros,
-    /// The target's name.
+    /// Name of the target.
     pub target: String,
-    /// The target's state from then on.
+    /// State of the target from this change on.
     pub state: TargetState,
 }
 
-/// Discovery wrote the list as of a version, or all changes up to it, to a process.
+/// Discovery delivered the endpoint list at a version, or all changes up to that version, to a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Delivery {
-    /// Who read it.
+    /// The process that received the list.
     pub process: ProcessId,
-    /// The version of the list.
+    /// Version of the list.
     pub version: u64,
-    /// When it was written.
+    /// When discovery wrote the response.
     pub at: Micros,
 }
 
-/// A span of time, such as one in which discovery could not be reached.
+/// A span of time, for example an outage of discovery. `to` is exclusive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Interval {
-    /// Its first instant.
+    /// Start of the span.
     pub from: Micros,
-    /// The first instant behind it.
+    /// End of the span, exclusive.
     pub to: Micros,
 }
 
 impl Interval {
-    /// How much of the span from `from` to `to` lies in this one.
+    /// Returns the length of the overlap with the span from `from` to `to`.
     fn overlap(&self, from: Micros, to: Micros) -> Micros {
         self.to.min(to).saturating_sub(self.from.max(from))
     }
@@ -181,41 +186,42 @@
 /// How the test ended a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProcessEnd {
-    /// The process.
+    /// The process that ended.
     pub process: ProcessId,
-    /// When it got SIGTERM; none: it never did.
+    /// When the process was sent SIGTERM; `None` if it was not.
     pub terminated_at: Option<Micros>,
-    /// When it got SIGKILL; none: it ended by itself.
+    /// When the process was sent SIGKILL; `None` if it exited without.
     pub killed_at: Option<Micros>,
 }
 
-/// All that a test recorded.
+/// Everything that a test recorded, the input of [`check`](crate::check).
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct History {
-    /// Every request, as its client saw it.
+    /// Every request, as observed by its client.
     pub requests: Vec<Request>,
-    /// Every attempt, as its target saw it.
+    /// Every attempt, as observed by its target.
     pub attempts: Vec<Attempt>,
     /// Every change of the endpoint list.
     pub changes: Vec<EndpointChange>,
-    /// Every answer of discovery that was read whole.
+    /// Every response of discovery that a process received completely.
     pub deliveries: Vec<Delivery>,
-    /// When discovery could not be reached.
+    /// Spans in which discovery was unreachable.
     pub outages: Vec<Interval>,
-    /// When each process started; one that is not here was there from the beginning.
+    /// When each process started. A process without an entry ran from the start of the test.
     pub process_starts: Vec<(ProcessId, Micros)>,
-    /// The processes that the test ended.
+    /// How and when the test ended processes.
     pub process_ends: Vec<ProcessEnd>,
-    /// Times in which the rig itself stood still, so that what it recorded then is late by as much.
+    /// Spans in which the rig itself was stalled. What it recorded then may be late by up to the length of
+    /// the stall.
     pub stalls: Vec<Interval>,
-    /// Processes whose descriptors idle clients fill, and since when: new connections may be closed unread
-    /// then.
+    /// Processes whose file descriptors idle clients exhaust, and since when. From then on, the process may
+    /// close a new connection before it reads a request.
     pub descriptor_exhaustions: Vec<(ProcessId, Micros)>,
 }
 
 impl History {
-    /// How much of a span the rig stood still.
-    pub fn stalled(&self, from: Micros, to: Micros) -> Micros {
+    /// Returns how long the rig was stalled in the span from `from` to `to`.
+    pub fn stall_time(&self, from: Micros, to: Micros) -> Micros {
         self.stalls.iter().map(|stall| stall.overlap(from, to)).sum()
     }
 }
--- a/crates/checker/src/lib.rs
+++ b/crates/checker/src/lib.rs
@@ -1,11 +1,11 @@
 //! Checks what clients, targets and discovery recorded during a test against the rules of the protocol.
 //!
-//! A test rig fills a [`History`]: every request as its client saw it, every attempt as its target saw it,
-//! every change of the endpoint list, and when discovery wrote which version to which process. [`check`]
-//! returns each [`Breach`]. All times are on one monotonic clock, so the checker needs neither sockets nor a
-//! clock of its own.
+//! A test rig fills a [`History`]: every request as its client observed it, every attempt as its target
+//! observed it, every change of the endpoint list, and when discovery delivered which version to which
+//! process. [`check`] returns each [`Breach`]. All times are on one monotonic clock, so the checker needs
+//! neither sockets nor a clock of its own.
 //!
-//! The checker errs on the side of the program under test only by the slack that [`Rules`] states.
+//! The only tolerance in favour of the program under test is the slack that [`Rules`] states.
 
 #![forbid(unsafe_code)]
 
@@ -23,7 +23,7 @@
 };
 pub use rules::{Rules, SlowStart};
 
-/// All breaches of a history, in the order of their times.
+/// Returns all breaches in a history, ordered by time, then kind, then request id.
 pub fn check(history: &History, rules: &Rules) -> Vec<Breach> {
     let mut breaches = requests::check(history, rules);
     breaches.extend(drains::check(history, rules));
--- a/crates/checker/src/rules.rs
+++ b/crates/checker/src/rules.rs
@@ -2,42 +2,44 @@
 
 use crate::Micros;
 
-/// The limits that the settings and the protocol give.
+/// Time limits and tolerances from the protocol and the settings, in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
-    /// A response this much later than its request's deadline is lost, as is none at all.
+    /// A response that arrives later than this after its request's deadline counts as missing.
     pub response_slack: Micros,
-    /// An attempt may begin this long after its client disconnected, or after its request's final response.
+    /// An attempt may start up to this long after its client disconnected or received the final response.
     pub disconnect_slack: Micros,
-    /// An attempt may tell its target this much more time than its client has left.
+    /// The time left that an attempt states to its target may exceed what the client has left by this much.
     pub time_left_slack: Micros,
-    /// A target may be sent new work this long after its drain became known.
+    /// A target may be sent new work up to this long after its drain counts as received by the process.
     pub drain_grace: Micros,
-    /// The time limits of the settings are longer by this on sockets.
+    /// Tolerance on the time limits of the settings, since events are observed at sockets.
     pub socket_slack: Micros,
-    /// A change counts as known this long after discovery had it and could be reached.
+    /// A change of the endpoint list counts as received by a process this long after discovery recorded it
+    /// and was reachable, unless it was delivered earlier.
     pub discovery_propagation: Micros,
-    /// A process that got SIGTERM owes responses to what came later than this, even if it is killed.
+    /// A process that received SIGTERM still owes a response to each request sent later than this after the
+    /// signal, even if the process is killed then.
     pub sigterm_grace: Micros,
-    /// None: slow start is not checked.
+    /// `None` if slow start is not checked.
     pub slow_start: Option<SlowStart>,
 }
 
-/// The budget of a target that has just started.
+/// How much work a newly started target can take.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStart {
-    /// Requests of usual work that a target bears in a window at its start.
+    /// Work that a target can take in one window at its start, in requests of usual size.
     pub requests: f64,
-    /// The window's length.
+    /// Length of the window over which the work is summed.
     pub window: Micros,
-    /// The part of its capacity that a target has at its start, between 0 and 1.
+    /// Capacity of a target at its start as a fraction of its full capacity: greater than 0, at most 1.
     pub initial_capacity: f64,
-    /// It has all of it after this long.
+    /// How long after its start a target has reached full capacity; capacity grows linearly until then.
     pub warm_within: Micros,
 }
 
 impl Rules {
-    /// The protocol's own limits, with the settings' grace.
+    /// The protocol's limits, combined with the settings' drain grace. Slow start is not checked.
     pub fn with_grace(drain_grace: Micros) -> Rules {
         Rules {
             response_slack: 500_000,
