--- a/crates/fault-shim/src/counts_file.rs
+++ b/crates/fault-shim/src/counts_file.rs
@@ -1,8 +1,8 @@
-//! The file with the counts of injected faults, written by a thread of its own.
+//! The file with the counts of injected faults, written by a separate thread.
 //!
-//! A disk under load takes half a second and more for a small file. The process under test must not wait for it:
-//! held up for longer than 0.15 s between two calls, it reads requests late and tells targets too much time, a
-//! breach that the rig itself has caused.
+//! Writing a small file takes half a second or more on a disk under load. The process under test must not
+//! wait for that: a delay of more than 0.15 s between two calls makes it read requests late and state too
+//! much time left to targets, a breach that the rig itself would have caused.
 
 use crate::COUNTS_VARIABLE;
 use std::collections::BTreeMap;
@@ -10,56 +10,56 @@
 use std::fmt::Write;
 use std::sync::mpsc::{Receiver, Sender, channel};
 
-/// Hands counts to the thread that writes them.
+/// Sends counts to the thread that writes the file.
 pub struct CountsFile {
-    /// None: no file was asked for, or the thread could not be started.
-    texts: Option<Sender<String>>,
+    /// `None` if no file is configured or the thread could not be started.
+    sender: Option<Sender<String>>,
 }
 
 impl CountsFile {
-    /// Starts the writing thread, if [`COUNTS_VARIABLE`] names a file.
+    /// Starts the writer thread if [`COUNTS_VARIABLE`] is set.
     pub fn start() -> CountsFile {
-        let Some(path) = path() else { return CountsFile { texts: None } };
-        let (texts, received) = channel();
-        let thread = std::thread::Builder::new().spawn(move || write_latest(&path, &received));
-        CountsFile { texts: thread.ok().map(|_| texts) }
+        let Some(counts_path) = counts_path() else { return CountsFile { sender: None } };
+        let (sender, receiver) = channel();
+        let thread = std::thread::Builder::new().spawn(move || write_latest(&counts_path, &receiver));
+        CountsFile { sender: thread.ok().map(|_| sender) }
     }
 
-    /// Has the counts written, in place of those before. Never waits.
+    /// Queues the counts to replace the content of the file. Never blocks.
     pub fn write(&self, counts: &BTreeMap<String, u64>) {
-        let Some(texts) = &self.texts else { return };
+        let Some(sender) = &self.sender else { return };
         let mut text = String::new();
         for (name, count) in counts {
-            // Writing to a string does not fail.
+            // Writing to a string cannot fail.
             let _ = writeln!(text, "{name} {count}");
         }
-        // The thread ends with its process only.
-        let _ = texts.send(text);
+        // The send cannot fail: the thread keeps receiving until the process exits.
+        let _ = sender.send(text);
     }
 }
 
-/// The file of this process.
-fn path() -> Option<CString> {
-    let path = std::env::var(COUNTS_VARIABLE).ok()?;
-    CString::new(format!("{path}.{}", std::process::id())).ok()
+/// The path of this process's counts file.
+fn counts_path() -> Option<CString> {
+    let base_path = std::env::var(COUNTS_VARIABLE).ok()?;
+    CString::new(format!("{base_path}.{}", std::process::id())).ok()
 }
 
-fn write_latest(path: &CString, received: &Receiver<String>) {
-    while let Ok(mut text) = received.recv() {
-        // Older counts that wait are of no use any more.
-        while let Ok(later) = received.try_recv() {
-            text = later;
+fn write_latest(counts_path: &CString, receiver: &Receiver<String>) {
+    while let Ok(mut text) = receiver.recv() {
+        // Only the latest counts are written; older ones in the queue are skipped.
+        while let Ok(newer) = receiver.try_recv() {
+            text = newer;
         }
-        write_file(path, &text);
+        write_file(counts_path, &text);
     }
 }
 
-/// Writes by system calls, which are not under test.
-fn write_file(path: &CString, text: &str) {
+/// Writes the file by direct system calls, into which no faults are injected.
+fn write_file(counts_path: &CString, text: &str) {
     let flags = libc::O_WRONLY | libc::O_CREAT | libc::O_TRUNC | libc::O_CLOEXEC;
-    // SAFETY: path and text live to the end of this function, and the descriptor is this function's own.
+    // SAFETY: path and text outlive the calls, and the descriptor is owned by this function.
     unsafe {
-        let file = libc::syscall(libc::SYS_open, path.as_ptr(), flags, 0o600);
+        let file = libc::syscall(libc::SYS_open, counts_path.as_ptr(), flags, 0o600);
         if file >= 0 {
             libc::syscall(libc::SYS_write, file, text.as_ptr(), text.len());
             libc::syscall(libc::SYS_close, file);
--- a/crates/fault-shim/src/lib.rs
+++ b/crates/fault-shim/src/lib.rs
@@ -1,10 +1,13 @@
-//! Makes system calls of a process under test fail, as Linux documents that they may.
+//! Injects faults into the system calls of a process under test: errors, short reads and writes, delays and
+//! clock steps that Linux documents as possible.
 //!
-//! A test rig loads this library into the process (`LD_PRELOAD`) and names the faults in [`FAULTS_VARIABLE`];
-//! without that variable every call goes through unchanged. It is never part of the product. It stands before
-//! the C library's functions, through which the standard library, `mio` and `socket2` make their calls;
-//! `rustix` makes system calls by itself and is not reached. Spurious EAGAIN is not offered: with
-//! edge-triggered readiness no event would follow, which Linux does not do.
+//! A test rig loads this library into the process with `LD_PRELOAD` and configures the faults in
+//! [`FAULTS_VARIABLE`]. Without that variable, every call passes through unchanged. The library is never part
+//! of the product.
+//!
+//! The library interposes functions of the C library, through which the standard library, `mio` and `socket2`
+//! make their calls. `rustix` makes system calls directly and is not affected. Spurious EAGAIN is not
+//! offered: with edge-triggered readiness, no event would follow, which does not happen on Linux.
 
 mod counts_file;
 mod plan;
@@ -19,44 +22,44 @@
 use std::sync::{Mutex, MutexGuard, OnceLock, PoisonError, TryLockError};
 use std::time::Duration;
 
-/// How often the counts are written to their file.
-const WRITE_EVERY: u64 = 20;
-/// From one late call to the next at least: the rules allow for one hold-up on a request's way, not for
-/// several.
-const BETWEEN_HOLD_UPS: Duration = Duration::from_millis(500);
+/// Number of injected faults between two writes of the counts file.
+const FAULTS_PER_COUNTS_WRITE: u64 = 20;
+/// Minimum time between two delayed calls: the rules allow for one delay while a request passes through the
+/// process, not for several.
+const MIN_DELAY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What the process under test is to suffer, and what it has.
+/// The fault plan of this process and the state of its injection.
 struct Injector {
     plan: Plan,
     state: Mutex<State>,
-    begun: Duration,
+    started_at: Duration,
 }
 
 struct State {
-    random: Pcg64Mcg,
-    /// By call and fault.
+    rng: Pcg64Mcg,
+    /// Number of injected faults by call and fault.
     counts: BTreeMap<String, u64>,
-    injected: u64,
-    /// Where the counts are written; opened with the first fault.
+    injected_count: u64,
+    /// Writer of the counts file; created with the first injected fault.
     counts_file: Option<CountsFile>,
-    /// Descriptors that `accept4` gave. Their connections are clients', which are not to break: a request is
-    /// lost where the process itself ends its connection.
+    /// Descriptors returned by `accept4`, which are the connections of clients. No errno is injected on them:
+    /// the process would close the connection, and the client's request would be lost.
     accepted: HashSet<c_int>,
-    /// When a call was last late.
-    late_at: Option<Duration>,
+    /// When a call was last delayed, measured from the start of the injection.
+    last_delay_at: Option<Duration>,
 }
 
-/// The monotonic clock, by the system call itself.
-fn monotonic() -> Duration {
+/// Reads the monotonic clock by a direct system call, which bypasses the interposed `clock_gettime`.
+fn monotonic_now() -> Duration {
     let mut now = libc::timespec { tv_sec: 0, tv_nsec: 0 };
-    // SAFETY: the pointer is to a timespec of this frame.
+    // SAFETY: the pointer is to a local timespec.
     unsafe { libc::syscall(libc::SYS_clock_gettime, libc::CLOCK_MONOTONIC, &raw mut now) };
     Duration::new(now.tv_sec as u64, now.tv_nsec as u32)
 }
 
 fn injector() -> Option<&'static Injector> {
     static INJECTOR: OnceLock<Option<Injector>> = OnceLock::new();
-    let made = INJECTOR.get_or_init(|| {
+    let injector = INJECTOR.get_or_init(|| {
         let text = std::env::var(FAULTS_VARIABLE).ok()?;
         let plan: Plan = match text.parse() {
             Ok(plan) => plan,
@@ -65,24 +68,25 @@
                 std::process::abort();
             }
         };
-        let random = Pcg64Mcg::seed_from_u64(plan.seed);
+        let rng = Pcg64Mcg::seed_from_u64(plan.seed);
         let state = State {
-            random,
+            rng,
             counts: BTreeMap::new(),
-            injected: 0,
+            injected_count: 0,
             counts_file: None,
             accepted: HashSet::new(),
-            late_at: None,
+            last_delay_at: None,
         };
-        Some(Injector { plan, state: Mutex::new(state), begun: monotonic() })
+        Some(Injector { plan, state: Mutex::new(state), started_at: monotonic_now() })
     });
-    made.as_ref()
+    injector.as_ref()
 }
 
 impl Injector {
-    /// The state, unless it is in use. A signal's handler may call in the middle of another call of its
-    /// thread, and must not wait for what that holds.
-    fn state(&self) -> Option<MutexGuard<'_, State>> {
+    /// Locks the state, or returns `None` if it is locked already. A signal handler may interrupt an
+    /// interposed call of its own thread while that call holds the lock, so waiting for the lock could
+    /// deadlock.
+    fn try_lock_state(&self) -> Option<MutexGuard<'_, State>> {
         match self.state.try_lock() {
             Ok(state) => Some(state),
             Err(TryLockError::Poisoned(state)) => Some(state.into_inner()),
@@ -90,36 +94,40 @@
         }
     }
 
-    /// The fault that befalls a call now, of those that may, if any.
-    fn draw(&self, call: Call, may: impl Fn(Fault) -> bool) -> Option<Fault> {
-        let at = monotonic().saturating_sub(self.begun);
-        let mut state = self.state()?;
-        let held_up_lately = state.late_at.is_some_and(|late| at < late + BETWEEN_HOLD_UPS);
-        let may = |fault| may(fault) && !(held_up_lately && matches!(fault, Fault::Late(_)));
-        let in_time = |rule: &&Rule| rule.call == call && rule.from <= at && at < rule.to && may(rule.fault);
-        let drawn = self.plan.rules.iter().filter(in_time).find(|rule| {
-            // A rate of one needs no chance.
-            rule.rate >= 1.0 || state.random.random_bool(rule.rate)
+    /// Decides whether to inject a fault into a call now, among the eligible faults of the plan. Counts the
+    /// fault that it returns.
+    fn draw_fault(&self, call: Call, is_eligible: impl Fn(Fault) -> bool) -> Option<Fault> {
+        let at = monotonic_now().saturating_sub(self.started_at);
+        let mut state = self.try_lock_state()?;
+        let delayed_recently = state.last_delay_at.is_some_and(|late| at < late + MIN_DELAY_INTERVAL);
+        let is_eligible =
+            |fault| is_eligible(fault) && !(delayed_recently && matches!(fault, Fault::Late(_)));
+        let applies =
+            |rule: &&Rule| rule.call == call && rule.from <= at && at < rule.to && is_eligible(rule.fault);
+        let rule = self.plan.rules.iter().filter(applies).find(|rule| {
+            // A rate of 1 draws no random number.
+            rule.rate >= 1.0 || state.rng.random_bool(rule.rate)
         })?;
-        *state.counts.entry(format!("{}:{:?}", call.name(), drawn.fault)).or_default() += 1;
-        state.injected += 1;
-        if matches!(drawn.fault, Fault::Late(_)) {
-            state.late_at = Some(at);
+        *state.counts.entry(format!("{}:{:?}", call.name(), rule.fault)).or_default() += 1;
+        state.injected_count += 1;
+        if matches!(rule.fault, Fault::Late(_)) {
+            state.last_delay_at = Some(at);
         }
-        if state.injected % WRITE_EVERY == 1 {
+        if state.injected_count % FAULTS_PER_COUNTS_WRITE == 1 {
             let State { counts, counts_file, .. } = &mut *state;
             counts_file.get_or_insert_with(CountsFile::start).write(counts);
         }
-        Some(drawn.fault)
+        Some(rule.fault)
     }
 }
 
-/// Notes whether a new descriptor is a client's connection.
-fn opened(descriptor: c_int, by_accept: bool) -> c_int {
+/// Records whether a newly opened descriptor is a client's connection, and returns the descriptor.
+fn record_descriptor(descriptor: c_int, from_accept: bool) -> c_int {
     if let Some(injector) = injector().filter(|_| descriptor >= 0) {
-        // Signals' handlers open nothing, so whoever has it lets go of it.
+        // Cannot deadlock: signal handlers open no descriptors, so the lock is never held by an interrupted
+        // call of the same thread.
         let mut state = injector.state.lock().unwrap_or_else(PoisonError::into_inner);
-        match by_accept {
+        match from_accept {
             true => state.accepted.insert(descriptor),
             false => state.accepted.remove(&descriptor),
         };
@@ -127,61 +135,64 @@
     descriptor
 }
 
-/// The fault that befalls a read or write of a connection: a client's does not break.
-fn draw_for(call: Call, socket: c_int) -> Option<Fault> {
+/// Decides whether to inject a fault into a read or write on a connection. Connections of clients get no
+/// errno.
+fn draw_connection_fault(call: Call, socket: c_int) -> Option<Fault> {
     let injector = injector()?;
-    let accepted = injector.state()?.accepted.contains(&socket);
-    injector.draw(call, |fault| !accepted || !matches!(fault, Fault::Errno(_)))
+    let accepted = injector.try_lock_state()?.accepted.contains(&socket);
+    injector.draw_fault(call, |fault| !accepted || !matches!(fault, Fault::Errno(_)))
 }
 
-fn draw(call: Call) -> Option<Fault> {
-    injector()?.draw(call, |_| true)
+fn draw_fault(call: Call) -> Option<Fault> {
+    injector()?.draw_fault(call, |_| true)
 }
 
 fn set_errno(errno: i32) {
-    // SAFETY: the C library gives each thread its own.
+    // SAFETY: errno is local to the thread, so no other thread writes to it.
     unsafe { *libc::__errno_location() = errno };
 }
 
-fn sleep(span: Duration) {
-    let wait = libc::timespec { tv_sec: span.as_secs() as i64, tv_nsec: i64::from(span.subsec_nanos()) };
-    // SAFETY: the pointer is to a timespec of this frame.
-    unsafe { libc::syscall(libc::SYS_nanosleep, &raw const wait, std::ptr::null_mut::<libc::timespec>()) };
+fn sleep(duration: Duration) {
+    let request =
+        libc::timespec { tv_sec: duration.as_secs() as i64, tv_nsec: i64::from(duration.subsec_nanos()) };
+    // SAFETY: the pointer is to a local timespec.
+    unsafe { libc::syscall(libc::SYS_nanosleep, &raw const request, std::ptr::null_mut::<libc::timespec>()) };
 }
 
-/// The C library's own function of a name, looked up once.
-macro_rules! next {
-    ($name:literal as $kind:ty) => {{
-        static NEXT: OnceLock<usize> = OnceLock::new();
-        let found = NEXT.get_or_init(|| {
-            // SAFETY: the name is a C string, and the C library has such a function.
-            let found = unsafe { libc::dlsym(libc::RTLD_NEXT, concat!($name, "\0").as_ptr().cast()) };
-            if found.is_null() {
+/// The next definition of a function in the library search order, which is the C library's own. Looked up
+/// once for each use.
+macro_rules! next_symbol {
+    ($name:literal as $signature:ty) => {{
+        static SYMBOL_ADDRESS: OnceLock<usize> = OnceLock::new();
+        let address = SYMBOL_ADDRESS.get_or_init(|| {
+            // SAFETY: the name is a C string, and the C library defines a function of that name.
+            let address = unsafe { libc::dlsym(libc::RTLD_NEXT, concat!($name, "\0").as_ptr().cast()) };
+            if address.is_null() {
                 std::process::abort();
             }
-            found as usize
+            address as usize
         });
         // SAFETY: the function of that name has this signature.
-        unsafe { std::mem::transmute::<usize, $kind>(*found) }
+        unsafe { std::mem::transmute::<usize, $signature>(*address) }
     }};
 }
 
-/// Fails with the errno of a drawn fault, or is late; or goes on.
-macro_rules! fail_or_go_on {
+/// Injects a fault into the calling function: returns -1 with errno set, or sleeps and continues.
+macro_rules! inject_fault {
     ($call:expr) => {
-        match draw($call) {
+        match draw_fault($call) {
             Some(Fault::Errno(errno)) => {
                 set_errno(errno);
                 return -1;
             }
-            Some(Fault::Late(span)) => sleep(span),
+            Some(Fault::Late(duration)) => sleep(duration),
             Some(Fault::Short | Fault::Step(_)) | None => {}
         }
     };
 }
 
 /// # Safety
-/// As the C library's function.
+/// The same requirements as for the C library's `accept4`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn accept4(
     socket: c_int,
@@ -189,133 +200,140 @@
     length: *mut socklen_t,
     flags: c_int,
 ) -> c_int {
-    fail_or_go_on!(Call::Accept);
-    let real = next!("accept4" as unsafe extern "C" fn(c_int, *mut sockaddr, *mut socklen_t, c_int) -> c_int);
-    // SAFETY: the caller keeps what the function asks.
-    opened(unsafe { real(socket, address, length, flags) }, true)
+    inject_fault!(Call::Accept);
+    let real =
+        next_symbol!("accept4" as unsafe extern "C" fn(c_int, *mut sockaddr, *mut socklen_t, c_int) -> c_int);
+    // SAFETY: the caller meets the requirements of the C function.
+    record_descriptor(unsafe { real(socket, address, length, flags) }, true)
 }
 
 /// # Safety
-/// As the C library's function.
+/// The same requirements as for the C library's `socket`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
-    fail_or_go_on!(Call::Socket);
-    let real = next!("socket" as unsafe extern "C" fn(c_int, c_int, c_int) -> c_int);
-    // SAFETY: the caller keeps what the function asks.
-    opened(unsafe { real(domain, kind, protocol) }, false)
+    inject_fault!(Call::Socket);
+    let real = next_symbol!("socket" as unsafe extern "C" fn(c_int, c_int, c_int) -> c_int);
+    // SAFETY: the caller meets the requirements of the C function.
+    record_descriptor(unsafe { real(domain, kind, protocol) }, false)
 }
 
 /// # Safety
-/// As the C library's function.
+/// The same requirements as for the C library's `connect`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn connect(socket: c_int, address: *const sockaddr, length: socklen_t) -> c_int {
-    fail_or_go_on!(Call::Connect);
-    let real = next!("connect" as unsafe extern "C" fn(c_int, *const sockaddr, socklen_t) -> c_int);
-    // SAFETY: the caller keeps what the function asks.
+    inject_fault!(Call::Connect);
+    let real = next_symbol!("connect" as unsafe extern "C" fn(c_int, *const sockaddr, socklen_t) -> c_int);
+    // SAFETY: the caller meets the requirements of the C function.
     unsafe { real(socket, address, length) }
 }
 
-/// How many bytes a read or write of a connection may move; none: it fails, and the errno is set.
-fn allowed(call: Call, socket: c_int, length: size_t) -> Option<size_t> {
-    match draw_for(call, socket) {
+/// Returns how many bytes a read or write on a connection may transfer. `None` if the call is to fail; errno
+/// is set then.
+fn permitted_length(call: Call, socket: c_int, length: size_t) -> Option<size_t> {
+    match draw_connection_fault(call, socket) {
         Some(Fault::Errno(errno)) => {
             set_errno(errno);
             return None;
         }
         Some(Fault::Short) => return Some(length.min(1)),
-        Some(Fault::Late(span)) => sleep(span),
+        Some(Fault::Late(duration)) => sleep(duration),
         Some(Fault::Step(_)) | None => {}
     }
     Some(length)
 }
 
 /// # Safety
-/// As the C library's function.
+/// The same requirements as for the C library's `recv`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn recv(socket: c_int, buffer: *mut c_void, length: size_t, flags: c_int) -> ssize_t {
-    // A look at what has come is no read.
-    let looks = flags & libc::MSG_PEEK != 0;
-    let allowed = if looks { Some(length) } else { allowed(Call::Receive, socket, length) };
-    let Some(length) = allowed else { return -1 };
-    let real = next!("recv" as unsafe extern "C" fn(c_int, *mut c_void, size_t, c_int) -> ssize_t);
-    // SAFETY: the caller keeps what the function asks; a shorter buffer is part of it.
+    // Peeking consumes no data, so no fault is injected.
+    let peeks = flags & libc::MSG_PEEK != 0;
+    let permitted_length = if peeks { Some(length) } else { permitted_length(Call::Receive, socket, length) };
+    let Some(length) = permitted_length else { return -1 };
+    let real = next_symbol!("recv" as unsafe extern "C" fn(c_int, *mut c_void, size_t, c_int) -> ssize_t);
+    // SAFETY: the caller meets the requirements of the C function; `length` is at most the length of the
+    // caller's buffer.
     unsafe { real(socket, buffer, length, flags) }
 }
 
 /// # Safety
-/// As the C library's function.
+/// The same requirements as for the C library's `send`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn send(socket: c_int, buffer: *const c_void, length: size_t, flags: c_int) -> ssize_t {
-    let Some(length) = allowed(Call::Send, socket, length) else { return -1 };
-    let real = next!("send" as unsafe extern "C" fn(c_int, *const c_void, size_t, c_int) -> ssize_t);
-    // SAFETY: the caller keeps what the function asks; a shorter buffer is part of it.
+    let Some(length) = permitted_length(Call::Send, socket, length) else { return -1 };
+    let real = next_symbol!("send" as unsafe extern "C" fn(c_int, *const c_void, size_t, c_int) -> ssize_t);
+    // SAFETY: the caller meets the requirements of the C function; `length` is at most the length of the
+    // caller's buffer.
     unsafe { real(socket, buffer, length, flags) }
 }
 
 /// # Safety
-/// As the C library's function.
+/// The same requirements as for the C library's `epoll_wait`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn epoll_wait(
     epoll: c_int,
     events: *mut libc::epoll_event,
-    most: c_int,
+    max_events: c_int,
     timeout: c_int,
 ) -> c_int {
-    fail_or_go_on!(Call::EpollWait);
-    let real =
-        next!("epoll_wait" as unsafe extern "C" fn(c_int, *mut libc::epoll_event, c_int, c_int) -> c_int);
-    // SAFETY: the caller keeps what the function asks.
-    unsafe { real(epoll, events, most, timeout) }
+    inject_fault!(Call::EpollWait);
+    let real = next_symbol!(
+        "epoll_wait" as unsafe extern "C" fn(c_int, *mut libc::epoll_event, c_int, c_int) -> c_int
+    );
+    // SAFETY: the caller meets the requirements of the C function.
+    unsafe { real(epoll, events, max_events, timeout) }
 }
 
 /// # Safety
-/// As the C library's function.
+/// The same requirements as for the C library's `clock_gettime`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn clock_gettime(clock: libc::clockid_t, time: *mut libc::timespec) -> c_int {
-    let real = next!("clock_gettime" as unsafe extern "C" fn(libc::clockid_t, *mut libc::timespec) -> c_int);
-    // SAFETY: the caller keeps what the function asks.
-    let told = unsafe { real(clock, time) };
+    let real =
+        next_symbol!("clock_gettime" as unsafe extern "C" fn(libc::clockid_t, *mut libc::timespec) -> c_int);
+    // SAFETY: the caller meets the requirements of the C function.
+    let result = unsafe { real(clock, time) };
     if clock == libc::CLOCK_REALTIME
-        && told == 0
-        && let Some(Fault::Step(ms)) = draw(Call::Clock)
+        && result == 0
+        && let Some(Fault::Step(ms)) = draw_fault(Call::Clock)
     {
-        // SAFETY: the call above has filled it in.
+        // SAFETY: `time` is valid, since the call above succeeded and has written to it.
         unsafe { (*time).tv_sec += ms / 1_000 };
     }
-    told
+    result
 }
 
 /// # Safety
-/// As the C library's function.
+/// The same requirements as for the C library's `write`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn write(file: c_int, buffer: *const c_void, length: size_t) -> ssize_t {
-    // The standard streams and what wakes the runtime are not under test: only files are.
-    if is_file(file) {
-        fail_or_go_on!(Call::Write);
+    // Faults are limited to regular files: writes to the standard streams and to the descriptors that wake
+    // the runtime are not under test.
+    if is_regular_file(file) {
+        inject_fault!(Call::Write);
     }
-    let real = next!("write" as unsafe extern "C" fn(c_int, *const c_void, size_t) -> ssize_t);
-    // SAFETY: the caller keeps what the function asks.
+    let real = next_symbol!("write" as unsafe extern "C" fn(c_int, *const c_void, size_t) -> ssize_t);
+    // SAFETY: the caller meets the requirements of the C function.
     unsafe { real(file, buffer, length) }
 }
 
 /// # Safety
-/// As the C library's function.
+/// The same requirements as for the C library's `fsync`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn fsync(file: c_int) -> c_int {
-    fail_or_go_on!(Call::Fsync);
-    let real = next!("fsync" as unsafe extern "C" fn(c_int) -> c_int);
-    // SAFETY: the caller keeps what the function asks.
+    inject_fault!(Call::Fsync);
+    let real = next_symbol!("fsync" as unsafe extern "C" fn(c_int) -> c_int);
+    // SAFETY: the caller meets the requirements of the C function.
     unsafe { real(file) }
 }
 
-fn is_file(file: c_int) -> bool {
+fn is_regular_file(file: c_int) -> bool {
     if file <= libc::STDERR_FILENO || injector().is_none() {
         return false;
     }
-    let mut about = std::mem::MaybeUninit::<libc::stat>::uninit();
-    // SAFETY: the pointer is to a stat of this frame, which is read only where the call has filled it in.
+    let mut file_status = std::mem::MaybeUninit::<libc::stat>::uninit();
+    // SAFETY: the pointer is to a local stat, which is read only if the call has filled it in.
     unsafe {
-        libc::fstat(file, about.as_mut_ptr()) == 0
-            && (about.assume_init().st_mode & libc::S_IFMT) == libc::S_IFREG
+        libc::fstat(file, file_status.as_mut_ptr()) == 0
+            && (file_status.assume_init().st_mode & libc::S_IFMT) == libc::S_IFREG
     }
 }
--- a/crates/fault-shim/tests/plans.rs
+++ b/crates/fault-shim/tests/plans.rs
@@ -1,13 +1,13 @@
-//! Plans of faults are read, and what is none is told.
+//! Fault plans are parsed, and the error for an invalid plan contains the invalid part.
 
 use rowanglade_fault_shim::{Call, Fault, Plan, Rule};
 use std::time::Duration;
 
 #[test]
-fn a_plan_names_calls_faults_rates_and_times() {
+fn a_plan_with_seed_calls_faults_rates_and_times_is_parsed() {
     let plan: Plan = "seed=7; accept4:ECONNABORTED:0.1;epoll_wait:late=150:0.01:2000-5000;clock:step=-5000:1"
         .parse()
-        .expect("a plan");
+        .expect("a valid plan was rejected");
     assert_eq!(plan.seed, 7);
     let always = (Duration::ZERO, Duration::MAX);
     let rule = |call, fault, rate, (from, to)| Rule { call, fault, rate, from, to };
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn what_is_no_plan_is_told() {
+fn an_invalid_part_of_a_plan_is_named_in_the_error() {
     for text in [
         "accept",
         "accept4:EWHAT:0.1",
@@ -33,6 +33,6 @@
         "read:EIO:1:1-2:3",
     ] {
         let error = text.parse::<Plan>().expect_err(text).to_string();
-        assert!(error.contains(text), "{error}");
+        assert!(error.contains(text), "the error does not name {text:?}: {error}");
     }
 }
