--- a/tests/network/processes.rs
+++ b/tests/network/processes.rs
@@ -64,7 +64,7 @@
 }
 
 async fn wait_for_exit(daemon: &mut Daemon) {
-    while !daemon.ended() {
+    while !daemon.has_ended() {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
@@ -122,7 +122,7 @@
         first.signal(Signal::SIGHUP).expect("the process runs");
         second.signal(Signal::SIGHUP).expect("the process runs");
         progress(200).await;
-        assert!(!first.ended() && !second.ended(), "a process ended without SIGTERM");
+        assert!(!first.has_ended() && !second.has_ended(), "a process ended without SIGTERM");
         first.signal(Signal::SIGTERM).expect("the process runs");
         wait_for_exit(&mut first).await;
         progress(100).await;
@@ -130,7 +130,7 @@
         for client in clients {
             client.await.expect("every request has a response");
         }
-        assert!(!second.ended());
+        assert!(!second.has_ended());
         assert_eq!(send_admin_command(&second, "GET /healthcheck").await, "200 close");
     });
 }
