--- a/crates/replay/src/drive.rs
+++ b/crates/replay/src/drive.rs
@@ -1,4 +1,4 @@
-//! Gives the planner a clock and carries out what it says.
+//! Runs a [`Planner`] against the clock and a [`Transport`].
 
 use crate::plan::{Action, AttemptOutcome, Micros, Planner, RequestNumber};
 use crate::recorder::Recorder;
@@ -9,46 +9,46 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep_until};
 
-/// Records are taken from the trace this far ahead of their time, and so many at most.
+/// Records are read from the trace up to this far ahead of their due time, at most [`MAX_SCHEDULED`] of them.
 const READ_AHEAD_US: Micros = 2_000_000;
 const MAX_SCHEDULED: usize = 20_000;
-/// After a stop, tries that are out have this long.
+/// How long attempts in flight may take to end after a stop.
 const STOP_GRACE: Duration = Duration::from_secs(2);
 /// How often progress is reported.
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(250);
 
-/// A try, as a transport gets it.
+/// An attempt that a [`Transport`] is to send.
 #[derive(Clone, Debug)]
 pub struct Outgoing {
-    /// Unlike that of any other try.
+    /// Correlation id, different for each attempt.
     pub id: u64,
-    /// It is a retry of the client.
+    /// Whether this is the client's retry.
     pub is_retry: bool,
     /// The request class.
     pub class: ClassTerms,
-    /// The class's place in the trace's header.
+    /// Index of the class in the trace's header.
     pub class_number: u16,
-    /// The QoS plan.
+    /// Name of the QoS plan.
     pub plan: String,
-    /// The request.
+    /// The recorded request.
     pub record: Record,
-    /// When the client goes away.
+    /// When the client abandons the attempt.
     pub deadline: Instant,
 }
 
-/// What sends tries to initiators. The future may be dropped when the client has gone.
+/// Sends attempts to initiators.
 pub trait Transport {
-    /// Sends a try to an initiator, by its place, and tells how it ended. A try without an answer by its time
-    /// is [`AttemptOutcome::Lost`]; the transport sees to that.
+    /// Sends an attempt to the initiator with this index and returns its outcome: [`AttemptOutcome::Lost`] if
+    /// there is no response by [`Outgoing::deadline`]. The caller may drop the future at any time.
     fn send(&self, initiator: usize, outgoing: Outgoing) -> LocalBoxFuture<'static, AttemptOutcome>;
 }
 
-/// How far a replay is.
+/// Progress of a running replay.
 #[derive(Clone, Copy, Debug)]
 pub struct Progress {
-    /// Since the beginning of the replay.
+    /// Time since the start of the replay.
     pub elapsed: Duration,
-    /// Requests that came due.
+    /// Requests that have a final outcome.
     pub due: u64,
     /// Requests that were served.
     pub served: u64,
@@ -56,12 +56,15 @@
     pub in_flight: usize,
 }
 
-/// Replays records until all have their last word, or `stop` resolves.
+/// Replays records until each request has a final outcome, or until `stop` resolves and the attempts in
+/// flight have ended or their grace period is over.
 ///
-/// Cancelling it drops the tries that are out, which closes their connections.
+/// Dropping the future drops the attempts in flight, which closes their connections.
 ///
 /// # Errors
-/// The trace cannot be read on; what was sent by then is in the report beside the error.
+///
+/// # Errors
+/// The next record cannot be read. The report covers the requests before it.
 pub async fn drive(
     records: impl Iterator<Item = Result<Record, TraceError>>,
     mut planner: Planner,
@@ -108,7 +111,7 @@
                         deadline: started_at + Duration::from_micros(attempt.deadline),
                         record: attempt.record,
                     };
-                    // The bound on tries out bounds this mailbox as well.
+                    // The limit of attempts in flight bounds this unbounded channel as well.
                     let (outcome_tx, number) = (outcome_tx.clone(), attempt.number);
                     let outcome = transport.send(attempt.initiator, outgoing);
                     tokio::task::spawn_local(async move {
--- a/crates/replay/src/http.rs
+++ b/crates/replay/src/http.rs
@@ -1,5 +1,5 @@
-//! The platform's front: HTTP/1.1, one request at a time on a connection, connections kept and more opened
-//! when all are busy.
+//! Client of the HTTP front: HTTP/1.1 with one request at a time on a connection. Connections are kept open,
+//! and more are opened when all are in use.
 
 use crate::drive::{Outgoing, Transport};
 use crate::plan::AttemptOutcome;
@@ -12,14 +12,15 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// The most that a body holds.
+/// Upper limit of a request or response body, in bytes.
 const MAX_BODY_BYTES: usize = 64 << 10;
-/// A connection may take this long to come up.
+/// Time limit of opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Initiators close idle connections after two seconds; one that stood longer than this is not used again.
+/// Initiators close idle connections after 2 s, so connections that were idle for longer than this are not
+/// reused.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Clients of several initiators.
+/// Connections to several initiators, shared by all simulated clients.
 #[derive(Clone, Debug)]
 pub struct Http {
     initiators: Vec<SocketAddr>,
@@ -28,14 +29,15 @@
 }
 
 impl Http {
-    /// Clients that hold `max_connections` connections together at most.
+    /// Creates a client that holds at most `max_connections` connections to all initiators together.
     pub fn new(initiators: Vec<SocketAddr>, max_connections: usize) -> Http {
         let connections =
             ConnectionPool::new(max_connections, IDLE_TIMEOUT, Duration::from_secs(60), Duration::ZERO);
         Http { initiators, connections, body: Bytes::from(vec![b'*'; MAX_BODY_BYTES]) }
     }
 
-    /// Asks an initiator whether it can serve, until it can or the time is over.
+    /// Polls `GET /up` of an initiator until it responds with status 200. Returns false if it has not done so
+    /// by the deadline.
     pub async fn wait_until_ready(&self, initiator: usize, deadline: Instant) -> bool {
         let Some(addr) = self.initiators.get(initiator).copied() else { return false };
         let poll = async {
@@ -89,7 +91,7 @@
     head
 }
 
-/// What an answer says (the protocol's table of answers).
+/// The outcome that a response stands for, by its status and `Retry-After` header.
 fn outcome(response: &CompleteResponse) -> AttemptOutcome {
     match response.status {
         StatusCode::OK => AttemptOutcome::Served,
@@ -128,7 +130,8 @@
                             this.connections.check_in(connection);
                             return outcome(&response);
                         }
-                        // Closed for its idleness just as the request went: it goes again on another.
+                        // The initiator closed the idle connection while the request was sent: it is sent
+                        // again on another.
                         Err(ExchangeError::NotWritten | ExchangeError::NoResponse) if !unused => {}
                         Err(ExchangeError::NotWritten) => return AttemptOutcome::Unreachable,
                         Err(ExchangeError::NoResponse | ExchangeError::Broken) => {
--- a/crates/replay/src/iscsi.rs
+++ b/crates/replay/src/iscsi.rs
@@ -1,6 +1,6 @@
-//! The iSCSI-style front: a session to each initiator, whose commands share its window (RFC 7143, section
-//! 4.2.2). A volume is a LUN, a piece an address, a class a group number. Refusals tell when to come back in
-//! the status qualifier, in tenths of a second.
+//! Client of the iSCSI-style front: one session to each initiator, whose commands share its command window
+//! (RFC 7143, section 4.2.2). A volume is a LUN, an object an address, and a request class a group number.
+//! The status qualifier of a rejection gives the time to wait before a retry, in tenths of a second.
 
 use crate::drive::{Outgoing, Transport};
 use crate::plan::AttemptOutcome;
@@ -18,33 +18,34 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, timeout_at};
 
-/// How long a connection may take to come up, and a login after it.
+/// Time limit of connecting, and of the login that follows.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Commands that wait for a session.
+/// Commands that may wait for a session; further ones end as [`AttemptOutcome::Unreachable`].
 const QUEUE_CAPACITY: usize = 4_096;
-/// ABORT TASK (RFC 7143, section 11.5.1).
+/// Function code of ABORT TASK (RFC 7143, section 11.5.1).
 const ABORT_TASK: u8 = 1;
-/// The largest write, in blocks.
+/// Upper limit of a command's length, in blocks.
 const MAX_BLOCKS: u32 = 128;
 
-/// Clients of several initiators, with one session each.
+/// Sessions to several initiators, one each, shared by all simulated clients.
 #[derive(Clone, Debug)]
 pub struct Iscsi {
     sessions: Rc<Vec<mpsc::Sender<Task>>>,
     blocks_per_unit: u32,
 }
 
-/// A command on its way to a session.
+/// A command that waits to be sent.
 #[derive(Debug)]
 struct Task {
     lun: u64,
     command: Command,
     deadline: Instant,
-    outcome: oneshot::Sender<AttemptOutcome>,
+    outcome_tx: oneshot::Sender<AttemptOutcome>,
 }
 
 impl Iscsi {
-    /// Sessions to the target of this name at each address, opened when first used and again after a break.
+    /// Creates a session to the named target at each address. It is opened with its first command and, after
+    /// it breaks, with the next one. Must be called within a [`tokio::task::LocalSet`].
     pub fn new(initiators: Vec<SocketAddr>, target: &str, blocks_per_unit: u32) -> Iscsi {
         let session = |(number, addr): (usize, SocketAddr)| {
             let (tx, rx) = mpsc::channel(QUEUE_CAPACITY);
@@ -67,9 +68,9 @@
             blocks,
             group: outgoing.class_number as u8,
         };
-        let (outcome, outcome_rx) = oneshot::channel();
+        let (outcome_tx, outcome_rx) = oneshot::channel();
         let deadline = outgoing.deadline;
-        let task = Task { lun: outgoing.record.volume, command, deadline, outcome };
+        let task = Task { lun: outgoing.record.volume, command, deadline, outcome_tx };
         let session = self.sessions.get(initiator).cloned();
         Box::pin(async move {
             let Some(session) = session else { return AttemptOutcome::Unreachable };
@@ -93,17 +94,17 @@
     while let Some(first) = rx.recv().await {
         match Session::open(addr, &initiator_name, &target).await {
             Ok(mut session) => {
-                // What is out when the session breaks may have run: its ends, dropped, tell so. What still
-                // waits for the window was never sent.
+                // Commands in flight when the session breaks may have been executed; dropping their senders
+                // ends them as `Lost`. Commands that still wait for the command window were never sent.
                 let _ = session.run(first, &mut rx).await;
                 for task in session.waiting {
-                    let _ = task.outcome.send(AttemptOutcome::Unreachable);
+                    let _ = task.outcome_tx.send(AttemptOutcome::Unreachable);
                 }
             }
             Err(_) => {
-                let _ = first.outcome.send(AttemptOutcome::Unreachable);
+                let _ = first.outcome_tx.send(AttemptOutcome::Unreachable);
                 while let Ok(task) = rx.try_recv() {
-                    let _ = task.outcome.send(AttemptOutcome::Unreachable);
+                    let _ = task.outcome_tx.send(AttemptOutcome::Unreachable);
                 }
             }
         }
@@ -114,12 +115,12 @@
     lun: u64,
     data: Bytes,
     deadline: Instant,
-    outcome: Option<oneshot::Sender<AttemptOutcome>>,
+    outcome_tx: Option<oneshot::Sender<AttemptOutcome>>,
 }
 
 struct Session {
     reader: PduReader<OwnedReadHalf>,
-    out: OwnedWriteHalf,
+    writer: OwnedWriteHalf,
     parameters: SessionParameters,
     cmd_sn: u32,
     max_cmd_sn: u32,
@@ -133,10 +134,10 @@
     async fn open(addr: SocketAddr, initiator_name: &str, target: &str) -> io::Result<Session> {
         let timeouts = Timeouts { connect: CONNECT_TIMEOUT, login: CONNECT_TIMEOUT };
         let connection = Connection::open(addr, initiator_name, target, timeouts).await?;
-        let Connection { reader, writer: out, parameters, sequence } = connection;
+        let Connection { reader, writer, parameters, sequence } = connection;
         Ok(Session {
             reader,
-            out,
+            writer,
             cmd_sn: parameters.cmd_sn,
             max_cmd_sn: sequence.max_cmd_sn,
             exp_stat_sn: parameters.stat_sn,
@@ -151,7 +152,8 @@
         self.waiting.push_back(first);
         loop {
             self.send_waiting().await?;
-            let next_deadline = self.tasks.values().filter(|t| t.outcome.is_some()).map(|t| t.deadline).min();
+            let next_deadline =
+                self.tasks.values().filter(|t| t.outcome_tx.is_some()).map(|t| t.deadline).min();
             let next_deadline = next_deadline.unwrap_or_else(|| Instant::now() + Duration::from_secs(60));
             tokio::select! {
                 pdu = self.reader.next() => match pdu {
@@ -167,7 +169,7 @@
         }
     }
 
-    /// Sends as many commands as the target's window takes.
+    /// Sends waiting commands until the target's command window is full. Expired ones are dropped.
     async fn send_waiting(&mut self) -> io::Result<()> {
         // Serial number arithmetic (RFC 1982): the window is closed where CmdSN is past MaxCmdSN.
         while self.max_cmd_sn.wrapping_sub(self.cmd_sn) < 1 << 31 {
@@ -179,9 +181,9 @@
             let length = task.command.blocks * BLOCK_BYTES;
             let write = task.command.write;
             let body = if write { Bytes::from(vec![b'*'; length as usize]) } else { Bytes::new() };
-            let room = self.parameters.max_segment_bytes.min(self.parameters.first_burst_bytes);
-            let first = match self.parameters.immediate_data {
-                true => body.slice(..body.len().min(room)),
+            let max_immediate = self.parameters.max_segment_bytes.min(self.parameters.first_burst_bytes);
+            let immediate_data = match self.parameters.immediate_data {
+                true => body.slice(..body.len().min(max_immediate)),
                 false => Bytes::new(),
             };
             let command = Pdu::ScsiCommand {
@@ -195,17 +197,17 @@
                 cmd_sn: self.cmd_sn,
                 exp_stat_sn: self.exp_stat_sn,
                 cdb: task.command.encode(),
-                data: first,
+                data: immediate_data,
             };
             self.cmd_sn = self.cmd_sn.wrapping_add(1);
-            let out = InFlightCommand {
+            let in_flight = InFlightCommand {
                 lun: task.lun,
                 data: body,
                 deadline: task.deadline,
-                outcome: Some(task.outcome),
+                outcome_tx: Some(task.outcome_tx),
             };
-            self.tasks.insert(itt, out);
-            self.out.write_all(&command.encode()).await?;
+            self.tasks.insert(itt, in_flight);
+            self.writer.write_all(&command.encode()).await?;
         }
         Ok(())
     }
@@ -219,15 +221,15 @@
         itt
     }
 
-    /// The client of a command has gone: the command is aborted at the target.
+    /// Aborts commands whose deadline has passed; their clients have stopped waiting.
     async fn abort_expired(&mut self) -> io::Result<()> {
         let now = Instant::now();
-        let expired = |t: &InFlightCommand| t.outcome.is_some() && t.deadline <= now;
+        let expired = |t: &InFlightCommand| t.outcome_tx.is_some() && t.deadline <= now;
         let expired: Vec<u32> = self.tasks.iter().filter(|(_, t)| expired(t)).map(|(itt, _)| *itt).collect();
         for referenced in expired {
             let lun = match self.tasks.get_mut(&referenced) {
                 Some(task) => {
-                    task.outcome = None;
+                    task.outcome_tx = None;
                     task.lun
                 }
                 None => continue,
@@ -243,7 +245,7 @@
                 cmd_sn,
                 exp_stat_sn,
             };
-            self.out.write_all(&request.encode()).await?;
+            self.writer.write_all(&request.encode()).await?;
         }
         Ok(())
     }
@@ -271,7 +273,7 @@
                     let (exp_stat_sn, offset) = (self.exp_stat_sn, at as u32);
                     let data = data.slice(at..until);
                     let pdu = Pdu::DataOut { last, lun, itt, ttt, exp_stat_sn, data_sn, offset, data };
-                    self.out.write_all(&pdu.encode()).await?;
+                    self.writer.write_all(&pdu.encode()).await?;
                     (at, data_sn) = (until, data_sn + 1);
                 }
             }
@@ -291,10 +293,10 @@
                     if status == GOOD { AttemptOutcome::Served } else { AttemptOutcome::Failed },
                 );
             }
-            // A ping that wants its answer (RFC 7143, section 11.19).
+            // A ping that requests a response (RFC 7143, section 11.19).
             Pdu::NopIn { ttt, lun, .. } if ttt != RESERVED_TAG => {
                 let (cmd_sn, exp_stat_sn) = (self.cmd_sn, self.exp_stat_sn);
-                let pong = Pdu::NopOut {
+                let response = Pdu::NopOut {
                     immediate: true,
                     lun,
                     itt: RESERVED_TAG,
@@ -303,9 +305,10 @@
                     exp_stat_sn,
                     data: Bytes::new(),
                 };
-                self.out.write_all(&pong.encode()).await?;
+                self.writer.write_all(&response.encode()).await?;
             }
-            // The target ends, or wants to: commands without a response have to be sent again.
+            // The target closes the session, or asks for a logout. The session is reopened with the next
+            // command.
             Pdu::Async { .. } if self.tasks.is_empty() => return Err(io::ErrorKind::ConnectionAborted.into()),
             _ => {}
         }
@@ -313,7 +316,7 @@
     }
 
     fn complete(&mut self, itt: u32, outcome: AttemptOutcome) {
-        if let Some(client) = self.tasks.remove(&itt).and_then(|t| t.outcome) {
+        if let Some(client) = self.tasks.remove(&itt).and_then(|t| t.outcome_tx) {
             let _ = client.send(outcome);
         }
     }
--- a/crates/replay/src/latency.rs
+++ b/crates/replay/src/latency.rs
@@ -1,4 +1,4 @@
-//! Times of requests as a histogram.
+//! Latency histograms and their JSON form.
 
 use base64::Engine;
 use base64::prelude::BASE64_STANDARD;
@@ -6,13 +6,13 @@
 use hdrhistogram::serialization::{Deserializer, Serializer, V2Serializer};
 use serde::{Deserialize, Serialize};
 
-/// Times in microseconds, as a histogram with three digits.
+/// A histogram of times in microseconds, with three significant digits.
 #[derive(Clone, Debug)]
 pub struct LatencyHistogram(Histogram<u64>);
 
 impl Default for LatencyHistogram {
     fn default() -> LatencyHistogram {
-        // Three digits always make a histogram, which grows with its values.
+        // Three significant digits are within the library's range. The histogram resizes itself.
         LatencyHistogram(Histogram::new(3).expect("three significant digits"))
     }
 }
@@ -20,18 +20,18 @@
 impl LatencyHistogram {
     /// Adds a time, in microseconds.
     pub fn record(&mut self, micros: u64) {
-        // It grows as far as times go.
+        // Recording into a histogram that resizes itself does not fail.
         let _ = self.0.record(micros);
     }
 
-    /// How many times it holds.
+    /// Number of recorded times.
     pub fn count(&self) -> u64 {
         self.0.len()
     }
 
-    /// The time, in microseconds, that this part of them does not pass.
-    pub fn at(&self, part: f64) -> u64 {
-        self.0.value_at_quantile(part)
+    /// The time, in microseconds, at this quantile (0 to 1) of the recorded times; 0 if there are none.
+    pub fn at(&self, quantile: f64) -> u64 {
+        self.0.value_at_quantile(quantile)
     }
 
     /// The mean, in microseconds.
@@ -45,7 +45,8 @@
     }
 }
 
-/// As HdrHistogram's V2 encoding in base64, with the usual quantiles beside it for those who only look.
+/// The JSON form: HdrHistogram's V2 encoding in base64, which is read back, and common quantiles, which are
+/// only for readers of the file.
 #[derive(Serialize, Deserialize)]
 struct LatencyHistogramText {
     count: u64,
--- a/crates/replay/src/lib.rs
+++ b/crates/replay/src/lib.rs
@@ -1,11 +1,13 @@
-//! Recorded traffic, sent again in open loop: each request goes when the trace says, whatever became of those
-//! before it.
+//! Replays recorded traffic in an open loop: each request is sent at its recorded time, whatever the outcome
+//! of earlier requests.
 //!
-//! [`plan`] decides what goes when, where, and whether a client tries again; it has no clock and no sockets.
-//! [`drive`] gives it a clock, and a [`Transport`] the sockets: [`http`] for the platform's front, [`iscsi`]
-//! for the iSCSI-style one. [`recorder`] sums up in a [`report`] what became of the requests and [`compare`] sets two reports
-//! side by side. Latency counts from the moment a request was due, so that a stall is not hidden by requests
-//! that were never sent because of it.
+//! [`plan`] decides when and to which initiator each request is sent and whether the client retries it; it
+//! has no clock and no sockets. [`drive`] runs the planner against the clock and a [`Transport`]: [`http`]
+//! for the HTTP front, [`iscsi`] for the iSCSI-style front. [`recorder`] collects the outcomes in a
+//! [`report`], and [`compare`] compares two reports.
+//!
+//! Latency counts from the time at which a request was due, so that a stall shows in the latency of all
+//! requests that were due during it, including those that were sent late (no coordinated omission).
 #![forbid(unsafe_code)]
 
 pub mod compare;
--- a/crates/replay/src/page.rs
+++ b/crates/replay/src/page.rs
@@ -1,4 +1,4 @@
-//! A report as one page of HTML that needs nothing beside it: its tables, and plots as SVG.
+//! A report as a self-contained HTML page: its tables, and plots as inline SVG.
 
 use crate::report::{Class, Report, Second};
 use plotters::prelude::*;
@@ -14,23 +14,23 @@
     RGBColor(127, 127, 127),
 ];
 
-/// A plot that could not be drawn.
+/// A plot could not be drawn.
 #[derive(Debug, thiserror::Error)]
-#[error("{title}: {source}")]
+#[error("cannot draw plot '{title}': {source}")]
 pub struct PlotError {
-    /// The plot's caption.
+    /// Title of the plot.
     pub title: String,
-    /// The plotting library's own error.
+    /// The error of the plotting library.
     pub source: Box<dyn std::error::Error>,
 }
 
 /// A line of a plot: its name and its points.
 type Line<'a> = (&'a str, Vec<(f64, f64)>);
 
-/// Lines over one another.
+/// Draws lines over common axes, as SVG.
 ///
 /// # Errors
-/// The plotting library's.
+/// The plotting library reports an error.
 fn line_plot(title: &str, x: &str, y: &str, lines: &[Line<'_>]) -> Result<String, PlotError> {
     let points = || lines.iter().flat_map(|(_, points)| points);
     let max_x = points().map(|p| p.0).fold(1e-9, f64::max);
@@ -74,28 +74,28 @@
     report.timeline.iter().enumerate().map(|(i, s)| (i as f64, value(s))).collect()
 }
 
-/// The time that each part of a class's served requests does not pass, against that part.
+/// Points of a class's latency distribution: x is the quantile as a number of nines, y its latency in ms.
 fn quantiles(class: &Class) -> Vec<(f64, f64)> {
-    // Evenly over the "nines", so that the tail takes its room.
+    // The points are evenly spaced in nines, so that the tail is as wide as the rest.
     let nines = (class.latency.count().max(2) as f64).log10();
     let at = |i: u32| f64::from(i) * nines / 60.0;
     (0..=60).map(|i| (at(i), class.latency.at(1.0 - 10f64.powf(-at(i))) as f64 / 1e3)).collect()
 }
 
-/// The page.
+/// Returns the HTML page of a report.
 ///
 /// # Errors
 /// A plot could not be drawn.
 pub fn page(report: &Report) -> Result<String, PlotError> {
     let mut plots = vec![line_plot(
-        "Requests that came due in each second, and what became of them",
+        "Requests by the second in which they were due, and their outcomes",
         "seconds",
         "requests",
         &[
             ("due", per_second(report, |s| s.due as f64)),
             ("served", per_second(report, |s| s.served as f64)),
             ("refused", per_second(report, |s| s.refused as f64)),
-            ("failed, lost", per_second(report, |s| (s.failed + s.lost + s.unsent) as f64)),
+            ("failed, lost, unsent", per_second(report, |s| (s.failed + s.lost + s.unsent) as f64)),
         ],
     )?];
     let classes: Vec<Line<'_>> = report
@@ -105,25 +105,25 @@
         .map(|(name, class)| (name.as_str(), quantiles(class)))
         .collect();
     if !classes.is_empty() {
-        let title = "Latency from the moment a request was due (1 nine: p90, 2: p99, 3: p99.9)";
+        let title = "Latency from the due time (1 nine: p90, 2: p99, 3: p99.9)";
         plots.push(line_plot(title, "nines", "ms", &classes)?);
     }
-    let drift = [("latest first try", per_second(report, |s| s.drift_us as f64 / 1e3))];
-    plots.push(line_plot("Sending behind the schedule", "seconds", "ms", &drift)?);
+    let drift = [("latest first attempt", per_second(report, |s| s.drift_us as f64 / 1e3))];
+    plots.push(line_plot("Delay of first attempts against the schedule", "seconds", "ms", &drift)?);
     if !report.volumes.is_empty() {
-        let per = |value: &dyn Fn(&crate::report::Volume) -> f64| {
+        let per_volume = |value: &dyn Fn(&crate::report::Volume) -> f64| {
             report.volumes.iter().enumerate().map(|(i, v)| (i as f64, value(v))).collect::<Vec<_>>()
         };
         let seconds = report.timeline.len().max(1) as f64;
         plots.push(line_plot(
-            "Units a second of the volumes that asked for most, against their plans",
-            "volume, by what it asked for",
-            "units a second",
+            "Units per second of the volumes that requested the most, against their plans",
+            "volume, by requested units",
+            "units per second",
             &[
-                ("asked", per(&|v| v.asked / seconds)),
-                ("served", per(&|v| v.served / seconds)),
-                ("busiest second", per(&|v| v.busiest)),
-                ("plan's rate", per(&|v| v.rate)),
+                ("asked", per_volume(&|v| v.asked / seconds)),
+                ("served", per_volume(&|v| v.served / seconds)),
+                ("busiest second", per_volume(&|v| v.busiest)),
+                ("plan's rate", per_volume(&|v| v.rate)),
             ],
         )?);
     }
@@ -155,6 +155,6 @@
             v.busiest
         );
     }
-    let _ = write!(html, "</table><p>{} volumes in all.</html>", report.volumes_in_all);
+    let _ = write!(html, "</table><p>{} volumes in total.</html>", report.volumes_in_all);
     Ok(html)
 }
--- a/crates/replay/src/pick.rs
+++ b/crates/replay/src/pick.rs
@@ -1,22 +1,22 @@
-//! Through which initiator a volume's request goes: each volume has a set of its own, used unevenly, and the
-//! busiest of the set changes now and then.
+//! Chooses the initiator that a volume's request is sent through. Each volume has a set of initiators; most
+//! of its requests go through the preferred one of the set, which changes periodically.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// The lead of a volume's set changes this often, in microseconds.
+/// How often the preferred initiator of a volume changes, in microseconds.
 const PREFERRED_PERIOD_US: u64 = 15_000_000;
-/// The part of a volume's requests that goes through the lead.
+/// Share of a volume's requests that is sent through the preferred initiator.
 const PREFERRED_SHARE: f64 = 0.6;
 
 fn seeded_rng(seed: u64, a: u64, b: u64) -> Pcg64Mcg {
-    // The generator's own seeding spreads neighbouring numbers.
+    // Seeding mixes the bits, so that adjacent numbers give independent generators.
     let first: u64 = Pcg64Mcg::seed_from_u64(seed ^ a.rotate_left(17)).random();
     Pcg64Mcg::seed_from_u64(first ^ b)
 }
 
-/// The initiators of a volume, out of `of`: the `hosts` that rank highest for it (rendezvous hashing), so
-/// that another initiator moves few volumes.
+/// The indexes of a volume's initiators, out of `initiators`: the `hosts` that rank highest for the volume
+/// (rendezvous hashing), so that an added initiator changes the sets of few volumes.
 pub fn initiator_set(seed: u64, volume: u64, hosts: u32, initiators: usize) -> Vec<usize> {
     let mut ranked: Vec<(u64, usize)> =
         (0..initiators).map(|i| (seeded_rng(seed, volume, i as u64 + 1).random(), i)).collect();
@@ -25,7 +25,8 @@
     ranked.into_iter().map(|(_, i)| i).collect()
 }
 
-/// The initiator of the `number`th request of a trace, due at `due` microseconds. `set` is not empty.
+/// The index of the initiator for request `number` of a trace, due at `due` microseconds. `set` must not be
+/// empty.
 pub fn pick_initiator(seed: u64, set: &[usize], volume: u64, due: u64, number: u64) -> usize {
     let preferred = (due / PREFERRED_PERIOD_US).wrapping_add(volume) as usize % set.len().max(1);
     let mut rng = seeded_rng(seed, number, !volume);
--- a/crates/replay/src/pick/tests.rs
+++ b/crates/replay/src/pick/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of how volumes are spread over initiators.
+//! Tests of how volumes are distributed over initiators.
 
 use super::*;
 use std::collections::BTreeMap;
 
 #[test]
-fn a_volume_keeps_to_its_set_and_uses_it_unevenly() {
+fn a_volume_uses_all_of_its_initiators_and_prefers_one() {
     let (seed, volume) = (7, 0x3b4d);
     let set = initiator_set(seed, volume, 3, 10);
     assert_eq!(set.len(), 3);
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn another_initiator_moves_few_volumes() {
+fn adding_an_initiator_moves_few_volumes() {
     let moved = (0..1_000u64).filter(|v| initiator_set(3, *v, 1, 9) != initiator_set(3, *v, 1, 10)).count();
     assert!((60..150).contains(&moved), "{moved}");
     let used: std::collections::BTreeSet<usize> =
--- a/crates/replay/src/plan.rs
+++ b/crates/replay/src/plan.rs
@@ -1,15 +1,19 @@
-//! What goes when: the schedule, the clients' own retries, and the bound on what is out at once.
+//! The schedule of a replay, the clients' own retries, and the limit on attempts in flight.
 //!
-//! A machine without clock or sockets. It is given records in the order of their times ([`Planner::push_record`]),
-//! the time, and how tries ended ([`Planner::attempt_ended`]); it gives back tries to send and final words on
-//! requests ([`Planner::poll`]). Times are microseconds since the replay's beginning.
+//! The planner is a state machine without clock or sockets. Its inputs are the records of the trace in time
+//! order ([`Planner::push_record`]), the current time, and the outcomes of attempts
+//! ([`Planner::attempt_ended`]). Its outputs are attempts to send and completed requests ([`Planner::poll`]).
+//! Times are microseconds since the start of the replay.
 //!
-//! Clients act as the brief describes: they try again once at most, after the wait that the answer asks for
-//! or a short one of their own, under a new id, through the same initiator, and never when the answer could
-//! not come before their deadline. A read is tried again after anything but an answer. A keyed write is tried
-//! again after a refusal, or when the initiator was not reached; after an answer that leaves open whether it
-//! ran, only while its rack still remembers the key, and only where its shard is known, so that no other rack
-//! takes it. A write without a key is tried again only where it did not run.
+//! Simulated clients follow the retry rules of the platform. A client retries a request at most once, under a
+//! new correlation id and through the same initiator, after the wait that the response asks for or a short
+//! wait of its own, and only if that time is before its deadline.
+//!
+//! - A read is retried after every outcome except success.
+//! - A keyed write is retried if it was rejected or the initiator was unreachable. If it may have been
+//!   executed, it is retried only while its rack still remembers the idempotency key and only if its shard is
+//!   known, since a retry of a write without a shard could reach another rack.
+//! - A write without a key is retried only if it was not executed.
 
 use crate::pick;
 use rand::{Rng, SeedableRng};
@@ -21,121 +25,124 @@
 /// Microseconds since the replay's beginning.
 pub type Micros = u64;
 
-/// What a replay keeps to.
+/// Settings of a [`Planner`].
 #[derive(Clone, Debug)]
 pub struct PlannerConfig {
     /// The request classes of the trace.
     pub classes: Vec<ClassTerms>,
-    /// How many times faster than recorded. Deadlines are the clients' and stay as they are.
+    /// Speed relative to the recording: 2.0 halves the time between requests. Deadlines are not scaled.
     pub speed: f64,
-    /// How many initiators there are.
+    /// Number of initiators; at least 1.
     pub initiators: usize,
-    /// Tries that may be out at once.
+    /// Limit of attempts in flight; at least 1.
     pub max_in_flight: usize,
-    /// Whether clients try again.
+    /// Whether clients retry.
     pub retries: bool,
-    /// How long a client waits where the answer asks for no wait, in microseconds; up to as much again is
-    /// random.
+    /// Shortest wait of a client before its retry, in microseconds; a random part of up to the same length is
+    /// added. A longer wait that the response asks for takes precedence.
     pub retry_wait: Micros,
-    /// What the random numbers follow from.
+    /// Seed of correlation ids, retry jitter and the choice of initiators.
     pub seed: u64,
 }
 
-/// Why terms cannot be used.
+/// Why a [`PlannerConfig`] is rejected.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PlannerConfigError {
-    /// The speed is not above zero.
-    #[error("the speed is not above zero")]
+    /// The speed is zero, negative, infinite or not a number.
+    #[error("replay speed must be a finite number above 0")]
     Speed,
     /// There are no initiators.
-    #[error("there is no initiator to send to")]
+    #[error("no initiator to send requests to")]
     Initiators,
-    /// No attempt may be in flight.
-    #[error("no try may be out")]
+    /// The limit of attempts in flight is 0.
+    #[error("limit of attempts in flight must be at least 1")]
     MaxInFlight,
 }
 
-/// How a try ended.
+/// How an attempt ended, as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// It was answered with success.
+    /// The response reports success.
     Served,
-    /// A new try does no harm, after so long.
+    /// The request was rejected without being executed.
     Refused {
-        /// What the client is asked to wait.
+        /// The wait that the response asks for, in microseconds; 0 if it asks for none.
         retry_after: Micros,
     },
-    /// It failed, and may have run.
+    /// The response reports an error. The request may have been executed.
     Failed,
-    /// The initiator was not reached.
+    /// No connection to the initiator could be used, or the request was not written completely.
     Unreachable,
-    /// No answer came: the connection ended, or the client's time was up.
+    /// No response: the connection ended, or the client's deadline passed. The request may have been
+    /// executed.
     Lost,
 }
 
-/// Names a request of the replay: its number in the trace.
+/// Position of a request in the trace, counted from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestNumber(pub u64);
 
-/// A try to be sent now.
+/// An attempt to send now.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Attempt {
     /// The request.
     pub number: RequestNumber,
-    /// 0 for the first.
+    /// 0 for the first attempt, 1 for the client's retry.
     pub retry_number: u32,
-    /// Unlike that of any other try.
+    /// Correlation id, random for each attempt.
     pub id: u64,
-    /// The request as the trace has it.
+    /// The recorded request.
     pub record: Record,
-    /// The initiator that it goes to.
+    /// Index of the initiator.
     pub initiator: usize,
-    /// When the request was due.
+    /// When the request was due; the same for both attempts.
     pub due: Micros,
-    /// When the client goes away.
+    /// When the client abandons the attempt.
     pub deadline: Micros,
-    /// It waited for a try to end, since so many were out.
+    /// Whether this is a first attempt that was sent late because the limit of attempts in flight was
+    /// reached.
     pub waited_for_slot: bool,
 }
 
-/// The last word on a request.
+/// Final outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// It was answered with success.
+    /// The last attempt's response reports success.
     Served,
-    /// It was rejected.
+    /// The request was rejected, or it had been sent and was still waiting to be retried when its deadline
+    /// passed or the replay stopped.
     Refused,
-    /// It failed, and may have run.
+    /// The last attempt's response reports an error. The request may have been executed.
     Failed,
-    /// It had no response in time.
+    /// The last attempt had no response, or its initiator was unreachable.
     Lost,
-    /// Its time was up before there was room to send it.
+    /// The deadline passed, or the replay stopped, before the first attempt was sent.
     Unsent,
 }
 
-/// What became of a request.
+/// A request with its final outcome.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CompletedRequest {
     /// The request.
     pub number: RequestNumber,
-    /// The request as the trace has it.
+    /// The recorded request.
     pub record: Record,
     /// When the request was due.
     pub due: Micros,
-    /// Its final response.
+    /// The final outcome.
     pub outcome: RequestOutcome,
-    /// From the moment it was due to the last word.
+    /// Time from the due time to the final outcome.
     pub latency: Micros,
-    /// How often it was sent.
+    /// Number of attempts that were sent.
     pub attempts: u32,
 }
 
-/// What to do.
+/// Output of [`Planner::poll`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt.
     Send(Attempt),
-    /// Report how a request ended.
+    /// Report the final outcome of a request.
     Complete(CompletedRequest),
 }
 
@@ -147,20 +154,21 @@
     initiator: usize,
     attempts: u32,
     first_sent_at: Option<Micros>,
-    /// A try is out.
+    /// Whether an attempt of the request is in flight.
     in_flight: bool,
 }
 
-/// The machine.
+/// The state machine: see the [module](self).
 #[derive(Debug)]
 pub struct Planner {
     config: PlannerConfig,
     next_number: u64,
-    /// Requests that are due later, in the order of their times.
+    /// Records that are not due yet, in time order.
     schedule: VecDeque<(Micros, Record)>,
-    /// Times of tries that are due later.
+    /// Due times of retries.
     retry_queue: BinaryHeap<Reverse<(Micros, RequestNumber)>>,
-    /// Tries that are due and find no room, in the order of their dueness.
+    /// Requests with a due attempt that waits for the limit of attempts in flight, in the order in which the
+    /// attempts became due.
     waiting: VecDeque<RequestNumber>,
     open_requests: HashMap<RequestNumber, OpenRequest>,
     in_flight: usize,
@@ -168,14 +176,16 @@
     id_rng: Pcg64Mcg,
     jitter_rng: Pcg64Mcg,
     actions: VecDeque<Action>,
-    /// Deadlines of what is held.
+    /// Deadlines of the requests in `waiting`.
     deadlines: BTreeMap<(Micros, RequestNumber), ()>,
     stopped: bool,
 }
 
 impl Planner {
+    /// Creates a planner without records.
+    ///
     /// # Errors
-    /// The terms cannot be used.
+    /// A setting is out of range.
     pub fn new(config: PlannerConfig) -> Result<Planner, PlannerConfigError> {
         if !(config.speed > 0.0 && config.speed.is_finite()) {
             return Err(PlannerConfigError::Speed);
@@ -204,44 +214,44 @@
         })
     }
 
-    /// When a record is due.
+    /// The due time of a record: its recorded time divided by the speed.
     pub fn due(&self, record: &Record) -> Micros {
         (record.at as f64 / self.config.speed).round() as Micros
     }
 
-    /// Takes the next record of the trace.
+    /// Adds the next record of the trace. Records must be added in time order.
     pub fn push_record(&mut self, record: Record) {
         let due = self.due(&record);
         self.schedule.push_back((due, record));
     }
 
-    /// The due time of the last record taken that has not come due; none where there is no such record.
+    /// The due time of the last record that is not due yet; `None` if all added records have become due.
     pub fn horizon(&self) -> Option<Micros> {
         self.schedule.back().map(|(due, _)| *due)
     }
 
-    /// Records taken that are not due yet.
+    /// Number of added records that are not due yet.
     pub fn scheduled(&self) -> usize {
         self.schedule.len()
     }
 
-    /// Tries that are out.
+    /// Number of attempts in flight.
     pub fn in_flight(&self) -> usize {
         self.in_flight
     }
 
-    /// Requests that have come due and have no last word.
+    /// Number of requests that have become due and have no final outcome yet.
     pub fn open_requests(&self) -> usize {
         self.open_requests.len()
     }
 
-    /// Nothing is scheduled, held, out, or to be tried again.
+    /// Whether no record is scheduled, no request is open and no action is pending.
     pub fn is_idle(&self) -> bool {
         self.schedule.is_empty() && self.open_requests.is_empty() && self.actions.is_empty()
     }
 
-    /// Sends nothing more. What is scheduled is dropped; what is held or waits for another try has its last
-    /// word.
+    /// Ends the replay: drops records that are not due yet and completes each open request that has no
+    /// attempt in flight. Attempts in flight may still end; none is retried.
     pub fn stop(&mut self, now: Micros) {
         self.stopped = true;
         self.schedule.clear();
@@ -255,7 +265,8 @@
         }
     }
 
-    /// When to call [`Planner::poll`] again, if nothing else happens before.
+    /// When to call [`Planner::poll`] next, unless an attempt ends before; `None` if there is nothing to wait
+    /// for.
     pub fn next_wake(&self) -> Option<Micros> {
         let due = self.schedule.front().map(|(due, _)| *due);
         let retry = self.retry_queue.peek().map(|Reverse((at, _))| *at);
@@ -263,7 +274,8 @@
         [due, retry, deadline].into_iter().flatten().min()
     }
 
-    /// The next thing to do at this time; none: wait.
+    /// Returns the next action at this time, or `None` if there is nothing to do until
+    /// [`Planner::next_wake`].
     pub fn poll(&mut self, now: Micros) -> Option<Action> {
         while let Some((due, _)) = self.schedule.front()
             && *due <= now
@@ -320,7 +332,7 @@
         self.enqueue(number);
     }
 
-    /// A try is due: it goes as soon as there is room.
+    /// Queues a due attempt, which is sent when fewer than [`PlannerConfig::max_in_flight`] are in flight.
     fn enqueue(&mut self, number: RequestNumber) {
         if let Some(open) = self.open_requests.get(&number) {
             self.deadlines.insert((open.deadline, number), ());
@@ -350,7 +362,8 @@
         })
     }
 
-    /// A try ended.
+    /// Records how an attempt ended. Its request is retried or completed; ignored if the request has no
+    /// attempt in flight.
     pub fn attempt_ended(&mut self, now: Micros, number: RequestNumber, attempt_outcome: AttemptOutcome) {
         let Some(open) = self.open_requests.get_mut(&number).filter(|o| o.in_flight) else { return };
         open.in_flight = false;
@@ -367,7 +380,7 @@
         }
     }
 
-    /// When the client tries again, if it does.
+    /// When the client retries the request; `None` if it does not.
     fn retry_time(
         &mut self,
         now: Micros,
@@ -382,7 +395,7 @@
             AttemptOutcome::Refused { retry_after } => retry_after,
             _ => 0,
         };
-        // Jitter, so that clients with the same advice do not come back at once.
+        // Jitter, so that clients with the same `retry_after` do not retry at the same moment.
         let own_wait = self.config.retry_wait + self.jitter_rng.random_range(0..=self.config.retry_wait);
         let at = now + advised_wait.max(own_wait);
         let repeat = self.config.classes.get(usize::from(open.record.class)).map(|c| c.repeat)?;
@@ -392,10 +405,10 @@
             Repeat::Safe => true,
             _ if not_executed => true,
             Repeat::Keyed { span_ms } => {
-                // Behind the try stand the initiator's own sends: all must be over while the key is
-                // remembered.
-                let remembered = open.first_sent_at.unwrap_or(now) + u64::from(span_ms) * 1_000;
-                let deadline = open.deadline.min(remembered);
+                // The initiator retries on its own while the attempt is in flight. All its executions must be
+                // over while the rack still remembers the key, so the deadline is moved forward to that time.
+                let key_expires_at = open.first_sent_at.unwrap_or(now) + u64::from(span_ms) * 1_000;
+                let deadline = open.deadline.min(key_expires_at);
                 let permitted = open.record.shard.is_some() && at < deadline;
                 if permitted && let Some(open) = self.open_requests.get_mut(&number) {
                     open.deadline = deadline;
--- a/crates/replay/src/recorder.rs
+++ b/crates/replay/src/recorder.rs
@@ -1,4 +1,4 @@
-//! Makes the report of a replay while it runs.
+//! Collects the report of a replay while it runs.
 
 use crate::latency::LatencyHistogram;
 use crate::plan::{Attempt, CompletedRequest, Micros, RequestOutcome};
@@ -7,10 +7,10 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// Volumes that a report names one by one: those that asked for most.
+/// Number of volumes that a report lists: those that requested the most units.
 const MAX_VOLUMES: usize = 40;
 
-/// What a report is made in.
+/// Collects outcomes into a [`Report`].
 #[derive(Debug)]
 pub struct Recorder {
     header: Header,
@@ -27,27 +27,27 @@
     plan: u16,
     asked: f64,
     served: f64,
-    /// By second.
+    /// Units served, by the second in which their requests were due.
     per_second: HashMap<u64, f64>,
 }
 
-/// Of what a report is.
+/// The replay that a report describes.
 #[derive(Clone, Debug)]
 pub struct Subject {
-    /// The trace.
+    /// File name of the trace.
     pub trace: String,
-    /// The protocol.
+    /// Front that requests are sent to: `http` or `iscsi`.
     pub front: String,
-    /// How many initiators it is sent to.
+    /// Number of initiators.
     pub initiators: usize,
-    /// How many times faster than recorded.
+    /// Speed relative to the recording.
     pub speed: f64,
-    /// What the random numbers follow from.
+    /// Seed of the replay's random numbers.
     pub seed: u64,
 }
 
 impl Recorder {
-    /// A report of nothing yet.
+    /// Creates a recorder whose report is empty.
     pub fn new(header: Header, subject: Subject) -> Recorder {
         let classes = header.classes.iter().map(|c| Class { aim_ms: c.aim_ms, ..Class::default() }).collect();
         let Subject { trace, front, initiators, speed, seed } = subject;
@@ -72,14 +72,14 @@
         Recorder { header, report, classes, volumes: HashMap::new(), due: 0, served: 0 }
     }
 
-    /// The class and the name of the plan of a record.
+    /// The class of a record and the name of its QoS plan; `None` if the header lacks one of them.
     pub fn terms(&self, record: &Record) -> Option<(ClassTerms, String)> {
         let class = self.header.classes.get(usize::from(record.class))?;
         let plan = self.header.plans.get(usize::from(record.plan))?;
         Some((class.clone(), plan.name.clone()))
     }
 
-    /// Requests that have their last word, and served ones among them.
+    /// Numbers of requests with a final outcome, and of those that were served.
     pub fn progress_counts(&self) -> (u64, u64) {
         (self.due, self.served)
     }
@@ -92,7 +92,7 @@
         &mut self.report.timeline[index]
     }
 
-    /// A try went, beside so many others that are out, itself counted.
+    /// Records that an attempt was sent. `in_flight` is the number of attempts in flight, including this one.
     pub fn record_attempt(&mut self, attempt: &Attempt, now: Micros, in_flight: usize) {
         self.report.most_out = self.report.most_out.max(in_flight as u64);
         if let Some(class) = self.classes.get_mut(usize::from(attempt.record.class)) {
@@ -108,7 +108,7 @@
         }
     }
 
-    /// A request has its last word.
+    /// Records the final outcome of a request.
     pub fn record_outcome(&mut self, request: &CompletedRequest) {
         let record = &request.record;
         self.due += 1;
@@ -150,17 +150,17 @@
         }
     }
 
-    /// Requests that have no last word at the end.
+    /// Records how many requests have no final outcome at the end.
     pub fn set_unfinished(&mut self, requests: u64) {
         self.report.unfinished = requests;
     }
 
-    /// Whether the replay was ended before its end.
+    /// Records whether the replay was stopped before the end of its trace.
     pub fn set_stopped(&mut self, stopped: bool) {
         self.report.stopped = stopped;
     }
 
-    /// The report of a replay that took this long.
+    /// Returns the report of a replay that took this long. Classes are named as in the trace's header.
     pub fn finish(self, took: Duration) -> Report {
         let mut report = self.report;
         report.seconds = took.as_secs_f64();
--- a/crates/replay/src/report.rs
+++ b/crates/replay/src/report.rs
@@ -1,135 +1,137 @@
-//! What became of a replay's requests.
+//! The report of a replay, as JSON and as text.
 
 use crate::latency::LatencyHistogram;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// The version of reports that this program writes.
+/// The version of the report format.
 pub const VERSION: u32 = 1;
 
 /// Why a report cannot be read.
 #[derive(Debug, thiserror::Error)]
 pub enum ReportError {
-    /// It is not the JSON of a report.
-    #[error("is no report: {0}")]
+    /// The text is not the JSON of a report.
+    #[error("not a replay report: {0}")]
     Json(#[from] serde_json::Error),
-    /// It has another version than [`VERSION`].
-    #[error("is a report of version {0}, not {VERSION}")]
+    /// The report has another version than [`VERSION`].
+    #[error("replay report has version {0}, expected {VERSION}")]
     Version(u32),
 }
 
-/// A class's requests.
+/// Outcomes of the requests of one class. Each request has exactly one of the outcomes served, refused,
+/// failed, lost and unsent.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Class {
-    /// Requests that came due.
+    /// Requests that were due and have a final outcome.
     pub due: u64,
-    /// Tries sent, and those of them that were clients' second ones.
+    /// Attempts sent, including retries.
     pub sent: u64,
-    /// Retries of clients among them.
+    /// Retries by clients.
     pub again: u64,
-    /// Answered with success.
+    /// Requests that were served.
     pub served: u64,
-    /// Served within the class's aim, from the moment they were due.
+    /// Requests that were served within the latency objective, counted from their due time.
     pub in_time: u64,
-    /// Rejected.
+    /// Requests that were rejected.
     pub refused: u64,
-    /// Failed; they may have run.
+    /// Requests that failed; they may have been executed.
     pub failed: u64,
-    /// Without an answer.
+    /// Requests without a response.
     pub lost: u64,
-    /// Never sent, for want of room.
+    /// Requests that were never sent because the limit of attempts in flight was reached or the replay
+    /// stopped.
     pub unsent: u64,
     /// The latency objective.
     pub aim_ms: u32,
-    /// Of served requests, from the moment they were due.
+    /// Time from the due time to the response, of served requests.
     pub latency: LatencyHistogram,
-    /// Of refused ones.
+    /// Time from the due time to the final outcome, of refused requests.
     pub refusal: LatencyHistogram,
 }
 
-/// What came due in a second.
+/// Outcomes of the requests that were due in one second of the replay.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Second {
-    /// Requests that came due.
+    /// Requests that were due and have a final outcome.
     pub due: u64,
-    /// Answered with success.
+    /// Requests that were served.
     pub served: u64,
-    /// Rejected.
+    /// Requests that were rejected.
     pub refused: u64,
-    /// Failed; they may have run.
+    /// Requests that failed; they may have been executed.
     pub failed: u64,
-    /// Without a response in time.
+    /// Requests without a response.
     pub lost: u64,
-    /// Never sent.
+    /// Requests that were never sent.
     pub unsent: u64,
-    /// The latest that a first try of it went, in microseconds.
+    /// The longest delay of a first attempt against the schedule, in microseconds.
     pub drift_us: u64,
 }
 
-/// A volume's units against its plan.
+/// A volume's units compared with its QoS plan.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Volume {
-    /// 16 hex digits.
+    /// The volume's number, as 16 hexadecimal digits.
     pub volume: String,
-    /// The QoS plan.
+    /// Name of the QoS plan.
     pub plan: String,
-    /// Units a second that the plan is sized for, and that it must not pass.
+    /// The plan's rate, in units per second.
     pub rate: f64,
-    /// Units a second that it may have at most.
+    /// The plan's limit, in units per second; absent if the plan has none.
     pub limit: Option<f64>,
-    /// Units that were asked for.
+    /// Units of all requests.
     pub asked: f64,
-    /// Units that were served.
+    /// Units of the served requests.
     pub served: f64,
-    /// Units served of the second in which most were.
+    /// The most units served of the requests that were due in one second.
     pub busiest: f64,
 }
 
-/// All of it.
+/// The report of a replay. The names of the fields are the keys of the JSON.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Report {
     /// [`VERSION`].
     pub version: u32,
-    /// The trace.
+    /// File name of the trace.
     pub trace: String,
-    /// The protocol.
+    /// Front that requests were sent to: `http` or `iscsi`.
     pub front: String,
-    /// How many initiators it was sent to.
+    /// Number of initiators.
     pub initiators: usize,
-    /// How many times faster than recorded.
+    /// Speed relative to the recording.
     pub speed: f64,
-    /// What the random numbers followed from.
+    /// Seed of the replay's random numbers.
     pub seed: u64,
-    /// How long it took.
+    /// Duration of the replay, in seconds.
     pub seconds: f64,
-    /// It was ended before its end.
+    /// Whether the replay was stopped before the end of its trace.
     pub stopped: bool,
-    /// Requests that had no last word then.
+    /// Requests without a final outcome at the end; 0 unless the replay was stopped.
     pub unfinished: u64,
-    /// What became of each request class.
+    /// Outcomes by request class.
     pub classes: BTreeMap<String, Class>,
-    /// How late first tries went, against the schedule.
+    /// Delay of first attempts against the schedule.
     pub drift: LatencyHistogram,
-    /// First tries that waited for others to end, since too many were out.
+    /// First attempts that were sent late because the limit of attempts in flight was reached.
     pub held: u64,
-    /// The most tries that were out at once.
+    /// The most attempts that were in flight at once.
     pub most_out: u64,
-    /// What became of the requests that came due in each second.
+    /// Outcomes by the second in which requests were due.
     pub timeline: Vec<Second>,
-    /// The volumes that asked for most.
+    /// The volumes that requested the most units, in descending order.
     pub volumes: Vec<Volume>,
-    /// How many volumes there were.
+    /// Number of all volumes, listed or not.
     pub volumes_in_all: usize,
 }
 
 impl Report {
-    /// Reads a report that this program has written.
+    /// Reads a report from its JSON.
     ///
     /// # Errors
-    /// It is no report of this version.
+    /// The text is not a report of this version.
     pub fn parse(text: &str) -> Result<Report, ReportError> {
-        /// The one key that all versions have.
+        /// The key that reports of all versions have.
         #[derive(Deserialize)]
         struct Versioned {
             version: u32,
@@ -141,7 +143,7 @@
         Ok(serde_json::from_str(text)?)
     }
 
-    /// Sums over the classes.
+    /// Sums of the counts over all classes. The histograms and the objective are empty.
     pub fn total(&self) -> Class {
         let mut total = Class::default();
         for class in self.classes.values() {
@@ -184,9 +186,9 @@
         let total = self.total();
         let rows = self.classes.iter().map(|(n, c)| (n.as_str(), c)).chain([("all", &total)]);
         for (name, c) in rows {
-            let time = |part| match c.latency.count() {
+            let latency_ms = |quantile| match c.latency.count() {
                 0 => "-".to_string(),
-                _ => format!("{:.1}", c.latency.at(part) as f64 / 1e3),
+                _ => format!("{:.1}", c.latency.at(quantile) as f64 / 1e3),
             };
             writeln!(
                 f,
@@ -200,29 +202,29 @@
                 c.failed,
                 c.lost,
                 c.unsent,
-                time(0.5),
-                time(0.9),
-                time(0.99)
+                latency_ms(0.5),
+                latency_ms(0.9),
+                latency_ms(0.99)
             )?;
         }
-        let d = &self.drift;
-        let ms = |part| d.at(part) as f64 / 1e3;
+        let drift = &self.drift;
+        let drift_ms = |quantile| drift.at(quantile) as f64 / 1e3;
         writeln!(
             f,
-            "sent behind the schedule: p50 {:.1} ms, p99 {:.1} ms, at most {:.1} ms; held for room {}",
-            ms(0.5),
-            ms(0.99),
-            d.max() as f64 / 1e3,
+            "first attempts sent late by: p50 {:.1} ms, p99 {:.1} ms, max {:.1} ms; delayed by the in-flight limit: {}",
+            drift_ms(0.5),
+            drift_ms(0.99),
+            drift.max() as f64 / 1e3,
             self.held
         )?;
         if self.unfinished > 0 {
-            writeln!(f, "without a last word when it was stopped: {}", self.unfinished)?;
+            writeln!(f, "requests without a final outcome when the replay stopped: {}", self.unfinished)?;
         }
-        let over = |v: &&Volume| v.limit.is_some_and(|l| v.busiest > l);
-        for v in self.volumes.iter().filter(over).take(5) {
+        let over_limit = |v: &&Volume| v.limit.is_some_and(|l| v.busiest > l);
+        for v in self.volumes.iter().filter(over_limit).take(5) {
             writeln!(
                 f,
-                "volume {} on {}: {:.1} units served of one second, limit {:.1} a second",
+                "volume {} on plan {}: {:.1} units served of those due in one second, limit {:.1} units/s",
                 v.volume,
                 v.plan,
                 v.busiest,
--- a/crates/replay/src/run.rs
+++ b/crates/replay/src/run.rs
@@ -1,4 +1,4 @@
-//! One replay, from a trace's file to its report.
+//! Runs a replay, from the trace file to the report.
 
 use crate::drive::{Progress, drive};
 use crate::http::Http;
@@ -13,41 +13,41 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Over which front requests go.
+/// The front that requests are sent to.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Front {
-    /// The platform's.
+    /// The HTTP front.
     Http,
-    /// Sessions log in to this target.
+    /// The iSCSI-style front.
     Iscsi {
-        /// The name of the target.
+        /// Name of the target that sessions log in to.
         target: String,
-        /// Blocks in a unit.
+        /// Logical blocks per unit.
         blocks_per_unit: u32,
     },
 }
 
-/// What is asked of a replay.
+/// Settings of a replay.
 #[derive(Clone, Debug)]
 pub struct Replay {
-    /// The protocol.
+    /// The front that requests are sent to.
     pub front: Front,
-    /// The initiators, in the order of their numbers.
+    /// Addresses of the initiators. A volume's requests depend on their order.
     pub to: Vec<SocketAddr>,
-    /// How many times faster than recorded.
+    /// Speed relative to the recording; above 0.
     pub speed: f64,
-    /// Clients retry as their class permits.
+    /// Whether clients retry as their request class permits.
     pub retries: bool,
-    /// Tries that may be out at once; over HTTP each takes a descriptor.
+    /// Limit of attempts in flight; over HTTP each takes a file descriptor.
     pub max_in_flight: usize,
-    /// What the random numbers follow from.
+    /// Seed of the replay's random numbers.
     pub seed: u64,
-    /// How long initiators may take until they can serve.
+    /// Time limit for all initiators to become ready. Applies to [`Front::Http`] only.
     pub ready_timeout: Duration,
 }
 
 impl Replay {
-    /// As recorded, to these initiators over the platform's front.
+    /// A replay to these initiators over HTTP, at the recorded speed and with retries.
     pub fn to(to: Vec<SocketAddr>) -> Replay {
         Replay {
             front: Front::Http,
@@ -61,29 +61,31 @@
     }
 }
 
-/// How long a client waits before its second try where the answer asks for no wait: 50 to 100 ms, in
-/// microseconds.
+/// Shortest wait of a client before its retry where the response asks for none, in microseconds. With its
+/// random part the wait is 50 to 100 ms.
 const RETRY_WAIT: u64 = 50_000;
 
-/// Why nothing was replayed.
+/// Why a replay could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum ReplayError {
-    /// The trace cannot be read.
+    /// The trace cannot be opened or its header cannot be read.
     #[error(transparent)]
     Trace(#[from] TraceError),
-    /// The terms are unusable.
+    /// A setting is out of range.
     #[error(transparent)]
     Planner(#[from] PlannerConfigError),
-    /// An initiator does not get ready in time.
-    #[error("{0} does not answer `GET /up` with 200 within {1:?}")]
+    /// An initiator did not become ready in time.
+    #[error("initiator {0} did not respond to `GET /up` with status 200 within {1:?}")]
     NotReady(SocketAddr, Duration),
 }
 
-/// Replays a trace until its end or until `stop` resolves. Beside the report stands what was wrong with the
-/// rest of the trace, if anything. It must be called where tasks can be spawned that stay on their thread.
+/// Replays a trace until its end or until `stop` resolves. If a record cannot be read, the replay ends there,
+/// and the error is returned beside the report. Must be called within a [`tokio::task::LocalSet`], since it
+/// spawns local tasks.
 ///
-/// # Errors Nothing was sent: the trace cannot be opened, what is asked makes no sense, or an initiator does
-/// not serve.
+/// # Errors
+/// The trace cannot be opened, a setting is out of range, or an initiator is not ready in time. No request
+/// has been sent then.
 pub async fn replay(
     trace: &Path,
     options: &Replay,
@@ -115,9 +117,9 @@
     match &options.front {
         Front::Http => {
             let http = Http::new(options.to.clone(), options.max_in_flight);
-            let until = Instant::now() + options.ready_timeout;
-            for (number, addr) in options.to.iter().enumerate() {
-                if !http.wait_until_ready(number, until).await {
+            let deadline = Instant::now() + options.ready_timeout;
+            for (index, addr) in options.to.iter().enumerate() {
+                if !http.wait_until_ready(index, deadline).await {
                     return Err(ReplayError::NotReady(*addr, options.ready_timeout));
                 }
             }
--- a/crates/replay/tests/compatibility.rs
+++ b/crates/replay/tests/compatibility.rs
@@ -1,5 +1,5 @@
-//! A report against a recorded sample. Guards against a build that can no longer compare its replay with the
-//! report of an earlier one, and against tools that read reports finding other keys.
+//! Compares the JSON of reports and comparisons with recorded samples. Guards against a build that cannot read
+//! the report of an earlier one, and against changed keys, which would break tools that read reports.
 
 use rowanglade_replay::LatencyHistogram;
 use rowanglade_replay::Report;
@@ -10,13 +10,13 @@
 const SAMPLE: &str = include_str!("samples/report.json");
 const COMPARISON: &str = include_str!("samples/comparison.json");
 
-fn times(micros: &[u64]) -> LatencyHistogram {
-    let mut times = LatencyHistogram::default();
-    micros.iter().for_each(|m| times.record(*m));
-    times
+fn histogram(micros: &[u64]) -> LatencyHistogram {
+    let mut histogram = LatencyHistogram::default();
+    micros.iter().for_each(|m| histogram.record(*m));
+    histogram
 }
 
-/// Each field has a value of its own.
+/// A report in which each field has a different value, so that swapped keys show.
 fn report() -> Report {
     let class = Class {
         due: 11,
@@ -29,8 +29,8 @@
         lost: 18,
         unsent: 19,
         aim_ms: 20,
-        latency: times(&[1_000, 2_000]),
-        refusal: times(&[300]),
+        latency: histogram(&[1_000, 2_000]),
+        refusal: histogram(&[300]),
     };
     let second = Second { due: 21, served: 22, refused: 23, failed: 24, lost: 25, unsent: 26, drift_us: 27 };
     let volume = Volume {
@@ -53,7 +53,7 @@
         stopped: true,
         unfinished: 5,
         classes: BTreeMap::from([("view".into(), class)]),
-        drift: times(&[10, 20, 30]),
+        drift: histogram(&[10, 20, 30]),
         held: 6,
         most_out: 7,
         timeline: vec![second],
@@ -63,14 +63,14 @@
 }
 
 #[test]
-fn a_report_is_read_and_written_as_recorded() {
+fn the_json_of_a_report_matches_the_sample() {
     let text = |report: &Report| serde_json::to_string_pretty(report).expect("JSON");
     assert_eq!(text(&report()), SAMPLE.trim_end());
     assert_eq!(text(&Report::parse(SAMPLE).expect("a report")), SAMPLE.trim_end());
 }
 
 #[test]
-fn a_comparison_is_written_as_recorded() {
+fn the_json_of_a_comparison_matches_the_sample() {
     let change =
         Change { class: "view".into(), figure: "served", before: 1.5, after: 2.5, beyond_noise: true };
     let comparison = Comparison { changes: vec![change], unlike: vec!["speed: 1 and 2".into()] };
--- a/crates/replay/tests/modules/main.rs
+++ b/crates/replay/tests/modules/main.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the modules that need no sockets, through their public interface.
+//! Tests of the modules without sockets, through their public interface.
 
 mod compare;
 mod plan;
--- a/crates/replay/tests/modules/plan.rs
+++ b/crates/replay/tests/modules/plan.rs
@@ -1,4 +1,4 @@
-//! Tests of the replay's schedule and of the clients' own retries.
+//! Tests of the replay's schedule, its limit of attempts in flight and the clients' retries.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -52,7 +52,7 @@
 }
 
 fn planner(max_in_flight: usize, records: &[Record]) -> Planner {
-    let mut planner = Planner::new(config(max_in_flight)).expect("usable");
+    let mut planner = Planner::new(config(max_in_flight)).expect("a valid configuration");
     records.iter().for_each(|r| planner.push_record(r.clone()));
     planner
 }
@@ -76,22 +76,23 @@
 }
 
 #[test]
-fn bursts_go_as_they_were_and_time_is_scaled() {
-    let mut fast = Planner::new(PlannerConfig { speed: 2.0, ..config(10) }).expect("usable");
+fn requests_are_sent_at_their_recorded_times_divided_by_the_speed() {
+    let mut planner =
+        Planner::new(PlannerConfig { speed: 2.0, ..config(10) }).expect("a valid configuration");
     for at in [0, 100, 100, 100, 300] {
-        fast.push_record(record(at, 0));
+        planner.push_record(record(at, 0));
     }
-    assert_eq!(sent_attempts(&mut fast, 0).len(), 1);
-    assert_eq!(fast.next_wake(), Some(50 * MS));
-    assert!(sent_attempts(&mut fast, 49 * MS).is_empty());
-    assert_eq!(sent_attempts(&mut fast, 50 * MS).len(), 3);
-    assert_eq!(sent_attempts(&mut fast, 150 * MS)[0].deadline, 1_650 * MS);
+    assert_eq!(sent_attempts(&mut planner, 0).len(), 1);
+    assert_eq!(planner.next_wake(), Some(50 * MS));
+    assert!(sent_attempts(&mut planner, 49 * MS).is_empty());
+    assert_eq!(sent_attempts(&mut planner, 50 * MS).len(), 3);
+    assert_eq!(sent_attempts(&mut planner, 150 * MS)[0].deadline, 1_650 * MS);
     assert!(Planner::new(PlannerConfig { speed: 0.0, ..config(1) }).is_err());
 }
 
-// Late sending must show in the latency, or a stall would hide itself.
+// A stall delays the sending of later requests. Latency counted from the send time would hide that.
 #[test]
-fn latency_counts_from_the_moment_a_request_was_due() {
+fn latency_counts_from_the_due_time() {
     let mut planner = planner(10, &[record(10, 0)]);
     let attempt = sent_attempts(&mut planner, 500 * MS).remove(0);
     planner.attempt_ended(520 * MS, attempt.number, AttemptOutcome::Served);
@@ -100,7 +101,7 @@
 }
 
 #[test]
-fn a_client_tries_again_once_after_the_wait_under_a_new_id_through_the_same_initiator() {
+fn a_client_retries_once_after_retry_after_with_a_new_id_through_the_same_initiator() {
     let mut planner = planner(10, &[record(0, 0)]);
     let first = sent_attempts(&mut planner, 0).remove(0);
     planner.attempt_ended(MS, first.number, AttemptOutcome::Refused { retry_after: 400 * MS });
@@ -114,51 +115,64 @@
 }
 
 #[test]
-fn nobody_tries_again_beyond_the_deadline_or_without_being_told_to() {
+fn no_retry_after_the_deadline_or_with_retries_disabled() {
     let mut late = planner(10, &[record(0, 0)]);
     let attempt = sent_attempts(&mut late, 0).remove(0);
     late.attempt_ended(MS, attempt.number, AttemptOutcome::Refused { retry_after: 1_600 * MS });
     assert_eq!(completion(&mut late, MS).0, RequestOutcome::Refused);
-    let mut never = Planner::new(PlannerConfig { retries: false, ..config(10) }).expect("usable");
+    let mut never =
+        Planner::new(PlannerConfig { retries: false, ..config(10) }).expect("a valid configuration");
     never.push_record(record(0, 0));
     let attempt = sent_attempts(&mut never, 0).remove(0);
     never.attempt_ended(MS, attempt.number, AttemptOutcome::Lost);
     assert_eq!(completion(&mut never, MS), (RequestOutcome::Lost, MS, 1));
 }
 
-// A deposit must not run twice: what may have run goes again only while the rack remembers it.
+// A keyed write must not be executed twice: if it may have been executed, it is retried only while the rack
+// remembers its key.
 #[test]
-fn a_keyed_write_goes_again_within_its_span_and_not_after() {
+fn a_keyed_write_that_may_have_run_is_retried_only_within_the_deduplication_window() {
     let is_retried = |record: Record, ended: Micros, outcome| {
-        let mut tried = planner(10, &[record]);
-        let attempt = sent_attempts(&mut tried, 0).remove(0);
-        tried.attempt_ended(ended, attempt.number, outcome);
-        tried.next_wake().is_some()
+        let mut planner = planner(10, &[record]);
+        let attempt = sent_attempts(&mut planner, 0).remove(0);
+        planner.attempt_ended(ended, attempt.number, outcome);
+        planner.next_wake().is_some()
     };
     assert!(is_retried(record(0, 1), 1_000 * MS, AttemptOutcome::Lost));
     assert!(is_retried(record(0, 1), 1_000 * MS, AttemptOutcome::Failed));
     assert!(is_retried(record(0, 1), 2_800 * MS, AttemptOutcome::Lost));
     assert!(
         !is_retried(record(0, 1), 2_950 * MS, AttemptOutcome::Lost),
-        "the try would begin after the span"
+        "the retry would start after the window"
     );
-    assert!(!is_retried(record(0, 1), 3_100 * MS, AttemptOutcome::Failed), "after the span");
-    assert!(is_retried(record(0, 1), 3_100 * MS, AttemptOutcome::Refused { retry_after: 0 }), "it never ran");
-    assert!(is_retried(record(0, 1), 3_100 * MS, AttemptOutcome::Unreachable), "it never ran");
+    assert!(!is_retried(record(0, 1), 3_100 * MS, AttemptOutcome::Failed), "after the window");
+    assert!(
+        is_retried(record(0, 1), 3_100 * MS, AttemptOutcome::Refused { retry_after: 0 }),
+        "it was not executed"
+    );
+    assert!(is_retried(record(0, 1), 3_100 * MS, AttemptOutcome::Unreachable), "it was not executed");
     let mut planner = planner(10, &[record(0, 1)]);
     let first = sent_attempts(&mut planner, 0).remove(0);
     planner.attempt_ended(100 * MS, first.number, AttemptOutcome::Lost);
     let second = sent_attempts(&mut planner, 200 * MS).remove(0);
-    assert_eq!((first.deadline, second.deadline), (6_000 * MS, 3_000 * MS), "it must end within the span");
-    let anywhere = Record { shard: None, ..record(0, 1) };
-    assert!(!is_retried(anywhere, 100 * MS, AttemptOutcome::Lost), "another rack could take it");
+    assert_eq!(
+        (first.deadline, second.deadline),
+        (6_000 * MS, 3_000 * MS),
+        "the retry must end within the window"
+    );
+    let without_shard = Record { shard: None, ..record(0, 1) };
+    assert!(
+        !is_retried(without_shard, 100 * MS, AttemptOutcome::Lost),
+        "without a shard the retry could reach another rack"
+    );
     assert!(!is_retried(record(0, 2), 100 * MS, AttemptOutcome::Lost), "a write without a key");
     assert!(is_retried(record(0, 2), 100 * MS, AttemptOutcome::Refused { retry_after: 0 }));
 }
 
-// More requests than descriptors: what waits goes in order, and what waits too long is told, not forgotten.
+// More requests are due than may be in flight. Waiting requests are sent in order, and one whose deadline passes
+// while it waits is reported as unsent.
 #[test]
-fn no_more_is_out_than_allowed_and_nothing_is_forgotten() {
+fn the_in_flight_limit_holds_and_each_waiting_request_gets_an_outcome() {
     let records: Vec<Record> = (0..4).map(|_| record(0, 0)).collect();
     let mut planner = planner(2, &records);
     let in_flight = sent_attempts(&mut planner, 0);
@@ -177,7 +191,7 @@
 }
 
 #[test]
-fn a_stop_gives_everything_its_last_word() {
+fn after_a_stop_each_due_request_gets_an_outcome() {
     let mut planner = planner(1, &[record(0, 0), record(0, 0), record(9_000, 0)]);
     let in_flight = sent_attempts(&mut planner, 0);
     planner.stop(MS);
@@ -187,13 +201,14 @@
     assert!(planner.is_idle() && planner.next_wake().is_none());
 }
 
-// Whatever happens in whatever order, each request has one last word, and the count of tries out is kept.
+// For random orders of events, each request has exactly one final outcome, and the planner counts the attempts
+// in flight correctly.
 #[test]
-fn each_request_has_one_last_word_under_any_course() {
+fn each_request_has_one_final_outcome_for_random_events() {
     for seed in 0..200 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut planner = Planner::new(PlannerConfig { max_in_flight: 1 + seed as usize % 7, ..config(1) })
-            .expect("usable");
+            .expect("a valid configuration");
         let count = 60;
         let mut at = 0;
         for _ in 0..count {
