--- a/src/cli/capture/cut.rs
+++ b/src/cli/capture/cut.rs
@@ -1,4 +1,4 @@
-//! `rowanglade capture cut`: a part of a trace.
+//! `rowanglade capture cut`: copies a part of a trace.
 
 use super::Failure;
 use lexopt::prelude::*;
@@ -31,12 +31,14 @@
     copy(&trace, &out, &cut)
 }
 
-/// Seconds of a trace, as microseconds.
+/// Parses a time in a trace, given in seconds, and returns it in microseconds.
 fn parse_micros(value: OsString) -> Result<u64, Failure> {
     let seconds: f64 = value.parse()?;
     match seconds.is_finite() && seconds >= 0.0 {
         true => Ok((seconds * 1e6) as u64),
-        false => Err(Failure::Usage(format!("{seconds} s is no time in a trace"))),
+        false => Err(Failure::Usage(format!(
+            "{seconds} s is not a time in a trace: must be finite and at least 0"
+        ))),
     }
 }
 
@@ -44,21 +46,21 @@
     u64::from_str_radix(text, 16).map_err(|error| Failure::Usage(format!("--volume {text:?}: {error}")))
 }
 
-/// Writes the records that the cut keeps.
+/// Copies the records that the cut keeps, and prints how many they are.
 fn copy(trace: &Path, out: &Path, cut: &Cut) -> Result<(), Failure> {
     let mut reader = TraceReader::open(trace).map_err(Failure::usage)?;
     let header = reader.header().clone();
     cut.check(&header).map_err(Failure::usage)?;
     let mut writer = TraceWriter::create(out, &cut.header(&header)).map_err(Failure::usage)?;
-    let mut read = 0;
+    let mut records = 0;
     for record in &mut reader {
         let record: Record = record.map_err(Failure::usage)?;
-        read += 1;
+        records += 1;
         if cut.keeps(&header, &record) {
             writer.push(cut.record(record)).map_err(Failure::running)?;
         }
     }
     let kept = writer.finish().map_err(Failure::running)?;
-    println!("{kept} of {read} requests");
+    println!("kept {kept} of {records} requests");
     Ok(())
 }
--- a/src/cli/capture/import.rs
+++ b/src/cli/capture/import.rs
@@ -1,4 +1,4 @@
-//! `rowanglade capture import`: from recorded files to a trace.
+//! `rowanglade capture import`: imports recorded files into a trace.
 
 use super::{Failure, percent, progress};
 use lexopt::prelude::*;
@@ -6,13 +6,13 @@
 use rowanglade_capture::{Import, Mapping, Tolerance, import};
 use std::path::PathBuf;
 
-/// The longest window within which lines may be out of order: a day.
+/// The longest window within which out-of-order lines are sorted: one day.
 const MAX_WINDOW_SECONDS: f64 = 86_400.0;
 
 /// Runs the command.
 ///
 /// # Errors
-/// The usage is wrong, a file cannot be used, or too many of its entries are bad.
+/// The usage is wrong, a file cannot be read or written, or too many entries of a file are invalid.
 pub(super) fn run(mut parser: lexopt::Parser) -> Result<(), Failure> {
     let mut files = Vec::new();
     let mut out = None;
@@ -36,17 +36,17 @@
         return Err(Failure::usage("capture import needs a FILE"));
     }
     if !(0.0..=1.0).contains(&tolerance.bad_share) {
-        return Err(Failure::usage("--bad-share lies between 0 and 1"));
+        return Err(Failure::usage("--bad-share must be between 0 and 1"));
     }
     if !(0.0..=MAX_WINDOW_SECONDS).contains(&window_seconds) {
-        return Err(Failure::usage("--window lies between 0 and 86400 seconds"));
+        return Err(Failure::usage("--window must be between 0 and 86400 seconds"));
     }
     let mapping = map.map_or_else(Mapping::standard, |path| Mapping::load(&path)).map_err(Failure::usage)?;
     let window = (window_seconds * 1e6) as i64;
     let options = Import { files: &files, format, tolerance, window, to: &out };
     let mut line = progress::Line::new();
-    let result = import(&mapping, &options, &mut |place, p| {
-        line.show(|| format!("{}: {:.0}%  {} entries", files[place].display(), percent(p), p.entries));
+    let result = import(&mapping, &options, &mut |index, p| {
+        line.show(|| format!("{}: {:.0}%  {} entries", files[index].display(), percent(p), p.entries));
     });
     drop(line);
     match result {
--- a/src/cli/capture/inspect.rs
+++ b/src/cli/capture/inspect.rs
@@ -1,4 +1,4 @@
-//! `rowanglade capture inspect`: what a trace holds.
+//! `rowanglade capture inspect`: summarizes a trace.
 
 use super::Failure;
 use lexopt::prelude::*;
@@ -7,12 +7,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
 
-/// Microseconds of a second.
+/// Microseconds per second.
 const MICROS_PER_SECOND: u64 = 1_000_000;
-/// The first status of a request that failed; 0 stands for one without a status.
+/// Lowest status of a failed request. Requests with status 0, which have no status, count as failed too.
 const FIRST_ERROR_STATUS: u16 = 400;
 
-/// The requests of one class.
+/// Totals of one request class. The names of the fields are the keys of the JSON.
 #[derive(Default, Serialize)]
 struct ClassSummary {
     requests: u64,
@@ -23,7 +23,7 @@
     repeated_keys: u64,
 }
 
-/// The requests of one class, while they are counted.
+/// Totals of one request class while the trace is read, with its distinct idempotency keys.
 #[derive(Default)]
 struct ClassCounts {
     summary: ClassSummary,
@@ -44,7 +44,7 @@
     }
 }
 
-/// What a trace holds. The names of the fields are those of the JSON.
+/// The summary of a trace. The names of the fields are the keys of the JSON.
 #[derive(Serialize)]
 struct TraceSummary {
     header: Header,
@@ -109,10 +109,10 @@
 
 fn print_text(summary: &TraceSummary) -> Result<(), Failure> {
     let TraceSummary { header, records, seconds, volumes, busiest_second, per_class } = summary;
-    let begun = jiff::Timestamp::from_microsecond(header.base_us).map_err(Failure::usage)?;
-    println!("begun {begun}  {seconds} s  of {}", header.sources.join(", "));
+    let start = jiff::Timestamp::from_microsecond(header.base_us).map_err(Failure::usage)?;
+    println!("start {start}  duration {seconds} s  sources {}", header.sources.join(", "));
     let anonymised = if header.anonymised { ", anonymised" } else { "" };
-    println!("{records} requests  {volumes} volumes{anonymised}  busiest second {busiest_second}");
+    println!("{records} requests  {volumes} volumes{anonymised}  busiest second: {busiest_second} requests");
     println!(
         "{:<12} {:>9} {:>11} {:>13} {:>8} {:>8} {:>8}",
         "class", "requests", "units", "bytes", "failed", "keys", "repeats"
--- a/src/cli/capture/load.rs
+++ b/src/cli/capture/load.rs
@@ -1,14 +1,14 @@
-//! `rowanglade load`: the load that a recorded file offers.
+//! `rowanglade load`: summarizes the load in a recorded file.
 
 use super::{Failure, percent, progress};
 use rowanglade_capture::read::{self, Options, Progress};
 use rowanglade_capture::{Summary, Tolerance};
 use std::path::Path;
 
-/// Prints a summary of the load that a file offers; sends nothing.
+/// Prints a summary of the load in a file, without sending any request.
 ///
 /// # Errors
-/// The file cannot be read, or has no request.
+/// The file cannot be read or contains no request.
 pub fn load(file: &Path) -> Result<(), Failure> {
     let mut line = progress::Line::new();
     let mut show = |progress: Progress| {
@@ -23,14 +23,14 @@
     drop(line);
     let stats = stats.map_err(Failure::usage)?;
     if summary.requests() == 0 {
-        return Err(Failure::Usage(format!("{}: no request in it", file.display())));
+        return Err(Failure::Usage(format!("{}: contains no requests", file.display())));
     }
     print!("{summary}");
     for sample in &stats.samples {
         eprintln!("{}: {}: {}", file.display(), sample.place, sample.reason);
     }
     if stats.bad > 0 {
-        eprintln!("{}: {} bad entries passed over", file.display(), stats.bad);
+        eprintln!("{}: skipped {} invalid entries", file.display(), stats.bad);
     }
     Ok(())
 }
--- a/src/cli/capture/mod.rs
+++ b/src/cli/capture/mod.rs
@@ -1,4 +1,4 @@
-//! `rowanglade capture`: from recorded files to traces, and parts of traces.
+//! `rowanglade capture`: imports recorded files into traces, and inspects and cuts traces.
 
 mod cut;
 mod import;
@@ -14,17 +14,19 @@
 /// What `rowanglade help capture` prints.
 pub const HELP: &str = "\
 usage: rowanglade capture import FILE... --out TRACE [--map MAPPING] [--format har|log|own]
-                                 [--bad-share PART] [--window SECONDS]
+                                 [--bad-share SHARE] [--window SECONDS]
        rowanglade capture inspect TRACE [--json]
        rowanglade capture cut TRACE --out PART [--from SECONDS] [--until SECONDS] [--class NAME]...
-                              [--volume HEX]... [--share PART]
-       rowanglade capture mapping      print the mapping that is used without --map
+                              [--volume HEX]... [--share SHARE]
+       rowanglade capture mapping      print the default mapping
 
 import reads HAR files, access logs (Common or Combined, with or without the time taken) and the daemon's own
-access log, plain or packed by gzip or zstd, one file behind the other. Entries that cannot be read are counted
-and shown; more than --bad-share of a file (0.05) end the import. Lines up to --window seconds (5) out of order
-are put in order. What the mapping does not know is reported by its pattern.
-cut keeps the requests of whole volumes with --share, so that a client's requests stay together.
+access log, plain or compressed with gzip or zstd, one file after the other. Entries that cannot be parsed are
+counted, and samples of them are printed; the import fails if their share of a file exceeds --bad-share (0.05).
+Lines that are out of order by up to --window seconds (5) are sorted. Requests that the mapping does not cover are
+reported by their pattern.
+cut with --share keeps that share of the volumes, with all of their requests, so that a client's requests stay
+together.
 
   rowanglade capture import access.log.1 access.log --map map.toml --out monday.trace
   rowanglade capture cut monday.trace --from 3600 --until 3660 --out minute.trace
@@ -56,7 +58,7 @@
     }
 }
 
-/// How much of a file has been read, in percent.
+/// Returns how much of a file has been read, in percent.
 fn percent(progress: Progress) -> f64 {
     100.0 * progress.bytes as f64 / progress.of.max(1) as f64
 }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line: parses the arguments and runs the command that they name.
 
 mod capture;
 mod progress;
@@ -18,38 +18,39 @@
 rowanglade: an I/O initiator that orders and paces the I/O of many volumes
 
 usage: rowanglade [serve] [--operator FILE]... serve until SIGTERM or SIGINT
-       rowanglade check [--operator FILE]...  read the configuration and say what is wrong with it
-       rowanglade load FILE                   sum up the load that a HAR file or an access log offers
-       rowanglade try                         replay a sample capture on loopback; needs nothing
-       rowanglade capture import|inspect|cut  make and look at traces of recorded traffic
-       rowanglade replay TRACE --to ADDR      send a trace's requests again, and report
-       rowanglade replay compare A B          tell what changed from one report to another
-       rowanglade routes test|explain|diff    check routes and what is expected of them
+       rowanglade check [--operator FILE]...  validate the configuration and report errors
+       rowanglade load FILE                   summarize the load in a HAR file or an access log
+       rowanglade try                         replay a sample capture on loopback; needs no configuration
+       rowanglade capture import|inspect|cut  create and examine traces of recorded traffic
+       rowanglade replay TRACE --to ADDR      send the requests of a trace again and report the outcomes
+       rowanglade replay compare A B          compare two reports of replays
+       rowanglade routes test|explain|diff    test routes and their expectations
        rowanglade version
        rowanglade help [COMMAND]
 
-The configuration comes from LB_CONFIG, a JSON file; LB_NAME, LB_LISTEN, LB_DISCOVERY and LB_ADMIN win over it.
-Operators call at its `admin`; a second process with the same TMPDIR takes over from the one that serves.
-SIGHUP has the files read again: discovery's address and the routes are taken over if every expectation holds, all
-else waits for the next start.
-SIGUSR1 has a line of status logged: what is open, the targets, and the versions of routes in use.
-An operator's file (TOML) sets up the iSCSI-style front, the access log and routes; without one all are off.
-LOG sets the least level of log lines: error, warn, info, debug or trace.
-Exit codes: 0 done; 1 it failed while running; 2 wrong usage, configuration or file.
+The configuration is the JSON file that LB_CONFIG names; LB_NAME, LB_LISTEN, LB_DISCOVERY and LB_ADMIN override it.
+Its `admin` is the address for the operators' commands. A process that starts with the same TMPDIR as a serving one
+takes over from it.
+SIGHUP reloads the files: the discovery address and the routes are applied if every expectation holds; all other
+settings are applied at the next start.
+SIGUSR1 logs the status: the numbers of open requests and of targets, and the versions of the routes in use.
+An operator's file (TOML) configures the iSCSI-style front, the access log and routes; without one all are off.
+LOG sets the lowest level of log lines: error, warn, info, debug or trace.
+Exit codes: 0 done; 1 failed while running; 2 wrong usage, configuration or file.
 ";
 
-/// The exit code of a command that failed while running.
+/// Exit code of a command that failed while running.
 const EXIT_RUNNING: u8 = 1;
-/// The exit code of wrong usage, configuration or file.
+/// Exit code for wrong usage, a wrong configuration or a file that cannot be used.
 const EXIT_USAGE: u8 = 2;
 
-/// Why a command failed.
+/// Why a command failed, which decides the exit code.
 #[derive(Debug, thiserror::Error)]
 enum Failure {
-    /// Wrong usage, configuration or file.
+    /// Wrong usage, a wrong configuration or a file that cannot be used.
     #[error("{0}")]
     Usage(String),
-    /// It failed while running.
+    /// The command failed while running.
     #[error("{0}")]
     Running(String),
 }
@@ -77,7 +78,8 @@
     }
 }
 
-/// Runs the command that the arguments name.
+/// Runs the command that the arguments name, prints its error on standard error, and returns its exit code.
+/// The arguments don't include the program's name.
 pub fn run(args: impl IntoIterator<Item = OsString>) -> ExitCode {
     match dispatch(args) {
         Ok(()) => ExitCode::SUCCESS,
@@ -90,8 +92,8 @@
 
 fn dispatch(args: impl IntoIterator<Item = OsString>) -> Result<(), Failure> {
     let mut args = args.into_iter().peekable();
-    // Without a word, or with an option first, it serves.
-    let word = match args.peek().map(|arg| arg.to_string_lossy().into_owned()) {
+    // The default command is `serve`: no argument, or an option first.
+    let command = match args.peek().map(|arg| arg.to_string_lossy().into_owned()) {
         Some(word) if !word.starts_with('-') => {
             args.next();
             word
@@ -101,7 +103,7 @@
         _ => "serve".into(),
     };
     let parser = lexopt::Parser::from_args(args);
-    match word.as_str() {
+    match command.as_str() {
         "serve" => serve(parser),
         "check" => check(parser),
         "load" => load(parser),
@@ -135,7 +137,7 @@
     Ok(())
 }
 
-/// The operator's files, which are all that `serve` and `check` take.
+/// Parses the arguments of `serve` and `check`, which accept operator's files only.
 fn operator_files(mut parser: lexopt::Parser) -> Result<Vec<PathBuf>, Failure> {
     let mut operator = Vec::new();
     while let Some(arg) = parser.next()? {
@@ -162,7 +164,7 @@
         println!("{decision}");
     }
     match decision {
-        Decision::Refuse => Err(Failure::usage("expectations are broken")),
+        Decision::Refuse => Err(Failure::usage("route expectations do not hold")),
         _ => Ok(()),
     }
 }
@@ -171,7 +173,7 @@
     let operator = operator_files(parser)?;
     let config = Config::load(variable, &operator).map_err(Failure::usage)?;
     start_log();
-    // The runtime of the HTTP libraries: one thread.
+    // A runtime of one thread, which the HTTP libraries require.
     let reload = move || Reload::load(variable, &operator);
     match actix_rt::System::new().block_on(initiator::serve(config, reload)) {
         Ok(()) => Ok(()),
@@ -192,7 +194,7 @@
     capture::load(&file)
 }
 
-/// Starts the log on standard error. Nothing is logged per request at the default level.
+/// Starts logging to standard error. At the default level nothing is logged per request.
 fn start_log() {
     let level = variable("LOG").and_then(|level| level.parse().ok()).unwrap_or(tracing::Level::INFO);
     tracing_subscriber::fmt().with_max_level(level).with_writer(std::io::stderr).with_ansi(false).init();
--- a/src/cli/progress.rs
+++ b/src/cli/progress.rs
@@ -1,12 +1,12 @@
-//! The progress of long work, on standard error where that is a terminal.
+//! A progress line for long commands, on standard error if that is a terminal.
 
 use std::io::{IsTerminal, Write, stderr};
 use std::time::{Duration, Instant};
 
-/// How often the line is written: a reader sees no more.
+/// Shortest time between two updates of the line; readers cannot follow faster ones.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A line that is rewritten in place, and cleared when it is dropped.
+/// A progress line that is overwritten in place and cleared when dropped.
 pub struct Line {
     shown: bool,
     last_written_at: Instant,
@@ -14,12 +14,12 @@
 }
 
 impl Line {
-    /// A line that is not written yet.
+    /// Creates a line that has not been written yet.
     pub fn new() -> Line {
         Line { shown: false, last_written_at: Instant::now(), terminal: stderr().is_terminal() }
     }
 
-    /// Writes what `text` returns, unless the line was written a moment ago.
+    /// Writes the text, unless less than [`REFRESH_INTERVAL`] has passed since the line was last written.
     pub fn show(&mut self, text: impl FnOnce() -> String) {
         if self.terminal && self.last_written_at.elapsed() >= REFRESH_INTERVAL {
             self.last_written_at = Instant::now();
--- a/src/cli/replay.rs
+++ b/src/cli/replay.rs
@@ -1,4 +1,4 @@
-//! `rowanglade replay`: traces sent again, and what became of them.
+//! `rowanglade replay`: replays traces and compares the reports.
 
 use super::{Failure, progress};
 use lexopt::prelude::*;
@@ -10,33 +10,34 @@
 
 /// What `rowanglade help replay` prints.
 pub const HELP: &str = "\
-usage: rowanglade replay TRACE --to ADDR[,ADDR...] [--speed TIMES] [--no-retries] [--most TRIES] [--seed N]
+usage: rowanglade replay TRACE --to ADDR[,ADDR...] [--speed TIMES] [--no-retries] [--most N] [--seed N]
                          [--iscsi TARGET [--blocks-per-unit N]] [--json FILE] [--html FILE]
        rowanglade replay compare BEFORE.json AFTER.json [--json]
        rowanglade try [--html FILE] [--json FILE]
 
-replay sends a trace's requests to initiators when they are due, whatever became of those before them, and reports
-what became of each class. Latency counts from the moment a request was due. Clients try again once at most, as
-their class permits; --most (512) bounds the tries that are out at once, each a descriptor over HTTP. With --iscsi
-requests go over the iSCSI-style front to that target; volumes are its LUNs. Ctrl-C ends it with a report.
-compare tells what changed from one report to another, and whether it is beyond noise; exit 1 if it is.
-try needs nothing: it starts four stand-in boxes, discovery and one initiator on loopback, and replays the sample
-capture to it.
+replay sends the requests of a trace to initiators at their recorded times, whatever the outcome of earlier requests,
+and reports the outcomes by request class. Latency counts from the time at which a request was due. Clients retry at
+most once, as the request class permits. --most (512) limits the attempts in flight; each takes a file descriptor
+over HTTP. With --iscsi requests are sent over the iSCSI-style front to that target; volumes are its LUNs. Ctrl-C
+stops the replay and prints the report.
+compare prints the differences between two reports, and whether they are significant; exit code 1 if any is.
+try needs no configuration: it starts four stub targets, a discovery service and one initiator on loopback, and
+replays the sample capture to the initiator.
 
   rowanglade replay monday.trace --to 127.0.0.1:7070 --speed 2 --json monday.json --html monday.html
 ";
 
-/// Where a report goes beside the terminal.
+/// Files that a report is written to, in addition to standard output.
 #[derive(Default)]
 pub(super) struct Outputs {
-    /// Where the report goes as JSON.
+    /// Path of the JSON report.
     pub(super) json: Option<PathBuf>,
-    /// Where the report goes as a page.
+    /// Path of the HTML page.
     pub(super) html: Option<PathBuf>,
 }
 
 impl Outputs {
-    /// Writes the report where it was asked for.
+    /// Writes the report to the files that were given.
     pub(super) fn write(&self, report: &Report) -> Result<(), Failure> {
         let write = |path: &Path, text: String| {
             std::fs::write(path, text)
@@ -52,7 +53,7 @@
     }
 }
 
-/// Logical blocks of a unit of the iSCSI-style front where the arguments do not say: as that front's default.
+/// Default logical blocks per unit; the same as the default of the iSCSI-style front.
 const DEFAULT_BLOCKS_PER_UNIT: u32 = 8;
 
 /// Runs `rowanglade replay`.
@@ -99,7 +100,7 @@
     outputs.write(&report)
 }
 
-/// The addresses of initiators, between commas.
+/// Parses addresses of initiators, separated by commas.
 fn parse_addresses(text: &str) -> Result<Vec<SocketAddr>, Failure> {
     let parse = |addr: &str| {
         let parsed = addr.trim().parse();
@@ -108,15 +109,16 @@
     text.split(',').map(parse).collect()
 }
 
-/// Replays, shows the progress, and ends it at Ctrl-C.
+/// Runs a replay with a progress line. The first SIGINT stops it, and the report covers what was sent; a
+/// second one exits at once with code 130.
 pub(super) async fn replay_with_progress(trace: &Path, options: &Replay) -> Result<Report, Failure> {
     let (stop, stopped) = oneshot::channel();
     let mut interrupt = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::interrupt())
         .map_err(Failure::running)?;
-    let watch = actix_rt::spawn(async move {
+    let interrupt_task = actix_rt::spawn(async move {
         interrupt.recv().await;
         let _ = stop.send(());
-        // A second one ends it without waiting for what is out.
+        // A second SIGINT exits without waiting for the attempts in flight.
         interrupt.recv().await;
         std::process::exit(130);
     });
@@ -124,12 +126,12 @@
     let result = replay(trace, options, stopped, &mut |p| {
         let seconds = p.elapsed.as_secs_f64();
         line.show(|| {
-            format!("{seconds:.1} s  {} ended, {} served, {} in flight", p.due, p.served, p.in_flight)
+            format!("{seconds:.1} s  {} completed, {} served, {} in flight", p.due, p.served, p.in_flight)
         });
     })
     .await;
     drop(line);
-    watch.abort();
+    interrupt_task.abort();
     let (report, trace_error) = result.map_err(Failure::usage)?;
     if let Some(trace_error) = trace_error {
         eprintln!("rowanglade: {trace_error}");
@@ -148,9 +150,9 @@
         }
     }
     let read = |path: &PathBuf| {
-        let named = |e: String| Failure::Usage(format!("{}: {e}", path.display()));
-        let text = std::fs::read_to_string(path).map_err(|e| named(e.to_string()))?;
-        Report::parse(&text).map_err(|error| named(error.to_string()))
+        let file_error = |error: String| Failure::Usage(format!("{}: {error}", path.display()));
+        let text = std::fs::read_to_string(path).map_err(|error| file_error(error.to_string()))?;
+        Report::parse(&text).map_err(|error| file_error(error.to_string()))
     };
     let [before, after] = files.as_slice() else {
         return Err(Failure::usage("replay compare needs BEFORE.json and AFTER.json"));
@@ -162,7 +164,7 @@
         print!("{comparison}");
     }
     match comparison.changed() {
-        true => Err(Failure::running("the two differ by more than noise")),
+        true => Err(Failure::running("significant differences between the two reports")),
         false => Ok(()),
     }
 }
--- a/src/cli/routes.rs
+++ b/src/cli/routes.rs
@@ -1,4 +1,5 @@
-//! `rowanglade routes`: expectations checked, a request's route explained, two versions of files compared.
+//! `rowanglade routes`: tests expectations, explains the route of a request, and compares two versions of the
+//! files.
 
 use super::{Failure, variable};
 use crate::config::{Config, RouteEvaluation, Routing};
@@ -17,11 +18,12 @@
                                  [--client ADDR] [--front http|iscsi] [--list LIST]
        rowanglade routes diff OLD NEW [--list LIST]
 
-Routes and expectations stand in operator's files, which are merged in the order given. The classes and plans that
-they name come from the configuration (LB_CONFIG), the boxes from its `known`, or from LIST: a file with a list as
-discovery gives it. test says of each expectation that does not hold why, with a request and a list that show it;
-exit 2 if the files would be refused. explain names the route that a request takes and those it would have taken
-otherwise. diff tells which classes of requests reach other boxes by NEW than by OLD, with every box active.
+Routes and expectations are read from operator's files, which are merged in the order given. The classes and plans
+that they name come from the configuration (LB_CONFIG), the targets from its `known`, or from LIST: a file with an
+endpoint list in discovery's format. test explains each expectation that does not hold, with a request and an
+endpoint list as an example; exit code 2 if the files would be rejected. explain prints the route that a request
+takes, and the other routes that match it in order of precedence. diff prints which classes of requests reach other
+targets with NEW than with OLD, if every target is active.
 ";
 
 /// Runs the command that the arguments name.
@@ -53,7 +55,7 @@
 }
 
 impl Files {
-    /// The routes of the files, and the targets that are listed.
+    /// Reads the routes, and the targets of the endpoint list or, without one, of the cached list.
     fn read(&self) -> Result<(Routing, Vec<TargetInfo>), Failure> {
         let config = Config::load(variable, &self.operator).map_err(Failure::usage)?;
         let targets = match &self.list {
@@ -84,19 +86,19 @@
     lines.iter().for_each(|line| println!("{line}"));
     let rules = &routing.rules;
     println!(
-        "{} routes, {} pools, {} expectations, {} boxes: {decision}",
+        "{} routes, {} pools, {} expectations, {} targets: {decision}",
         rules.table.routes().len(),
         rules.table.pools().len(),
         rules.expectations.len(),
         targets.len()
     );
     match decision {
-        Decision::Refuse => Err(Failure::usage("expectations are broken")),
+        Decision::Refuse => Err(Failure::usage("route expectations do not hold")),
         _ => Ok(()),
     }
 }
 
-/// What `routes explain` is asked about.
+/// Arguments of `routes explain`.
 struct ExplainArguments {
     files: Files,
     front: Front,
@@ -143,7 +145,7 @@
     match word {
         "http" => Ok(Front::Http),
         "iscsi" => Ok(Front::Iscsi),
-        other => Err(Failure::Usage(format!("--front {other:?} is neither http nor iscsi"))),
+        other => Err(Failure::Usage(format!("--front {other:?}: must be http or iscsi"))),
     }
 }
 
@@ -153,7 +155,7 @@
     let (routing, targets) = files.read()?;
     let table = &routing.rules.table;
     let Some(class) = routing.settings.class(&class) else {
-        return Err(Failure::Usage(format!("the settings have no class {class:?}")));
+        return Err(Failure::Usage(format!("--class {class:?}: not a request class of the configuration")));
     };
     let request = RouteRequest {
         front,
@@ -164,20 +166,23 @@
         volume,
         shard,
     };
-    println!("a request of {request}");
+    println!("request: {request}");
     let matching = table.explain(&request);
     if matching.is_empty() {
-        println!("no route matches it: it may reach every box");
+        println!("no route matches: the request may reach every target");
     }
     for (rank, (index, prefix)) in matching.iter().enumerate() {
         let route = &table.routes()[*index];
         let pool = &table.pools()[route.pool];
-        let says = if rank == 0 { "takes" } else { "then " };
-        println!("{says} route {:?} ({}), prefix /{prefix}, pool {:?}", route.name, route.origin, pool.name);
+        let rank_label = if rank == 0 { "selected" } else { "next    " };
+        println!(
+            "{rank_label} route {:?} ({}), prefix /{prefix}, pool {:?}",
+            route.name, route.origin, pool.name
+        );
     }
     let active = targets.iter().map(|target| (target, ListedState::Active, target.name.as_str()));
     let reached = table.reachable(table.route(&request), shard, active);
-    println!("boxes, with all of {} active: {}", targets.len(), join(&reached));
+    println!("targets reached if all {} are active: {}", targets.len(), join(&reached));
     Ok(())
 }
 
@@ -206,13 +211,13 @@
     let changes = diff(&before.rules.table, &after.rules.table, &before.settings, &targets);
     for change in &changes {
         println!(
-            "{} -> {}: {} classes of requests",
+            "{} -> {}: {} classes of equivalent requests",
             join(&change.before),
             join(&change.after),
             change.classes
         );
-        println!("  such as a request of {}", change.request);
+        println!("  for example: {}", change.request);
     }
-    println!("{} kinds of change over {} boxes", changes.len(), targets.len());
+    println!("{} kinds of change, {} targets", changes.len(), targets.len());
     Ok(())
 }
--- a/src/cli/tests.rs
+++ b/src/cli/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of how wrong arguments are reported.
+//! Tests of the errors for wrong arguments.
 
 use super::*;
 
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn wrong_words_are_named() {
+fn errors_name_the_wrong_or_missing_argument() {
     assert!(dispatch_error(&["load"]).contains("FILE"));
     assert!(dispatch_error(&["load", "a", "b"]).contains('b'));
     assert!(dispatch_error(&["load", "/nowhere/x.log"]).starts_with("/nowhere/x.log: "));
--- a/src/cli/try_out.rs
+++ b/src/cli/try_out.rs
@@ -9,24 +9,24 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// The capture that is shipped.
+/// The sample capture, which is part of the program.
 const SAMPLE: &[u8] = include_bytes!("../../samples/viewers.har.gz");
 /// The zone of the stub targets.
 const ZONE: &str = "kingston";
 /// The number of stub targets.
 const TARGETS: usize = 4;
-/// How long a stub target takes for a request of each class, in milliseconds.
+/// Service time of a stub target by request class, in milliseconds.
 const SERVICE_TIMES_MS: [(&str, u64); 3] = [("view", 12), ("deposit", 20), ("export", 40)];
-/// The seed of the stub targets' random numbers.
+/// Seed of the stub targets' random numbers.
 const SEED: u64 = 1;
-/// What the initiator may use: the defaults of a configuration.
+/// The initiator's limits: the defaults of a configuration.
 const DESCRIPTORS: usize = 1_024;
 const MEMORY_MB: usize = 192;
 
-/// Runs `rowanglade try`: one command for a newcomer, with everything on loopback and nothing to set up.
+/// Runs `rowanglade try`: replays the sample capture on loopback, without any configuration.
 ///
 /// # Errors
-/// The usage is wrong, or one of the processes failed.
+/// The usage is wrong, or the replay or one of its processes failed.
 pub fn run(mut parser: lexopt::Parser) -> Result<(), Failure> {
     let mut outputs = Outputs::default();
     while let Some(arg) = parser.next()? {
@@ -46,21 +46,21 @@
     let trace = import_sample(folder.path())?;
     let site = start_targets().await?;
     let daemon = start_daemon(&trace, &site)?;
-    eprintln!("one initiator on {}, {TARGETS} stand-in boxes; replaying", daemon.http);
+    eprintln!("started {TARGETS} stub targets and one initiator on {}; replaying", daemon.http);
     let report = replay_with_progress(&trace, &Replay::to(vec![daemon.http])).await;
     if report.is_err() {
-        eprintln!("the initiator's log:\n{}", daemon.log().join("\n"));
+        eprintln!("log of the initiator:\n{}", daemon.log().join("\n"));
     }
     let report = report?;
     let counters = site.counters();
     eprintln!(
-        "the boxes ran {} writes and dropped {} repeats",
+        "stub targets executed {} writes and suppressed {} duplicates",
         counters.writes_executed, counters.writes_suppressed
     );
     Ok(report)
 }
 
-/// Makes a trace of the sample capture.
+/// Imports the sample capture into a trace in the folder, and returns its path.
 fn import_sample(folder: &Path) -> Result<PathBuf, Failure> {
     let capture = folder.join("viewers.har.gz");
     let trace = folder.join("viewers.trace");
@@ -69,7 +69,7 @@
     let request = Import::new(std::slice::from_ref(&capture), &trace);
     let imported = import(&mapping, &request, &mut |_, _| {});
     let imported = imported.map_err(|(error, _)| Failure::running(error))?;
-    eprintln!("the sample capture: {} requests over {:.1} s", imported.records, imported.span as f64 / 1e6);
+    eprintln!("sample capture: {} requests over {:.1} s", imported.records, imported.span as f64 / 1e6);
     Ok(trace)
 }
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: see `rowanglade help`.
+//! The `rowanglade` program. `rowanglade help` lists its commands.
 #![forbid(unsafe_code)]
 
 fn main() -> std::process::ExitCode {
