--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -1,8 +1,9 @@
-//! Slopes: what the control of a fleet costs at four sizes each, and what law that follows.
+//! Scaling experiments: the cost of a fleet's control traffic and state at four sizes each, and the function
+//! that fits its growth.
 //!
-//! Memory and processor time of code without sockets are measured in processes of their own ([`cost`]); whole
-//! initiators without clients share processes ([`idle_initiators`]), with real ones beside them at one size; what no
-//! number of sockets on one machine holds is simulated ([`reads`]).
+//! Memory and processor time of code without sockets are measured in separate processes ([`cost`]). Idle
+//! initiators share processes ([`idle_initiators`]), with initiators in separate processes for comparison at
+//! one size. Fleets that need more sockets than one machine has are simulated ([`reads`], [`network`]).
 
 mod all_pairs;
 mod connections;
@@ -41,31 +42,31 @@
     ]
 }
 
-/// Work whose cost is measured in a process of its own.
+/// A piece of work whose cost is measured in a separate process.
 type Probe = fn(Size) -> Result<Cost, Failure>;
 
 const PROBES: &[(&str, Probe)] = &[
     ("list-decode", lists::decode),
     ("list-encode", lists::encode),
     ("list-change", lists::change),
-    ("module-change", lists::module_change),
-    ("module-request", lists::module_request),
-    ("module-new-object", lists::module_new_object),
-    ("module-empty-change", lists::module_empty_change),
+    ("module-change", lists::scheduler_change),
+    ("module-request", lists::scheduler_request),
+    ("module-new-object", lists::scheduler_new_object),
+    ("module-empty-change", lists::scheduler_empty_change),
     ("list-change-subset", lists::change_with_subset),
-    ("subset-table", subsets::whole),
-    ("subset-all-pairs", subsets::whole_by_pairs),
+    ("subset-table", subsets::table),
+    ("subset-all-pairs", subsets::table_by_all_pairs),
     ("subset-change", subsets::change),
     ("distribution-state", distribution::state),
-    ("unit-lack", units::lack),
+    ("unit-lack", units::shortage),
 ];
 
-/// The life of a process that measures one probe: `NAME INSTANCES TARGETS`.
+/// Main function of a process that measures one probe; its arguments are `NAME INITIATORS TARGETS`.
 pub fn run_probe(arguments: &[OsString]) -> ExitCode {
     let words: Vec<&str> = arguments.iter().filter_map(|word| word.to_str()).collect();
     let cost = match words.as_slice() {
-        [name, instances, targets] => measured(name, instances, targets),
-        _ => Err(Failure::Unexpected("a probe's name, instances and targets")),
+        [name, initiators, targets] => measured(name, initiators, targets),
+        _ => Err(Failure::Unexpected("expected three arguments: probe name, initiators, targets")),
     };
     let printed = cost.and_then(|cost| {
         println!("{}", serde_json::to_string(&cost)?);
@@ -80,18 +81,18 @@
     }
 }
 
-fn measured(name: &str, instances: &str, targets: &str) -> Result<Cost, Failure> {
-    let size = Size { instances: instances.parse()?, targets: targets.parse()? };
+fn measured(name: &str, initiators: &str, targets: &str) -> Result<Cost, Failure> {
+    let size = Size { initiators: initiators.parse()?, targets: targets.parse()? };
     let probe = PROBES.iter().find(|(known, _)| *known == name);
-    probe.ok_or(Failure::Unexpected("an unknown probe"))?.1(size)
+    probe.ok_or(Failure::Unexpected("unknown probe name"))?.1(size)
 }
 
-/// The life of a process of initiators without clients: `INSTANCES TARGETS DISCOVERY`.
+/// Main function of a process of idle initiators; its arguments are `INITIATORS TARGETS DISCOVERY`.
 pub fn run_idle_initiators(arguments: &[OsString]) -> ExitCode {
     let words: Vec<&str> = arguments.iter().filter_map(|word| word.to_str()).collect();
     match words.as_slice() {
-        [instances, targets, discovery] => match (instances.parse(), targets.parse()) {
-            (Ok(instances), Ok(targets)) => idle_initiators::run(instances, targets, discovery),
+        [initiators, targets, discovery] => match (initiators.parse(), targets.parse()) {
+            (Ok(initiators), Ok(targets)) => idle_initiators::run(initiators, targets, discovery),
             _ => ExitCode::from(2),
         },
         _ => ExitCode::from(2),
--- a/crates/lab/src/soak/plan.rs
+++ b/crates/lab/src/soak/plan.rs
@@ -6,27 +6,28 @@
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
 
-/// What a seed draws.
+/// Size, load and faults of a soak run, all drawn from its seed.
 #[derive(Clone, Debug)]
 pub struct SoakPlan {
-    /// The seed.
+    /// Seed that the plan was drawn from.
     pub seed: u64,
-    /// How many initiators there are.
+    /// Number of initiator processes.
     pub processes: usize,
-    /// How many targets there are.
+    /// Number of targets.
     pub targets: usize,
-    /// The share of a core that each process has; none: as the machine gives.
+    /// Fraction of a core that each process may use; `None` sets no limit.
     pub core_share: Option<f64>,
-    /// The part of requests whose client disconnects early.
+    /// Fraction of requests whose client disconnects before the response.
     pub disconnect_share: f64,
-    /// Faults of system calls, as the shim reads them.
-    pub calls: Vec<String>,
-    /// Other faults, with their times from the start.
+    /// System call faults, in the format of the fault shim.
+    pub system_call_faults: Vec<String>,
+    /// Other faults, each with its time after the start of the run.
     pub events: Vec<(Duration, Event)>,
 }
 
-/// The kinds of system-call faults that a seed draws from. Each has its rate and the time in which it comes.
-const CALLS: [&str; 16] = [
+/// System call faults that a seed draws from: the call, the fault, its probability and, where given, the
+/// window in which it occurs, in milliseconds after the first call that the shim intercepts.
+const SYSTEM_CALL_FAULTS: [&str; 16] = [
     "accept4:ECONNABORTED:0.2",
     "accept4:ENETUNREACH:0.1",
     "accept4:EMFILE:0.05:2000-4000",
@@ -45,7 +46,7 @@
     "epoll_wait:late=100:0.01",
 ];
 
-/// Steps of the wall clock while a process runs.
+/// Steps of the wall clock while a process runs, in the same format.
 const CLOCK_STEPS: [&str; 4] = [
     "clock:step=3600000:1:3000-60000",
     "clock:step=-3600000:1:3000-60000",
@@ -54,22 +55,23 @@
 ];
 
 impl SoakPlan {
-    /// Draws what a seed has.
+    /// Draws the plan of a seed.
     pub fn draw(seed: u64) -> SoakPlan {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let random = &mut random;
         let processes = random.random_range(2..=6);
         let targets = *[10, 40, 200, 800, 3_200].choose(random).unwrap_or(&40);
         let count = random.random_range(2..=5);
-        let mut calls: Vec<String> =
-            CALLS.choose_multiple(random, count).map(|call| (*call).to_string()).collect();
+        let mut system_call_faults: Vec<String> =
+            SYSTEM_CALL_FAULTS.choose_multiple(random, count).map(|call| (*call).to_string()).collect();
         if random.random_bool(0.5) {
-            calls.extend(CLOCK_STEPS.choose(random).map(|step| (*step).to_string()));
+            system_call_faults.extend(CLOCK_STEPS.choose(random).map(|step| (*step).to_string()));
         }
         let core_share = random.random_bool(0.3).then_some(0.3);
         if core_share.is_some() {
-            // A process that waits for its share is held up already; the rules allow for 0.15 s in all.
-            calls.retain(|call| !call.contains("late="));
+            // A process at its CPU limit is delayed already, and the checker's rules allow for 0.15 s of
+            // delay in total.
+            system_call_faults.retain(|call| !call.contains("late="));
         }
         let count = random.random_range(3..=6);
         let mut events: Vec<(Duration, Event)> = (0..count)
@@ -82,25 +84,26 @@
             targets,
             core_share,
             disconnect_share: if random.random_bool(0.5) { 0.1 } else { 0.0 },
-            calls,
+            system_call_faults,
             events,
         }
     }
 
-    /// Leaves out what holds processes up. The short run has to give the same verdict on a machine that is
-    /// busy, which holds them up by itself.
-    pub fn remove_hold_ups(&mut self) {
+    /// Removes the faults that delay processes. The short run has to give the same result on a busy machine,
+    /// which delays them already.
+    pub fn remove_delays(&mut self) {
         self.core_share = None;
-        self.calls.retain(|call| !call.contains("late="));
+        self.system_call_faults.retain(|call| !call.contains("late="));
     }
 
-    /// The plan with one of its faults left out; none: it has no such fault.
+    /// Returns the plan without the fault at `index`, counting system call faults first; `None` if there is
+    /// no such fault.
     pub fn without(&self, index: usize) -> Option<SoakPlan> {
         let mut plan = self.clone();
-        if index < plan.calls.len() {
-            plan.calls.remove(index);
-        } else if index - plan.calls.len() < plan.events.len() {
-            plan.events.remove(index - plan.calls.len());
+        if index < plan.system_call_faults.len() {
+            plan.system_call_faults.remove(index);
+        } else if index - plan.system_call_faults.len() < plan.events.len() {
+            plan.events.remove(index - plan.system_call_faults.len());
         } else {
             return None;
         }
--- a/crates/replay/src/run.rs
+++ b/crates/replay/src/run.rs
@@ -1,9 +1,9 @@
-//! One replay, from a trace's file to its report.
+//! Runs a replay, from the trace file to the report.
 
 use crate::drive::{Progress, drive};
 use crate::http::Http;
 use crate::iscsi::Iscsi;
-use crate::plan::{Planner, Terms, TermsError};
+use crate::plan::{Planner, PlannerConfig, PlannerConfigError};
 use crate::recorder::{Recorder, Subject};
 use crate::report::Report;
 use rowanglade_capture::{TraceError, TraceReader};
@@ -13,118 +13,120 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Over which front requests go.
+/// The front that requests are sent to.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Front {
-    /// The platform's.
+    /// The HTTP front.
     Http,
-    /// Sessions log in to this target.
+    /// The iSCSI-style front.
     Iscsi {
-        /// The name of the target.
+        /// Name of the target that sessions log in to.
         target: String,
-        /// Blocks in a unit.
+        /// Logical blocks per unit.
         blocks_per_unit: u32,
     },
 }
 
-/// What is asked of a replay.
+/// Settings of a replay.
 #[derive(Clone, Debug)]
 pub struct Replay {
-    /// The protocol.
+    /// The front that requests are sent to.
     pub front: Front,
-    /// The initiators, in the order of their numbers.
+    /// Addresses of the initiators. A volume's requests depend on their order.
     pub to: Vec<SocketAddr>,
-    /// How many times faster than recorded.
+    /// Speed relative to the recording; above 0.
     pub speed: f64,
-    /// Clients retry as their class permits.
+    /// Whether clients retry as their request class permits.
     pub retries: bool,
-    /// Tries that may be out at once; over HTTP each takes a descriptor.
-    pub most_out: usize,
-    /// What the random numbers follow from.
+    /// Limit of attempts in flight; over HTTP each takes a file descriptor.
+    pub max_in_flight: usize,
+    /// Seed of the replay's random numbers.
     pub seed: u64,
-    /// How long initiators may take until they can serve.
-    pub patience: Duration,
+    /// Time limit for all initiators to become ready. Applies to [`Front::Http`] only.
+    pub ready_timeout: Duration,
 }
 
 impl Replay {
-    /// As recorded, to these initiators over the platform's front.
+    /// A replay to these initiators over HTTP, at the recorded speed and with retries.
     pub fn to(to: Vec<SocketAddr>) -> Replay {
         Replay {
             front: Front::Http,
             to,
             speed: 1.0,
             retries: true,
-            most_out: 512,
+            max_in_flight: 512,
             seed: 1,
-            patience: Duration::from_secs(10),
+            ready_timeout: Duration::from_secs(10),
         }
     }
 }
 
-/// How long a client waits before its second try where the answer asks for no wait: 50 to 100 ms, in
-/// microseconds.
+/// Shortest wait of a client before its retry where the response asks for none, in microseconds. With its
+/// random part the wait is 50 to 100 ms.
 const RETRY_WAIT: u64 = 50_000;
 
-/// Why nothing was replayed.
+/// Why a replay could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum ReplayError {
-    /// The trace cannot be read.
+    /// The trace cannot be opened or its header cannot be read.
     #[error(transparent)]
     Trace(#[from] TraceError),
-    /// The terms are unusable.
+    /// A setting is out of range.
     #[error(transparent)]
-    Terms(#[from] TermsError),
-    /// An initiator does not get ready in time.
-    #[error("{0} does not answer `GET /up` with 200 within {1:?}")]
+    Planner(#[from] PlannerConfigError),
+    /// An initiator did not become ready in time.
+    #[error("initiator {0} did not respond to `GET /up` with status 200 within {1:?}")]
     NotReady(SocketAddr, Duration),
 }
 
-/// Replays a trace until its end or until `stop` resolves. Beside the report stands what was wrong with the
-/// rest of the trace, if anything. It must be called where tasks can be spawned that stay on their thread.
+/// Replays a trace until its end or until `stop` resolves. If a record cannot be read, the replay ends there,
+/// and the error is returned beside the report. Must be called within a [`tokio::task::LocalSet`], since it
+/// spawns local tasks.
 ///
-/// # Errors Nothing was sent: the trace cannot be opened, what is asked makes no sense, or an initiator does
-/// not serve.
+/// # Errors
+/// The trace cannot be opened, a setting is out of range, or an initiator is not ready in time. No request
+/// has been sent then.
 pub async fn replay(
     trace: &Path,
-    ask: &Replay,
+    options: &Replay,
     stop: oneshot::Receiver<()>,
     progress: &mut dyn FnMut(Progress),
 ) -> Result<(Report, Option<TraceError>), ReplayError> {
     let records = TraceReader::open(trace)?;
     let header = records.header().clone();
-    let planner = Planner::new(Terms {
+    let planner = Planner::new(PlannerConfig {
         classes: header.classes.clone(),
-        speed: ask.speed,
-        initiators: ask.to.len(),
-        most_out: ask.most_out,
-        retries: ask.retries,
+        speed: options.speed,
+        initiators: options.to.len(),
+        max_in_flight: options.max_in_flight,
+        retries: options.retries,
         retry_wait: RETRY_WAIT,
-        seed: ask.seed,
+        seed: options.seed,
     })?;
     let subject = Subject {
         trace: trace.file_name().unwrap_or_default().to_string_lossy().into_owned(),
-        front: match &ask.front {
+        front: match &options.front {
             Front::Http => "http".into(),
             Front::Iscsi { .. } => "iscsi".into(),
         },
-        initiators: ask.to.len(),
-        speed: ask.speed,
-        seed: ask.seed,
+        initiators: options.to.len(),
+        speed: options.speed,
+        seed: options.seed,
     };
     let recorder = Recorder::new(header, subject);
-    match &ask.front {
+    match &options.front {
         Front::Http => {
-            let http = Http::new(ask.to.clone(), ask.most_out);
-            let until = Instant::now() + ask.patience;
-            for (number, addr) in ask.to.iter().enumerate() {
-                if !http.ready(number, until).await {
-                    return Err(ReplayError::NotReady(*addr, ask.patience));
+            let http = Http::new(options.to.clone(), options.max_in_flight);
+            let deadline = Instant::now() + options.ready_timeout;
+            for (index, addr) in options.to.iter().enumerate() {
+                if !http.wait_until_ready(index, deadline).await {
+                    return Err(ReplayError::NotReady(*addr, options.ready_timeout));
                 }
             }
             Ok(drive(records, planner, &http, recorder, stop, progress).await)
         }
         Front::Iscsi { target, blocks_per_unit } => {
-            let sessions = Iscsi::new(ask.to.clone(), target, *blocks_per_unit);
+            let sessions = Iscsi::new(options.to.clone(), target, *blocks_per_unit);
             Ok(drive(records, planner, &sessions, recorder, stop, progress).await)
         }
     }
--- a/tests/network/main.rs
+++ b/tests/network/main.rs
@@ -1,24 +1,25 @@
-//! The fronts and the targets over loopback sockets, against peers that misbehave on command.
+//! Integration tests of both fronts and of the connections to targets, over loopback sockets and against
+//! scripted servers that misbehave.
 
 mod admin;
 mod bodies;
-mod broken_answers;
 mod deployments;
 mod discovery;
-mod endings;
-mod fleet;
+mod drain_gossip;
+mod handover;
+mod harness;
 mod http;
 mod iscsi;
-mod late;
-mod leaving;
+mod late_connections;
 mod lost_site;
-mod peers;
+mod pending_connects;
 mod processes;
+mod queued_requests;
+mod quota_exchange;
 mod replay;
 mod routes;
 mod scale;
-mod site;
-mod starting;
-mod stopping;
+mod shutdown;
+mod startup;
 mod subset;
-mod upgrade;
+mod truncated_responses;
