--- a/src/config/reload.rs
+++ b/src/config/reload.rs
@@ -20,8 +20,8 @@
 }
 
 impl Reload {
-    /// Reads the files again; blocks for 50 ms. The discovery address is taken from the platform's file alone,
-    /// since `LB_DISCOVERY` holds the address of the time when the process started.
+    /// Reads the files again; blocks for 50 ms. The discovery address is taken from the platform's file
+    /// alone, since `LB_DISCOVERY` holds the address of the time when the process started.
     ///
     /// # Errors
     /// Those of [`Config::load`], or one of the operator's files changed while it was read.
