--- a/crates/replay/src/drive.rs
+++ b/crates/replay/src/drive.rs
@@ -62,8 +62,6 @@
 /// Dropping the future drops the attempts in flight, which closes their connections.
 ///
 /// # Errors
-///
-/// # Errors
 /// The next record cannot be read. The report covers the requests before it.
 pub async fn drive(
     records: impl Iterator<Item = Result<Record, TraceError>>,
@@ -101,7 +99,7 @@
                 Action::Send(attempt) => {
                     let now = micros(Instant::now());
                     recorder.record_attempt(&attempt, now, planner.in_flight());
-                    let Some((class, plan)) = recorder.terms(&attempt.record) else { continue };
+                    let Some((class, plan)) = recorder.class_and_plan(&attempt.record) else { continue };
                     let outgoing = Outgoing {
                         id: attempt.id,
                         is_retry: attempt.retry_number > 0,
--- a/crates/replay/src/recorder.rs
+++ b/crates/replay/src/recorder.rs
@@ -73,7 +73,7 @@
     }
 
     /// The class of a record and the name of its QoS plan; `None` if the header lacks one of them.
-    pub fn terms(&self, record: &Record) -> Option<(ClassTerms, String)> {
+    pub fn class_and_plan(&self, record: &Record) -> Option<(ClassTerms, String)> {
         let class = self.header.classes.get(usize::from(record.class))?;
         let plan = self.header.plans.get(usize::from(record.plan))?;
         Some((class.clone(), plan.name.clone()))
@@ -100,11 +100,11 @@
             class.again += u64::from(attempt.retry_number > 0);
         }
         if attempt.retry_number == 0 {
-            let late = now.saturating_sub(attempt.due);
-            self.report.drift.record(late);
+            let delay = now.saturating_sub(attempt.due);
+            self.report.drift.record(delay);
             self.report.held += u64::from(attempt.waited_for_slot);
             let second = self.second_mut(attempt.due);
-            second.drift_us = second.drift_us.max(late);
+            second.drift_us = second.drift_us.max(delay);
         }
     }
 
@@ -161,9 +161,9 @@
     }
 
     /// Returns the report of a replay that took this long. Classes are named as in the trace's header.
-    pub fn finish(self, took: Duration) -> Report {
+    pub fn finish(self, elapsed: Duration) -> Report {
         let mut report = self.report;
-        report.seconds = took.as_secs_f64();
+        report.seconds = elapsed.as_secs_f64();
         report.volumes_in_all = self.volumes.len();
         let mut volumes: Vec<(u64, VolumeUnits)> = self.volumes.into_iter().collect();
         volumes.sort_by(|a, b| b.1.asked.total_cmp(&a.1.asked).then(a.0.cmp(&b.0)));
--- a/src/cli/routes.rs
+++ b/src/cli/routes.rs
@@ -174,7 +174,7 @@
     for (rank, (index, prefix)) in matching.iter().enumerate() {
         let route = &table.routes()[*index];
         let pool = &table.pools()[route.pool];
-        let rank_label = if rank == 0 { "selected" } else { "next    " };
+        let rank_label = if rank == 0 { "takes" } else { "then " };
         println!(
             "{rank_label} route {:?} ({}), prefix /{prefix}, pool {:?}",
             route.name, route.origin, pool.name
