--- a/crates/handover/src/machine.rs
+++ b/crates/handover/src/machine.rs
@@ -163,7 +163,7 @@
 
     fn handle_awaiting_welcome(&mut self, link: LinkId, event: Event) -> Option<Vec<Action>> {
         match input_on(link, event)? {
-            // It has already prepared in an earlier attempt and needs only the state.
+            // This process has already prepared to serve in an earlier attempt and needs only the state.
             LinkInput::Message(MessageKind::Welcome) if self.prepared => Some(self.send_ready(link)),
             LinkInput::Message(MessageKind::Welcome) => {
                 Some(self.transition(State::Preparing(link), vec![Action::Prepare]))
@@ -217,8 +217,8 @@
             Event::LockAcquired => {
                 Some(self.transition(State::Owner(None), vec![Action::Serve { with_state: true }]))
             }
-            // Another process has acquired the lock after ownership was granted to this one: hand over from
-            // that process.
+            // Another process has acquired the lock after ownership was granted to this one, which now has to
+            // request a handover from that process.
             Event::LockUnavailable => Some(self.transition(State::Seeking, vec![Action::Connect])),
             _ => None,
         }
--- a/crates/handover/tests/model.rs
+++ b/crates/handover/tests/model.rs
@@ -43,7 +43,7 @@
     /// Whether it accepts clients and may spend units.
     serving: bool,
     units: u8,
-    /// Units received with the state, and units sent that may be resumed.
+    /// Units received with the state; units that were sent and that a predecessor has again when it resumes.
     received_units: u8,
     frozen_units: u8,
     /// Events not handled yet, in order.
--- a/crates/object-locations/src/locations.rs
+++ b/crates/object-locations/src/locations.rs
@@ -18,8 +18,8 @@
         ObjectLocations { capacity, observations: HashMap::new(), insertion_order: VecDeque::new() }
     }
 
-    /// The shard to which a request for the object is sent that names the shard `requested`. `None`: the
-    /// object is new.
+    /// The shard to which a request for the object is sent, if the request names the shard `requested`.
+    /// `None`: the object is new.
     pub fn find(&self, object: ObjectKey, requested: Option<Shard>) -> Option<Shard> {
         match (requested, self.observations.get(&object)) {
             (Some(_), Some(Observation::At(shard))) => Some(*shard),
@@ -60,11 +60,11 @@
     pub fn merge(&mut self, observations: impl IntoIterator<Item = (ObjectKey, Observation)>) {
         for (object, observation) in observations {
             let known = self.observations.get(&object);
-            let says_less = matches!(
+            let is_weaker = matches!(
                 (known, observation),
                 (Some(Observation::At(holder)), Observation::NotAt(other)) if *holder != other
             );
-            if !says_less {
+            if !is_weaker {
                 self.insert(object, observation);
             }
         }
@@ -86,12 +86,12 @@
         let before = self.observations.insert(object, observation);
         if before.is_none() {
             self.insertion_order.push_back(object);
-            self.forget_oldest();
+            self.evict_oldest();
         }
         (before != Some(observation)).then_some((object, observation))
     }
 
-    fn forget_oldest(&mut self) {
+    fn evict_oldest(&mut self) {
         if self.insertion_order.len() > self.capacity
             && let Some(oldest) = self.insertion_order.pop_front()
         {
--- a/crates/object-locations/tests/locations.rs
+++ b/crates/object-locations/tests/locations.rs
@@ -4,7 +4,8 @@
 
 const OBJECT: ObjectKey = (7, 9);
 
-// Requests begun before their object was placed name another shard, and were rejected at every attempt.
+// Guards against requests that are rejected at every attempt: those that were begun before a new object was
+// placed name another shard.
 #[test]
 fn a_new_object_is_found_where_it_was_placed_regardless_of_the_requested_shard() {
     let mut locations = ObjectLocations::new(8);
--- a/src/core/diagnostics.rs
+++ b/src/core/diagnostics.rs
@@ -8,7 +8,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Steps that take at least this long are logged: final responses are sent 4 ms before the client's deadline.
+/// Steps that take at least this long are logged. Final responses are sent 4 ms before the client's deadline,
+/// so a longer step can make them late.
 pub const LONG_STEP: Duration = Duration::from_millis(5);
 /// Requests that waited at least this long for the core are counted.
 const LONG_WAIT: Duration = Duration::from_millis(20);
@@ -58,7 +59,7 @@
     pub long_steps: u64,
     /// The longest step.
     pub longest_step: Duration,
-    /// What the longest step was for.
+    /// The kind of the longest step.
     pub longest_step_kind: Step,
     /// The longest time that a request waited between its front and the core.
     pub longest_wait: Duration,
@@ -85,7 +86,7 @@
 pub(super) struct Diagnostics {
     pub(super) counters: Counters,
     long_step_logged_at: Option<Instant>,
-    /// Long steps since then that were not logged.
+    /// Long steps that were not logged because of the rate limit, since the last one that was.
     long_steps_suppressed: u64,
 }
 
--- a/src/core/endpoints.rs
+++ b/src/core/endpoints.rs
@@ -15,9 +15,9 @@
 
 /// A listed target.
 pub(super) struct Target {
-    /// As reported by its list, or by peers while discovery does not answer.
+    /// The entry as reported by its list, or by peers while discovery does not answer.
     pub(super) reported: Endpoint,
-    /// As it is in effect, with maintenance and site failover applied.
+    /// The entry in effect: as reported, with maintenance and site failover applied.
     pub(super) effective: Endpoint,
     /// The mailbox of its actor; absent until the actor is first needed.
     mailbox: Option<mpsc::Sender<TargetMessage>>,
@@ -145,7 +145,7 @@
         changed
     }
 
-    /// An endpoint as it is in effect, with maintenance and site failover applied.
+    /// Applies maintenance and site failover to a reported endpoint.
     pub(super) fn effective(&self, now: Micros, reported: &Endpoint) -> Endpoint {
         let started = reported.started.map(|started| self.start_times.on_clock(now, started));
         let (state, started) =
--- a/src/core/endpoints/updates.rs
+++ b/src/core/endpoints/updates.rs
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Checks by a target's restart whether this process's clock is ahead.
+    /// Uses the restart of a target to detect that this process's clock is ahead.
     fn check_clock(&mut self, now: Micros, id: TargetId, reported: &Endpoint) {
         let before = self.targets.get(&id).map(|target| target.reported.started);
         if let (Some(before), Some(started)) = (before, reported.started)
--- a/src/core/readiness.rs
+++ b/src/core/readiness.rs
@@ -7,8 +7,8 @@
 use tokio::sync::watch;
 
 /// If discovery has not answered after this long, the cached list is trusted. A discovery service that is not
-/// overloaded has answered by then. After a release that killed most initiators it takes seconds, during which
-/// the clients of initiators that are not ready are not served.
+/// overloaded has answered by then. After a release that killed most initiators its answer takes seconds, and
+/// until an initiator is ready its clients are not served.
 const TRUST_CACHED_LIST_AFTER: Duration = Duration::from_millis(300);
 
 /// The state of the wait for discovery's first answer.
--- a/src/handover/actor.rs
+++ b/src/handover/actor.rs
@@ -65,7 +65,8 @@
     frozen_state: Option<Box<HandoverState>>,
     /// The other process's admin commands and observed object locations, to be forwarded to the core.
     core_requests: VecDeque<HandoverRequest>,
-    /// Absent until this process has everything that it needs to serve.
+    /// The parts of this process that a handover controls; absent until it has everything that it needs to
+    /// serve.
     controls: Option<HandoverControls>,
 }
 
--- a/src/initiator.rs
+++ b/src/initiator.rs
@@ -33,7 +33,8 @@
 
 /// The process exits this long before the platform could send SIGKILL.
 const KILL_MARGIN: Duration = Duration::from_millis(150);
-/// The platform sends SIGKILL after the longest deadline, counted as this at most, plus `KILL_DELAY`.
+/// The platform sends SIGKILL `KILL_DELAY` after the longest deadline of all classes has passed, of which it
+/// counts this much at most.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
 const KILL_DELAY: Duration = Duration::from_millis(700);
 
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -75,7 +75,7 @@
     },
     /// The client has gone: it reads no response to the request.
     ClientGone {
-        /// The request of the client.
+        /// The request that needs no response any more.
         id: RequestId,
     },
     /// The endpoint list has changed.
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -33,7 +33,7 @@
 /// A request class.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// The latency objective, in microseconds from the arrival. A response within it earns the full priority
+    /// The latency objective, in microseconds from the arrival. A response within it has the full priority
     /// weight.
     pub latency_objective: Micros,
     /// The longest time that a client waits, over all its own retries, in microseconds.
@@ -44,9 +44,9 @@
     pub ordered_by_key: bool,
     /// Whether requests of the class write. Only a class that does not write can be background work.
     pub write: bool,
-    /// What a response within the latency objective earns. The scheduler only validates it.
+    /// The weight of a response within the latency objective. The scheduler only validates it.
     pub priority_weight: f64,
-    /// The fraction of the priority weight that a response between objective and deadline earns. The
+    /// The weight of a response between objective and deadline, as a fraction of the priority weight. The
     /// scheduler only validates it.
     pub late_weight: f64,
 }
@@ -60,7 +60,7 @@
     pub reserve: f64,
     /// The weight of a volume where volumes share the capacity beyond their reserves.
     pub weight: f64,
-    /// The factor on what the responses of a volume earn. The scheduler only validates it.
+    /// The factor on the weight of a volume's responses. The scheduler only validates it.
     pub price: f64,
     /// The limit on the requests of a volume. Absent: there is none.
     pub limit: Option<RateLimit>,
@@ -92,7 +92,7 @@
 /// The bounds that the scheduler's rules keep.
 #[derive(Clone, Debug, Default)]
 pub struct RuleBounds {
-    /// How long after the notification that a target drains or is removed the last send to it may happen, in
+    /// How long sends to a target may continue after the notification that it drains or is removed, in
     /// microseconds. The scheduler stops at once; the interval of the caller's polls follows from this bound.
     pub drain_grace: Micros,
     /// The fraction of its full capacity that a target has at least when it starts.
@@ -108,7 +108,7 @@
     pub overload_multiple: f64,
     /// The bound on retries. Absent: there is none.
     pub retry_budget: Option<RetryBudget>,
-    /// How long after an attempt that may still run no other request of its key is sent, in microseconds.
+    /// How long no other request of a key is sent after an attempt that may still run, in microseconds.
     pub key_quiet_period: Micros,
     /// The most attempts that one request may have, at least 1.
     pub max_attempts: u32,
@@ -127,9 +127,9 @@
     pub rules: RuleBounds,
     /// The mean size of a request, in units.
     pub mean_request_units: f64,
-    /// What a unit above the reserve and within the volume's share earns. The scheduler only validates it.
+    /// The weight of a unit above the reserve and within the volume's share. The scheduler only validates it.
     pub weight_within_share: f64,
-    /// What a unit above reserve and share earns. The scheduler only validates it.
+    /// The weight of a unit above reserve and share. The scheduler only validates it.
     pub weight_beyond_share: f64,
     /// The metering period of the used fraction in [`Event::AttemptEnded`](super::Event::AttemptEnded), in
     /// microseconds. 0: the fraction is not reported.
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -100,7 +100,7 @@
     ownership: Ownership,
     /// Requests without a final response, and finished ones with an attempt in flight.
     requests: BTreeMap<RequestId, RequestState>,
-    /// The requests that are still answered at their deadline, earliest deadline first.
+    /// The requests without a final response whose deadline still applies, earliest deadline first.
     deadlines: BTreeSet<(Micros, RequestId)>,
     queues: Queues,
     targets: Targets,
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -27,8 +27,9 @@
 impl Scheduler {
     /// Dispatches the queued requests of a shard that its target has capacity for, in the queue's order.
     /// Requests that have missed their objective are sent only when no request that can still meet its own is
-    /// ready: they earn little, and would come first in the order. This guards against the backlog after a
-    /// pause of the target. It is a loss where a late response earns as much as one in time.
+    /// ready: a late response has little weight, but the earlier virtual deadlines of these requests would
+    /// put them first. This guards against the backlog after a pause of the target. It is a loss where a late
+    /// response has as much weight as one in time.
     pub(super) fn dispatch_ready(&mut self, now: Micros, shard: ShardId, actions: &mut Vec<Action>) {
         let Some(shard_target) = self.serving_target(shard, None) else { return };
         for pass in [QueuePass::InTime, QueuePass::Late] {
--- a/src/scheduler/fairness.rs
+++ b/src/scheduler/fairness.rs
@@ -10,10 +10,10 @@
 /// The rate of the share level's exponential growth, per second: while no request within its share is
 /// rejected, a shard with free capacity soon admits all requests.
 const LEVEL_RISE_PER_SECOND: f64 = 0.5;
-/// The exponent by which the share level falls if the whole demand is within the share and rejected; a
-/// rejected part of the demand lowers the level in proportion. Together with the growth rate, the level
-/// settles where a twentieth of the units within the share is rejected, which is high enough to use the
-/// target fully.
+/// The exponent by which the share level falls if the whole demand is within the share and rejected; if a
+/// fraction of the demand is rejected, the exponent is that fraction of it. Together with the growth rate,
+/// the level settles where a twentieth of the units within the share is rejected, which is high enough to use
+/// the target fully.
 const LEVEL_FALL_PER_REJECTED_FRACTION: f64 = 10.0;
 /// The lower bound of the share level, as a fraction of the largest excess: a plan may have no reserve, and
 /// its volumes must not stay shut out after an overload.
--- a/src/scheduler/learning.rs
+++ b/src/scheduler/learning.rs
@@ -15,7 +15,8 @@
 const PREDICTIONS_MET_FRACTION: f64 = 0.6;
 /// How far one response moves the margin of its class, as a fraction of the margin.
 const MARGIN_STEP: f64 = 0.05;
-/// The bounds of the margins: an error outside them has another cause than the closed form.
+/// The bounds of the margins: a larger error of the prediction is not due to the inaccuracy of the closed
+/// form.
 const MIN_MARGIN: f64 = 0.25;
 const MAX_MARGIN: f64 = 4.0;
 /// The upper bound of an observed latency, as a multiple of the learned one: one late response of a target
--- a/src/scheduler/quota.rs
+++ b/src/scheduler/quota.rs
@@ -10,7 +10,7 @@
 /// Below this fraction of its bucket's capacity an initiator requests units from others, and gives none away:
 /// an exchange takes a round trip, and the rest of the bucket has to last for it (docs/design/fleet.md).
 const LOW_BUCKET_FRACTION: f64 = 0.25;
-/// In addition, an initiator keeps the units that its own requests demand in this many seconds
+/// When an initiator gives units away, it also keeps those that its own requests demand in this many seconds
 /// (docs/design/fleet.md).
 const KEPT_DEMAND_SECONDS: f64 = 0.5;
 
--- a/src/scheduler/request.rs
+++ b/src/scheduler/request.rs
@@ -45,7 +45,7 @@
     /// and placement chooses the shard.
     pub shard_is_given: bool,
     pub shard: Option<ShardId>,
-    /// A response by this time earns the full priority weight.
+    /// A response by this time has the full priority weight.
     pub objective_at: Micros,
     /// The request expires at this time if it has had no attempt.
     pub queue_timeout_at: Micros,
--- a/src/scheduler/snapshot.rs
+++ b/src/scheduler/snapshot.rs
@@ -187,7 +187,8 @@
         let shard_usages = self.volumes.values_mut().flat_map(|volume| volume.by_shard.values_mut());
         shard_usages.for_each(|usage| usage.reserve_pacer = None);
         for target in self.targets.values_mut() {
-            // The budget waits for a whole phase, since what was sent in the meantime is unknown.
+            // A phase of 1 delays the first send by a whole span, since what was sent in the meantime is
+            // unknown.
             target.slow_start = TargetBudget::new(target.started.unwrap_or(0), now, 1.0);
         }
     }
--- a/src/scheduler/stalled_attempts.rs
+++ b/src/scheduler/stalled_attempts.rs
@@ -1,4 +1,5 @@
-//! Detection and cancellation of stalled attempts, whose response does not arrive.
+//! Detection and cancellation of stalled attempts: their response does not arrive although their target
+//! answers other attempts, or they have waited too long as the only attempt at their target.
 
 use super::Scheduler;
 use super::estimates::confidence;
@@ -12,12 +13,13 @@
 /// An overtaken attempt is stalled once it has waited for this multiple of its expected time. The multiple is
 /// too small where the work of requests varies by as much.
 const STALLED_TIME_MULTIPLE: f64 = 4.0;
-/// An attempt that is alone at its target has to wait this many times as long, since no other response shows
-/// that the target is healthy.
+/// An attempt that is alone at its target is stalled only after this many times as long a wait, since no
+/// other response shows that the target is healthy.
 const LONE_ATTEMPT_TIME_MULTIPLE: f64 = 2.0;
-/// It also has to wait for this fraction of the tightest objective, and longer if its target has not
-/// responded lately: the latencies of other targets say little about a target that may just be slow. Attempts
-/// that were cancelled sooner still ran at their targets, and their retries ran as well.
+/// An attempt that is alone at its target also has to wait for at least this fraction of the tightest
+/// objective, and longer if the target has not responded lately: the latencies of other targets say little
+/// about a target that may just be slow. Attempts that were cancelled sooner still ran at their targets, and
+/// their retries ran as well.
 const LONE_ATTEMPT_OBJECTIVE_FRACTION: f64 = 0.5;
 
 impl Scheduler {
--- a/src/scheduler/timers.rs
+++ b/src/scheduler/timers.rs
@@ -10,8 +10,8 @@
 /// Idle volumes, keys and buckets are dropped after this time, so that memory use follows the number in use.
 /// Volume usage is counted over the same span, so that dropped usage no longer counts.
 const IDLE_EXPIRY_MICROS: Micros = 30_000_000;
-/// A tick stops placing new objects again after so many have found no shard: each is compared with hundreds
-/// of targets, and a tick must not delay requests.
+/// The number of new objects without a shard whose placement may fail in one tick, which then retries no
+/// others: each is compared with hundreds of targets, and a tick must not delay requests.
 const MAX_FAILED_PLACEMENTS_PER_TICK: usize = 32;
 
 /// The timer that is set, and the time of the last removal of idle state.
--- a/src/scheduler/token_bucket.rs
+++ b/src/scheduler/token_bucket.rs
@@ -5,8 +5,9 @@
 
 /// A token bucket that fills at a rate up to a capacity. The units of a request are reserved when the
 /// decision to send it is made, and committed once it has reached a target, which may be much later: a
-/// connection can take long to come up. Reserved units keep their room in the bucket, since units that filled
-/// it meanwhile would be granted twice.
+/// connection can take long to come up. Until then reserved units count towards the capacity. Otherwise the
+/// bucket would fill up in their place, and units that have not reached a target yet would be granted a
+/// second time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct TokenBucket {
     available: f64,
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -105,7 +105,8 @@
     Box::new(|_| mpsc::channel(1).0)
 }
 
-// A core without targets polled a time that had already passed in a loop, and used a whole CPU.
+// Guards against a busy loop: a core without targets waited again and again for a time that had already
+// passed, and used a whole CPU.
 #[test]
 fn without_targets_the_core_is_not_ready_and_does_not_spin() {
     with_core(stopped_actors, async |core| {
