--- a/src/core/open_requests.rs
+++ b/src/core/open_requests.rs
@@ -9,8 +9,9 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// A request that the scheduler has not answered this long after its deadline is failed by the core. This is
-/// later than the scheduler's own last response, and well within the slack that the platform's rules allow.
+/// The core fails a request that the scheduler has not answered this long after its deadline, in
+/// microseconds. This is later than the scheduler's own last response, and well within the slack that the
+/// platform's rules allow.
 const WATCHDOG_DELAY: Micros = 10_000;
 
 /// The client-assigned ids of the requests that are not settled. No other request may use them meanwhile.
@@ -75,7 +76,7 @@
         self.response.is_none()
     }
 
-    /// An attempt that is in flight.
+    /// The attempt with this number; `None` once it has ended.
     pub(super) fn attempt_mut(&mut self, number: AttemptNumber) -> Option<&mut InFlightAttempt> {
         self.attempts.get_mut(number.0 as usize)?.as_mut()
     }
@@ -204,7 +205,7 @@
         self.watchdog.first().map(|(at, _)| *at)
     }
 
-    /// A request whose watchdog time has passed.
+    /// The request whose watchdog time passed first; `None` if no watchdog time has passed.
     pub(super) fn first_overdue(&self, now: Micros) -> Option<RequestId> {
         self.watchdog.first().filter(|(at, _)| *at <= now).map(|(_, id)| *id)
     }
--- a/src/core/routes.rs
+++ b/src/core/routes.rs
@@ -1,5 +1,5 @@
 //! The routing table in force, and the targets that each open request may reach under the table that was in
-//! force when it arrived. Without I/O: it is given requests and changes of targets, and returns
+//! force when it arrived. Does no I/O: its methods receive requests and changes of targets, and return
 //! [`Event::TargetSetChanged`] events for the scheduler.
 
 use crate::core::endpoint::{Endpoint, Protocol};
@@ -31,7 +31,7 @@
     shard: Option<u32>,
 }
 
-/// The targets that some requests may reach.
+/// The targets that the requests with one key may reach.
 #[derive(Debug)]
 struct TargetSet {
     key: TargetSetKey,
--- a/src/scheduler/outcomes.rs
+++ b/src/scheduler/outcomes.rs
@@ -6,7 +6,7 @@
 use super::stalled_attempts::STALLED_AFTER_LATER_RESPONSES;
 use crate::interface::{Action, AttemptNumber, Micros, Outcome, RequestId, TargetId};
 
-/// How an attempt ended.
+/// The end of an attempt, as [`Event::AttemptEnded`](crate::interface::Event::AttemptEnded) reports it.
 pub(super) struct AttemptEnd {
     pub id: RequestId,
     pub attempt: AttemptNumber,
