--- a/crates/discovery-polling/src/constants.rs
+++ b/crates/discovery-polling/src/constants.rs
@@ -43,8 +43,8 @@
 /// discovery's queue together have to stay under [`LIST_RECEIPT_DEADLINE`].
 pub const MAX_CYCLE: Micros = 5 * SECOND;
 /// Longest cycle of a fleet smaller than [`SMALL_FLEET_BELOW`]. Each request is a larger part of discovery's
-/// work there, so a shorter cycle leaves time for it. The requests of one cycle may then queue behind each
-/// other, for less time than discovery allows.
+/// work there, so a shorter cycle leaves more of [`LIST_RECEIPT_DEADLINE`] for serving the request. The
+/// requests of one cycle may then queue behind each other, for less than discovery's queue timeout.
 pub(crate) const MAX_CYCLE_OF_SMALL_FLEET: Micros = 3_500 * MILLISECOND;
 /// Longest cycle of a single initiator, which shares discovery with no other.
 pub(crate) const MAX_CYCLE_OF_SINGLE_INITIATOR: Micros = SECOND;
@@ -66,7 +66,7 @@
 // Service time of one request at discovery, estimated from response times.
 
 /// Fraction of a request's estimated service time that a cycle allots to each initiator: the requests of one
-/// cycle may queue behind each other, for less time than discovery allows (docs/design/discovery.md).
+/// cycle may queue behind each other, for less than discovery's queue timeout (docs/design/discovery.md).
 pub(crate) const SERVICE_TIME_FRACTION: f64 = 0.7;
 /// Fraction by which a response time above the estimated service time raises the estimate: time that a
 /// request spent in discovery's queue must not count in full.
--- a/crates/discovery-polling/src/lib.rs
+++ b/crates/discovery-polling/src/lib.rs
@@ -16,8 +16,8 @@
 //! can serve them would therefore keep it rejecting all of them indefinitely. So each initiator sends one
 //! request per *cycle*, at a phase drawn at random: all initiators together produce a steady stream of
 //! requests, whatever made them poll at the same moment (a restart, an outage, a reset of all watches). If
-//! requests keep failing, even this stream may be too much; only then does the cycle grow, up to the poll
-//! interval of the settings, a rate that discovery has to sustain.
+//! requests have failed for a long time, even this stream may be too much; only then does the cycle grow
+//! beyond its usual maximum, up to the poll interval of the settings, a rate that discovery has to sustain.
 //!
 //! docs/design/discovery.md has the measurements and the alternatives that were considered.
 
--- a/crates/discovery-polling/src/pacer.rs
+++ b/crates/discovery-polling/src/pacer.rs
@@ -55,10 +55,10 @@
     /// The shortest response time is the best estimate of the work itself, so a shorter time replaces the
     /// estimate and a longer one raises it only in part.
     pub fn record_response_time(&mut self, response_time: Micros) {
-        let learned = self.service_time as f64;
+        let previous = self.service_time as f64;
         let observed = response_time as f64;
-        let shorter = self.service_time == 0 || observed < learned;
-        let estimate = if shorter { observed } else { learned + SERVICE_TIME_GAIN * (observed - learned) };
+        let shorter = self.service_time == 0 || observed < previous;
+        let estimate = if shorter { observed } else { previous + SERVICE_TIME_GAIN * (observed - previous) };
         self.service_time = estimate as Micros;
     }
 
--- a/crates/discovery-polling/tests/schedule.rs
+++ b/crates/discovery-polling/tests/schedule.rs
@@ -196,7 +196,8 @@
     }
 }
 
-// After a long wait little time is left before a change that a silent watch missed counts as known.
+// A change that a silent watch missed counts as known 2 s after the end of the watch's wait. With a long
+// wait, little time would be left to detect the silence and to poll again.
 #[test]
 fn a_long_poll_waits_for_at_most_two_seconds_or_the_poll_interval_of_the_settings() {
     for (max_poll_interval, max_interval) in
--- a/crates/drain-gossip/src/lib.rs
+++ b/crates/drain-gossip/src/lib.rs
@@ -13,8 +13,8 @@
 //! A report can only take a target out of use, and only until discovery itself answers: no target is used
 //! because a peer reported it, and a report that is late, duplicated, forged or wrong keeps a target idle for
 //! seconds at most. Reports are accepted only as answers to queries of the last seconds. A report that claims
-//! a gap advances the position from which this initiator queries: a peer that claims one wrongly can hide the
-//! drains that other peers know from this initiator until discovery answers.
+//! a gap advances the position from which this initiator queries: by claiming a gap wrongly, a peer can keep
+//! this initiator from receiving other peers' drains until discovery answers.
 //!
 //! # Reporting thousands of drains
 //!
--- a/crates/http-exchange/src/pool.rs
+++ b/crates/http-exchange/src/pool.rs
@@ -44,8 +44,8 @@
         now.saturating_duration_since(self.since)
     }
 
-    /// Whether the connection can carry a request: not idle for too long, not closed by its server, and without unread
-    /// bytes.
+    /// Whether the connection can carry a request: not idle for too long, not closed by its server, and
+    /// without unread bytes.
     fn is_usable(&self, now: Instant, idle_timeout: Duration) -> bool {
         self.age(now) < idle_timeout && self.connection.is_clean()
     }
--- a/crates/iscsi/src/pdu/login.rs
+++ b/crates/iscsi/src/pdu/login.rs
@@ -14,11 +14,11 @@
 /// The fields that the requests and responses of a login share.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Login {
-    /// Whether the sender is ready for the transition to the next stage.
+    /// Whether the sender is ready to move from the current stage to the next.
     pub transit: bool,
-    /// The current stage.
+    /// The current stage (CSG): 0 security, 1 operational, 3 full feature phase.
     pub current: u8,
-    /// The next stage.
+    /// The stage that follows if `transit` is set (NSG); values as in `current`.
     pub next: u8,
     /// The initiator's part of the session identifier.
     pub isid: [u8; 6],
--- a/crates/iscsi/src/pdu/mod.rs
+++ b/crates/iscsi/src/pdu/mod.rs
@@ -133,7 +133,7 @@
         data_sn: u32,
         /// Buffer offset: where the data begins in the command's data.
         offset: u32,
-        /// The data.
+        /// The part of the command's data that this PDU transfers.
         data: Bytes,
     },
     /// Logout Request.
@@ -213,7 +213,7 @@
         data_sn: u32,
         /// Buffer offset: where the data begins in the command's data.
         offset: u32,
-        /// The data.
+        /// The part of the command's data that this PDU transfers.
         data: Bytes,
     },
     /// Logout Response.
--- a/crates/iscsi/src/reader.rs
+++ b/crates/iscsi/src/reader.rs
@@ -21,7 +21,7 @@
     #[error("PDU rejected: {0}")]
     Rejected(RejectReason, Box<Header>),
     /// A header with a data segment that exceeds [`MAX_SEGMENT_BYTES`]. No further PDU can be read.
-    #[error("data segment exceeds MaxRecvDataSegmentLength")]
+    #[error("data segment exceeds MaxRecvDataSegmentLength of {MAX_SEGMENT_BYTES} bytes")]
     TooLong(Box<Header>),
 }
 
--- a/crates/quota-exchange/src/constants.rs
+++ b/crates/quota-exchange/src/constants.rs
@@ -12,5 +12,5 @@
 pub(crate) const REQUEST_TIMEOUT: Micros = 500 * MILLISECOND;
 /// A need for quota expires after this long: the client requests that caused it have ended by then.
 pub(crate) const NEED_TIMEOUT: Micros = 1_000 * MILLISECOND;
-/// Maximum number of volumes in a datagram: what fits into [`crate::wire::MAX_DATAGRAM_BYTES`].
+/// Maximum number of volumes in a datagram, so that it fits into [`crate::wire::MAX_DATAGRAM_BYTES`].
 pub const MAX_VOLUMES_PER_DATAGRAM: usize = 18;
--- a/crates/routing/src/check/checker.rs
+++ b/crates/routing/src/check/checker.rs
@@ -133,8 +133,8 @@
         match expectation.requirement {
             Requirement::MinNewObjectTargets(_) => false,
             Requirement::Only(_) | Requirement::Never { .. } => true,
-            // No route can reach a target for a shard that no target holds; it counts only if the expectation
-            // names it.
+            // No target holds this shard, so no route can reach one. The request counts only if the
+            // expectation names the shard.
             _ => {
                 let named = expectation.requests.shards.as_ref();
                 self.shards.contains(&shard) || named.is_some_and(|shards| shards.contains(&shard))
--- a/crates/routing/src/expectation.rs
+++ b/crates/routing/src/expectation.rs
@@ -65,7 +65,7 @@
     pub name: String,
     /// The requests for which the requirement must be met.
     pub requests: RequestMatch,
-    /// The requirement.
+    /// What must hold for each of these requests.
     pub requirement: Requirement,
     /// What to do while the expectation cannot be decided.
     pub when_undecided: WhenUndecided,
--- a/crates/routing/src/request_match.rs
+++ b/crates/routing/src/request_match.rs
@@ -84,8 +84,8 @@
             && self.new.is_none_or(|wanted| wanted == shard.is_none())
     }
 
-    /// Whether the two sets may have a request in common. May be true although only their networks exclude
-    /// it.
+    /// Whether the two sets may have a request in common. The attributes are compared one by one, so sets
+    /// that only a combination of attributes separates, such as a class and `write`, count as overlapping.
     pub fn overlaps(&self, other: &RequestMatch) -> bool {
         let shard_against_new =
             |a: &RequestMatch, b: &RequestMatch| a.shards.is_some() && b.new == Some(true);
--- a/crates/routing/src/target.rs
+++ b/crates/routing/src/target.rs
@@ -10,9 +10,9 @@
 pub struct TargetInfo {
     /// The name in the endpoint list.
     pub name: String,
-    /// The zone.
+    /// The name of the zone that the target is in.
     pub zone: String,
-    /// The kind of hardware.
+    /// The kind of hardware, as the endpoint list names it.
     pub kind: String,
     /// The shard that the target holds.
     pub shard: u32,
--- a/crates/routing/tests/agreement.rs
+++ b/crates/routing/tests/agreement.rs
@@ -178,8 +178,9 @@
             listed.iter().map(|target| (target, ListedState::Active)).collect();
         match &expectation.requirement {
             Requirement::Only(_) | Requirement::Never { .. } => {
-                // As the only target it is reached wherever it can be; with all others present the fallback
-                // is not used.
+                // A target that is alone in the list is reached through any pool that contains it. If all
+                // listed targets are active as well, the fallback is used only for a first pool without
+                // targets.
                 for target in listed.iter().chain(&unlisted_targets) {
                     let alone = reach(request, &[(target, ListedState::WarmingUp)]);
                     let mut with_others = active.clone();
--- a/crates/site-failover/src/command.rs
+++ b/crates/site-failover/src/command.rs
@@ -24,7 +24,7 @@
     Lost {
         /// Number of its targets that are failing.
         failing: usize,
-        /// Number of its targets.
+        /// Number of its targets that are active, or have recently left the endpoint list without draining.
         targets: usize,
         /// How long nothing is sent to it, in microseconds.
         ejection_time: Micros,
@@ -33,7 +33,7 @@
     Returning {
         /// Number of its targets that respond.
         responding: usize,
-        /// Number of its targets.
+        /// Number of its active targets.
         targets: usize,
     },
     /// The site responds too slowly: its recovery ramp starts again.
--- a/crates/site-failover/src/lib.rs
+++ b/crates/site-failover/src/lib.rs
@@ -8,11 +8,11 @@
 //! A site is lost when most of its targets have failed or left the endpoint list within one window, without a
 //! response since. Targets without a recent attempt are probed first, since the absence of attempts is no
 //! evidence. A lost site is ejected: nothing is sent to it for an ejection time, which doubles with each
-//! further loss, so that a site that fails repeatedly does not disrupt the load each time. After that, all
-//! initiators probe it in turn, and it returns once most of its targets respond. Its targets return as if
-//! they had just started, whether or not they have: slow start then divides what is sent to them among all
-//! initiators, so that the load of the returning site grows gradually (the recovery ramp). If the targets
-//! respond much more slowly than before the loss, the ramp starts again.
+//! further loss, so that a site that fails repeatedly does not receive load and lose it again each time.
+//! After that, all initiators probe it in turn, and it returns once most of its targets respond. Its targets
+//! return as if they had just started, whether or not they have: slow start then divides what is sent to them
+//! among all initiators, so that the load of the returning site grows gradually (the recovery ramp). If the
+//! targets respond much more slowly than before the loss, the ramp starts again.
 //!
 //! Targets that drained before they left the list are no evidence, since their removal was planned.
 //!
--- a/crates/site-failover/tests/failover.rs
+++ b/crates/site-failover/tests/failover.rs
@@ -34,7 +34,7 @@
 }
 
 fn changes(commands: &[Command]) -> Vec<(&str, SiteChange)> {
-    let change = |o: &Command| match o {
+    let change = |command: &Command| match command {
         Command::SiteChanged { site, change } => Some((site.clone(), *change)),
         Command::Probe(_) => None,
     };
@@ -42,7 +42,7 @@
 }
 
 fn probes(commands: &[Command]) -> Vec<String> {
-    let probe = |o: &Command| match o {
+    let probe = |command: &Command| match command {
         Command::Probe(name) => Some(name.clone()),
         Command::SiteChanged { .. } => None,
     };
--- a/crates/slow-start/src/lib.rs
+++ b/crates/slow-start/src/lib.rs
@@ -17,10 +17,10 @@
 //!   the reserve. A volume's reserve covers all its targets: each target that is warming up has its own
 //!   pacer, at that target's part of the reserve.
 //!
-//! What arrives at a target overloads it, and a request arrives when its connection is established, which may
-//! be long after the decision to send it. Units that are reserved and have not arrived count as arriving at
-//! the time of each check. They count from their arrival once they are committed, and are returned if the
-//! request is never sent ([`ReservedUnits`]).
+//! A target is overloaded by the requests that arrive, and a request arrives when its connection is
+//! established, which may be long after the decision to send it. Until then its units are reserved, and each
+//! check counts them as arriving at the time of the check. Once they are committed, they count from the time
+//! of their arrival; if the request is never sent, they are returned ([`ReservedUnits`]).
 //!
 //! Pacers that start at the same time must not send their first requests at the same time: the first request
 //! of each waits for a random fraction (the phase) of the time that its units take at the paced rate. This
--- a/crates/subset/src/candidates.rs
+++ b/crates/subset/src/candidates.rs
@@ -17,8 +17,8 @@
 const CANDIDATES_PER_TARGET: usize = 2;
 /// Added to the candidates of [`CANDIDATES_PER_TARGET`].
 const EXTRA_CANDIDATES: usize = 32;
-/// Seeds of scores are initiators' indices; seeds of draws have the layer above these bits and the block in
-/// them.
+/// In the seed of a draw, the layer (counted from 1) is shifted by this many bits, and the block takes the bits
+/// below. The seed of a score is the initiator's index alone. In a rank, the layer is shifted likewise.
 const LAYER_SHIFT: u32 = 32;
 
 /// An initiator drawn by a target.
--- a/src/net/budget/mod.rs
+++ b/src/net/budget/mod.rs
@@ -67,8 +67,8 @@
 
     /// Number of open descriptors of this process.
     pub fn open_descriptors(&self) -> usize {
-        // Listing the directory opens one descriptor itself. Where the system has no such directory, the
-        // counted connections stand in.
+        // Listing the directory opens one descriptor itself. If the system has no such directory, the number
+        // is estimated from the connections in the table and the pool.
         let listed = std::fs::read_dir(OPEN_DESCRIPTORS).map(|all| all.count().saturating_sub(1));
         listed.unwrap_or_else(|_| self.counted_descriptors())
     }
--- a/src/net/budget/reservations.rs
+++ b/src/net/budget/reservations.rs
@@ -24,11 +24,12 @@
 /// Least number of descriptors for targets, sessions and clients together, however low the limit is.
 const MIN_SHARED_DESCRIPTORS: usize = 15;
 /// Clients and sessions receive five eighths of the descriptors that remain after this many and the admin
-/// listener's. The other reservations reduce the part of targets, which is a fifth at least; idle connections
-/// to targets are closed for new ones.
+/// listener's. The other reservations come out of the targets' part, since idle connections to targets can be
+/// closed for new ones. That part keeps at least a fifth of the descriptors that targets, sessions and
+/// clients share.
 const DESCRIPTORS_BEFORE_FRONTS: usize = 24;
-/// The platform's clients use a third of the descriptors at most, and new connections need part of that
-/// third. So one descriptor in this many may hold an idle client connection.
+/// The platform's clients use a third of the descriptors at most. One descriptor in this many, a quarter of
+/// that third, may hold an idle client connection; the rest of the third is needed for new connections.
 const IDLE_CLIENTS_DIVISOR: usize = 12;
 
 /// The optional features of the program. Each reserves descriptors when an operator enables it.
--- a/src/net/drain_gossip.rs
+++ b/src/net/drain_gossip.rs
@@ -135,7 +135,7 @@
             Ok(socket) => self.socket = Some(socket),
             Err(error) => {
                 self.open_at = now + REOPEN_INTERVAL;
-                tracing::info!(listen = %self.addresses.listen, %error, "drain gossip socket not open yet");
+                tracing::info!(listen = %self.addresses.listen, %error, "drain gossip socket could not be bound");
             }
         }
     }
--- a/src/net/http/clients/limits.rs
+++ b/src/net/http/clients/limits.rs
@@ -42,8 +42,9 @@
 /// reserved for discovery and targets.
 pub const MAX_UNREGISTERED: usize = MAX_REJECTING + 2;
 
-/// How long a rejected connection is read before it is closed. New connections wait meanwhile, and the time
-/// of their requests runs: less than the 0.15 s by which the time left that a target receives may be wrong.
+/// How long a rejected connection is read before it is closed. New connections wait in the accept queue
+/// meanwhile while the time limits of their requests run. The wait is less than 0.15 s, the permitted error
+/// of the time left that a target receives.
 pub(super) const REJECT_LINGER: Duration = Duration::from_millis(50);
 
 /// Response on a rejected connection, whatever its client requests.
--- a/src/net/http/clients/table.rs
+++ b/src/net/http/clients/table.rs
@@ -138,8 +138,8 @@
     }
 
     /// Ends connections that have been silent, receiving a head, idle or blocked on writes for too long. Of
-    /// the idle connections beyond the permitted number, the oldest are ended first: clients may only have so
-    /// many connections, and unused ones must not keep new clients out.
+    /// the idle connections beyond the permitted number, the oldest are ended first: the number of client
+    /// connections is limited, and unused ones must not keep new clients out.
     pub fn end_overdue(&self) {
         let now = Instant::now();
         let connections = self.0.connections.borrow();
--- a/src/net/http/discovery/poller.rs
+++ b/src/net/http/discovery/poller.rs
@@ -1,7 +1,7 @@
 //! The actor that keeps the core's endpoint list up to date.
 //!
 //! [`Schedule`] alone decides when to send which request. This actor sends the requests, passes pages to the
-//! core, and drives the drain gossip, which stands in while discovery does not answer.
+//! core, and drives the drain gossip, which reports draining targets while discovery does not answer.
 
 use super::client::{self, FetchError, FetchedPage};
 use super::page::EndpointPage;
@@ -123,8 +123,8 @@
         }
     }
 
-    /// Without discovery no list will arrive. The core receives an empty delta, so that it serves with the
-    /// endpoints that it has from other sources.
+    /// Waits until the configuration gives an address. Without discovery no list will arrive, so the core
+    /// receives an empty delta and serves with the endpoints that it has from other sources.
     async fn wait_for_address(&mut self, address: &mut watch::Receiver<DiscoveryAddress>) {
         let no_endpoints = Vec::new();
         let now = Instant::now();
--- a/src/net/http/message/target.rs
+++ b/src/net/http/message/target.rs
@@ -19,8 +19,7 @@
 /// Value of a header by which a target promises something.
 const YES: &str = "1";
 
-/// The head of a request to a target. `until`, the end of the attempt, determines the time left that it
-/// declares.
+/// The head of a request to a target. The head declares the time left until `until`, the end of the attempt.
 pub fn request_head(request: &Request, addr: SocketAddr, until: Instant) -> RequestHead {
     let time_left = until.saturating_duration_since(Instant::now()).as_millis().to_string();
     let mut head = head(&request.locator, addr);
--- a/src/net/http/request_body.rs
+++ b/src/net/http/request_body.rs
@@ -11,8 +11,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long a request's body may take, whatever its length. Without a limit, an incomplete body would occupy its
-/// connection forever.
+/// How long a request's body may take, whatever its length. Without a limit, an incomplete body would occupy
+/// its connection forever.
 const MIN_BODY_TIMEOUT: Duration = Duration::from_secs(2);
 /// Slowest rate at which a client may send: a body may take one second more for this many bytes.
 const MIN_BYTES_PER_SECOND: u64 = 64_000;
--- a/src/net/http/response_stream.rs
+++ b/src/net/http/response_stream.rs
@@ -32,8 +32,8 @@
             // The body of an error response is not passed to the client.
             return Ok(ResponseBody::Buffered(Bytes::new()));
         }
-        // A retry of a response that arrives this slowly would be too late, so buffering it has no use for
-        // the client.
+        // If a response arrives this slowly, a retry would come too late, so buffering the response does not
+        // help the client.
         let slow = Instant::now() >= buffer_until && head.status == StatusCode::OK;
         if long || slow {
             return Ok(stream_content(transport, connection, buffered, length));
--- a/src/net/iscsi/target/commands.rs
+++ b/src/net/iscsi/target/commands.rs
@@ -47,8 +47,8 @@
         Ok(Command { write: request.write, address: request.object, blocks, group: group as u8 })
     }
 
-    /// The number of logical blocks of a request. If its protocol has no length, the number follows from its
-    /// units.
+    /// The number of logical blocks of a request. A request that was received over a protocol without lengths
+    /// has as many blocks as its units stand for.
     fn blocks(&self, request: &Request) -> u32 {
         let length = if request.write { request.body.len() as u32 } else { request.length };
         let blocks = match length {
@@ -121,8 +121,8 @@
             immediate: true,
             function: ABORT_TASK,
             lun: task.lun,
-            // The response carries this tag. Without the flag, it is the tag of the aborted task, which then
-            // ends.
+            // The target's response carries this tag. Without the flag, the tag is that of the aborted task,
+            // which the response ends.
             itt: itt | ABORT_TAG_FLAG,
             referenced: itt,
             cmd_sn: self.cmd_sn,
--- a/src/net/iscsi/target/session.rs
+++ b/src/net/iscsi/target/session.rs
@@ -177,7 +177,7 @@
     }
 
     async fn handle_read(&mut self, read: Result<Pdu, ReadError>, target: &mut Target) -> io::Result<()> {
-        let pdu = read.map_err(|error| protocol_error(format!("{error:?}")))?;
+        let pdu = read.map_err(|error| protocol_error(format!("{error}")))?;
         self.restart_silence();
         if matches!(pdu, Pdu::Async { event, .. } if DRAINING_EVENTS.contains(&event)) {
             // The endpoint list is updated at once, so that no new commands arrive; those in flight may still
