--- a/crates/checker/src/rules.rs
+++ b/crates/checker/src/rules.rs
@@ -18,8 +18,8 @@
     /// A change of the endpoint list counts as received by a process this long after discovery recorded it
     /// and was reachable, unless it was delivered earlier.
     pub discovery_propagation: Micros,
-    /// A process that received SIGTERM still owes a response to each request sent later than this after the
-    /// signal, even if the process is killed then.
+    /// A process that received SIGTERM must respond to each request that is sent later than this after the
+    /// signal, even if the process is killed before it has responded.
     pub sigterm_grace: Micros,
     /// `None` if slow start is not checked.
     pub slow_start: Option<SlowStart>,
--- a/crates/checker/tests/breaches.rs
+++ b/crates/checker/tests/breaches.rs
@@ -216,8 +216,8 @@
     assert_eq!(breach_kinds(&history_with_attempts(44)), [BreachKind::SlowStartExceeded]);
 }
 
-// A killed process cannot respond. If it received SIGTERM before, it still owes responses to requests sent
-// more than 0.7 s after the signal.
+// A killed process cannot respond. If it received SIGTERM before, the missing responses to requests sent more
+// than 0.7 s after the signal are breaches all the same.
 #[test]
 fn a_killed_process_owes_responses_only_to_requests_sent_after_the_sigterm_grace() {
     let breaches_after_close = |terminated_at: Option<Micros>, killed_at| {
--- a/crates/distribution/tests/cases.rs
+++ b/crates/distribution/tests/cases.rs
@@ -121,8 +121,8 @@
 // their digests differ.
 #[test]
 fn a_different_state_of_the_same_version_is_detected_and_replaced_by_a_snapshot() {
-    let (right, corrupt) = (state(2, &[("a", "1")]), state(2, &[("a", "other")]));
-    let mut relay = Relay::source(SOURCE, HIGH_LIMITS, right.clone());
+    let (source_state, corrupt) = (state(2, &[("a", "1")]), state(2, &[("a", "other")]));
+    let mut relay = Relay::source(SOURCE, HIGH_LIMITS, source_state.clone());
     let mut follower = new_follower(Some(corrupt));
     let (_, request) = follower.poll(0, 0).expect("a request is due");
     let body = watch_response(&mut relay, 0, FOLLOWER, request.held);
@@ -132,7 +132,7 @@
     let body = watch_response(&mut relay, 1, FOLLOWER, request.held);
     assert_eq!(
         follower.handle_response(1, RELAY_A, response(RELAY_A, body)),
-        Some(StateUpdate::Activated(right))
+        Some(StateUpdate::Activated(source_state))
     );
 }
 
@@ -187,7 +187,7 @@
     let message = Message::Request(WatchRequest { held: None, max_wait: 0, rejecting: 0 });
     let bytes = encode(&FLEET_KEY, RELAY_A, &message).expect("encoded");
     assert_eq!(decode(&FLEET_KEY, RELAY_A, &bytes), Ok(message));
-    assert_eq!(decode(&FLEET_KEY, RELAY_B, &bytes), Err(DecodeError::BadCode), "another sender");
+    assert_eq!(decode(&FLEET_KEY, RELAY_B, &bytes), Err(DecodeError::BadCode), "decoded as another sender's");
     assert_eq!(decode(&[8; 32], RELAY_A, &bytes), Err(DecodeError::BadCode), "another key");
     assert_eq!(
         decode(&FLEET_KEY, RELAY_A, &[&[9], &bytes[1..]].concat()),
@@ -271,11 +271,11 @@
         }
     }
     // Each relay either follows the source or waits for it: neither accepts the other's response.
-    let left = relays.iter().filter(|r| {
-        let counters = r.follower().expect("a relay").counters();
+    let switched = relays.iter().filter(|relay| {
+        let counters = relay.follower().expect("a relay").counters();
         counters.loops + counters.cut_off > 0
     });
-    assert_eq!(left.count(), 2);
+    assert_eq!(switched.count(), 2);
 }
 
 // Versions come from the source and ages are time spans, so a clock offset changes nothing.
--- a/crates/distribution/tests/compatibility.rs
+++ b/crates/distribution/tests/compatibility.rs
@@ -51,14 +51,15 @@
 
 #[test]
 fn messages_match_the_recorded_samples() {
-    let written = |(name, m)| format!("{name} {}", hex(&encode(&[7; 32], NodeId(9), &m).expect("encoded")));
-    let written: Vec<String> = messages().into_iter().map(written).collect();
-    assert_eq!(written, MESSAGES.lines().collect::<Vec<_>>());
+    let encode_line =
+        |(name, message)| format!("{name} {}", hex(&encode(&[7; 32], NodeId(9), &message).expect("encoded")));
+    let encoded: Vec<String> = messages().into_iter().map(encode_line).collect();
+    assert_eq!(encoded, MESSAGES.lines().collect::<Vec<_>>());
     for (line, (name, message)) in MESSAGES.lines().zip(messages()) {
         let (_, sample) = line.split_once(' ').expect("a name and bytes");
-        let read = decode(&[7; 32], NodeId(9), &bytes(sample));
-        assert_eq!(read, Ok(message), "{name}");
-        if let Ok(Message::Response(WatchResponse { body: ResponseBody::Snapshot(snapshot), .. })) = read {
+        let decoded = decode(&[7; 32], NodeId(9), &bytes(sample));
+        assert_eq!(decoded, Ok(message), "{name}");
+        if let Ok(Message::Response(WatchResponse { body: ResponseBody::Snapshot(snapshot), .. })) = decoded {
             assert_eq!(snapshot.decompress(), Ok(state()));
         }
     }
@@ -75,5 +76,5 @@
         }],
         fan_out: 40,
     };
-    assert_eq!(toml::from_str::<Topology>(TOPOLOGY).expect("usable"), expected);
+    assert_eq!(toml::from_str::<Topology>(TOPOLOGY).expect("a valid topology"), expected);
 }
--- a/crates/lab/src/cold.rs
+++ b/crates/lab/src/cold.rs
@@ -146,7 +146,7 @@
         let cold = &site.targets[0];
         let faults = async {
             // The clock of the experiment starts at the first request.
-            while site.targets.iter().all(|b| b.counters().received == 0) {
+            while site.targets.iter().all(|target| target.counters().received == 0) {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
             let started_at = Instant::now();
@@ -192,7 +192,7 @@
         out.figure("which began after", from, "s");
         out.claim("no window at the cold target exceeds N + 2 * sqrt(N) + 2 requests", relative_load <= 1.0);
         out.claim(
-            "the cold target is not starved",
+            "the cold target is not starved: it gets at least a tenth of its first window's allowance per window",
             arrival_times.len() as f64 >= 0.1 * allowed_requests(0.0) * WARM_UP_SECONDS / WINDOW_SECONDS,
         );
         out.claim("each request has exactly one result", results == total.due);
--- a/crates/lab/src/failure.rs
+++ b/crates/lab/src/failure.rs
@@ -80,7 +80,7 @@
     /// A line of an access log cannot be parsed.
     #[error(transparent)]
     AccessLog(#[from] EntryError),
-    /// Settings were rejected.
+    /// The scheduler or the translation rejected the experiment's settings; the text is the error.
     #[error("{0}")]
     InvalidSettings(String),
     /// The program under test or an experiment's own input is not as the experiment requires.
--- a/crates/lab/src/many_targets.rs
+++ b/crates/lab/src/many_targets.rs
@@ -54,8 +54,8 @@
     connections: f64,
     list_bytes: f64,
     share: f64,
-    /// Longest time from the delivery of a target's departure to a process until that process's last attempt
-    /// there, in seconds.
+    /// Longest time from the delivery of a target's drain or removal to a process until that process's last
+    /// attempt at the target, in seconds.
     latest_attempt: f64,
     /// Longest time from a request's deadline to its response, in seconds.
     latest_response: f64,
@@ -105,9 +105,9 @@
     sleep(SETTLE_TIME).await;
     let list_bytes = fleet.discovery.list_bytes();
     let mut descriptors = 0;
-    let mut leaving = Vec::new();
+    let mut draining = Vec::new();
     for step in 0..RELEASE_STEPS {
-        leaving.push(fleet.replace(targets / 2 / RELEASE_STEPS).await?);
+        draining.push(fleet.replace(targets / 2 / RELEASE_STEPS).await?);
         if step == 1 {
             let hanging = fleet.draw_active(targets / TARGETS_PER_HANGING);
             hanging
@@ -115,8 +115,8 @@
                 .for_each(|target| target.inject(TargetFault { silent: true, ..TargetFault::default() }));
         }
         sleep(STEP_INTERVAL).await;
-        if leaving.len() > 2 {
-            fleet.remove(&leaving.remove(0));
+        if draining.len() > 2 {
+            fleet.remove(&draining.remove(0));
         }
         descriptors = fleet.usage().iter().map(|usage| usage.descriptors).max().unwrap_or(0).max(descriptors);
     }
@@ -124,7 +124,7 @@
     // An outage, after which another release step is published while half of the processes restart.
     fleet.discovery.inject(DiscoveryFault::Refusing);
     sleep(OUTAGE).await;
-    leaving.push(fleet.replace(targets / 2 / RELEASE_STEPS).await?);
+    draining.push(fleet.replace(targets / 2 / RELEASE_STEPS).await?);
     fleet.discovery.inject(DiscoveryFault::None);
     for index in 0..PROCESSES / 2 {
         fleet.restart(index, Signal::SIGTERM, TERMINATION_TIMEOUT).await?;
@@ -151,8 +151,8 @@
     })
 }
 
-/// Longest time from the delivery of a target's departure to a process until an attempt of that process at
-/// the target, in seconds.
+/// Longest time from the delivery of a target's drain or removal to a process until an attempt of that
+/// process at the target, in seconds.
 fn latest_attempt(history: &History) -> f64 {
     let processes: HashMap<&str, _> = history.requests.iter().map(|r| (r.id.as_str(), r.process)).collect();
     let mut departures: HashMap<&str, u64> = HashMap::new();
@@ -228,7 +228,7 @@
 
 fn compare(out: &mut Outcome, seed: u64, baseline: &RunResult, many: &RunResult) {
     let thousands = many.targets as f64 / 1e3;
-    let title = |what: &str| format!("seed {seed}, {} targets: {what}", many.targets);
+    let title = |figure: &str| format!("seed {seed}, {} targets: {figure}", many.targets);
     for resource in &RESOURCES {
         let (value, bound) =
             ((resource.value)(many), (resource.bound)((resource.value)(baseline), thousands));
@@ -252,7 +252,7 @@
 }
 
 fn add_figures(out: &mut Outcome, seed: u64, run: &RunResult) {
-    let title = |what: &str| format!("seed {seed}, {} targets: {what}", run.targets);
+    let title = |figure: &str| format!("seed {seed}, {} targets: {figure}", run.targets);
     out.figure(title("share served"), run.share, "");
     out.figure(title("latest attempt behind a told departure"), run.latest_attempt, "s");
     out.figure(title("latest answer behind a deadline"), run.latest_response, "s");
--- a/crates/lab/src/plot.rs
+++ b/crates/lab/src/plot.rs
@@ -7,7 +7,7 @@
 /// A plot of named lines over time.
 #[derive(Clone, Debug, Serialize)]
 pub struct Plot {
-    /// Caption.
+    /// Caption; names the unit of the values.
     pub title: String,
     /// Name of each line with its points: seconds, and the unit that the title names.
     pub lines: Vec<(&'static str, Vec<(f64, f64)>)>,
--- a/crates/lab/src/replays.rs
+++ b/crates/lab/src/replays.rs
@@ -79,9 +79,9 @@
             let daemons = initiators::start_daemons(&site, &header, 1, |_| None)?;
             reports.push(traces::replay_all(&trace, &Replay::to(initiators::addresses(&daemons))).await?);
         }
-        let (a, b) = (&reports[0], &reports[1]);
+        let (first, second) = (&reports[0], &reports[1]);
         let mut out = Outcome::default();
-        for (round, report) in [("first", a), ("second", b)] {
+        for (round, report) in [("first", first), ("second", second)] {
             for (class, c) in &report.classes {
                 out.figure(format!("{round}: {class} due"), c.due as f64, "");
                 out.figure(format!("{round}: {class} served"), c.served as f64, "");
@@ -90,7 +90,7 @@
             out.figure(format!("{round}: behind the schedule p50"), ms(report.drift.at(0.5)), "ms");
             out.figure(format!("{round}: behind the schedule p99"), ms(report.drift.at(0.99)), "ms");
         }
-        out.claim("per-class counts, due and served, are equal", counts(a) == counts(b));
+        out.claim("per-class counts, due and served, are equal", counts(first) == counts(second));
         let within = |quantile, limit| reports.iter().all(|r| ms(r.drift.at(quantile)) <= limit);
         out.claim("p50 of start times within 5 ms of the schedule", within(0.5, 5.0));
         out.claim("p99 of start times within 20 ms of the schedule", within(0.99, 20.0));
@@ -113,14 +113,14 @@
             ("resets", TargetFault { reset_share: 0.15, slowdown: 2.0, ..TargetFault::default() }),
         ] {
             let site = StubSite::start(&vec![initiators::target_plan(8, 12, 25); 4], ZONE, 2).await?;
-            site.targets.iter().for_each(|b| b.inject(fault.clone()));
+            site.targets.iter().for_each(|target| target.inject(fault.clone()));
             let daemons = initiators::start_daemons(&site, &header, 1, |_| None)?;
             let report = traces::replay_all(&trace, &Replay::to(initiators::addresses(&daemons))).await?;
             let counters = site.counters();
             let executed = site
                 .targets
                 .iter()
-                .map(|b| b.deduplication_scope().executed_keys())
+                .map(|target| target.deduplication_scope().executed_keys())
                 .fold((0, 0), |a, b| (a.0 + b.0, a.1 + b.1));
             out.figure(format!("{round}: writes that ran"), counters.writes_executed as f64, "");
             out.figure(format!("{round}: repeats dropped"), counters.writes_suppressed as f64, "");
@@ -136,7 +136,7 @@
                     counters.writes_executed == distinct,
                 );
             } else {
-                out.claim("resets: connections were reset", counters.resets > 20);
+                out.claim("resets: more than 20 connections were reset", counters.resets > 20);
                 out.claim(
                     "resets: no more writes executed than distinct keys",
                     counters.writes_executed <= distinct,
@@ -193,11 +193,14 @@
         let worst =
             stalled.1.classes.values().map(|c| c.latency.max().max(c.refusal.max())).max().unwrap_or(0);
         out.figure("stalled: longest time to an answer", ms(worst), "ms");
-        // Two seconds of traffic to one of three targets met the stall; all other requests are unaffected by
-        // it.
+        // Two seconds of traffic to one of three targets met the stall; all other requests should be
+        // unaffected.
         let lost = (calm.0 - stalled.0.min(calm.0)) as f64 / (150.0 * 2.0 / 3.0);
         out.figure("requests no longer in time, of those due to the box in its stall", lost, "");
-        out.claim("the stall shows in the latency", lost > 0.3);
+        out.claim(
+            "the stall shows: it affects more than 0.3 times the requests due to the stalled target",
+            lost > 0.3,
+        );
         out.claim("the stall affects fewer than twice the requests due to the stalled target", lost < 2.0);
         Ok(out)
     })
@@ -221,9 +224,9 @@
         out.figure("unsent, their time being up before there was room", total.unsent as f64, "");
         out.figure("held for room", report.held as f64, "");
         out.claim("each request has exactly one result", results(&report) == due && total.due == due);
-        out.claim("requests waited for a free slot", report.held > 100);
+        out.claim("more than 100 requests waited for a free slot", report.held > 100);
         out.figure("most tries out at once", report.most_out as f64, "");
-        out.claim("no more attempts are in flight than allowed", report.most_out <= 48);
+        out.claim("no more than 48 attempts are in flight, as configured", report.most_out <= 48);
         Ok(out)
     })
 }
--- a/crates/lab/src/routes.rs
+++ b/crates/lab/src/routes.rs
@@ -66,22 +66,26 @@
 /// for all requests and, if `expectations` is larger, expectations for single collections.
 fn configuration_text(collections: u64, expectations: u64, targets: u64) -> String {
     let mut out = String::new();
-    for b in 0..targets {
-        let _ = write!(out, "[[pool]]\nname = \"p{b}\"\nboxes = \"s-{b}\"\n");
+    for target in 0..targets {
+        let _ = write!(out, "[[pool]]\nname = \"p{target}\"\nboxes = \"s-{target}\"\n");
     }
-    for c in 0..collections {
-        let _ = write!(out, "[[route]]\nname = \"c{c}\"\nvolume = \"{c:x}\"\npool = \"p{}\"\n", c % targets);
+    for collection in 0..collections {
+        let _ = write!(
+            out,
+            "[[route]]\nname = \"c{collection}\"\nvolume = \"{collection:x}\"\npool = \"p{}\"\n",
+            collection % targets
+        );
     }
     if expectations > 0 {
         let zone = format!("[[pool]]\nname = \"zone\"\nzones = \"{ZONE}\"\n");
         out += &(zone + "[[route]]\nname = \"rest\"\npool = \"zone\"\n");
     }
-    for e in 0..expectations.saturating_sub(5) {
-        let c = e * collections / expectations;
+    for expectation in 0..expectations.saturating_sub(5) {
+        let collection = expectation * collections / expectations;
         let _ = write!(
             out,
-            "[[expect]]\nname = \"e{e}\"\nrequests = {{ volume = \"{c:x}\" }}\nonly = {{ boxes = \"s-{}\" }}\n",
-            c % targets
+            "[[expect]]\nname = \"e{expectation}\"\nrequests = {{ volume = \"{collection:x}\" }}\nonly = {{ boxes = \"s-{}\" }}\n",
+            collection % targets
         );
     }
     out += "[[expect]]\nname = \"drain\"\nnever = {}\nin_state = [\"draining\", \"gone\"]\n";
@@ -127,9 +131,12 @@
     let memory = ProcessUsage::of("self").peak_memory_bytes as f64 / 1e6;
     out.figure("memory at most", memory, "MB");
     out.figure("ten times as many take", times[1] / times[0].max(1e-6), "times as long");
-    out.claim("10,000 collections and 2,000 expectations in under 2 s", times[1] < 2.0);
-    out.claim("in under 200 MB", memory < 200.0);
-    out.claim("about linear: ten times as many take less than 20 times as long", times[1] < 20.0 * times[0]);
+    out.claim("10,000 collections and 2,000 expectations are read and checked in under 2 s", times[1] < 2.0);
+    out.claim("the peak memory of reading and checking is under 200 MB", memory < 200.0);
+    out.claim(
+        "about linear: ten times as many collections take less than 20 times as long",
+        times[1] < 20.0 * times[0],
+    );
     Ok(out)
 }
 
@@ -239,14 +246,14 @@
         out.figure("tables put in force", loaded as f64, "");
         out.figure("files not read", unreadable as f64, "");
         out.figure("files refused", refused as f64, "");
-        for (i, each) in site.targets.iter().enumerate() {
-            out.figure(format!("requests at box {i}"), each.counters().received as f64, "");
+        for (i, stub) in site.targets.iter().enumerate() {
+            out.figure(format!("requests at box {i}"), stub.counters().received as f64, "");
         }
         // While a single version is in force, new objects of the moved volumes go to its target only.
         let (mut checked, mut misrouted) = (0, 0);
-        for (i, each) in site.targets.iter().enumerate() {
-            for (at, target) in each.received() {
-                let volume = target.split('/').nth(2).and_then(|v| u64::from_str_radix(v, 16).ok());
+        for (i, stub) in site.targets.iter().enumerate() {
+            for (at, path) in stub.received() {
+                let volume = path.split('/').nth(2).and_then(|v| u64::from_str_radix(v, 16).ok());
                 let moved = volume.is_some_and(|v| v <= 0x14);
                 let span = spans.iter().find(|(from, until, _)| (*from..*until).contains(&at));
                 if let Some((.., number)) = span.filter(|_| moved) {
@@ -257,7 +264,7 @@
         }
         out.figure("requests of moved volumes within one version's span", checked as f64, "");
         out.claim(
-            "none of them went to a target that the version forbids",
+            "of more than 1,000 requests of moved volumes none went to a target that the version forbids",
             checked > 1_000 && misrouted == 0,
         );
         let lines = initiators::access_log(&daemons[0], due).await?.len() as u64;
--- a/crates/lab/src/scale/connections.rs
+++ b/crates/lab/src/scale/connections.rs
@@ -82,9 +82,9 @@
         ..initiators::target_plan(WORK_MS, WORK_MS, WORK_MS)
     };
     let site = StubSite::start(&vec![plan; TARGETS], ZONE, SEED).await?;
-    for each in &site.targets {
+    for target in &site.targets {
         // A target that has just started would be sent few requests because of slow start.
-        site.discovery.upsert(Endpoint { started_ms: 0, ..Endpoint::of(each, EndpointState::Active) });
+        site.discovery.upsert(Endpoint { started_ms: 0, ..Endpoint::of(target, EndpointState::Active) });
     }
     let daemon = daemon(&site).await?;
     let before = daemon.usage().peak_memory_bytes as f64;
@@ -132,8 +132,12 @@
         out.claim("descriptors grow in proportion to connections", (0.95..1.05).contains(&files.exponent));
         out.claim("memory grows no faster than idle connections", memory.exponent <= 1.15);
         out.claim("memory grows no faster than requests in flight", requests.exponent <= 1.25);
-        let each = 10e6 / 2_200.0;
-        out.figure("4,545 connections of an instance, by the fit", memory.at(each) / 1024.0, "MiB");
+        let connections_per_instance = 10e6 / 2_200.0;
+        out.figure(
+            "4,545 connections of an instance, by the fit",
+            memory.at(connections_per_instance) / 1024.0,
+            "MiB",
+        );
         for curve in [memory, files, requests] {
             out.curve(curve);
         }
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -24,19 +24,29 @@
 fn by_initiators(
     name: &str,
     unit: &'static str,
-    each: &[(f64, InitiatorCost)],
+    costs: &[(f64, InitiatorCost)],
     cost: fn(&InitiatorCost) -> f64,
 ) -> Result<Curve, Failure> {
-    Curve::new(name, "hollow instances", unit, each.iter().map(|(n, e)| (*n, cost(e))).collect())
+    Curve::new(
+        name,
+        "hollow instances",
+        unit,
+        costs.iter().map(|(size, initiator)| (*size, cost(initiator))).collect(),
+    )
 }
 
 fn by_targets(
     name: &str,
     unit: &'static str,
-    each: &[(f64, InitiatorCost)],
+    costs: &[(f64, InitiatorCost)],
     cost: fn(&InitiatorCost) -> f64,
 ) -> Result<Curve, Failure> {
-    Curve::new(name, "targets", unit, each.iter().map(|(n, e)| (*n, cost(e))).collect())
+    Curve::new(
+        name,
+        "targets",
+        unit,
+        costs.iter().map(|(size, initiator)| (*size, cost(initiator))).collect(),
+    )
 }
 
 fn run() -> Result<Outcome, Failure> {
@@ -54,7 +64,7 @@
         in_own_processes(COMPARED_INITIATORS, FEW_TARGETS)?,
     );
     for (kind, each) in [("hollow", shared), ("real", separate)] {
-        let label = |what: &str| format!("{COMPARED_INITIATORS} {kind}: {what}");
+        let label = |figure: &str| format!("{COMPARED_INITIATORS} {kind}: {figure}");
         out.figure(label("calls for one change"), each.change_polls, "");
         out.figure(label("bytes for one change"), each.change_bytes, "bytes");
         out.figure(label("processor of one change"), each.change * 1e3, "ms");
@@ -63,11 +73,11 @@
         out.figure(label("descriptors of each, the process's share"), each.descriptors, "");
     }
     out.claim(
-        "initiators in a shared process send as many polls as separate ones",
+        "initiators in a shared process send as many polls as separate ones, within a tenth",
         (shared.change_polls / separate.change_polls - 1.0).abs() <= 0.1,
     );
     out.claim(
-        "initiators in a shared process receive as many bytes as separate ones",
+        "initiators in a shared process receive as many bytes as separate ones, within a tenth",
         (shared.change_bytes / separate.change_bytes - 1.0).abs() <= 0.1,
     );
     let times = shared.change / separate.change;
@@ -91,17 +101,22 @@
         "an initiator's time per change does not grow with the number of initiators",
         change.exponent <= 0.25,
     );
-    let taken = by_targets("one change at a real instance", "ms of processor", &lists, |e| e.change * 1e3)?;
+    let change_time =
+        by_targets("one change at a real instance", "ms of processor", &lists, |e| e.change * 1e3)?;
     let start = by_targets("start of a real instance", "ms of processor", &lists, |e| e.start * 1e3)?;
-    let held = by_targets("memory of a real instance", "MiB", &lists, |e| e.memory / 1_048_576.0)?;
+    let memory_by_targets =
+        by_targets("memory of a real instance", "MiB", &lists, |e| e.memory / 1_048_576.0)?;
     let bytes = by_targets("news of one change", "bytes", &lists, |e| e.change_bytes)?;
     out.claim(
         "an initiator's time per change grows no faster than the endpoint list",
-        taken.exponent <= 1.25,
+        change_time.exponent <= 1.25,
     );
     out.claim("the bytes of one change do not grow with the endpoint list", bytes.exponent.abs() <= 0.1);
-    out.claim("an initiator's memory grows no faster than the endpoint list", held.exponent <= 1.1);
-    for curve in [calls, change, memory, listed, notified, taken, start, held, bytes] {
+    out.claim(
+        "an initiator's memory grows no faster than the endpoint list",
+        memory_by_targets.exponent <= 1.1,
+    );
+    for curve in [calls, change, memory, listed, notified, change_time, start, memory_by_targets, bytes] {
         out.curve(curve);
     }
     Ok(out)
--- a/crates/lab/src/scale/list_curves.rs
+++ b/crates/lab/src/scale/list_curves.rs
@@ -20,12 +20,12 @@
     let request = probe_all("module-request")?;
     let (new_object, empty) = (probe_all("module-new-object")?, probe_all("module-empty-change")?);
     let wire = curve("a whole list, compact JSON", BY_TARGETS, "KiB", &decode, |c| c.wire / 1024.0)?;
-    let read =
+    let decoding =
         curve("a whole list is decoded", BY_TARGETS, "ms of processor", &decode, |c| c.processor * 1e3)?;
-    let kept = curve("a decoded list is kept", BY_TARGETS, "KiB", &decode, |c| c.state / 1024.0)?;
-    let written =
+    let decoded_size = curve("a decoded list is kept", BY_TARGETS, "KiB", &decode, |c| c.state / 1024.0)?;
+    let encoding =
         curve("a whole list is encoded", BY_TARGETS, "ms of processor", &encode, |c| c.processor * 1e3)?;
-    let taken =
+    let change_time =
         curve("a change of one target", BY_TARGETS, "ms of processor", &change, |c| c.processor * 1e3)?;
     let module =
         curve("the module's part of it", BY_TARGETS, "ms of processor", &module, |c| c.processor * 1e3)?;
@@ -45,14 +45,16 @@
         "the bytes of an endpoint list grow in proportion to the targets",
         (0.95..1.05).contains(&wire.exponent),
     );
-    out.claim("decoding time grows no faster than the endpoint list", read.exponent <= 1.2);
+    out.claim("decoding time grows no faster than the endpoint list", decoding.exponent <= 1.2);
     out.claim("the core's state grows no faster than the endpoint list", core.exponent <= 1.1);
     out.claim(
         "the cost of a change of one target does not grow with the endpoint list",
-        taken.exponent <= 0.5,
+        change_time.exponent <= 0.5,
     );
     out.claim("the cost of a request does not grow with the endpoint list", request.exponent <= 0.5);
-    for curve in [wire, read, kept, written, taken, module, request, new_object, empty, core] {
+    for curve in
+        [wire, decoding, decoded_size, encoding, change_time, module, request, new_object, empty, core]
+    {
         out.curve(curve);
     }
     Ok(out)
--- a/crates/lab/src/scale/subsets.rs
+++ b/crates/lab/src/scale/subsets.rs
@@ -85,8 +85,9 @@
     let mean = |parts: Vec<f64>| parts.iter().sum::<f64>() / parts.len() as f64;
     let joins = (0..MOVES).map(|more| {
         let (few, many) = (size.initiators + more, size.initiators + more + 1);
-        let (a, b) = (build_table(&SUBSET_CONFIG, few, &all), build_table(&SUBSET_CONFIG, many, &all));
-        part(difference((&a, &all), (&b, &all))) * f64::from(many)
+        let (smaller, larger) =
+            (build_table(&SUBSET_CONFIG, few, &all), build_table(&SUBSET_CONFIG, many, &all));
+        part(difference((&smaller, &all), (&larger, &all))) * f64::from(many)
     });
     let joins = mean(joins.collect());
     let leaves = (0..MOVES as usize).map(|i| {
@@ -176,7 +177,10 @@
         "the time of the table grows with one side, not with the product of both",
         table_time.exponent <= 1.4,
     );
-    out.claim("the time of one change grows no faster than that", change_time.exponent <= 1.4);
+    out.claim(
+        "the time of one change grows with one side, not with the product of both",
+        change_time.exponent <= 1.4,
+    );
     out.claim(
         "at 2,200 x 3,500 a change takes at most a tenth of the time of the all-pairs table",
         change_time.at(at) * 10.0 <= pairs_time.at(at),
--- a/crates/lab/src/sites.rs
+++ b/crates/lab/src/sites.rs
@@ -39,9 +39,9 @@
 const OVERLOAD_MULTIPLE: f64 = 2.5;
 const RESERVED_UNITS: f64 = 4.0;
 
-fn entry(each: &StubTarget, index: usize) -> Endpoint {
+fn entry(target: &StubTarget, index: usize) -> Endpoint {
     let zone = if LOST_SITE.contains(&index) { "negril" } else { ZONE };
-    Endpoint { zone: Some(zone.into()), ..Endpoint::of(each, EndpointState::Active) }
+    Endpoint { zone: Some(zone.into()), ..Endpoint::of(target, EndpointState::Active) }
 }
 
 /// Units that a target that returned at 0 may receive in the window that begins at `from` without violating
@@ -83,8 +83,8 @@
         ..initiators::target_plan(4, 6, 8)
     };
     let site = StubSite::start(&vec![plan; LOST_SITE.end], ZONE, SEED).await?;
-    for (index, each) in site.targets.iter().enumerate() {
-        site.discovery.upsert(entry(each, index));
+    for (index, target) in site.targets.iter().enumerate() {
+        site.discovery.upsert(entry(target, index));
     }
     let daemons =
         initiators::start_daemons_with(&site, &traces::standard_header(), INITIATORS, |_, start| {
@@ -95,7 +95,7 @@
     let targets = site.targets.clone();
     let faults = async move {
         // The clock of the experiment starts at the first request.
-        while targets.iter().all(|b| b.counters().received == 0) {
+        while targets.iter().all(|target| target.counters().received == 0) {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         let started_at = Instant::now();
@@ -213,20 +213,23 @@
             per_target.without_response + with_site_failover.without_response == 0.0,
         );
         out.claim(
-            "with [sites] a lost site is sent at most a tenth of the requests that it is sent without",
+            "with [sites] a lost site receives at most a tenth of the requests that it receives without",
             with_site_failover.sent_while_lost * 10.0 <= per_target.sent_while_lost,
         );
         out.claim(
-            "with [sites] returning targets receive no more than cold targets can serve",
+            "with [sites] the returned targets receive no more than cold targets can serve",
             with_site_failover.worst_cold_load <= 1.0,
         );
-        out.claim("with per-target detection they receive more than that", per_target.worst_cold_load > 1.0);
         out.claim(
-            "the loss raises the peak load on the remaining targets by at most a quarter",
+            "with per-target detection the returned targets receive more than cold targets can serve",
+            per_target.worst_cold_load > 1.0,
+        );
+        out.claim(
+            "with [sites] the loss raises the peak load on the remaining targets by at most a quarter",
             with_site_failover.survivor_peak <= 1.25,
         );
         out.claim(
-            "nine of ten requests are served again after the return",
+            "with [sites] nine of ten requests are served again after the return",
             with_site_failover.recovered_after.is_finite(),
         );
         Ok(out)
--- a/crates/lab/src/soak/event.rs
+++ b/crates/lab/src/soak/event.rs
@@ -20,7 +20,7 @@
     Terminate { process: usize, twice: bool, hangup: bool },
     /// SIGKILL, followed by a restart.
     Kill { process: usize },
-    /// SIGHUP, `times` times in a row.
+    /// SIGHUP, `times` times in succession.
     Reload { process: usize, times: usize },
     /// Idle clients use up the descriptors of a process.
     Crowd { process: usize },
--- a/crates/lab/src/soak/mod.rs
+++ b/crates/lab/src/soak/mod.rs
@@ -102,7 +102,7 @@
     for (kind, count) in kinds.iter().chain(&events) {
         out.figure(format!("injected: {kind}"), *count as f64, "");
     }
-    out.claim("system calls failed", !kinds.is_empty());
+    out.claim("faults were injected into system calls", !kinds.is_empty());
     out.claim("no seed breaks a rule", failed == 0);
     Ok(out)
 }
--- a/crates/lab/src/subsets.rs
+++ b/crates/lab/src/subsets.rs
@@ -67,11 +67,11 @@
     let (total, deposits) = (report.total(), report.classes.get("deposit"));
     let mut pairs = BTreeSet::new();
     let mut received = Vec::new();
-    for (index, each) in site.targets.iter().enumerate() {
-        let requests = each.received();
+    for (index, stub) in site.targets.iter().enumerate() {
+        let requests = stub.received();
         received.push(requests.len() as f64);
-        for (_, target) in requests {
-            let volume = target.split('/').nth(2).and_then(|v| u64::from_str_radix(v, 16).ok());
+        for (_, path) in requests {
+            let volume = path.split('/').nth(2).and_then(|v| u64::from_str_radix(v, 16).ok());
             let volume = volume.ok_or(Failure::Unexpected("a request path has no volume"))?;
             let initiators_of_volume = pick::initiator_set(SEED, volume, 1, fleet_size as usize);
             pairs.insert((initiators_of_volume.first().copied().unwrap_or(0), index));
@@ -96,9 +96,12 @@
     let names: Vec<String> = (0..TARGETS).map(|i| format!("s-{i:08x}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let part = |d: rowanglade_subset::Difference| d.moved as f64 / d.pairs as f64;
-    let joins = (8..48u32).map(|n| {
-        let (a, b) = (assignments(&SUBSET_CONFIG, n, &names), assignments(&SUBSET_CONFIG, n + 1, &names));
-        part(difference((&a, &names), (&b, &names))) * f64::from(n + 1)
+    let joins = (8..48u32).map(|initiators| {
+        let (smaller, larger) = (
+            assignments(&SUBSET_CONFIG, initiators, &names),
+            assignments(&SUBSET_CONFIG, initiators + 1, &names),
+        );
+        part(difference((&smaller, &names), (&larger, &names))) * f64::from(initiators + 1)
     });
     let all = assignments(&SUBSET_CONFIG, 24, &names);
     let leaves = (0..TARGETS).map(|removed| {
--- a/tests/fleets/many_targets.rs
+++ b/tests/fleets/many_targets.rs
@@ -16,7 +16,7 @@
 const REPLACED_ONE_IN: usize = 24;
 const STEP_DURATION: Duration = Duration::from_millis(800);
 const SETTLE_TIME: Duration = Duration::from_secs(2);
-/// The share of requests served before many targets, relative to the share served before the usual number.
+/// Minimum share of requests served with many targets, relative to the share served with the usual number.
 const MIN_RELATIVE_SHARE: f64 = 0.85;
 /// At most this many warnings of the processes are printed.
 const MAX_PRINTED_WARNINGS: usize = 40;
--- a/tests/network/deployments.rs
+++ b/tests/network/deployments.rs
@@ -147,8 +147,8 @@
                 let first = send_request(initiator.http, &deployment.request(&class, "d1")).await;
                 assert_eq!(first, "200 one", "{name} {}", class.name);
                 let second = send_request(initiator.http, &deployment.request(&class, "d2")).await;
-                let seen = received_until_quiet(&mut target, Duration::from_millis(50)).await;
-                let attempts = seen.iter().filter(|line| line.contains("d2")).count();
+                let received = received_until_quiet(&mut target, Duration::from_millis(50)).await;
+                let attempts = received.iter().filter(|line| line.contains("d2")).count();
                 let expected = if class.idempotency == "once" { ("500", 1) } else { ("200 two", 2) };
                 assert_eq!((second.as_str(), attempts), expected, "{name} {}", class.name);
             }
--- a/tests/network/http.rs
+++ b/tests/network/http.rs
@@ -93,8 +93,8 @@
     });
 }
 
-// Guards against a shift of responses: the client library took an interim (1xx) response, or bytes after a
-// response, for the response to the next request.
+// Guards against responses that reach the wrong request: the client library took an interim (1xx) response,
+// or bytes after a response, for the response to the next request.
 #[test]
 fn bytes_around_a_response_are_never_part_of_another_response() {
     run_test(async {
@@ -145,7 +145,7 @@
     });
 }
 
-// Guards against the client library following a redirect or decoding a compressed body by itself.
+// Guards against the client library following a redirect or decoding a compressed body.
 #[test]
 fn redirects_are_not_followed_and_compressed_bodies_not_decoded() {
     run_test(async {
@@ -296,7 +296,8 @@
         assert_snapshot!(receive_lines(&mut discovery, 1).await, @"GET /discovery/hosts?from=1&hold_ms=1 HTTP/1.1");
         let polled_at = std::time::Instant::now();
         assert_snapshot!(receive_lines(&mut discovery, 1).await, @"GET /discovery/hosts?from=1&hold_ms=1 HTTP/1.1");
-        // A change counts as known 6 s after discovery has it; the rest of the time is left for the response.
+        // An initiator must apply a change within 6 s after discovery has recorded it. The second poll is
+        // sent within 4 s, which leaves 2 s for its response.
         assert!(polled_at.elapsed().as_millis() < 4_000, "{:?}", polled_at.elapsed());
         receive_lines(&mut discovery, 1).await;
         assert_eq!(send_request(initiator.http, &request("view", "q1", 0, "")).await, "200 kept");
@@ -305,8 +306,8 @@
 }
 
 // Guards against a stale watch after discovery's address changes: a watch at the old address would last for
-// 10 s and return nothing. The new service may number its versions differently, so it is asked for a
-// snapshot.
+// 10 s and return nothing. The new service may number its versions differently, so the initiator requests a
+// snapshot from it.
 #[test]
 fn when_discoverys_address_changes_its_watch_is_dropped_and_a_snapshot_polled() {
     run_test(async {
--- a/tests/network/lost_site.rs
+++ b/tests/network/lost_site.rs
@@ -229,7 +229,7 @@
         let load = Load::start(&daemons[..2]);
         wait_for_load(&site).await;
         // The third instance gets no requests, and is killed between two failures.
-        let third = daemons.pop().expect("three");
+        let third = daemons.pop().expect("three daemons run");
         for round in 0..4 {
             let silent = round % 2 == 0;
             FAR_TARGETS.for_each(|index| {
@@ -257,7 +257,7 @@
 #[test]
 fn the_rate_limit_of_a_volume_holds_across_the_fleet_during_a_sites_loss_and_recovery() {
     const RATE: f64 = 32.0;
-    // The debt limit of the test settings, and one request of each instance in flight.
+    // In units: the debt limit of the test settings, and one request of two units in flight at each instance.
     const DEBT_LIMIT: f64 = 3.2 + 2.0 * INSTANCES as f64;
     run_test(async {
         let started = tokio::time::Instant::now();
@@ -281,7 +281,7 @@
         wait_for_log(&daemons, "site recovery started").await;
         wait_for_served(&load, 20).await;
         load.end().await;
-        let mut arrivals: Vec<f64> = (site.targets.iter().flat_map(|b| b.received()))
+        let mut arrivals: Vec<f64> = (site.targets.iter().flat_map(|target| target.received()))
             .map(|(at, _)| at.duration_since(started).as_secs_f64())
             .collect();
         arrivals.sort_by(f64::total_cmp);
--- a/tests/network/pending_connects.rs
+++ b/tests/network/pending_connects.rs
@@ -16,8 +16,8 @@
     scripted_server(vec![ok(&page(2, "")), Step::RespondOnResume(later), Step::Silence]).await
 }
 
-// Guards against sending on a decision that a drain has overtaken: the attempt was decided before the drain
-// was announced, and sent when its connection was established, up to the connect timeout later.
+// Guards against requests to a target that began to drain after the attempt was decided: the attempt was sent
+// when its connection was established, up to the connect timeout after the drain was announced.
 #[test]
 fn a_target_that_drains_during_a_connect_gets_no_request() {
     run_test(async {
@@ -118,8 +118,8 @@
         let initiator = start_initiator_with(&[endpoint_entry(addr, 0, "active")], None, None, change).await;
         let mut client = TcpStream::connect(initiator.http).await.expect("connected");
         write_text(&mut client, &request_with_long_deadline("deposit", "w4")).await;
-        // The first attempt may have been executed: its connection is closed under it. The next connection is
-        // established late.
+        // The target closes the first connection after it has received the attempt, which may have been
+        // executed. The next connection is established late.
         let (mut stream, _) = listener.accept().await.expect("accepted");
         read_message(&mut stream).await.expect("the first attempt");
         let fillers = fill_backlog(addr);
@@ -164,8 +164,8 @@
     });
 }
 
-// After an outage of discovery the first response of the agent counts at once. A backoff that doubles would
-// outlast the drain grace.
+// The list that an agent receives after an outage of discovery counts as received at once, so the agent of a
+// pushed list has to be polled within the drain grace. A backoff that doubles would outlast the grace.
 #[test]
 fn the_agent_of_a_pushed_list_is_polled_again_within_the_drain_grace_until_it_answers() {
     run_test(async {
@@ -257,7 +257,8 @@
     });
 }
 
-// As above, on a connection that has served a request before.
+// Guards against the same busy loop where the target closes a kept-alive connection on receiving the next
+// request.
 #[test]
 fn an_idle_connection_that_its_target_closes_under_a_request_ends_the_attempt_at_once() {
     run_test(async {
@@ -294,7 +295,7 @@
             json["settings"]["rules"]["drain-grace"] = 100_000.into();
         };
         let initiator = start_initiator_with(&[], Some(discovery.addr), None, change).await;
-        // Further polls are sent beside the first until it is answered.
+        // Further polls are sent in parallel until the first one is answered.
         for _ in 0..4 {
             assert!(!next_received(&mut discovery).await.contains("from=9"));
         }
--- a/tests/network/queued_requests.rs
+++ b/tests/network/queued_requests.rs
@@ -34,11 +34,11 @@
     client: TcpStream,
     target: Result<ScriptedServer, FullBacklog>,
     stalled_clients: Vec<TcpStream>,
-    /// Attempts of the request that the target has received so far.
+    /// Attempts of the request that the target has received so far: 1 if the request waits for a backoff,
+    /// else 0.
     attempts_received: usize,
 }
 
-/// The id of the waiting request.
 const WAITING_ID: &str = "w-aits";
 
 impl WaitingRequest {
@@ -100,7 +100,8 @@
         WaitingRequest { initiator, client, target, stalled_clients, attempts_received }
     }
 
-    /// Ends the reason for which the request waits; returns the lines that the target then receives of it.
+    /// Removes the reason for the wait: the stalled requests are answered, or the target accepts connections.
+    /// Returns the lines that the target then receives of the waiting request.
     async fn end_wait(self) -> (RunningInitiator, TcpStream, Vec<String>) {
         let WaitingRequest { initiator, client, target, mut stalled_clients, attempts_received } = self;
         let mut target = target.unwrap_or_else(|backlog| backlog.accept_all(vec![ok("a"), ok("b")]));
@@ -137,9 +138,9 @@
     Watch,
     /// The watch is reset, and the watch opened after it reports the drain.
     WatchReset,
-    /// The watch falls silent, and the poll beside it reports the drain.
+    /// The watch falls silent, and the poll sent in parallel to it reports the drain.
     WatchSilent,
-    /// The watch and the poll beside it fall silent, and a third one reports the drain.
+    /// The watch and the poll sent in parallel fall silent, and a third poll reports the drain.
     WatchAndPollSilent,
     /// Discovery is down from the start, and reports the drain once it is back.
     DiscoveryRecovery,
@@ -387,7 +388,8 @@
 }
 
 /// The target rejects every attempt, so the initiator backs off for 20 ms, then for 40 ms. Returns how many
-/// attempts start after the client disconnected during a backoff, or, if it stays, after the first two.
+/// attempts start after the client has disconnected during a backoff. With `None` the client stays connected,
+/// and the attempts after the first two are counted.
 async fn attempts_after_backoff(disconnect: Option<Disconnect>) -> usize {
     let mut target = scripted_server(vec![Step::Respond(UNPROCESSED_RESPONSE.into()); 9]).await;
     let initiator =
@@ -430,7 +432,8 @@
     }
 }
 
-// Many clients disconnect at the same time while their requests wait for one target.
+// Guards against capacity that stays reserved when many clients disconnect at the same time while their
+// requests wait for one target.
 #[test]
 fn a_burst_of_disconnecting_clients_releases_all_reserved_capacity() {
     run_test(async {
@@ -452,7 +455,10 @@
         let (initiator, mut client, received) = waiting.end_wait().await;
         assert_eq!(received, Vec::<String>::new());
         assert_eq!(send_request_on(&mut client, &request_with_long_deadline("view", "after")).await, "200 a");
-        assert!(tokio::time::timeout(Duration::from_millis(20), client.read_u8()).await.is_err(), "it stays");
+        assert!(
+            tokio::time::timeout(Duration::from_millis(20), client.read_u8()).await.is_err(),
+            "the connection stays open"
+        );
         drop(initiator);
     });
 }
--- a/tests/network/replay.rs
+++ b/tests/network/replay.rs
@@ -131,8 +131,8 @@
     });
 }
 
-// Guards against lost requests at the limit of concurrent requests: more come due at once than may be in
-// flight.
+// Guards against a replay that loses requests, or exceeds its limit on requests in flight, when more of them
+// come due at once than the limit allows.
 #[test]
 fn a_replayed_burst_beyond_capacity_gets_all_final_responses() {
     run_test(async {
@@ -146,7 +146,7 @@
         let final_responses = view.served + view.refused + view.failed + view.lost + view.unsent;
         assert_eq!((view.due, final_responses), (200, 200));
         assert!(report.held > 100, "{}", report.held);
-        let max_in_flight = site.targets.iter().map(|b| b.counters().max_in_flight).sum::<u64>();
+        let max_in_flight = site.targets.iter().map(|target| target.counters().max_in_flight).sum::<u64>();
         assert!(max_in_flight <= 8, "{max_in_flight}");
     });
 }
@@ -211,7 +211,9 @@
 fn a_stopped_replay_reports_all_requests_that_came_due() {
     run_test(async {
         let site = start_stub_site().await;
-        site.targets.iter().for_each(|b| b.inject(TargetFault { silent: true, ..TargetFault::default() }));
+        site.targets
+            .iter()
+            .for_each(|target| target.inject(TargetFault { silent: true, ..TargetFault::default() }));
         let initiator = start_initiator(&[], Some(site.discovery.addr()), None).await;
         let mut records: Vec<Record> = (0..10).map(|_| record(0, 0, None)).collect();
         records.push(record(60_000, 0, None));
--- a/tests/network/scale.rs
+++ b/tests/network/scale.rs
@@ -84,7 +84,7 @@
 /// Waits until the process is ready; returns how long after `started` that is.
 async fn wait_until_ready(http: SocketAddr, started: Instant) -> Duration {
     while send_request(http, READINESS_REQUEST).await != "200" {
-        assert!(started.elapsed() < 2 * READY_WITHIN, "not ready");
+        assert!(started.elapsed() < 2 * READY_WITHIN, "not ready within 20 s");
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     started.elapsed()
--- a/tests/network/startup.rs
+++ b/tests/network/startup.rs
@@ -10,7 +10,7 @@
 async fn wait_until_ready(initiator: &RunningInitiator) -> Duration {
     let started = Instant::now();
     while send_request(initiator.http, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n").await != "200" {
-        assert!(started.elapsed() < Duration::from_secs(10), "not ready");
+        assert!(started.elapsed() < Duration::from_secs(10), "not ready within 10 s");
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     started.elapsed()
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -98,8 +98,8 @@
     /// Pending timers as (due time, token).
     timers: Vec<(Micros, u64)>,
     settings: Settings,
-    /// Attempts do not reach their targets by themselves: the test reports each arrival. Otherwise every
-    /// started attempt arrives at once.
+    /// Whether the test itself reports when an attempt arrives at its target. If false, every attempt arrives
+    /// as soon as it starts.
     pub manual_arrivals: bool,
 }
 
