--- a/tests/network/lost_site.rs
+++ b/tests/network/lost_site.rs
@@ -147,7 +147,7 @@
 
 const SITE_LOST_REASON: &str = "site negril is lost";
 
-// Guards against load on a lost site: each instance probed each of its targets again and again, and all sent
+// Guards against load on a lost site: each instance retried each of its targets again and again, and all sent
 // their load to it at once on its return.
 #[test]
 fn a_lost_site_is_ejected_by_all_initiators_and_its_recovery_is_paced_over_all() {
